--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -7,8 +7,8 @@
 from clementinegw.direct import backend as backend_lib
 from clementinegw.direct import catalog
 from clementinegw.direct import client
-from clementinegw.direct import dialect as dialects
 from clementinegw.direct import events
+from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
 from clementinegw.direct import recalls
 from clementinegw.direct import server as servers
@@ -95,18 +95,18 @@
 
     def __init__(
         self,
-        dialect: dialects.Dialect,
+        codec: header_codec.HeaderCodec,
         clock: Callable[[], float],
         began: Callable[[Job], None] = lambda job: None,
     ):
         """Makes none before `run`.
 
         Args:
-          dialect: Knows the platform's headers.
+          codec: Knows the platform's headers.
           clock: Monotonic seconds.
           began: Told of each request whose first event has come.
         """
-        self._dialect = dialect
+        self._codec = codec
         self._clock = clock
         self._began = began
 
@@ -220,7 +220,7 @@
     ) -> outcomes.Attempt:
         backend = hearing.backend
         request = job.request
-        headers = self._dialect.sent_on(request.headers, sending)
+        headers = self._codec.to_server_headers(request.headers, sending)
         job.sends += 1
         sent_at = self._clock()
         await connection.send(
@@ -232,7 +232,7 @@
         )
         patience = silence_s if route.idempotent else None
         head = await hearing.head(connection, patience)
-        facts = self._dialect.answer_facts(head)
+        facts = self._codec.answer_metadata(head)
         connection.keep_s = facts.keep_s
         now = self._clock()
         if facts.load is not None:
@@ -289,7 +289,7 @@
 
         body = await hearing.hear(read, None)
         await job.responder.answer(
-            head.status, self._dialect.handed_back(head), body
+            head.status, self._codec.to_caller_headers(head), body
         )
 
     async def _stream(
@@ -333,7 +333,7 @@
         # A stream that goes on at another server keeps the head of its first.
         if not job.responder.begun:
             await job.responder.begin(
-                head.status, self._dialect.handed_back(head)
+                head.status, self._codec.to_caller_headers(head)
             )
 
 
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -15,10 +15,10 @@
 from clementinegw.direct import budget
 from clementinegw.direct import catalog as catalogs
 from clementinegw.direct import declarations
-from clementinegw.direct import dialect as dialects
 from clementinegw.direct import fleet as fleets
 from clementinegw.direct import follow
 from clementinegw.direct import forward
+from clementinegw.direct import header_codec as header_codec_lib
 from clementinegw.direct import instance as instances
 from clementinegw.direct import outage
 from clementinegw.direct import raw
@@ -60,7 +60,7 @@
 class Platform(raw.Platform, Protocol):
     """What the daemon needs of the platform."""
 
-    def dialect(self) -> dialects.Dialect:
+    def header_codec(self) -> header_codec_lib.HeaderCodec:
         """Returns what knows the platform's headers."""
 
 
@@ -140,7 +140,7 @@
         )
         self.histograms = histograms.Histograms()
         self._forwarder = forward.Forwarder(
-            platform.dialect(),
+            platform.header_codec(),
             self._knowledge,
             self._balancer,
             self._versions,
--- a/src/clementinegw/direct/finals.py
+++ b/src/clementinegw/direct/finals.py
@@ -8,7 +8,7 @@
 from clementinegw.direct import attempt as attempts
 from clementinegw.direct import channel
 from clementinegw.direct import client
-from clementinegw.direct import dialect as dialects
+from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
 from clementinegw.direct import server as servers
 from clementinegw.telemetry import counters as counters_lib
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        dialect: dialects.Dialect,
+        codec: header_codec.HeaderCodec,
         knowledge: admit.Knowledge,
         clock: Callable[[], float],
         log: logs.Log,
@@ -47,14 +47,14 @@
         """Ends nothing by itself.
 
         Args:
-          dialect: Knows the platform's headers.
+          codec: Knows the platform's headers.
           knowledge: How old what the process knows is.
           clock: Monotonic seconds.
           log: Where events go.
           counters: Counts refusals and answers by reason.
           histograms: Of the answers' times.
         """
-        self._dialect = dialect
+        self._codec = codec
         self._knowledge = knowledge
         self._clock = clock
         self._log = log
@@ -107,7 +107,7 @@
     def _id_of(self, request: servers.Request) -> str:
         """Returns the id of a request that was not admitted, for the log."""
         try:
-            return self._dialect.request_facts(request.headers).attempt_id
+            return self._codec.request_metadata(request.headers).attempt_id
         except ValueError:
             return ""
 
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -11,8 +11,8 @@
 from clementinegw.direct import balance
 from clementinegw.direct import budget as budgets
 from clementinegw.direct import channel
-from clementinegw.direct import dialect as dialects
 from clementinegw.direct import finals
+from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
 from clementinegw.direct import placing
 from clementinegw.direct import recalls
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        dialect: dialects.Dialect,
+        codec: header_codec.HeaderCodec,
         knowledge: admit.Knowledge,
         balancer: balance.Balancer,
         versions: versions_lib.Versions,
@@ -64,7 +64,7 @@
         counters: counters_lib.Counters,
         histograms: histograms_lib.Histograms,
     ):
-        self._dialect = dialect
+        self._codec = codec
         self._knowledge = knowledge
         self._balancer = balancer
         self._versions = versions
@@ -76,10 +76,10 @@
         self._placing = placing.Placing(
             knowledge, balancer, versions, rng, clock
         )
-        self._attempts = attempts.Attempts(dialect, clock, self._placing.began)
+        self._attempts = attempts.Attempts(codec, clock, self._placing.began)
         self._recalls = recalls.Recalls(versions, clock)
         self._finals = finals.Finals(
-            dialect, knowledge, clock, log, counters, histograms
+            codec, knowledge, clock, log, counters, histograms
         )
         self._budgets: dict[str, budgets.RetryBudget] = {}
         self._callers_time = admit.CallersTime()
@@ -112,7 +112,7 @@
         elif isinstance(outcome, outcomes.Failed):
             await responder.answer(
                 outcome.head.status,
-                self._dialect.handed_back(outcome.head),
+                self._codec.to_caller_headers(outcome.head),
                 outcome.body,
             )
             self._finals.done(admitted, "failed_at_server", outcome.head.status)
@@ -125,7 +125,7 @@
         self, request: servers.Request, responder: servers.Responder
     ) -> attempts.Job | outcomes.Refusal:
         try:
-            facts = self._dialect.request_facts(request.headers)
+            facts = self._codec.request_metadata(request.headers)
         except ValueError:
             return outcomes.Refusal(400, Reason.MALFORMED)
         if not facts.attempt_id:
--- a/src/clementinegw/direct/dialect.py
+++ b/src/clementinegw/direct/header_codec.py
@@ -9,23 +9,23 @@
 RawHeaders = Iterable[tuple[bytes, bytes]]
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Translates between headers and facts; decides nothing."""
 
-    def request_facts(self, headers: RawHeaders) -> types.RequestFacts:
+    def request_metadata(self, headers: RawHeaders) -> types.RequestFacts:
         """Returns what a caller's headers say.
 
         Raises:
           ValueError: A header cannot be read.
         """
 
-    def answer_facts(self, head: client.Head) -> types.AnswerFacts:
+    def answer_metadata(self, head: client.Head) -> types.AnswerFacts:
         """Returns what a server's headers say; unreadable ones say nothing."""
 
-    def sent_on(
+    def to_server_headers(
         self, headers: RawHeaders, sending: types.Sending
     ) -> client.Headers:
         """Returns a caller's headers as a server is sent them."""
 
-    def handed_back(self, head: client.Head) -> client.Headers:
+    def to_caller_headers(self, head: client.Head) -> client.Headers:
         """Returns a server's headers as the caller gets them."""
--- a/tests/test_direct_server_backoff.py
+++ b/tests/test_direct_server_backoff.py
@@ -189,7 +189,7 @@
     status, values, backoff_s, malformed
 ):
     raw = tuple((b"retry-after", value.encode()) for value in values)
-    facts = headers.Headers().answer_facts(client.Head(status, raw))
+    facts = headers.Headers().answer_metadata(client.Head(status, raw))
     assert facts.backoff_s == backoff_s
     assert ("backoff_s" in facts.malformed) == malformed
 
--- a/tests/test_direct_server_leaving.py
+++ b/tests/test_direct_server_leaving.py
@@ -170,6 +170,6 @@
 )
 def test_what_says_leaving_and_what_is_malformed(value, says, malformed):
     raw = () if value is None else ((b"server-leaving", value.encode()),)
-    facts = headers.Headers().answer_facts(client.Head(200, raw))
+    facts = headers.Headers().answer_metadata(client.Head(200, raw))
     assert facts.leaving == says
     assert ("leaving" in facts.malformed) == malformed
--- a/tests/test_direct_server_limit.py
+++ b/tests/test_direct_server_limit.py
@@ -216,7 +216,7 @@
 )
 def test_limits_are_read_or_said_to_be_malformed(values, per_s, malformed):
     raw = tuple((b"server-limit", value.encode()) for value in values)
-    facts = headers.Headers().answer_facts(client.Head(200, raw))
+    facts = headers.Headers().answer_metadata(client.Head(200, raw))
     assert facts.limit_per_s == per_s
     assert ("limit_per_s" in facts.malformed) == malformed
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -79,11 +79,11 @@
 
 def facts(**fields):
     raw = [(k.encode(), v.encode()) for k, v in fields.items()]
-    return headers.Headers().request_facts(raw)
+    return headers.Headers().request_metadata(raw)
 
 
 def test_a_request_is_decoded():
-    found = headers.Headers().request_facts(
+    found = headers.Headers().request_metadata(
         [
             (b"X-Clementinegw-Attempt-Id", b"abc"),
             (b"X-Clementinegw-Deadline-Ms", b"1500"),
@@ -102,7 +102,7 @@
 def test_a_deadline_that_is_no_number_is_malformed(text):
     raw = [(b"X-Clementinegw-Deadline-Ms", text.encode())]
     with pytest.raises(ValueError, match="whole number"):
-        headers.Headers().request_facts(raw)
+        headers.Headers().request_metadata(raw)
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
 )
 def test_a_load_that_cannot_be_read_says_nothing(text, load):
     head = client.Head(200, ((b"x-clementinegw-server-load", text.encode()),))
-    assert headers.Headers().answer_facts(head).load == load
+    assert headers.Headers().answer_metadata(head).load == load
 
 
 def test_headers_of_one_connection_are_not_passed_on():
@@ -126,7 +126,7 @@
         (b"TE", b"trailers"),
         (b"X-Kept", b"2"),
     ]
-    sent = headers.Headers().sent_on(raw, types.Sending("i-1", 1.0))
+    sent = headers.Headers().to_server_headers(raw, types.Sending("i-1", 1.0))
     names = {name.lower() for name, _ in sent}
     assert b"x-kept" in names
     assert not names & {b"connection", b"x-private", b"te"}
