--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -10,9 +10,9 @@
 from clementinegw.direct import events
 from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
-from clementinegw.direct import recalls
 from clementinegw.direct import server as servers
 from clementinegw.direct import types
+from clementinegw.direct import version_timeouts
 
 # The most bytes of an answer that is kept until it is whole, so that a broken
 # one never looks like an answer. Streams are passed on event by event.
@@ -116,7 +116,7 @@
         backend: backend_lib.Backend,
         sending: types.Sending,
         elsewhere: Callable[[], bool],
-        recall: recalls.Recall,
+        version_timeout: version_timeouts.VersionTimeout,
     ) -> outcomes.Attempt:
         """Makes one attempt.
 
@@ -126,22 +126,22 @@
           sending: What it is told besides the request.
           elsewhere: Returns whether another server could take the request
             over now. While none can, a silent server is waited for.
-          recall: Takes it back before the server is too old for it.
+          version_timeout: Takes it back before the server is too old for it.
 
         Raises:
           channel.ChannelClosed: The caller has left.
         """
         sends = job.sends
         backend.unread_tokens += job.facts.prompt_tokens
-        unread = _Unread(backend, job.facts.prompt_tokens, recall)
+        unread = _Unread(backend, job.facts.prompt_tokens, version_timeout)
         try:
             hearing = _Hearing(backend, elsewhere, self._clock)
-            async with asyncio.timeout(None) as waiting:
-                recall.watch(waiting)
+            async with asyncio.timeout(None) as timeout:
+                version_timeout.start(timeout)
                 try:
                     return await self._run(job, hearing, sending, unread)
                 finally:
-                    recall.end()
+                    version_timeout.stop()
         except TimeoutError:
             if job.sends == sends:
                 # Its connection was still coming up: nobody may have run it.
@@ -165,7 +165,7 @@
             job.unreached_s += self._clock() - began
             hearing.unreachable()
             return outcomes.NotRun(outcomes.NotRunReason.UNREACHABLE)
-        reason = self._withdrawn(job, backend, unread.recall)
+        reason = self._withdrawn(job, backend, unread.version_timeout)
         if reason is not None:
             backend.pool.discard(connection)
             return outcomes.NotRun(reason)
@@ -191,7 +191,10 @@
                 backend.pool.discard(connection)
 
     def _withdrawn(
-        self, job: Job, backend: backend_lib.Backend, recall: recalls.Recall
+        self,
+        job: Job,
+        backend: backend_lib.Backend,
+        version_timeout: version_timeouts.VersionTimeout,
     ) -> outcomes.NotRunReason | None:
         """Returns why a request that was placed is not sent after all.
 
@@ -206,7 +209,7 @@
                 backend.signals.limited and not job.permitted,
                 outcomes.NotRunReason.LIMITED,
             ),
-            (recall.late, outcomes.NotRunReason.TOO_OLD),
+            (version_timeout.outdated, outcomes.NotRunReason.TOO_OLD),
         )
         return next((reason for holds, reason in checks if holds), None)
 
@@ -409,9 +412,12 @@
     """The tokens that a server still has to read, until its first event."""
 
     def __init__(
-        self, backend: backend_lib.Backend, tokens: int, recall: recalls.Recall
+        self,
+        backend: backend_lib.Backend,
+        tokens: int,
+        version_timeout: version_timeouts.VersionTimeout,
     ):
-        self.recall = recall
+        self.version_timeout = version_timeout
         self._backend = backend
         self._tokens = tokens
 
@@ -419,7 +425,7 @@
         """Counts them as read, once."""
         self._backend.unread_tokens -= self._tokens
         self._tokens = 0
-        self.recall.end()
+        self.version_timeout.stop()
 
 
 def _new(event: events.Event, last_event: str | None) -> bool:
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -15,10 +15,10 @@
 from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
 from clementinegw.direct import placing
-from clementinegw.direct import recalls
 from clementinegw.direct import server as servers
 from clementinegw.direct import suspects as suspects_lib
 from clementinegw.direct import types
+from clementinegw.direct import version_timeouts
 from clementinegw.direct import versions as versions_lib
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import histograms as histograms_lib
@@ -77,7 +77,9 @@
             knowledge, balancer, versions, rng, clock
         )
         self._attempts = attempts.Attempts(codec, clock, self._placing.began)
-        self._recalls = recalls.Recalls(versions, clock)
+        self._version_timeouts = version_timeouts.VersionTimeouts(
+            versions, clock
+        )
         self._finals = finals.Finals(
             codec, knowledge, clock, log, counters, histograms
         )
@@ -210,7 +212,9 @@
             backend,
             sending,
             lambda: self._placing.elsewhere(job, backend),
-            self._recalls.new(model, held, job.match.route.idempotent),
+            self._version_timeouts.create(
+                model, held, job.match.route.idempotent
+            ),
         )
         if isinstance(outcome, outcomes.Delivered):
             self._suspects.outlived(backend.server.start.text, now)
@@ -229,12 +233,12 @@
 
     def redate(self) -> None:
         """Takes requests back by what is known of versions now."""
-        self._recalls.look()
+        self._version_timeouts.reschedule_all()
         self.look()
 
     def check_clock(self) -> None:
         """Takes requests back that a suspended machine left at servers."""
-        self._recalls.check()
+        self._version_timeouts.check_clock()
 
     def suspicions(self) -> tuple[suspects_lib.Suspicion, ...]:
         """Returns what was seen here of requests that crash servers."""
