--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -7,10 +7,10 @@
 from clementinegw.direct import backend as backend_lib
 from clementinegw.direct import catalog
 from clementinegw.direct import client
-from clementinegw.direct import events
 from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
 from clementinegw.direct import server as servers
+from clementinegw.direct import sse
 from clementinegw.direct import types
 from clementinegw.direct import version_timeouts
 
@@ -308,7 +308,7 @@
         A server may break off inside an event. Only whole ones are passed on,
         so that another server can go on behind the last of them.
         """
-        splitter = events.Splitter()
+        splitter = sse.Splitter()
         route = job.match.route
         silence_s = max(_LEAST_SILENCE_S, _SILENT_GAPS * route.max_gap_s)
         patience = silence_s if route.idempotent else None
@@ -327,7 +327,7 @@
             await job.responder.send(b"".join(e.data for e in whole))
             if whole[-1].event_id is not None:
                 job.last_event = whole[-1].event_id
-        if splitter.rest.strip():
+        if splitter.remainder.strip():
             raise client.AnswerBroken("ends inside an event")
         await self._begin(job, head)
         await job.responder.end()
@@ -428,7 +428,7 @@
         self.version_timeout.stop()
 
 
-def _new(event: events.Event, last_event: str | None) -> bool:
+def _new(event: sse.Event, last_event: str | None) -> bool:
     """Returns whether the caller has not got an event yet."""
     if event.event_id is None or last_event is None:
         return True
--- a/src/clementinegw/direct/events.py
+++ b/src/clementinegw/direct/sse.py
@@ -5,8 +5,8 @@
 
 # An event larger than this is passed on in parts and cannot be resumed. Bytes.
 _MAX_EVENT_BYTES = 256 << 10
-_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-_ID = re.compile(rb"(?:^|[\r\n])id: ?([^\r\n]*)")
+_EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_ID_FIELD = re.compile(rb"(?:^|[\r\n])id: ?([^\r\n]*)")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -26,29 +26,29 @@
     """Cuts bytes into events; keeps the rest for the next bytes."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes of an event that has not ended."""
-        return self._rest
+        return self._remainder
 
     def feed(self, data: bytes) -> list[Event]:
         """Returns the events that are whole now."""
-        text = self._rest + data
+        text = self._remainder + data
         events = []
         start = 0
-        for end in _END.finditer(text):
-            events.append(_event(text[start : end.end()]))
+        for end in _EVENT_END.finditer(text):
+            events.append(_parse_event(text[start : end.end()]))
             start = end.end()
-        self._rest = text[start:]
-        if len(self._rest) > _MAX_EVENT_BYTES:
-            events.append(Event(self._rest, None))
-            self._rest = b""
+        self._remainder = text[start:]
+        if len(self._remainder) > _MAX_EVENT_BYTES:
+            events.append(Event(self._remainder, None))
+            self._remainder = b""
         return events
 
 
-def _event(data: bytes) -> Event:
-    found = _ID.search(data)
+def _parse_event(data: bytes) -> Event:
+    found = _ID_FIELD.search(data)
     event_id = found.group(1).decode("utf-8", "replace") if found else None
     return Event(data, event_id)
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -8,11 +8,11 @@
 from clementinegw import types as places
 from clementinegw.direct import budget
 from clementinegw.direct import catalog
-from clementinegw.direct import events
 from clementinegw.direct import fleet
 from clementinegw.direct import follow
 from clementinegw.direct import plan
 from clementinegw.direct import reports
+from clementinegw.direct import sse
 from clementinegw.direct import turns
 from clementinegw.direct import types
 from clementinegw.direct import versions
@@ -562,13 +562,13 @@
 def test_events_are_whole_whatever_the_bytes_come_in():
     stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
     for cut in range(len(stream) + 1):
-        splitter = events.Splitter()
+        splitter = sse.Splitter()
         found = splitter.feed(stream[:cut]) + splitter.feed(stream[cut:])
-        assert b"".join(e.data for e in found) + splitter.rest == stream
+        assert b"".join(e.data for e in found) + splitter.remainder == stream
         assert [e.event_id for e in found][:2] == ["1", "2"]
 
 
 def test_an_event_that_has_not_ended_is_kept_back():
-    splitter = events.Splitter()
+    splitter = sse.Splitter()
     assert splitter.feed(b"id: 1\ndata: a\n") == []
-    assert splitter.rest == b"id: 1\ndata: a\n"
+    assert splitter.remainder == b"id: 1\ndata: a\n"
