--- a/src/clementinegw/direct/admit.py
+++ b/src/clementinegw/direct/admit.py
@@ -47,7 +47,7 @@
 
 def match(
     knowledge: Knowledge, request: servers.Request, facts: types.RequestFacts
-) -> catalogs.Match | outcomes.Refusal:
+) -> catalogs.RouteMatch | outcomes.Refusal:
     """Returns a request's route and customer, or why it is refused."""
     catalog = knowledge.catalog
     if catalog is None:
@@ -61,10 +61,10 @@
             return outcomes.Refusal(404, Reason.NO_ROUTE)
         return later(Reason.STALE_ROUTES, _RETRY_SOON_S)
     if not catalog.keyed or (route.anonymous and not facts.key):
-        return catalogs.Match(route, None)
+        return catalogs.RouteMatch(route, None)
     customer = catalog.customer(facts.key)
     if customer is None and route.anonymous:
-        return catalogs.Match(route, None)
+        return catalogs.RouteMatch(route, None)
     if customer is None:
         if fresh:
             return outcomes.Refusal(401, Reason.NO_KEY)
@@ -73,7 +73,7 @@
     # Whoever is cut off shows nothing else, so the age alone decides.
     if knowledge.age_s() >= knowledge.revoke_s:
         return later(Reason.STALE_KEYS, _RETRY_SOON_S)
-    return catalogs.Match(route, customer)
+    return catalogs.RouteMatch(route, customer)
 
 
 class CallersTime:
--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -61,7 +61,7 @@
 
     request: servers.Request
     facts: types.RequestFacts
-    match: catalog.Match
+    match: catalog.RouteMatch
     service: str
     responder: servers.Responder
     deadline: float
@@ -117,7 +117,7 @@
         sending: types.Sending,
         elsewhere: Callable[[], bool],
         version_timeout: version_timeouts.VersionTimeout,
-    ) -> outcomes.Attempt:
+    ) -> outcomes.AttemptOutcome:
         """Makes one attempt.
 
         Args:
@@ -156,7 +156,7 @@
         hearing: "_Hearing",
         sending: types.Sending,
         unread: "_Unread",
-    ) -> outcomes.Attempt:
+    ) -> outcomes.AttemptOutcome:
         backend = hearing.backend
         began = self._clock()
         try:
@@ -220,7 +220,7 @@
         sending: types.Sending,
         connection: client.Connection,
         unread: "_Unread",
-    ) -> outcomes.Attempt:
+    ) -> outcomes.AttemptOutcome:
         backend = hearing.backend
         request = job.request
         headers = self._codec.to_server_headers(request.headers, sending)
--- a/src/clementinegw/direct/catalog.py
+++ b/src/clementinegw/direct/catalog.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Match:
+class RouteMatch:
     """Where a request belongs.
 
     Attributes:
--- a/src/clementinegw/direct/finals.py
+++ b/src/clementinegw/direct/finisher.py
@@ -22,7 +22,7 @@
 # caller elsewhere only when it connects anew. An entry cut off from the
 # platform got 20 requests a second on kept connections for as long as that
 # lasted.
-_OURS_ALONE = frozenset(
+_LOCAL_REASONS = frozenset(
     {
         Reason.STALE_KEYS,
         Reason.STALE_ROUTES,
@@ -32,7 +32,7 @@
 )
 
 
-class Finals:
+class RequestFinisher:
     """Ends requests."""
 
     def __init__(
@@ -79,7 +79,7 @@
         self._counters.add(f"direct.refused.{refusal.reason}")
         self._log.write(
             _events.REQUEST_REFUSED,
-            request=job.facts.attempt_id if job else self._id_of(request),
+            request=job.facts.attempt_id if job else self._attempt_id(request),
             target=request.target[:120],
             status=refusal.status,
             reason=refusal.reason.value,
@@ -99,19 +99,19 @@
         body = json.dumps({"reason": refusal.reason.value}).encode()
         try:
             await responder.answer(
-                refusal.status, headers, body, refusal.reason in _OURS_ALONE
+                refusal.status, headers, body, refusal.reason in _LOCAL_REASONS
             )
         except channel.ChannelClosed:
             responder.abort()
 
-    def _id_of(self, request: servers.Request) -> str:
+    def _attempt_id(self, request: servers.Request) -> str:
         """Returns the id of a request that was not admitted, for the log."""
         try:
             return self._codec.request_metadata(request.headers).attempt_id
         except ValueError:
             return ""
 
-    def done(self, job: attempts.Job, outcome: str, status: int) -> None:
+    def record_done(self, job: attempts.Job, outcome: str, status: int) -> None:
         """Notes how an admitted request ended."""
         now = self._clock()
         first = job.first_answer_at
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -11,7 +11,7 @@
 from clementinegw.direct import balance
 from clementinegw.direct import budget as budgets
 from clementinegw.direct import channel
-from clementinegw.direct import finals
+from clementinegw.direct import finisher
 from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
 from clementinegw.direct import placing
@@ -80,7 +80,7 @@
         self._version_timeouts = version_timeouts.VersionTimeouts(
             versions, clock
         )
-        self._finals = finals.Finals(
+        self._finisher = finisher.RequestFinisher(
             codec, knowledge, clock, log, counters, histograms
         )
         self._budgets: dict[str, budgets.RetryBudget] = {}
@@ -93,7 +93,7 @@
         """Answers one request."""
         admitted = self._admit(request, responder)
         if isinstance(admitted, outcomes.Refusal):
-            await self._finals.refuse(request, responder, admitted, None)
+            await self._finisher.refuse(request, responder, admitted, None)
             return
         serving = asyncio.ensure_future(self._serve(admitted))
         await asyncio.wait(
@@ -105,21 +105,23 @@
             outcome = await serving
         except (asyncio.CancelledError, channel.ChannelClosed):
             responder.abort()
-            self._finals.done(admitted, "caller_left", 0)
+            self._finisher.record_done(admitted, "caller_left", 0)
             if responder.gone.done():
                 return
             raise
         if isinstance(outcome, outcomes.Refusal):
-            await self._finals.refuse(request, responder, outcome, admitted)
+            await self._finisher.refuse(request, responder, outcome, admitted)
         elif isinstance(outcome, outcomes.Failed):
             await responder.answer(
                 outcome.head.status,
                 self._codec.to_caller_headers(outcome.head),
                 outcome.body,
             )
-            self._finals.done(admitted, "failed_at_server", outcome.head.status)
+            self._finisher.record_done(
+                admitted, "failed_at_server", outcome.head.status
+            )
         else:
-            self._finals.done(admitted, "answered", outcome.status)
+            self._finisher.record_done(admitted, "answered", outcome.status)
 
     # Admission.
 
@@ -180,7 +182,7 @@
 
     async def _once(
         self, job: attempts.Job
-    ) -> outcomes.Attempt | outcomes.Refusal:
+    ) -> outcomes.AttemptOutcome | outcomes.Refusal:
         if self._suspects.refused(job.request, job.caller, self._clock()):
             return self._placing.unserved(job, Reason.CRASHES_SERVERS)
         place = await self._placing.choose(job)
@@ -193,7 +195,7 @@
 
     async def _send(
         self, job: attempts.Job, backend: backend_lib.Backend
-    ) -> outcomes.Attempt | outcomes.Refusal:
+    ) -> outcomes.AttemptOutcome | outcomes.Refusal:
         if job.sends and not self._budget(job.service).allow(self._clock()):
             return self._placing.unserved(job, Reason.NO_BUDGET)
         now = self._clock()
@@ -260,7 +262,7 @@
         self,
         job: attempts.Job,
         backend: backend_lib.Backend,
-        outcome: outcomes.Attempt,
+        outcome: outcomes.AttemptOutcome,
     ) -> None:
         now = self._clock()
         reason = getattr(outcome, "reason", "failed")
@@ -293,7 +295,9 @@
             doubt=round(backend.doubt, 2),
         )
 
-    def _again(self, job: attempts.Job, outcome: outcomes.Attempt) -> bool:
+    def _again(
+        self, job: attempts.Job, outcome: outcomes.AttemptOutcome
+    ) -> bool:
         """Returns whether another attempt may be made."""
         if job.responder.begun and job.last_event is None:
             return False
@@ -310,7 +314,7 @@
         return route.idempotent and job.runs < route.max_attempts
 
     def _give_up(
-        self, job: attempts.Job, outcome: outcomes.Attempt
+        self, job: attempts.Job, outcome: outcomes.AttemptOutcome
     ) -> outcomes.Failed | outcomes.Refusal:
         if isinstance(outcome, outcomes.Failed):
             return outcome
@@ -326,7 +330,7 @@
         return found
 
 
-def _unreached(outcome: outcomes.Attempt) -> bool:
+def _unreached(outcome: outcomes.AttemptOutcome) -> bool:
     """Returns whether an attempt ended before anything was handed over."""
     return (
         isinstance(outcome, outcomes.NotRun)
--- a/src/clementinegw/direct/outcomes.py
+++ b/src/clementinegw/direct/outcomes.py
@@ -67,7 +67,7 @@
     reason: LostReason
 
 
-Attempt = Delivered | NotRun | Failed | Lost
+AttemptOutcome = Delivered | NotRun | Failed | Lost
 
 
 class RefusalReason(enum.StrEnum):
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -295,7 +295,7 @@
         job = attempts.Job(
             builtin_types.SimpleNamespace(arrived_at=now),
             facts,
-            catalog.Match(route, None),
+            catalog.RouteMatch(route, None),
             SERVICE,
             None,
             now + left_s,
