--- a/src/clementinegw/direct/channel.py
+++ b/src/clementinegw/direct/channel.py
@@ -7,11 +7,11 @@
 
 # Reading pauses beyond this, so that a peer that sends faster than its bytes
 # are used cannot fill the memory. Bytes.
-_HIGH_WATER = 256 << 10
+_READ_HIGH_WATER_BYTES = 256 << 10
 # Unacknowledged bytes end the connection after this. A machine without power
 # does not answer, and the kernel's own patience is a quarter of an hour.
 # Milliseconds.
-_USER_TIMEOUT_MS = 4_000
+_TCP_USER_TIMEOUT_MS = 4_000
 
 
 class ChannelClosed(exceptions.ClementineError):
@@ -37,7 +37,7 @@
         self._paused_writing = False
         self._ended = False
         self._clean = False
-        self._gone: asyncio.Future | None = None
+        self._disconnected: asyncio.Future | None = None
 
     @property
     def closed(self) -> bool:
@@ -45,25 +45,25 @@
         return self._ended or self._transport is None
 
     @property
-    def pending(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether bytes came that nobody has read."""
         return bool(self._buffer)
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that have not left yet."""
         if self._transport is None or self._transport.is_closing():
             return 0
         return self._transport.get_write_buffer_size()
 
     @property
-    def gone(self) -> asyncio.Future:
+    def disconnected(self) -> asyncio.Future:
         """Done once the peer has closed or the connection broke."""
-        if self._gone is None:
-            self._gone = asyncio.get_running_loop().create_future()
+        if self._disconnected is None:
+            self._disconnected = asyncio.get_running_loop().create_future()
             if self._ended:
-                self._gone.set_result(None)
-        return self._gone
+                self._disconnected.set_result(None)
+        return self._disconnected
 
     async def read(self) -> bytes:
         """Returns the next bytes.
@@ -121,12 +121,17 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             option = getattr(socket, "TCP_USER_TIMEOUT", None)
             if option is not None:
-                sock.setsockopt(socket.IPPROTO_TCP, option, _USER_TIMEOUT_MS)
+                sock.setsockopt(
+                    socket.IPPROTO_TCP, option, _TCP_USER_TIMEOUT_MS
+                )
 
     def data_received(self, data: bytes) -> None:
         """Keeps bytes until they are read."""
         self._buffer += data
-        if len(self._buffer) > _HIGH_WATER and self._transport is not None:
+        if (
+            len(self._buffer) > _READ_HIGH_WATER_BYTES
+            and self._transport is not None
+        ):
             self._transport.pause_reading()
         _wake(self._waiter)
 
@@ -154,7 +159,7 @@
             self._ended = True
             self._clean = clean
         _wake(self._waiter)
-        _wake(self._gone)
+        _wake(self._disconnected)
 
 
 def _wake(future: asyncio.Future | None) -> None:
--- a/src/clementinegw/direct/client.py
+++ b/src/clementinegw/direct/client.py
@@ -72,8 +72,8 @@
         return (
             self._keep
             and not self._channel.closed
-            and not self._channel.pending
-            and not self._channel.unsent
+            and not self._channel.has_unread
+            and not self._channel.unsent_bytes
             and self._http.our_state is h11.IDLE
         )
 
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -209,11 +209,13 @@
 
     async def drain(self) -> None:
         """Takes no new callers and finishes what it has."""
-        self._log.write(events.PROCESS_STOPPING, busy=self._server.busy)
+        self._log.write(
+            events.PROCESS_STOPPING, busy=self._server.open_requests
+        )
         self._leaving = True
         started = self._clock()
         end = started + self._instance.bounds.grace_s - _LEAVE_EARLY_S
-        self._server.refuse_new()
+        self._server.announce_close()
         # The balancer goes on sending callers until it has asked twice.
         await asyncio.sleep(_TAKE_ON_S)
         self._server.close_idle()
@@ -221,7 +223,7 @@
             async with asyncio.timeout_at(end):
                 await self._server.wait_idle()
         except TimeoutError:
-            self._log.write(_events.CUT_OFF, busy=self._server.busy)
+            self._log.write(_events.CUT_OFF, busy=self._server.open_requests)
 
     async def on_shutdown(self) -> None:
         """Ends what is left."""
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -97,7 +97,8 @@
             return
         serving = asyncio.ensure_future(self._serve(admitted))
         await asyncio.wait(
-            {serving, responder.gone}, return_when=asyncio.FIRST_COMPLETED
+            {serving, responder.disconnected},
+            return_when=asyncio.FIRST_COMPLETED,
         )
         if not serving.done():
             serving.cancel()
@@ -106,7 +107,7 @@
         except (asyncio.CancelledError, channel.ChannelClosed):
             responder.abort()
             self._finisher.record_done(admitted, "caller_left", 0)
-            if responder.gone.done():
+            if responder.disconnected.done():
                 return
             raise
         if isinstance(outcome, outcomes.Refusal):
--- a/src/clementinegw/direct/reading.py
+++ b/src/clementinegw/direct/request_reader.py
@@ -10,13 +10,13 @@
 from clementinegw.direct import types
 
 # How long one body may take to arrive, in seconds.
-_BODY_S = 20.0
+_BODY_TIMEOUT_S = 20.0
 _BAD_REQUEST = 400
 _TOO_LARGE = 413
 _UNAVAILABLE = 503
 
 
-class Refused(Exception):  # noqa: N818
+class RequestRefused(Exception):  # noqa: N818
     """The request is not taken; the connection ends."""
 
     def __init__(self, status: int):
@@ -24,7 +24,7 @@
         self.status = status
 
 
-class Memory(Protocol):
+class BodyMemory(Protocol):
     """What the bodies of all requests may take."""
 
     def reserve(self, count: int) -> bool:
@@ -34,14 +34,14 @@
         """Gives counted bytes back."""
 
 
-class Reader:
+class RequestReader:
     """Reads one request after the other."""
 
     def __init__(
         self,
         channel: channels.Channel,
         http: h11.Connection,
-        memory: Memory,
+        memory: BodyMemory,
         send: Callable[[h11.Event], Awaitable[None]],
     ):
         """Reads nothing yet.
@@ -56,44 +56,44 @@
         self._http = http
         self._memory = memory
         self._send = send
-        self._held_bytes = 0
+        self._reserved_bytes = 0
 
-    def release(self) -> None:
+    def release_body(self) -> None:
         """Gives back what the last body took."""
-        self._memory.release(self._held_bytes)
-        self._held_bytes = 0
+        self._memory.release(self._reserved_bytes)
+        self._reserved_bytes = 0
 
     async def head(self, limits: types.Limits) -> h11.Request | None:
         """Returns the next request's head; None when no more follows.
 
         Raises:
-          Refused: What came is none.
+          RequestRefused: What came is none.
           channels.ChannelClosed: The connection broke.
         """
         event = self._http.next_event()
         if event is h11.NEED_DATA:
             # Nothing of a head has come: the connection is idle until then.
-            if not await self._more(limits.idle_timeout_s):
+            if not await self._receive(limits.idle_timeout_s):
                 return None
             deadline = asyncio.get_running_loop().time()
             deadline += limits.header_timeout_s
             event = self._http.next_event()
             while event is h11.NEED_DATA:
-                left = deadline - asyncio.get_running_loop().time()
-                if left <= 0 or not await self._more(left):
+                remaining_s = deadline - asyncio.get_running_loop().time()
+                if remaining_s <= 0 or not await self._receive(remaining_s):
                     return None
                 event = self._http.next_event()
         if isinstance(event, h11.ConnectionClosed):
             return None
         if not isinstance(event, h11.Request):
-            raise Refused(_BAD_REQUEST)
+            raise RequestRefused(_BAD_REQUEST)
         return event
 
     async def body(self, limits: types.Limits) -> bytes:
-        """Returns the whole body; its bytes count until `release`.
+        """Returns the whole body; its bytes count until `release_body`.
 
         Raises:
-          Refused: It is too large, or all bodies together are.
+          RequestRefused: It is too large, or all bodies together are.
           channels.ChannelClosed: It did not come whole.
         """
         if self._http.they_are_waiting_for_100_continue:
@@ -101,26 +101,26 @@
                 h11.InformationalResponse(status_code=100, headers=[])
             )
         body = bytearray()
-        deadline = asyncio.get_running_loop().time() + _BODY_S
+        deadline = asyncio.get_running_loop().time() + _BODY_TIMEOUT_S
         while True:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                left = deadline - asyncio.get_running_loop().time()
-                if left <= 0 or not await self._more(left):
+                remaining_s = deadline - asyncio.get_running_loop().time()
+                if remaining_s <= 0 or not await self._receive(remaining_s):
                     raise channels.ChannelClosed(clean=False)
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > limits.body_bytes:
-                    raise Refused(_TOO_LARGE)
+                    raise RequestRefused(_TOO_LARGE)
                 if not self._memory.reserve(len(event.data)):
-                    raise Refused(_UNAVAILABLE)
-                self._held_bytes += len(event.data)
+                    raise RequestRefused(_UNAVAILABLE)
+                self._reserved_bytes += len(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             else:
                 raise channels.ChannelClosed(clean=False)
 
-    async def _more(self, timeout_s: float) -> bool:
+    async def _receive(self, timeout_s: float) -> bool:
         """Reads on; False at the end of the connection or the time."""
         try:
             async with asyncio.timeout(timeout_s):
--- a/src/clementinegw/direct/server.py
+++ b/src/clementinegw/direct/server.py
@@ -13,14 +13,14 @@
 from clementinegw import types
 from clementinegw.direct import channel as channels
 from clementinegw.direct import client
-from clementinegw.direct import reading
+from clementinegw.direct import request_reader
 from clementinegw.direct import types as direct_types
 
 # How long a caller may go without taking any byte of its answer, in seconds.
-_SLOW_CALLER_S = 10.0
+_WRITE_TIMEOUT_S = 10.0
 # The bodies of all requests at once, in bytes: a share of the memory that a
 # small instance has for this process.
-_BODIES_BYTES = 48 << 20
+_MAX_BODIES_BYTES = 48 << 20
 # After a refused body the rest is read and thrown away for so long, so that
 # the caller reads the answer before the connection breaks. Seconds.
 _LINGER_S = 0.3
@@ -64,9 +64,9 @@
         self.ended = False
 
     @property
-    def gone(self) -> asyncio.Future:
+    def disconnected(self) -> asyncio.Future:
         """Done once the caller has closed its connection."""
-        return self._session.channel.gone
+        return self._session.channel.disconnected
 
     async def answer(
         self,
@@ -80,7 +80,7 @@
         Raises:
           channels.ChannelClosed: The caller has left.
         """
-        sized = client.without(headers, _FRAMING)
+        sized = client.without(headers, _FRAMING_HEADERS)
         sized.append((b"content-length", str(len(body)).encode()))
         await self._begin(status, sized, close)
         if body:
@@ -93,7 +93,9 @@
         Raises:
           channels.ChannelClosed: The caller has left.
         """
-        await self._begin(status, client.without(headers, _FRAMING), False)
+        await self._begin(
+            status, client.without(headers, _FRAMING_HEADERS), False
+        )
 
     async def send(self, data: bytes) -> None:
         """Sends a part of the body.
@@ -123,7 +125,7 @@
         )
 
 
-_FRAMING = frozenset(
+_FRAMING_HEADERS = frozenset(
     {
         b"content-length",
         b"transfer-encoding",
@@ -152,13 +154,13 @@
         self._server: asyncio.Server | None = None
         self._sessions: dict[_Session, asyncio.Task] = {}
         self._body_bytes = 0
-        self._ended = asyncio.Event()
+        self._request_ended = asyncio.Event()
         self.limits = direct_types.Limits()
         self.closing = False
         self.requests = 0
 
     @property
-    def busy(self) -> int:
+    def open_requests(self) -> int:
         """Requests that are not answered yet."""
         return sum(session.busy for session in self._sessions)
 
@@ -166,7 +168,7 @@
         """Takes connections from now on."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: _Listening(self._open),
+            lambda: _ServerChannel(self._start_session),
             address.host,
             address.port,
             backlog=512,
@@ -174,11 +176,11 @@
 
     async def wait_idle(self) -> None:
         """Returns once no request is waiting for its answer."""
-        while self.busy:
-            self._ended.clear()
-            await self._ended.wait()
+        while self.open_requests:
+            self._request_ended.clear()
+            await self._request_ended.wait()
 
-    def refuse_new(self) -> None:
+    def announce_close(self) -> None:
         """Answers from now on carry the wish to close."""
         self.closing = True
 
@@ -199,13 +201,13 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def request_ended(self) -> None:
+    def on_request_ended(self) -> None:
         """Notes that a request has its answer, or its caller has left."""
-        self._ended.set()
+        self._request_ended.set()
 
     def reserve(self, count: int) -> bool:
         """Counts bytes of bodies; False when all bodies are too many."""
-        if self._body_bytes + count > _BODIES_BYTES:
+        if self._body_bytes + count > _MAX_BODIES_BYTES:
             return False
         self._body_bytes += count
         return True
@@ -214,24 +216,24 @@
         """Gives counted bytes back."""
         self._body_bytes -= count
 
-    def _open(self, channel: channels.Channel) -> None:
+    def _start_session(self, channel: channels.Channel) -> None:
         session = _Session(self, channel)
         task = asyncio.ensure_future(session.run(self._handler))
         self._sessions[session] = task
         task.add_done_callback(lambda _: self._sessions.pop(session, None))
 
 
-class _Listening(channels.Channel):
+class _ServerChannel(channels.Channel):
     """A channel that tells of itself once it is up."""
 
-    def __init__(self, opened: Callable[[channels.Channel], None]):
+    def __init__(self, on_open: Callable[[channels.Channel], None]):
         super().__init__()
-        self._opened = opened
+        self._on_open = on_open
 
     def connection_made(self, transport) -> None:
         """Starts to serve it."""
         super().connection_made(transport)
-        self._opened(self)
+        self._on_open(self)
 
 
 class _Session:
@@ -243,7 +245,9 @@
             h11.SERVER,
             max_incomplete_event_size=server.limits.header_bytes,
         )
-        self._reader = reading.Reader(channel, self._http, server, self.send)
+        self._reader = request_reader.RequestReader(
+            channel, self._http, server, self.send
+        )
         self.channel = channel
         self.busy = False
         self.idle = True
@@ -261,7 +265,7 @@
             self.channel.close()
         except channels.ChannelClosed:
             self.channel.abort()
-        except reading.Refused as refused:
+        except request_reader.RequestRefused as refused:
             await self._refuse(refused.status)
         except h11.RemoteProtocolError as error:
             await self._refuse(error.error_status_hint or _BAD_REQUEST)
@@ -273,7 +277,7 @@
             self.channel.abort()
             raise
         finally:
-            self._reader.release()
+            self._reader.release_body()
 
     async def send(self, event: h11.Event) -> None:
         """Sends one event of the answer."""
@@ -281,7 +285,7 @@
         if not data:
             return
         try:
-            async with asyncio.timeout(_SLOW_CALLER_S):
+            async with asyncio.timeout(_WRITE_TIMEOUT_S):
                 await self.channel.write(data)
         except TimeoutError as error:
             self.channel.abort()
@@ -295,7 +299,7 @@
         if head is None:
             return False
         body = await self._reader.body(limits)
-        request = _whole(head, body)
+        request = _to_request(head, body)
         responder = Responder(self)
         self.busy = True
         self._server.requests += 1
@@ -303,8 +307,8 @@
             await handler(request, responder)
         finally:
             self.busy = False
-            self._server.request_ended()
-        self._reader.release()
+            self._server.on_request_ended()
+        self._reader.release_body()
         if not responder.ended:
             self.channel.abort()
             return False
@@ -338,7 +342,7 @@
         self.channel.close()
 
 
-def _whole(head: h11.Request, body: bytes) -> Request:
+def _to_request(head: h11.Request, body: bytes) -> Request:
     host = b""
     for name, value in head.headers:
         if name == b"host":
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -91,7 +91,7 @@
         self.sessions.add(responder._session)
         if self.silent or responder._session in self.dead:
             self.hung.append(request.target)
-            await responder.gone
+            await responder.disconnected
             return
         if self.status != 200:
             await responder.answer(self.status, [], b"")
--- a/tests/test_direct_entry.py
+++ b/tests/test_direct_entry.py
@@ -349,8 +349,8 @@
                 await asyncio.sleep(0.1)
                 assert len(site.servers[0].calls) == 1
             await asyncio.sleep(0.1)
-            busy = site.entry._server.busy
-            return busy, site.entry._fleet.find("i-1").in_flight
+            open_requests = site.entry._server.open_requests
+            return open_requests, site.entry._fleet.find("i-1").in_flight
 
     assert sites.run(play()) == (0, 0)
 
