--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -160,7 +160,7 @@
         backend = hearing.backend
         began = self._clock()
         try:
-            connection, _ = await backend.pool.take()
+            connection, _ = await backend.pool.acquire()
         except client.ConnectFailed:
             job.unreached_s += self._clock() - began
             hearing.unreachable()
@@ -186,7 +186,7 @@
         finally:
             # Closing is also how a server learns that its caller has left.
             if whole:
-                backend.pool.give_back(connection)
+                backend.pool.release(connection)
             else:
                 backend.pool.discard(connection)
 
@@ -236,7 +236,7 @@
         patience = silence_s if route.idempotent else None
         head = await hearing.head(connection, patience)
         facts = self._codec.answer_metadata(head)
-        connection.keep_s = facts.keep_s
+        connection.keep_alive_s = facts.keep_s
         now = self._clock()
         if facts.load is not None:
             backend.take_load(facts.load, now)
--- a/src/clementinegw/direct/client.py
+++ b/src/clementinegw/direct/client.py
@@ -58,9 +58,9 @@
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
         )
-        self._keep = True
+        self._keep_alive = True
         self.idle_since = 0.0
-        self.keep_s: float | None = None
+        self.keep_alive_s: float | None = None
 
     @property
     def reusable(self) -> bool:
@@ -70,18 +70,18 @@
         they would be taken for the next call's answer.
         """
         return (
-            self._keep
+            self._keep_alive
             and not self._channel.closed
             and not self._channel.has_unread
             and not self._channel.unsent_bytes
             and self._http.our_state is h11.IDLE
         )
 
-    def renew(self) -> None:
+    def start_next_call(self) -> None:
         """Gets ready for another call after a whole answer."""
         done = (self._http.our_state, self._http.their_state)
         if done != (h11.DONE, h11.DONE) or self._http.trailing_data[0]:
-            self._keep = False
+            self._keep_alive = False
             return
         self._http.start_next_cycle()
 
@@ -114,7 +114,7 @@
           AnswerBroken: None came, or what came is no HTTP.
         """
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
@@ -127,7 +127,7 @@
         Raises:
           AnswerBroken: The body is not whole.
         """
-        event = await self._next()
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -135,13 +135,13 @@
         raise AnswerBroken("not whole")
 
     async def body(
-        self, limit: int, heard: Callable[[int], None] | None = None
+        self, limit: int, on_progress: Callable[[int], None] | None = None
     ) -> bytes:
         """Returns the whole body.
 
         Args:
           limit: The most bytes that it may have.
-          heard: Told at each arrival how many bytes have come so far.
+          on_progress: Told at each arrival how many bytes have come so far.
 
         Raises:
           AnswerBroken: It is not whole, or larger than `limit` bytes.
@@ -151,16 +151,16 @@
             whole += data
             if len(whole) > limit:
                 raise AnswerBroken("too large")
-            if heard is not None:
-                heard(len(whole))
+            if on_progress is not None:
+                on_progress(len(whole))
         return bytes(whole)
 
     def close(self) -> None:
         """Ends the connection; the other side sees it at once."""
-        self._keep = False
+        self._keep_alive = False
         self._channel.abort()
 
-    async def _next(self):
+    async def _next_event(self):
         while True:
             try:
                 event = self._http.next_event()
@@ -171,7 +171,7 @@
             try:
                 self._http.receive_data(await self._channel.read())
             except channels.ChannelClosed as error:
-                self._keep = False
+                self._keep_alive = False
                 # A body without a length ends with its connection; after a
                 # reset nobody knows whether it was whole.
                 if not error.clean:
@@ -206,7 +206,7 @@
     def __init__(
         self,
         address: types.Address,
-        most: int,
+        max_open: int,
         connect_timeout_s: float,
         idle_s: float,
     ):
@@ -214,12 +214,12 @@
 
         Args:
           address: Where they go.
-          most: The most that are open at once.
+          max_open: The most that are open at once.
           connect_timeout_s: How long one may take to come up, in seconds.
           idle_s: The longest that one is kept idle, in seconds.
         """
         self._address = address
-        self._most = most
+        self._max_open = max_open
         self._connect_timeout_s = connect_timeout_s
         self._idle_s = idle_s
         self._idle: list[Connection] = []
@@ -229,14 +229,14 @@
     @property
     def full(self) -> bool:
         """Whether a call would have to wait for a connection."""
-        return self._open >= self._most and not self._idle
+        return self._open >= self._max_open and not self._idle
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """Connections in use or idle."""
         return self._open
 
-    async def take(self) -> tuple[Connection, bool]:
+    async def acquire(self) -> tuple[Connection, bool]:
         """Returns a connection, and whether it was used before.
 
         Raises:
@@ -245,9 +245,9 @@
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
-            if connection.reusable and now < self._until(connection):
+            if connection.reusable and now < self._idle_deadline(connection):
                 return connection, True
-            self._drop(connection)
+            self._close(connection)
         self._open += 1
         try:
             connection = await connect(self._address, self._connect_timeout_s)
@@ -284,7 +284,7 @@
         limit: int,
         watch: patience_lib.Watch,
     ) -> tuple[int, bytes]:
-        connection, _ = await self.take()
+        connection, _ = await self.acquire()
         whole = False
         try:
             await connection.send(method, target, headers, body)
@@ -296,59 +296,59 @@
         finally:
             # On a connection whose answer was lost nothing follows any more.
             if whole:
-                self.give_back(connection)
+                self.release(connection)
             else:
-                self._drop(connection)
+                self._close(connection)
 
-    def give_back(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """Keeps a connection for another call, if it may be used again."""
-        connection.renew()
+        connection.start_next_call()
         if self._closed or not connection.reusable:
-            self._drop(connection)
+            self._close(connection)
             return
         connection.idle_since = asyncio.get_running_loop().time()
         self._idle.append(connection)
 
     def discard(self, connection: Connection) -> None:
         """Closes a connection whose call did not end well."""
-        self._drop(connection)
+        self._close(connection)
 
     def prune(self) -> None:
         """Closes idle connections that are over their time or spoilt."""
         now = asyncio.get_running_loop().time()
         kept = []
         for connection in self._idle:
-            if connection.reusable and now < self._until(connection):
+            if connection.reusable and now < self._idle_deadline(connection):
                 kept.append(connection)
             else:
-                self._drop(connection)
+                self._close(connection)
         self._idle = kept
 
     def close(self) -> None:
         """Closes all idle connections, and the others as they come back."""
         self._closed = True
-        self.renew()
+        self.close_idle()
 
-    def renew(self) -> None:
+    def close_idle(self) -> None:
         """Closes all idle connections: what broke one may have broken all."""
         for connection in self._idle:
-            self._drop(connection)
+            self._close(connection)
         self._idle = []
 
-    def _until(self, connection: Connection) -> float:
-        keep_s = self._idle_s
-        if connection.keep_s is not None:
+    def _idle_deadline(self, connection: Connection) -> float:
+        keep_alive_s = self._idle_s
+        if connection.keep_alive_s is not None:
             # The server closes at its own time; a request that crosses that
             # close is lost, so the last second is left out.
-            keep_s = min(keep_s, connection.keep_s - 1.0)
-        return connection.idle_since + keep_s
+            keep_alive_s = min(keep_alive_s, connection.keep_alive_s - 1.0)
+        return connection.idle_since + keep_alive_s
 
-    def _drop(self, connection: Connection) -> None:
+    def _close(self, connection: Connection) -> None:
         connection.close()
         self._open -= 1
 
 
-def without(
+def without_headers(
     headers: Iterable[tuple[bytes, bytes]], names: frozenset
 ) -> Headers:
     """Returns the headers whose names, in lower case, are not among `names`."""
--- a/src/clementinegw/direct/server.py
+++ b/src/clementinegw/direct/server.py
@@ -80,7 +80,7 @@
         Raises:
           channels.ChannelClosed: The caller has left.
         """
-        sized = client.without(headers, _FRAMING_HEADERS)
+        sized = client.without_headers(headers, _FRAMING_HEADERS)
         sized.append((b"content-length", str(len(body)).encode()))
         await self._begin(status, sized, close)
         if body:
@@ -94,7 +94,7 @@
           channels.ChannelClosed: The caller has left.
         """
         await self._begin(
-            status, client.without(headers, _FRAMING_HEADERS), False
+            status, client.without_headers(headers, _FRAMING_HEADERS), False
         )
 
     async def send(self, data: bytes) -> None:
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -248,12 +248,12 @@
         link = channel.Channel()
         link.connection_made(transport)
         connection = client.Connection(link)
-        connection.renew = lambda: None
+        connection.start_next_call = lambda: None
         assert connection.reusable
         pool._open = 1
         listed(backends, server(2))
-        pool.give_back(connection)
-        assert pool.open == 0
+        pool.release(connection)
+        assert pool.open_connections == 0
         assert transport.aborted
 
     clocks.run(play())
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -156,9 +156,9 @@
             _, body = await pool.call(
                 "GET", "/", headers, b"", 1 << 20, _PATIENCE
             )
-            return len(body), None, pool.open
+            return len(body), None, pool.open_connections
         except TimeoutError:
-            return 0, clock() - started, pool.open
+            return 0, clock() - started, pool.open_connections
         finally:
             server.close()
             pool.close()
