--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -109,7 +109,7 @@
             instance.bounds.settled_ms / 1e3,
             boot_clock,
         )
-        self._suspects = suspects.Suspects()
+        self._suspects = suspects.SuspectTracker()
         self._accused_at = 0.0
         self._reporter = reports.Reporter(
             self._on_declared, self._ages, self._on_suspicions
@@ -238,7 +238,7 @@
     def _on_suspicions(
         self, suspicions: tuple[suspects.Suspicion, ...]
     ) -> None:
-        self._suspects.take(suspicions, self._clock())
+        self._suspects.merge(suspicions, self._clock())
 
     def _suspicions(self) -> tuple[suspects.Suspicion, ...]:
         """Returns what entries are told this time of bad requests."""
@@ -246,7 +246,7 @@
         if now - self._accused_at < _ACCUSE_S:
             return ()
         self._accused_at = now
-        return self._suspects.proved(now)
+        return self._suspects.confirmed_suspicions(now)
 
     def _on_servers(self, batch: follow.Batch, whole: bool) -> None:
         if whole:
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -85,7 +85,7 @@
         )
         self._budgets: dict[str, budgets.RetryBudget] = {}
         self._callers_time = admit.CallersTime()
-        self._suspects = suspects_lib.Suspects()
+        self._suspects = suspects_lib.SuspectTracker()
 
     async def handle(
         self, request: servers.Request, responder: servers.Responder
@@ -184,7 +184,7 @@
     async def _once(
         self, job: attempts.Job
     ) -> outcomes.AttemptOutcome | outcomes.Refusal:
-        if self._suspects.refused(job.request, job.caller, self._clock()):
+        if self._suspects.is_refused(job.request, job.caller, self._clock()):
             return self._placing.unserved(job, Reason.CRASHES_SERVERS)
         place = await self._placing.choose(job)
         if isinstance(place, outcomes.Refusal):
@@ -220,8 +220,10 @@
             ),
         )
         if isinstance(outcome, outcomes.Delivered):
-            self._suspects.outlived(backend.server.start.text, now)
-            self._suspects.completed(job.request, job.caller, self._clock())
+            self._suspects.record_survival(backend.server.start.text, now)
+            self._suspects.record_completion(
+                job.request, job.caller, self._clock()
+            )
         else:
             self._note(job, backend, outcome)
         return outcome
@@ -245,13 +247,13 @@
 
     def suspicions(self) -> tuple[suspects_lib.Suspicion, ...]:
         """Returns what was seen here of requests that crash servers."""
-        return self._suspects.told(self._clock())
+        return self._suspects.local_suspicions(self._clock())
 
     def take_suspicions(
         self, suspicions: tuple[suspects_lib.Suspicion, ...]
     ) -> None:
         """Takes in what other entries saw of requests that crash servers."""
-        self._suspects.take(suspicions, self._clock())
+        self._suspects.merge(suspicions, self._clock())
 
     def set_terms(self, terms: budgets.Terms) -> None:
         """Takes over what the operators allow of repeated sends."""
@@ -283,7 +285,7 @@
             # A server that loads breaks off what it runs, by our own order.
             broken = outcome.reason is outcomes.LostReason.BROKEN
             if broken and not (backend.yielding or backend.loading):
-                self._suspects.crashed(
+                self._suspects.record_crash(
                     job.request, job.caller, backend.server.start.text, now
                 )
         self._log.write(
--- a/src/clementinegw/direct/reports.py
+++ b/src/clementinegw/direct/reports.py
@@ -14,7 +14,7 @@
 from clementinegw import types
 from clementinegw.direct import rate_limit
 from clementinegw.direct import suspects
-from clementinegw.direct import suspicions as suspicions_lib
+from clementinegw.direct import suspicion_codec
 from clementinegw.direct import types as servers
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
@@ -213,7 +213,7 @@
             self._take_limit(limit)
         self._on_declared(Declared(message.declared, _ages_s(message.ages_ms)))
         if message.suspicions:
-            self._on_suspicions(suspicions_lib.from_wire(message.suspicions))
+            self._on_suspicions(suspicion_codec.from_wire(message.suspicions))
         # An entry that starts must not wait for what it alone can't know.
         self.tell_ages()
 
@@ -417,7 +417,7 @@
         except exceptions.DecodeError:
             return
         if message.suspicions:
-            self._on_suspicions(suspicions_lib.from_wire(message.suspicions))
+            self._on_suspicions(suspicion_codec.from_wire(message.suspicions))
         self._on_report(addr[0], _report(message))
 
     def subscribe(
@@ -446,7 +446,7 @@
                     asking.changes_only or None,
                     _limit(asking.limit),
                     ages_ms=ages_ms or None,
-                    suspicions=suspicions_lib.to_wire(suspicions),
+                    suspicions=suspicion_codec.to_wire(suspicions),
                 )
             )
             for asking in set(agents.values())
@@ -484,7 +484,7 @@
             _limit(report.limit),
             born=report.born,
             ages_ms=ages_ms or None,
-            suspicions=suspicions_lib.to_wire(suspicions),
+            suspicions=suspicion_codec.to_wire(suspicions),
         )
     )
 
--- a/src/clementinegw/direct/suspects.py
+++ b/src/clementinegw/direct/suspects.py
@@ -19,24 +19,24 @@
 
 from clementinegw.direct import server as servers
 
-_MOST_KEPT = 4_096
+_MAX_REQUESTS = 4_096
 # How long a crash is remembered, in seconds, and at how many a request must
 # have been for it to be refused.
-_MEMORY_S = 60.0
-_CRASHES = 2
+_RETENTION_S = 60.0
+_CRASHES_TO_REFUSE = 2
 # Crashes kept of one request, and servers known to have outlived one.
-_MOST_CRASHES = 4
-_MOST_WELL = 1_024
+_MAX_CRASHES = 4
+_MAX_SURVIVORS = 1_024
 # What is told at once: a part of a datagram, about a kilobyte.
-MOST_TOLD = 12
+MAX_SUSPICIONS = 12
 # For how long an entry tells of what it saw, in seconds: some datagrams to each
 # of those who tell all, who remember it.
-_TELL_S = 5.0
+_PUBLISH_S = 5.0
 # A crash that is told of is dated back by what its datagram may have taken, in
 # seconds: else a server that has answered since would look crashed again.
-_ON_THE_WAY_S = 0.25
+_MAX_TRANSIT_S = 0.25
 _FINGERPRINT_BYTES = 16
-_START_BYTES = 8
+_START_DIGEST_BYTES = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,49 +69,49 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Seen:
-    """A crash as it is kept; `own` where this process saw it itself."""
+class _CrashRecord:
+    """A crash as it is kept; `local` where this process saw it itself."""
 
-    at: float
-    own: bool
+    crashed_at: float
+    local: bool
 
 
-class _Record:
+class _RequestRecord:
     """What is kept of one request."""
 
     def __init__(self) -> None:
-        self.crashes: dict[bytes, _Seen] = {}
+        self.crashes: dict[bytes, _CrashRecord] = {}
         self.completed_at = -math.inf
-        self.completed_here = False
+        self.completed_locally = False
 
     @property
-    def newest_at(self) -> float:
+    def last_changed_at(self) -> float:
         """When something last happened, in monotonic seconds."""
-        crashed_at = (seen.at for seen in self.crashes.values())
+        crashed_at = (crash.crashed_at for crash in self.crashes.values())
         return max(crashed_at, default=self.completed_at)
 
-    def recent(
-        self, now: float, within_s: float = _MEMORY_S, own: bool = False
+    def recent_crashes(
+        self, now: float, within_s: float = _RETENTION_S, local: bool = False
     ) -> tuple[Crash, ...]:
-        """Returns the crashes of late; only what was seen here with `own`."""
+        """Returns the crashes of late; only what was seen here with `local`."""
         return tuple(
-            Crash(start, max(0.0, now - seen.at))
-            for start, seen in self.crashes.items()
-            if (seen.own or not own) and now - seen.at < within_s
+            Crash(start, max(0.0, now - crash.crashed_at))
+            for start, crash in self.crashes.items()
+            if (crash.local or not local) and now - crash.crashed_at < within_s
         )
 
 
-class Suspects:
+class SuspectTracker:
     """Counts crashes by what was sent."""
 
     def __init__(self) -> None:
-        self._records: collections.OrderedDict[bytes, _Record]
+        self._records: collections.OrderedDict[bytes, _RequestRecord]
         self._records = collections.OrderedDict()
-        self._at_start: dict[bytes, set[bytes]] = {}
-        self._well: collections.OrderedDict[bytes, float]
-        self._well = collections.OrderedDict()
+        self._requests_by_start: dict[bytes, set[bytes]] = {}
+        self._survived_at: collections.OrderedDict[bytes, float]
+        self._survived_at = collections.OrderedDict()
 
-    def crashed(
+    def record_crash(
         self, request: servers.Request, caller: str, start: str, now: float
     ) -> None:
         """Counts a connection that broke while a request ran.
@@ -123,10 +123,10 @@
           now: Monotonic seconds.
         """
         key = _fingerprint(request, caller)
-        self._add(key, _digest(start), _Seen(now, own=True))
-        self._bound()
+        self._add(key, _digest_start(start), _CrashRecord(now, local=True))
+        self._evict_oldest()
 
-    def completed(
+    def record_completion(
         self, request: servers.Request, caller: str, now: float
     ) -> None:
         """Clears a request that a server ran to its end.
@@ -139,31 +139,33 @@
         key = _fingerprint(request, caller)
         record = self._records.get(key)
         if record is not None:
-            record.completed_here = True
+            record.completed_locally = True
             self._complete(key, record, now)
 
-    def outlived(self, start: str, sent_at: float) -> None:
+    def record_survival(self, start: str, sent_at: float) -> None:
         """Takes in that a server answered what was sent to it at a time.
 
         The start was there then, so no crash before that had ended it.
         """
-        if not self._at_start:
+        if not self._requests_by_start:
             return
-        digest = _digest(start)
-        if digest not in self._at_start:
+        digest = _digest_start(start)
+        if digest not in self._requests_by_start:
             return
-        self._well[digest] = max(sent_at, self._well.get(digest, sent_at))
-        self._well.move_to_end(digest)
-        while len(self._well) > _MOST_WELL:
-            self._well.popitem(last=False)
-        for key in list(self._at_start[digest]):
+        self._survived_at[digest] = max(
+            sent_at, self._survived_at.get(digest, sent_at)
+        )
+        self._survived_at.move_to_end(digest)
+        while len(self._survived_at) > _MAX_SURVIVORS:
+            self._survived_at.popitem(last=False)
+        for key in list(self._requests_by_start[digest]):
             record = self._records[key]
-            if record.crashes[digest].at <= sent_at:
+            if record.crashes[digest].crashed_at <= sent_at:
                 self._drop_crash(key, digest)
             if not record.crashes and math.isinf(record.completed_at):
                 self._drop(key)
 
-    def refused(
+    def is_refused(
         self, request: servers.Request, caller: str, now: float
     ) -> bool:
         """Returns whether a request has crashed too many servers."""
@@ -172,138 +174,149 @@
         record = self._records.get(_fingerprint(request, caller))
         if record is None:
             return False
-        return len(record.recent(now)) >= _CRASHES
+        return len(record.recent_crashes(now)) >= _CRASHES_TO_REFUSE
 
-    def told(self, now: float) -> tuple[Suspicion, ...]:
+    def local_suspicions(self, now: float) -> tuple[Suspicion, ...]:
         """Returns what this process saw itself of late, for those who tell all.
 
         Told on by all, ages would grow at each step by what a datagram takes.
         """
-        self._forget(now)
-        return self._listed(
+        self._expire(now)
+        return self._select(
             lambda record: (
-                record.recent(now, _TELL_S, own=True),
-                record.completed_here,
+                record.recent_crashes(now, _PUBLISH_S, local=True),
+                record.completed_locally,
             ),
             now,
         )
 
-    def proved(self, now: float) -> tuple[Suspicion, ...]:
+    def confirmed_suspicions(self, now: float) -> tuple[Suspicion, ...]:
         """Returns what is refused, and what was cleared, whoever saw it.
 
         Each entry tells all agents, so each knows the whole. What was at one
         crash only is not told on: that is every request beside a bad one.
         """
-        self._forget(now)
+        self._expire(now)
 
-        def chosen(record: _Record) -> tuple[tuple[Crash, ...], bool]:
-            found = record.recent(now)
-            return (found if len(found) >= _CRASHES else (), True)
+        def reported(record: _RequestRecord) -> tuple[tuple[Crash, ...], bool]:
+            found = record.recent_crashes(now)
+            return (found if len(found) >= _CRASHES_TO_REFUSE else (), True)
 
-        return self._listed(chosen, now)
+        return self._select(reported, now)
 
-    def _listed(
+    def _select(
         self,
-        chosen: Callable[[_Record], tuple[tuple[Crash, ...], bool]],
+        reported: Callable[[_RequestRecord], tuple[tuple[Crash, ...], bool]],
         now: float,
     ) -> tuple[Suspicion, ...]:
         """Returns the newest records that have something to be told.
 
         Args:
-          chosen: Returns a record's crashes to tell, and whether to tell that
+          reported: Returns a record's crashes to tell, and whether to tell that
             it was completed.
           now: Monotonic seconds.
         """
         found = []
         for key, record in reversed(self._records.items()):
-            crashes, completed = chosen(record)
+            crashes, completed = reported(record)
             age_s = now - record.completed_at
-            told_s = age_s if completed and age_s < _TELL_S else None
-            if crashes or told_s is not None:
-                found.append(Suspicion(key, crashes, told_s))
-            if len(found) == MOST_TOLD:
+            completed_age_s = (
+                age_s if completed and age_s < _PUBLISH_S else None
+            )
+            if crashes or completed_age_s is not None:
+                found.append(Suspicion(key, crashes, completed_age_s))
+            if len(found) == MAX_SUSPICIONS:
                 break
         return tuple(found)
 
-    def take(self, suspicions: Iterable[Suspicion], now: float) -> None:
+    def merge(self, suspicions: Iterable[Suspicion], now: float) -> None:
         """Takes in what others tell; what is malformed or too old is not."""
         for suspicion in suspicions:
             key = suspicion.fingerprint
             if len(key) != _FINGERPRINT_BYTES:
                 continue
             age_s = suspicion.completed_age_s
-            if age_s is not None and 0.0 <= age_s < _MEMORY_S:
+            if age_s is not None and 0.0 <= age_s < _RETENTION_S:
                 self._complete(key, self._record(key), now - age_s)
-            for crash in suspicion.crashes[:_MOST_CRASHES]:
-                fits = len(crash.start) == _START_BYTES
-                if fits and 0.0 <= crash.age_s < _MEMORY_S:
-                    at = now - crash.age_s - _ON_THE_WAY_S
-                    self._add(key, crash.start, _Seen(at, own=False))
-        self._bound()
-
-    def _record(self, key: bytes) -> _Record:
-        record = self._records.setdefault(key, _Record())
+            for crash in suspicion.crashes[:_MAX_CRASHES]:
+                fits = len(crash.start) == _START_DIGEST_BYTES
+                if fits and 0.0 <= crash.age_s < _RETENTION_S:
+                    at = now - crash.age_s - _MAX_TRANSIT_S
+                    self._add(key, crash.start, _CrashRecord(at, local=False))
+        self._evict_oldest()
+
+    def _record(self, key: bytes) -> _RequestRecord:
+        record = self._records.setdefault(key, _RequestRecord())
         self._records.move_to_end(key)
         return record
 
-    def _add(self, key: bytes, start: bytes, seen: _Seen) -> None:
+    def _add(self, key: bytes, start: bytes, crash: _CrashRecord) -> None:
         known = self._records.get(key)
         completed_at = known.completed_at if known else -math.inf
-        if seen.at <= max(completed_at, self._well.get(start, -math.inf)):
+        if crash.crashed_at <= max(
+            completed_at, self._survived_at.get(start, -math.inf)
+        ):
             return
         record = self._record(key)
-        former = record.crashes.get(start)
-        record.crashes[start] = _merged(former, seen)
-        self._at_start.setdefault(start, set()).add(key)
-        if len(record.crashes) > _MOST_CRASHES:
-            oldest = min(record.crashes, key=lambda s: record.crashes[s].at)
+        known_crash = record.crashes.get(start)
+        record.crashes[start] = _merged(known_crash, crash)
+        self._requests_by_start.setdefault(start, set()).add(key)
+        if len(record.crashes) > _MAX_CRASHES:
+            oldest = min(
+                record.crashes, key=lambda s: record.crashes[s].crashed_at
+            )
             self._drop_crash(key, oldest)
 
-    def _complete(self, key: bytes, record: _Record, at: float) -> None:
+    def _complete(self, key: bytes, record: _RequestRecord, at: float) -> None:
         record.completed_at = max(record.completed_at, at)
-        for start, seen in list(record.crashes.items()):
-            if seen.at <= record.completed_at:
+        for start, crash in list(record.crashes.items()):
+            if crash.crashed_at <= record.completed_at:
                 self._drop_crash(key, start)
 
     def _drop_crash(self, key: bytes, start: bytes) -> None:
         """Takes one crash away, from the record and from the index."""
         del self._records[key].crashes[start]
-        at_start = self._at_start[start]
-        at_start.discard(key)
-        if not at_start:
-            del self._at_start[start]
+        requests = self._requests_by_start[start]
+        requests.discard(key)
+        if not requests:
+            del self._requests_by_start[start]
 
     def _drop(self, key: bytes) -> None:
         for start in list(self._records[key].crashes):
             self._drop_crash(key, start)
         del self._records[key]
 
-    def _bound(self) -> None:
-        while len(self._records) > _MOST_KEPT:
+    def _evict_oldest(self) -> None:
+        while len(self._records) > _MAX_REQUESTS:
             self._drop(next(iter(self._records)))
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         old = [
             key
             for key, record in self._records.items()
-            if now - record.newest_at >= _MEMORY_S
+            if now - record.last_changed_at >= _RETENTION_S
         ]
         for key in old:
             self._drop(key)
 
 
-def _merged(former: _Seen | None, seen: _Seen) -> _Seen:
+def _merged(
+    known_crash: _CrashRecord | None, crash: _CrashRecord
+) -> _CrashRecord:
     """Returns what is kept of a crash that is seen or told of once more.
 
     A start crashes once. What this process saw itself it knows better, and
     what is told again arrives a little later each time: by its newest time it
     would never be forgotten.
     """
-    if former is None or seen.own > former.own:
-        return seen
-    if former.own > seen.own or former.at <= seen.at:
-        return former
-    return seen
+    if known_crash is None or crash.local > known_crash.local:
+        return crash
+    if (
+        known_crash.local > crash.local
+        or known_crash.crashed_at <= crash.crashed_at
+    ):
+        return known_crash
+    return crash
 
 
 def _fingerprint(request: servers.Request, caller: str) -> bytes:
@@ -320,6 +333,6 @@
     return digest.digest()
 
 
-def _digest(start: str) -> bytes:
+def _digest_start(start: str) -> bytes:
     encoded = start.encode()
-    return hashlib.blake2b(encoded, digest_size=_START_BYTES).digest()
+    return hashlib.blake2b(encoded, digest_size=_START_DIGEST_BYTES).digest()
--- a/src/clementinegw/direct/suspicions.py
+++ b/src/clementinegw/direct/suspicion_codec.py
@@ -7,10 +7,10 @@
 
 
 def to_wire(
-    told: Iterable[suspects.Suspicion],
+    suspicions: Iterable[suspects.Suspicion],
 ) -> list[ttypes.Suspicion] | None:
     """Returns what a datagram carries; None, which takes no byte, for none."""
-    found = [
+    items = [
         ttypes.Suspicion(
             suspicion.fingerprint,
             [
@@ -21,13 +21,13 @@
             if suspicion.completed_age_s is None
             else _milliseconds(suspicion.completed_age_s),
         )
-        for suspicion in told
+        for suspicion in suspicions
     ]
-    return found or None
+    return items or None
 
 
 def from_wire(
-    found: list[ttypes.Suspicion] | None,
+    items: list[ttypes.Suspicion] | None,
 ) -> tuple[suspects.Suspicion, ...]:
     """Returns what a datagram carried; what lacks a field is left out."""
     return tuple(
@@ -42,7 +42,7 @@
             if item.completed_age_ms is None
             else item.completed_age_ms / 1e3,
         )
-        for item in (found or ())[: suspects.MOST_TOLD]
+        for item in (items or ())[: suspects.MAX_SUSPICIONS]
         if item.fingerprint is not None and item.crashes is not None
     )
 
--- a/tests/suspects_entry.py
+++ b/tests/suspects_entry.py
@@ -4,7 +4,7 @@
 from clementinegw.direct import suspects
 
 
-def asked(body=b"", target="/safe/x"):
+def request(body=b"", target="/safe/x"):
     return servers.Request("POST", target, "h", (), body, 0.0)
 
 
@@ -12,23 +12,25 @@
     """An entry's knowledge, on a clock of its own."""
 
     def __init__(self, clock_s=1_000.0):
-        self.known = suspects.Suspects()
+        self.suspects = suspects.SuspectTracker()
         self.clock_s = clock_s
 
-    def crashed(self, body, start, at):
-        self.known.crashed(asked(body), "c", start, self.clock_s + at)
+    def record_crash(self, body, start, at):
+        self.suspects.record_crash(request(body), "c", start, self.clock_s + at)
 
-    def completed(self, body, at):
-        self.known.completed(asked(body), "c", self.clock_s + at)
+    def record_completion(self, body, at):
+        self.suspects.record_completion(request(body), "c", self.clock_s + at)
 
-    def refused(self, body, at, caller="c"):
-        return self.known.refused(asked(body), caller, self.clock_s + at)
+    def is_refused(self, body, at, caller="c"):
+        return self.suspects.is_refused(
+            request(body), caller, self.clock_s + at
+        )
 
-    def told(self, at):
-        return self.known.told(self.clock_s + at)
+    def local_suspicions(self, at):
+        return self.suspects.local_suspicions(self.clock_s + at)
 
-    def proved(self, at):
-        return self.known.proved(self.clock_s + at)
+    def confirmed_suspicions(self, at):
+        return self.suspects.confirmed_suspicions(self.clock_s + at)
 
-    def take(self, told, at):
-        self.known.take(told, self.clock_s + at)
+    def merge(self, suspicions, at):
+        self.suspects.merge(suspicions, self.clock_s + at)
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -215,11 +215,11 @@
     class Request:
         method, target, host, body = "POST", "/a", "h", b"x"
 
-    known = suspects.Suspects()
+    tracker = suspects.SuspectTracker()
     for born in (1, 2):
-        assert not known.refused(Request, "c", 1.0)
-        known.crashed(Request, "c", types.Start("a", born).text, 1.0)
-    assert known.refused(Request, "c", 1.0)
+        assert not tracker.is_refused(Request, "c", 1.0)
+        tracker.record_crash(Request, "c", types.Start("a", born).text, 1.0)
+    assert tracker.is_refused(Request, "c", 1.0)
 
 
 def test_connections_of_a_start_that_is_over_are_not_kept():
--- a/tests/test_direct_suspects.py
+++ b/tests/test_direct_suspects.py
@@ -15,12 +15,12 @@
 def test_what_crashed_two_servers_is_refused():
     one = suspects_entry.Entry()
     for number in range(2):
-        assert not one.refused(b"", 1.0)
-        one.crashed(b"", f"i-{number}", 1.0)
-    assert one.refused(b"", 2.0)
-    assert not one.refused(b"other", 2.0)
-    assert not one.refused(b"", 2.0, caller="another")
-    assert not one.refused(b"", 62.0)
+        assert not one.is_refused(b"", 1.0)
+        one.record_crash(b"", f"i-{number}", 1.0)
+    assert one.is_refused(b"", 2.0)
+    assert not one.is_refused(b"other", 2.0)
+    assert not one.is_refused(b"", 2.0, caller="another")
+    assert not one.is_refused(b"", 62.0)
 
 
 def test_lost_answers_to_the_same_question_do_not_make_it_refused():
@@ -31,16 +31,16 @@
     """
     one = suspects_entry.Entry()
     for number in range(9):
-        one.crashed(b"", f"i-{number % 4}", float(number))
-        one.completed(b"", number + 0.1)
-        assert not one.refused(b"", number + 0.1)
+        one.record_crash(b"", f"i-{number % 4}", float(number))
+        one.record_completion(b"", number + 0.1)
+        assert not one.is_refused(b"", number + 0.1)
 
 
 def test_one_server_that_breaks_everything_accuses_nobody():
     one = suspects_entry.Entry()
     for number in range(9):
-        one.crashed(b"", "i-1", float(number))
-    assert not one.refused(b"", 9.0)
+        one.record_crash(b"", "i-1", float(number))
+    assert not one.is_refused(b"", 9.0)
 
 
 def test_a_server_that_answers_again_did_not_crash():
@@ -50,15 +50,15 @@
     again, and so never be cleared.
     """
     one = suspects_entry.Entry()
-    one.crashed(b"", "i-1", 1.0)
-    one.crashed(b"", "i-2", 1.1)
-    assert one.refused(b"", 1.2)
-    one.known.outlived("i-1", one.clock_s + 0.9)
-    assert one.refused(b"", 1.2)
-    one.known.outlived("i-1", one.clock_s + 1.05)
-    assert not one.refused(b"", 1.2)
-    one.crashed(b"", "i-1", 1.3)
-    assert one.refused(b"", 1.4)
+    one.record_crash(b"", "i-1", 1.0)
+    one.record_crash(b"", "i-2", 1.1)
+    assert one.is_refused(b"", 1.2)
+    one.suspects.record_survival("i-1", one.clock_s + 0.9)
+    assert one.is_refused(b"", 1.2)
+    one.suspects.record_survival("i-1", one.clock_s + 1.05)
+    assert not one.is_refused(b"", 1.2)
+    one.record_crash(b"", "i-1", 1.3)
+    assert one.is_refused(b"", 1.4)
 
 
 def test_those_who_shared_a_server_with_it_go_free():
@@ -66,15 +66,17 @@
     one = suspects_entry.Entry()
     for number in range(2):
         for other in range(15):
-            one.crashed(b"%d %d" % (number, other), f"i-{number}", 1.0 + number)
-        one.crashed(b"bad", f"i-{number}", 1.0 + number)
+            one.record_crash(
+                b"%d %d" % (number, other), f"i-{number}", 1.0 + number
+            )
+        one.record_crash(b"bad", f"i-{number}", 1.0 + number)
     refused = [
         b
         for b in [
             b"bad",
             *(b"%d %d" % p for p in itertools.product((0, 1), range(15))),
         ]
-        if one.refused(b, 3.0)
+        if one.is_refused(b, 3.0)
     ]
     assert refused == [b"bad"]
 
@@ -92,57 +94,57 @@
         suspects_entry.Entry(70_000.0),
         suspects_entry.Entry(0.0),
     )
-    one.crashed(b"bad", "i-1", 1.0)
-    one.crashed(b"innocent", "i-1", 1.0)
-    two.crashed(b"bad", "i-2", 2.0)
+    one.record_crash(b"bad", "i-1", 1.0)
+    one.record_crash(b"innocent", "i-1", 1.0)
+    two.record_crash(b"bad", "i-2", 2.0)
     for other in (one, two, three):
         for teller in (one, two):
-            other.take(teller.told(2.5), 2.6)
+            other.merge(teller.local_suspicions(2.5), 2.6)
     for entry in (one, two, three):
-        assert entry.refused(b"bad", 2.7)
-        assert not entry.refused(b"innocent", 2.7)
+        assert entry.is_refused(b"bad", 2.7)
+        assert not entry.is_refused(b"innocent", 2.7)
 
 
 def test_one_crash_that_two_entries_saw_is_one():
     one, two = suspects_entry.Entry(), suspects_entry.Entry()
-    one.crashed(b"asked twice", "i-1", 1.0)
-    two.crashed(b"asked twice", "i-1", 1.01)
-    one.take(two.told(1.1), 1.2)
-    assert not one.refused(b"asked twice", 1.3)
+    one.record_crash(b"asked twice", "i-1", 1.0)
+    two.record_crash(b"asked twice", "i-1", 1.01)
+    one.merge(two.local_suspicions(1.1), 1.2)
+    assert not one.is_refused(b"asked twice", 1.3)
 
 
 def test_what_completes_elsewhere_is_cleared():
     one, two = suspects_entry.Entry(5.0), suspects_entry.Entry(900.0)
-    one.crashed(b"", "i-1", 1.0)
-    one.crashed(b"", "i-2", 1.5)
-    two.take(one.told(1.6), 1.7)
-    assert two.refused(b"", 1.8)
+    one.record_crash(b"", "i-1", 1.0)
+    one.record_crash(b"", "i-2", 1.5)
+    two.merge(one.local_suspicions(1.6), 1.7)
+    assert two.is_refused(b"", 1.8)
     three = suspects_entry.Entry(50.0)
-    three.take(one.told(1.6), 1.7)
+    three.merge(one.local_suspicions(1.6), 1.7)
     # One that had it under way before it heard.
-    three.completed(b"", 2.0)
+    three.record_completion(b"", 2.0)
     for entry in (one, two):
-        entry.take(three.told(2.1), 2.2)
-        assert not entry.refused(b"", 2.3)
+        entry.merge(three.local_suspicions(2.1), 2.2)
+        assert not entry.is_refused(b"", 2.3)
     # What is told of the same crashes later changes nothing.
-    two.take(one.told(2.0), 2.4)
-    assert not two.refused(b"", 2.5)
+    two.merge(one.local_suspicions(2.0), 2.4)
+    assert not two.is_refused(b"", 2.5)
     # What comes after that does.
-    one.crashed(b"", "i-3", 3.0)
-    one.crashed(b"", "i-4", 3.1)
-    two.take(one.told(3.2), 3.3)
-    assert two.refused(b"", 3.4)
+    one.record_crash(b"", "i-3", 3.0)
+    one.record_crash(b"", "i-4", 3.1)
+    two.merge(one.local_suspicions(3.2), 3.3)
+    assert two.is_refused(b"", 3.4)
 
 
 def test_a_server_known_to_be_well_is_not_accused_from_hearsay():
     one, two = suspects_entry.Entry(), suspects_entry.Entry()
     for start in ("i-1", "i-2"):
-        one.crashed(b"", start, 1.0)
-    told = one.told(1.1)
-    two.take(told, 1.2)
-    two.known.outlived("i-1", two.clock_s + 1.15)
-    two.take(told, 1.3)
-    assert not two.refused(b"", 1.4)
+        one.record_crash(b"", start, 1.0)
+    told = one.local_suspicions(1.1)
+    two.merge(told, 1.2)
+    two.suspects.record_survival("i-1", two.clock_s + 1.15)
+    two.merge(told, 1.3)
+    assert not two.is_refused(b"", 1.4)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -159,11 +161,11 @@
         teller = rng.choice(tellers)
         body = b"%d" % rng.randrange(3)
         if kind == "crash":
-            teller.crashed(body, f"i-{rng.randrange(6)}", at)
+            teller.record_crash(body, f"i-{rng.randrange(6)}", at)
         else:
-            teller.completed(body, at)
-        told += [(at, teller.told(at)) for teller in tellers]
-    last = [(5.0, teller.told(5.0)) for teller in tellers]
+            teller.record_completion(body, at)
+        told += [(at, teller.local_suspicions(at)) for teller in tellers]
+    last = [(5.0, teller.local_suspicions(5.0)) for teller in tellers]
     verdicts = []
     for _ in range(4):
         listener = suspects_entry.Entry(rng.uniform(0.0, 1e5))
@@ -172,15 +174,15 @@
         rng.shuffle(some)
         for at, content in [*some, *last]:
             # Taken in at the age that it has by now.
-            listener.take([older(one, 5.0 - at) for one in content], 5.0)
+            listener.merge([older(one, 5.0 - at) for one in content], 5.0)
         verdicts.append(
-            tuple(listener.refused(b"%d" % n, 5.1) for n in range(3))
+            tuple(listener.is_refused(b"%d" % n, 5.1) for n in range(3))
         )
     plain = suspects_entry.Entry()
     for _, content in last:
-        plain.take(content, 5.0)
+        plain.merge(content, 5.0)
     assert set(verdicts) <= {
-        tuple(plain.refused(b"%d" % n, 5.1) for n in range(3))
+        tuple(plain.is_refused(b"%d" % n, 5.1) for n in range(3))
     }
 
 
@@ -207,19 +209,19 @@
         suspects_entry.Entry(77.0),
     )
     for start in ("i-1", "i-2"):
-        one.crashed(b"", start, 0.0)
+        one.record_crash(b"", start, 0.0)
     for step in range(700):
         at = step / 10
-        between.take(one.told(at), at + 0.05)
-        between.take(two.told(at), at + 0.05)
+        between.merge(one.local_suspicions(at), at + 0.05)
+        between.merge(two.local_suspicions(at), at + 0.05)
         for entry in (one, two):
-            entry.take(between.proved(at), at + 0.05)
-        refused = [entry.refused(b"", at + 0.06) for entry in (one, two)]
+            entry.merge(between.confirmed_suspicions(at), at + 0.05)
+        refused = [entry.is_refused(b"", at + 0.06) for entry in (one, two)]
         if at < 59.4:
             assert refused == [True, True]
         if at > 60.2:
             assert refused == [False, False]
-    assert between.proved(71.0) == ()
+    assert between.confirmed_suspicions(71.0) == ()
 
 
 def test_who_tells_for_all_passes_over_those_beside_a_bad_one():
@@ -235,26 +237,26 @@
     )
     for number, entry in enumerate((one, two)):
         for other in range(5):
-            entry.crashed(b"%d %d" % (number, other), f"i-{number}", 1.0)
-        entry.crashed(b"bad", f"i-{number}", 1.0)
-        between.take(entry.told(1.5), 1.6)
-    (told,) = between.proved(1.7)
+            entry.record_crash(b"%d %d" % (number, other), f"i-{number}", 1.0)
+        entry.record_crash(b"bad", f"i-{number}", 1.0)
+        between.merge(entry.local_suspicions(1.5), 1.6)
+    (told,) = between.confirmed_suspicions(1.7)
     assert len(told.crashes) == 2
-    assert (one.told(6.1), two.told(6.1)) == ((), ())
-    assert len(between.proved(40.0)) == 1
+    assert (one.local_suspicions(6.1), two.local_suspicions(6.1)) == ((), ())
+    assert len(between.confirmed_suspicions(40.0)) == 1
 
 
 def test_what_is_told_and_kept_is_bounded():
     one = suspects_entry.Entry()
     for number in range(20_000):
-        one.crashed(b"%d" % number, f"i-{number}", number / 1e3)
-    assert len(one.told(20.0)) == suspects.MOST_TOLD
-    assert len(one.known._records) == 4_096
-    assert len(one.known._at_start) == 4_096
+        one.record_crash(b"%d" % number, f"i-{number}", number / 1e3)
+    assert len(one.local_suspicions(20.0)) == suspects.MAX_SUSPICIONS
+    assert len(one.suspects._records) == 4_096
+    assert len(one.suspects._requests_by_start) == 4_096
     for number in range(2_000):
-        one.known.outlived(f"i-{19_999 - number}", one.clock_s + 30.0)
-    assert len(one.known._well) == 1_024
-    assert len(one.known._records) == 2_096
+        one.suspects.record_survival(f"i-{19_999 - number}", one.clock_s + 30.0)
+    assert len(one.suspects._survived_at) == 1_024
+    assert len(one.suspects._records) == 2_096
 
 
 @pytest.mark.parametrize(
@@ -273,5 +275,5 @@
 )
 def test_what_is_malformed_or_too_old_is_not_taken_in(told):
     one = suspects_entry.Entry()
-    one.take([told], 1.0)
-    assert not one.known._records
+    one.merge([told], 1.0)
+    assert not one.suspects._records
--- a/tests/test_direct_suspicions.py
+++ b/tests/test_direct_suspicions.py
@@ -5,7 +5,7 @@
 from clementinegw import types as places
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
-from clementinegw.direct import suspicions
+from clementinegw.direct import suspicion_codec
 from clementinegw.testing import clock as clocks
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
@@ -21,7 +21,7 @@
     listener.subscribe(
         {ADDRESS: reports.Asking(far)},
         reports.Declared({}, {}),
-        entry.told(1.0),
+        entry.local_suspicions(1.0),
     )
     return wire.sent[0][1]
 
@@ -31,7 +31,7 @@
     listener = reports.Listener(
         "e",
         lambda host, report: None,
-        on_suspicions=lambda found: entry.take(found, 1.2),
+        on_suspicions=lambda found: entry.merge(found, 1.2),
     )
     listener.datagram_received(data, ("127.0.0.1",))
 
@@ -59,17 +59,17 @@
             suspects_entry.Entry(0.0),
             suspects_entry.Entry(0.0),
         ]
-        hub = suspects.Suspects()
+        hub = suspects.SuspectTracker()
         reporter = reports.Reporter(
             lambda declared: None,
-            on_suspicions=lambda found: hub.take(found, 1.0),
+            on_suspicions=lambda found: hub.merge(found, 1.0),
         )
         agent = Wire()
         reporter.connection_made(agent)
         for number, entry in enumerate(entries):
             if number < 2:
-                entry.crashed(b"bad", f"i-{number}", 0.5)
-                entry.crashed(b"beside %d" % number, f"i-{number}", 0.5)
+                entry.record_crash(b"bad", f"i-{number}", 0.5)
+                entry.record_crash(b"beside %d" % number, f"i-{number}", 0.5)
             data = subscribed(entry, number, far=number == 2)
             reporter.datagram_received(data, (number,))
         report = reports.Report("i-9", 1, 0, 16)
@@ -77,11 +77,11 @@
             reporter.tell(report)
         plain = len(agent.sent[0][1])
         agent.sent.clear()
-        reporter.tell(report, hub.proved(1.1))
+        reporter.tell(report, hub.confirmed_suspicions(1.1))
         for (number,), data in agent.sent:
             heard(entries[number], data)
-        bad = [entry.refused(b"bad", 1.3) for entry in entries]
-        beside = [entry.refused(b"beside 0", 1.3) for entry in entries]
+        bad = [entry.is_refused(b"bad", 1.3) for entry in entries]
+        beside = [entry.is_refused(b"beside 0", 1.3) for entry in entries]
         return bad, beside, len(agent.sent[0][1]) - plain
 
     bad, beside, more_bytes = clocks.run(play())
@@ -92,18 +92,20 @@
 
 def test_a_datagram_without_suspicions_takes_no_byte_more():
     bare = ttypes.Subscribe("e", {}, False)
-    none = ttypes.Subscribe("e", {}, False, suspicions=suspicions.to_wire(()))
+    none = ttypes.Subscribe(
+        "e", {}, False, suspicions=suspicion_codec.to_wire(())
+    )
     assert codec.encode(none) == codec.encode(bare)
     most = suspects.Suspicion(
         b"f" * 16, (suspects.Crash(b"s" * 8, 59.9),) * 4, 59.9
     )
-    full = suspicions.to_wire((most,) * suspects.MOST_TOLD)
+    full = suspicion_codec.to_wire((most,) * suspects.MAX_SUSPICIONS)
     data = codec.encode(ttypes.Subscribe("e", {}, False, suspicions=full))
     assert len(data) < 1_200
-    found = suspicions.from_wire(
+    found = suspicion_codec.from_wire(
         codec.decode(ttypes.Subscribe, data).suspicions
     )
-    assert found == (most,) * suspects.MOST_TOLD
+    assert found == (most,) * suspects.MAX_SUSPICIONS
 
 
 def test_what_lacks_a_field_or_is_too_many_is_left_out():
@@ -114,6 +116,6 @@
         ttypes.Suspicion(b"f" * 16, [crash], None),
         *[ttypes.Suspicion(b"f" * 16, [], None)] * 100,
     ]
-    taken = suspicions.from_wire(found)
-    assert len(taken) == suspects.MOST_TOLD - 2
+    taken = suspicion_codec.from_wire(found)
+    assert len(taken) == suspects.MAX_SUSPICIONS - 2
     assert {one.crashes for one in taken} == {()}
