--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -20,17 +20,17 @@
 # A server that has sent nothing on any connection for so long, while it owes
 # an answer, is taken for dark where the request may run again. In seconds; at
 # least this, and a multiple of what is on time.
-_LEAST_SILENCE_S = 0.6
-_SILENT_OBJECTIVES = 2.0
-_SILENT_GAPS = 3.0
+_MIN_SILENCE_S = 0.6
+_SILENCE_PER_OBJECTIVE = 2.0
+_SILENCE_PER_GAP = 3.0
 # How often it is looked whether a server has fallen silent, in seconds.
-_LOOK_S = 0.2
-_MISDIRECTED = 421
+_SILENCE_CHECK_S = 0.2
+_MISDIRECTED_REQUEST = 421
 # What promises a caller that a request was not run.
-_PROMISES = frozenset({408, 421, 429, 503})
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
-class _Silent(Exception):  # noqa: N818
+class _ServerSilent(Exception):  # noqa: N818
     """The server is taken for dark."""
 
 
@@ -40,7 +40,7 @@
 
     Attributes:
       request: As it came.
-      facts: What its head says.
+      metadata: What its head says.
       match: Its route and customer.
       service: The service that serves it.
       responder: Answers it.
@@ -48,19 +48,19 @@
       spent_s: How long its caller has been at it before, in seconds.
       sends: Times that it was handed to a server.
       runs: Times that it may have begun to run.
-      unsent: Times that it was given up right before it was handed over.
-      last_event: The last event that the caller has got in this answer.
-      first_answer_at: When the caller got the first part of its answer.
+      withdrawals: Times that it was given up right before it was handed over.
+      last_event_id: The last event that the caller has got in this answer.
+      first_event_at: When the caller got the first part of its answer.
       waited_s: How long it waited for room in the entry, in seconds.
       placed_at: When its last server was chosen, in monotonic seconds.
       permitted: Whether it has a slot of that server's rate limit.
-      unreached_s: How long connections took that did not come up, in seconds.
-      busy: The part of the last server's slots that seemed taken.
+      failed_connect_s: Time spent on connections that failed, in seconds.
+      utilization: The part of the last server's slots that seemed taken.
       server_id: The last server that it was handed to.
     """
 
     request: servers.Request
-    facts: types.RequestFacts
+    metadata: types.RequestFacts
     match: catalog.RouteMatch
     service: str
     responder: servers.Responder
@@ -68,19 +68,19 @@
     spent_s: float = 0.0
     sends: int = 0
     runs: int = 0
-    unsent: int = 0
-    last_event: str | None = None
-    first_answer_at: float | None = None
+    withdrawals: int = 0
+    last_event_id: str | None = None
+    first_event_at: float | None = None
     waited_s: float = 0.0
     placed_at: float = 0.0
     permitted: bool = False
-    unreached_s: float = 0.0
-    busy: float = 0.0
+    failed_connect_s: float = 0.0
+    utilization: float = 0.0
     server_id: str = ""
     tried: set[types.Start] = dataclasses.field(default_factory=set)
 
     @property
-    def caller(self) -> str:
+    def customer_name(self) -> str:
         """The customer's name; empty for an anonymous caller."""
         return self.match.customer.name if self.match.customer else ""
 
@@ -90,32 +90,32 @@
         return self.match.route.repeat is types.Repeat.STREAM
 
 
-class Attempts:
+class AttemptRunner:
     """Makes attempts; knows nothing of when and where to."""
 
     def __init__(
         self,
         codec: header_codec.HeaderCodec,
         clock: Callable[[], float],
-        began: Callable[[Job], None] = lambda job: None,
+        on_first_event: Callable[[Job], None] = lambda job: None,
     ):
         """Makes none before `run`.
 
         Args:
           codec: Knows the platform's headers.
           clock: Monotonic seconds.
-          began: Told of each request whose first event has come.
+          on_first_event: Told of each request whose first event has come.
         """
         self._codec = codec
         self._clock = clock
-        self._began = began
+        self._on_first_event = on_first_event
 
     async def run(
         self,
         job: Job,
         backend: backend_lib.Backend,
         sending: types.Sending,
-        elsewhere: Callable[[], bool],
+        has_alternative: Callable[[], bool],
         version_timeout: version_timeouts.VersionTimeout,
     ) -> outcomes.AttemptOutcome:
         """Makes one attempt.
@@ -124,7 +124,7 @@
           job: The request.
           backend: The server.
           sending: What it is told besides the request.
-          elsewhere: Returns whether another server could take the request
+          has_alternative: Returns whether another server could take the request
             over now. While none can, a silent server is waited for.
           version_timeout: Takes it back before the server is too old for it.
 
@@ -132,14 +132,16 @@
           channel.ChannelClosed: The caller has left.
         """
         sends = job.sends
-        backend.unread_tokens += job.facts.prompt_tokens
-        unread = _Unread(backend, job.facts.prompt_tokens, version_timeout)
+        backend.unread_tokens += job.metadata.prompt_tokens
+        unread = _UnreadTokens(
+            backend, job.metadata.prompt_tokens, version_timeout
+        )
         try:
-            hearing = _Hearing(backend, elsewhere, self._clock)
+            receiver = _AnswerReceiver(backend, has_alternative, self._clock)
             async with asyncio.timeout(None) as timeout:
                 version_timeout.start(timeout)
                 try:
-                    return await self._run(job, hearing, sending, unread)
+                    return await self._run(job, receiver, sending, unread)
                 finally:
                     version_timeout.stop()
         except TimeoutError:
@@ -148,31 +150,31 @@
                 return outcomes.NotRun(outcomes.NotRunReason.TOO_OLD)
             return outcomes.Lost(outcomes.LostReason.OUTDATED)
         finally:
-            unread.done()
+            unread.release()
 
     async def _run(
         self,
         job: Job,
-        hearing: "_Hearing",
+        receiver: "_AnswerReceiver",
         sending: types.Sending,
-        unread: "_Unread",
+        unread: "_UnreadTokens",
     ) -> outcomes.AttemptOutcome:
-        backend = hearing.backend
+        backend = receiver.backend
         began = self._clock()
         try:
             connection, _ = await backend.pool.acquire()
         except client.ConnectFailed:
-            job.unreached_s += self._clock() - began
-            hearing.unreachable()
+            job.failed_connect_s += self._clock() - began
+            receiver.record_unreachable()
             return outcomes.NotRun(outcomes.NotRunReason.UNREACHABLE)
-        reason = self._withdrawn(job, backend, unread.version_timeout)
+        reason = self._withdrawal_reason(job, backend, unread.version_timeout)
         if reason is not None:
             backend.pool.discard(connection)
             return outcomes.NotRun(reason)
         whole = False
         try:
             outcome = await self._call(
-                job, hearing, sending, connection, unread
+                job, receiver, sending, connection, unread
             )
             whole = not isinstance(outcome, outcomes.Lost)
             return outcome
@@ -180,8 +182,8 @@
             if not backend.yielding:
                 backend.failed()
             return outcomes.Lost(outcomes.LostReason.BROKEN)
-        except _Silent:
-            hearing.unreachable()
+        except _ServerSilent:
+            receiver.record_unreachable()
             return outcomes.Lost(outcomes.LostReason.SILENT)
         finally:
             # Closing is also how a server learns that its caller has left.
@@ -190,7 +192,7 @@
             else:
                 backend.pool.discard(connection)
 
-    def _withdrawn(
+    def _withdrawal_reason(
         self,
         job: Job,
         backend: backend_lib.Backend,
@@ -216,12 +218,12 @@
     async def _call(
         self,
         job: Job,
-        hearing: "_Hearing",
+        receiver: "_AnswerReceiver",
         sending: types.Sending,
         connection: client.Connection,
-        unread: "_Unread",
+        unread: "_UnreadTokens",
     ) -> outcomes.AttemptOutcome:
-        backend = hearing.backend
+        backend = receiver.backend
         request = job.request
         headers = self._codec.to_server_headers(request.headers, sending)
         job.sends += 1
@@ -231,36 +233,41 @@
         )
         route = job.match.route
         silence_s = max(
-            _LEAST_SILENCE_S, _SILENT_OBJECTIVES * route.objective_s
+            _MIN_SILENCE_S, _SILENCE_PER_OBJECTIVE * route.objective_s
         )
-        patience = silence_s if route.idempotent else None
-        head = await hearing.head(connection, patience)
-        facts = self._codec.answer_metadata(head)
-        connection.keep_alive_s = facts.keep_s
+        silence_limit_s = silence_s if route.idempotent else None
+        head = await receiver.receive_head(connection, silence_limit_s)
+        metadata = self._codec.answer_metadata(head)
+        connection.keep_alive_s = metadata.keep_s
         now = self._clock()
-        if facts.load is not None:
-            backend.take_load(facts.load, now)
-        if facts.attempt_id and facts.attempt_id != job.facts.attempt_id:
+        if metadata.load is not None:
+            backend.take_load(metadata.load, now)
+        if (
+            metadata.attempt_id
+            and metadata.attempt_id != job.metadata.attempt_id
+        ):
             return outcomes.Lost(outcomes.LostReason.CROSSED)
-        if head.status != _MISDIRECTED:
+        if head.status != _MISDIRECTED_REQUEST:
             # Another start of a server may answer with that status.
-            backend.signals.take(facts, sent_at, now)
-        if facts.not_run or head.status == _MISDIRECTED:
-            if head.status == _MISDIRECTED and facts.server_id:
-                backend.met(facts.server_id)
-            return await self._not_run(connection, backend, head)
-        if facts.version is not None:
-            backend.take_version(facts.version)
+            backend.signals.take(metadata, sent_at, now)
+        if metadata.not_run or head.status == _MISDIRECTED_REQUEST:
+            if head.status == _MISDIRECTED_REQUEST and metadata.server_id:
+                backend.met(metadata.server_id)
+            return await self._read_not_run(connection, backend, head)
+        if metadata.version is not None:
+            backend.take_version(metadata.version)
         if 200 <= head.status < 300:
-            if not facts.sealed:
+            if not metadata.sealed:
                 return outcomes.Lost(outcomes.LostReason.UNSEALED)
             if job.streaming:
-                await self._stream(job, hearing, connection, head, unread)
+                await self._deliver_stream(
+                    job, receiver, connection, head, unread
+                )
             else:
-                await self._whole(job, hearing, connection, head)
+                await self._deliver_body(job, receiver, connection, head)
             backend.answered(self._clock())
             return outcomes.Delivered(head.status)
-        if head.status in _PROMISES:
+        if head.status in _NOT_RUN_STATUSES:
             # Passed on, it would promise what this server did not.
             return outcomes.Lost(outcomes.LostReason.FALSE_PROMISE)
         body = await connection.body(_MAX_BODY_BYTES)
@@ -268,7 +275,7 @@
             backend.failed()
         return outcomes.Failed(head, body)
 
-    async def _not_run(
+    async def _read_not_run(
         self,
         connection: client.Connection,
         backend: backend_lib.Backend,
@@ -276,32 +283,32 @@
     ) -> outcomes.NotRun:
         await connection.body(_MAX_BODY_BYTES)
         backend.heard_at = self._clock()
-        if head.status == _MISDIRECTED:
+        if head.status == _MISDIRECTED_REQUEST:
             return outcomes.NotRun(outcomes.NotRunReason.WRONG_SERVER)
         return outcomes.NotRun(outcomes.NotRunReason.SHED)
 
-    async def _whole(
+    async def _deliver_body(
         self,
         job: Job,
-        hearing: "_Hearing",
+        receiver: "_AnswerReceiver",
         connection: client.Connection,
         head: client.Head,
     ) -> None:
         async def read() -> bytes:
             return await connection.body(_MAX_BODY_BYTES)
 
-        body = await hearing.hear(read, None)
+        body = await receiver.receive(read, None)
         await job.responder.answer(
             head.status, self._codec.to_caller_headers(head), body
         )
 
-    async def _stream(
+    async def _deliver_stream(
         self,
         job: Job,
-        hearing: "_Hearing",
+        receiver: "_AnswerReceiver",
         connection: client.Connection,
         head: client.Head,
-        unread: "_Unread",
+        unread: "_UnreadTokens",
     ) -> None:
         """Passes events on as they come, whole ones only.
 
@@ -310,29 +317,31 @@
         """
         splitter = sse.Splitter()
         route = job.match.route
-        silence_s = max(_LEAST_SILENCE_S, _SILENT_GAPS * route.max_gap_s)
-        patience = silence_s if route.idempotent else None
+        silence_s = max(_MIN_SILENCE_S, _SILENCE_PER_GAP * route.max_gap_s)
+        silence_limit_s = silence_s if route.idempotent else None
         while True:
-            data = await hearing.hear(connection.data, patience)
+            data = await receiver.receive(connection.data, silence_limit_s)
             if data is None:
                 break
-            whole = [e for e in splitter.feed(data) if _new(e, job.last_event)]
+            whole = [
+                e for e in splitter.feed(data) if _is_new(e, job.last_event_id)
+            ]
             if not whole:
                 continue
-            unread.done()
-            if job.first_answer_at is None:
-                job.first_answer_at = self._clock()
-                self._began(job)
-            await self._begin(job, head)
+            unread.release()
+            if job.first_event_at is None:
+                job.first_event_at = self._clock()
+                self._on_first_event(job)
+            await self._begin_answer(job, head)
             await job.responder.send(b"".join(e.data for e in whole))
             if whole[-1].event_id is not None:
-                job.last_event = whole[-1].event_id
+                job.last_event_id = whole[-1].event_id
         if splitter.remainder.strip():
             raise client.AnswerBroken("ends inside an event")
-        await self._begin(job, head)
+        await self._begin_answer(job, head)
         await job.responder.end()
 
-    async def _begin(self, job: Job, head: client.Head) -> None:
+    async def _begin_answer(self, job: Job, head: client.Head) -> None:
         # A stream that goes on at another server keeps the head of its first.
         if not job.responder.begun:
             await job.responder.begin(
@@ -340,66 +349,71 @@
             )
 
 
-class _Hearing:
+class _AnswerReceiver:
     """Awaits bytes of one server, for as long as it is worth while."""
 
     def __init__(
         self,
         backend: backend_lib.Backend,
-        elsewhere: Callable[[], bool],
+        has_alternative: Callable[[], bool],
         clock: Callable[[], float],
     ):
         self.backend = backend
-        self._elsewhere = elsewhere
+        self._has_alternative = has_alternative
         self._clock = clock
-        self._trying = backend.rest_until > clock()
+        self._probing = backend.rest_until > clock()
 
-    async def head(
+    async def receive_head(
         self, connection: client.Connection, silence_s: float | None
     ) -> client.Head:
         """Returns an answer's head; ends the rest of a server that was tried.
 
         Raises:
-          _Silent: See `hear`.
+          _ServerSilent: See `receive`.
           client.AnswerBroken: None came.
         """
-        head = await self.hear(connection.head, silence_s)
-        if self._trying:
+        head = await self.receive(connection.head, silence_s)
+        if self._probing:
             now = self._clock()
             self.backend.rest_until = min(self.backend.rest_until, now)
         return head
 
-    def unreachable(self) -> None:
+    def record_unreachable(self) -> None:
         """Counts a failure to reach the server.
 
         What began before the server went to rest tells nothing new: ten
         connections that fail together would make it rest for the longest time.
         """
         now = self._clock()
-        if self._trying or self.backend.rest_until <= now:
+        if self._probing or self.backend.rest_until <= now:
             self.backend.unreachable(now)
         else:
             self.backend.failed()
 
-    async def hear(self, receive, silence_s: float | None):
-        """Returns what `receive` does.
+    async def receive(self, read, silence_s: float | None):
+        """Returns what `read` does.
 
         Raises:
-          _Silent: The server sent nothing on any connection for `silence_s`,
-            or the agent beside it is silent too, and another server can take
+          _ServerSilent: The server sent nothing on any connection for
+            `silence_s`, or the agent beside it is silent too, and another server can take
             over.
         """
         since = self._clock()
-        look_s = None if silence_s is None else min(silence_s, _LOOK_S)
+        check_interval_s = (
+            None if silence_s is None else min(silence_s, _SILENCE_CHECK_S)
+        )
         while True:
             try:
-                async with asyncio.timeout(look_s):
-                    result = await receive()
+                async with asyncio.timeout(check_interval_s):
+                    result = await read()
                 self.backend.heard_at = self._clock()
                 return result
             except TimeoutError as error:
-                if self._is_silent(since, silence_s) and self._elsewhere():
-                    raise _Silent from error
+                if (
+                    self._is_silent(since, silence_s)
+                    and self._has_alternative()
+                ):
+                    raise _ServerSilent from error
 
     def _is_silent(self, since: float, silence_s: float | None) -> bool:
         now = self._clock()
@@ -408,7 +422,7 @@
         return late or self.backend.silent(now)
 
 
-class _Unread:
+class _UnreadTokens:
     """The tokens that a server still has to read, until its first event."""
 
     def __init__(
@@ -421,18 +435,18 @@
         self._backend = backend
         self._tokens = tokens
 
-    def done(self) -> None:
+    def release(self) -> None:
         """Counts them as read, once."""
         self._backend.unread_tokens -= self._tokens
         self._tokens = 0
         self.version_timeout.stop()
 
 
-def _new(event: sse.Event, last_event: str | None) -> bool:
+def _is_new(event: sse.Event, last_event_id: str | None) -> bool:
     """Returns whether the caller has not got an event yet."""
-    if event.event_id is None or last_event is None:
+    if event.event_id is None or last_event_id is None:
         return True
     try:
-        return int(event.event_id) > int(last_event)
+        return int(event.event_id) > int(last_event_id)
     except ValueError:
-        return event.event_id != last_event
+        return event.event_id != last_event_id
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -156,7 +156,7 @@
         self._reports = reports.Listener(
             instance.name,
             self._on_report,
-            on_suspicions=self._forwarder.take_suspicions,
+            on_suspicions=self._forwarder.merge_suspicions,
         )
         self._subscriptions = subscriptions.Subscriptions(
             instance,
@@ -205,7 +205,7 @@
         self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
         self._versions.due_s = bounds.weights_ms / 1e3
         self._fleet.ran_out.terms = _fleet_terms(bounds)
-        self._forwarder.set_terms(_terms(bounds))
+        self._forwarder.set_retry_limits(_terms(bounds))
 
     async def drain(self) -> None:
         """Takes no new callers and finishes what it has."""
@@ -262,7 +262,7 @@
             self._clock(),
             self._reading_s(backend.server.service),
         )
-        self._forwarder.look_at(backend)
+        self._forwarder.dispatch_for(backend)
 
     def _reading_s(self, service: str) -> float:
         """Returns how long a usual prompt is read; 0 when that is unknown."""
@@ -308,7 +308,7 @@
             at = self._versions.demanded_at(change.declaration)
             declarations.note(self._log, change, self._versions.now, at)
         if changes:
-            self._forwarder.redate()
+            self._forwarder.on_versions_changed()
 
     def _take_configuration(self, configuration: types.Configuration) -> None:
         catalog = self._knowledge.catalog
--- a/src/clementinegw/direct/finisher.py
+++ b/src/clementinegw/direct/finisher.py
@@ -79,7 +79,9 @@
         self._counters.add(f"direct.refused.{refusal.reason}")
         self._log.write(
             _events.REQUEST_REFUSED,
-            request=job.facts.attempt_id if job else self._attempt_id(request),
+            request=job.metadata.attempt_id
+            if job
+            else self._attempt_id(request),
             target=request.target[:120],
             status=refusal.status,
             reason=refusal.reason.value,
@@ -114,7 +116,7 @@
     def record_done(self, job: attempts.Job, outcome: str, status: int) -> None:
         """Notes how an admitted request ended."""
         now = self._clock()
-        first = job.first_answer_at
+        first = job.first_event_at
         arrived = job.request.arrived_at
         self._counters.add(f"direct.done.{outcome}")
         self._histograms.add("direct.answer", now - arrived)
@@ -123,13 +125,13 @@
             self._histograms.add("direct.first_event", first - arrived)
         self._log.write(
             _events.REQUEST_DONE,
-            request=job.facts.attempt_id,
+            request=job.metadata.attempt_id,
             route=job.match.route.name,
             outcome=outcome,
             status=status,
             sends=job.sends,
             server=job.server_id,
-            busy=round(job.busy, 2),
+            busy=round(job.utilization, 2),
             spent_ms=round(job.spent_s * 1e3),
             waited_ms=round(job.waited_s * 1e3),
             first_ms=None if first is None else round((first - arrived) * 1e3),
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -28,10 +28,10 @@
 
 # Refusals before a server has run a request are repeated this often at most:
 # each is an arrival that the retry budget pays for.
-_MOST_SENDS = 4
+_MAX_SENDS = 4
 # What ends an attempt right before its request is sent. Nobody pays for such a
 # one, so only its number keeps a request from choosing servers without a pause.
-_UNSENT = frozenset(
+_WITHDRAWN_REASONS = frozenset(
     {
         outcomes.NotRunReason.BACKOFF,
         outcomes.NotRunReason.LEFT,
@@ -40,11 +40,11 @@
     }
 )
 # A server that said it is full is passed over for this long, in seconds.
-_FULL_S = 0.15
+_FULL_BACKOFF_S = 0.15
 # One that is another start than the list says, for this long, in seconds.
-_WRONG_SERVER_S = 0.3
+_WRONG_SERVER_BACKOFF_S = 0.3
 # A server stops at the time that it is given; the answer needs the way back.
-_WAY_BACK_S = 0.02
+_ANSWER_TRANSIT_S = 0.02
 _GATEWAY_TIMEOUT = 504
 
 
@@ -57,7 +57,7 @@
         knowledge: admit.Knowledge,
         balancer: balance.Balancer,
         versions: versions_lib.Versions,
-        terms: budgets.Terms,
+        retry_limits: budgets.Terms,
         rng: random.Random,
         clock: Callable[[], float],
         log: logs.Log,
@@ -68,7 +68,7 @@
         self._knowledge = knowledge
         self._balancer = balancer
         self._versions = versions
-        self._terms = terms
+        self._retry_limits = retry_limits
         self._rng = rng
         self._clock = clock
         self._log = log
@@ -76,7 +76,9 @@
         self._placing = placing.Placing(
             knowledge, balancer, versions, rng, clock
         )
-        self._attempts = attempts.Attempts(codec, clock, self._placing.began)
+        self._attempt_runner = attempts.AttemptRunner(
+            codec, clock, self._placing.began
+        )
         self._version_timeouts = version_timeouts.VersionTimeouts(
             versions, clock
         )
@@ -130,24 +132,24 @@
         self, request: servers.Request, responder: servers.Responder
     ) -> attempts.Job | outcomes.Refusal:
         try:
-            facts = self._codec.request_metadata(request.headers)
+            metadata = self._codec.request_metadata(request.headers)
         except ValueError:
             return outcomes.Refusal(400, Reason.MALFORMED)
-        if not facts.attempt_id:
+        if not metadata.attempt_id:
             return outcomes.Refusal(400, Reason.MALFORMED)
-        matched = admit.match(self._knowledge, request, facts)
+        matched = admit.match(self._knowledge, request, metadata)
         if isinstance(matched, outcomes.Refusal):
             return matched
         route = matched.route
         timeout_s = route.timeout_s
-        if facts.timeout_s is not None:
-            timeout_s = min(timeout_s, facts.timeout_s)
-        spent_s = self._callers_time.spent_s(route.name, facts.timeout_s)
+        if metadata.timeout_s is not None:
+            timeout_s = min(timeout_s, metadata.timeout_s)
+        spent_s = self._callers_time.spent_s(route.name, metadata.timeout_s)
         service = balance.draw_service(route, self._rng)
         self._budget(service).request(self._clock())
         return attempts.Job(
             request,
-            facts,
+            metadata,
             matched,
             service,
             responder,
@@ -164,14 +166,14 @@
         try:
             async with asyncio.timeout_at(job.deadline):
                 while True:
-                    outcome = await self._once(job)
+                    outcome = await self._attempt_once(job)
                     if isinstance(outcome, outcomes.Failed):
                         failed = outcome
                     if isinstance(
                         outcome, (outcomes.Refusal, outcomes.Delivered)
                     ):
                         break
-                    if not self._again(job, outcome):
+                    if not self._may_retry(job, outcome):
                         outcome = self._give_up(job, outcome)
                         break
         except TimeoutError:
@@ -181,10 +183,12 @@
             return failed
         return outcome
 
-    async def _once(
+    async def _attempt_once(
         self, job: attempts.Job
     ) -> outcomes.AttemptOutcome | outcomes.Refusal:
-        if self._suspects.is_refused(job.request, job.caller, self._clock()):
+        if self._suspects.is_refused(
+            job.request, job.customer_name, self._clock()
+        ):
             return self._placing.unserved(job, Reason.CRASHES_SERVERS)
         place = await self._placing.choose(job)
         if isinstance(place, outcomes.Refusal):
@@ -204,13 +208,13 @@
         held = backend.held(self._placing.layers(job.service))
         sending = types.Sending(
             backend.server.server_id,
-            max(0.001, job.deadline - now - _WAY_BACK_S),
-            job.caller,
+            max(0.001, job.deadline - now - _ANSWER_TRANSIT_S),
+            job.customer_name,
             self._versions.expected(model, held, self._versions.now),
             None,
-            job.last_event,
+            job.last_event_id,
         )
-        outcome = await self._attempts.run(
+        outcome = await self._attempt_runner.run(
             job,
             backend,
             sending,
@@ -222,24 +226,24 @@
         if isinstance(outcome, outcomes.Delivered):
             self._suspects.record_survival(backend.server.start.text, now)
             self._suspects.record_completion(
-                job.request, job.caller, self._clock()
+                job.request, job.customer_name, self._clock()
             )
         else:
-            self._note(job, backend, outcome)
+            self._record_failure(job, backend, outcome)
         return outcome
 
-    def look(self) -> None:
+    def dispatch(self) -> None:
         """Looks for room for those who wait; servers told of their load."""
         self._placing.look()
 
-    def look_at(self, backend: backend_lib.Backend) -> None:
+    def dispatch_for(self, backend: backend_lib.Backend) -> None:
         """Looks for room for those who wait; one server told of its load."""
         self._placing.look_at(backend)
 
-    def redate(self) -> None:
+    def on_versions_changed(self) -> None:
         """Takes requests back by what is known of versions now."""
         self._version_timeouts.reschedule_all()
-        self.look()
+        self.dispatch()
 
     def check_clock(self) -> None:
         """Takes requests back that a suspended machine left at servers."""
@@ -249,19 +253,19 @@
         """Returns what was seen here of requests that crash servers."""
         return self._suspects.local_suspicions(self._clock())
 
-    def take_suspicions(
+    def merge_suspicions(
         self, suspicions: tuple[suspects_lib.Suspicion, ...]
     ) -> None:
         """Takes in what other entries saw of requests that crash servers."""
         self._suspects.merge(suspicions, self._clock())
 
-    def set_terms(self, terms: budgets.Terms) -> None:
+    def set_retry_limits(self, retry_limits: budgets.Terms) -> None:
         """Takes over what the operators allow of repeated sends."""
-        self._terms = terms
+        self._retry_limits = retry_limits
         for found in self._budgets.values():
-            found.terms = terms
+            found.terms = retry_limits
 
-    def _note(
+    def _record_failure(
         self,
         job: attempts.Job,
         backend: backend_lib.Backend,
@@ -272,11 +276,11 @@
         self._counters.add(f"direct.attempt.{reason}")
         if isinstance(outcome, outcomes.NotRun):
             if outcome.reason is outcomes.NotRunReason.SHED:
-                backend.full_until = now + _FULL_S
+                backend.full_until = now + _FULL_BACKOFF_S
             if outcome.reason is outcomes.NotRunReason.WRONG_SERVER:
                 # Another start of a server, or of its weights: the list is
                 # behind, and catches up within a heartbeat.
-                backend.rest_until = now + _WRONG_SERVER_S
+                backend.rest_until = now + _WRONG_SERVER_BACKOFF_S
         else:
             job.tried.add(backend.server.start)
         if not isinstance(outcome, outcomes.NotRun):
@@ -286,11 +290,14 @@
             broken = outcome.reason is outcomes.LostReason.BROKEN
             if broken and not (backend.yielding or backend.loading):
                 self._suspects.record_crash(
-                    job.request, job.caller, backend.server.start.text, now
+                    job.request,
+                    job.customer_name,
+                    backend.server.start.text,
+                    now,
                 )
         self._log.write(
             _events.ATTEMPT_ENDED,
-            request=job.facts.attempt_id,
+            request=job.metadata.attempt_id,
             server=backend.server.server_id,
             outcome=type(outcome).__name__,
             reason=str(reason),
@@ -298,19 +305,19 @@
             doubt=round(backend.doubt, 2),
         )
 
-    def _again(
+    def _may_retry(
         self, job: attempts.Job, outcome: outcomes.AttemptOutcome
     ) -> bool:
         """Returns whether another attempt may be made."""
-        if job.responder.begun and job.last_event is None:
+        if job.responder.begun and job.last_event_id is None:
             return False
-        if job.sends >= _MOST_SENDS:
+        if job.sends >= _MAX_SENDS:
             return False
-        if _unreached(outcome):
+        if _is_unreachable(outcome):
             return self._placing.may_try(job)
         if isinstance(outcome, outcomes.NotRun):
-            job.unsent += outcome.reason in _UNSENT
-            return job.unsent < _MOST_SENDS
+            job.withdrawals += outcome.reason in _WITHDRAWN_REASONS
+            return job.withdrawals < _MAX_SENDS
         if isinstance(outcome, outcomes.Failed) and outcome.head.status < 500:
             return False
         route = job.match.route
@@ -321,19 +328,21 @@
     ) -> outcomes.Failed | outcomes.Refusal:
         if isinstance(outcome, outcomes.Failed):
             return outcome
-        if _unreached(outcome):
+        if _is_unreachable(outcome):
             return self._placing.out_of_reach(job)
         return self._placing.unserved(job, Reason.ATTEMPTS_USED)
 
     def _budget(self, service: str) -> budgets.RetryBudget:
         found = self._budgets.get(service)
         if found is None:
-            found = self._budgets[service] = budgets.RetryBudget(self._terms)
+            found = self._budgets[service] = budgets.RetryBudget(
+                self._retry_limits
+            )
         found.entries = self._balancer.entries
         return found
 
 
-def _unreached(outcome: outcomes.AttemptOutcome) -> bool:
+def _is_unreachable(outcome: outcomes.AttemptOutcome) -> bool:
     """Returns whether an attempt ended before anything was handed over."""
     return (
         isinstance(outcome, outcomes.NotRun)
--- a/src/clementinegw/direct/placing.py
+++ b/src/clementinegw/direct/placing.py
@@ -129,7 +129,7 @@
             return self.unserved(job, Reason.BUSY)
         job.placed_at = now
         job.permitted = place.permitted
-        job.busy = self._balancer.busy(place.backend, now)
+        job.utilization = self._balancer.busy(place.backend, now)
         job.server_id = place.backend.server.server_id
         return place
 
@@ -167,10 +167,10 @@
           job: The request; its place was found by `choose`.
         """
         engine = self._knowledge.engine(job.service)
-        if engine is None or job.first_answer_at is None:
+        if engine is None or job.first_event_at is None:
             return
-        reading_s = job.facts.prompt_tokens / engine.prefill_tokens_per_s
-        took_s = job.first_answer_at - job.placed_at - reading_s
+        reading_s = job.metadata.prompt_tokens / engine.prefill_tokens_per_s
+        took_s = job.first_event_at - job.placed_at - reading_s
         self._foresight(job.service, engine).took(took_s)
 
     def layers(self, service: str) -> int:
@@ -188,7 +188,7 @@
         engine = self._knowledge.engine(job.service)
         if engine is None or not engine.models:
             return ""
-        return job.facts.model or engine.models[0]
+        return job.metadata.model or engine.models[0]
 
     def unserved(self, job: attempts.Job, reason: Reason) -> outcomes.Refusal:
         """Returns the answer to a request without one."""
@@ -206,7 +206,7 @@
         loses its time with connections that time out could not come back.
         """
         time_s = job.deadline - job.request.arrived_at
-        return job.unreached_s < _LATE_SHARE * time_s
+        return job.failed_connect_s < _LATE_SHARE * time_s
 
     def _none_serves(
         self, job: attempts.Job, reason: Reason, ready_in_s: float
@@ -242,7 +242,7 @@
         if engine is None:
             return at
         at -= self._foresight(job.service, engine).usual_s
-        at -= job.facts.prompt_tokens / engine.prefill_tokens_per_s
+        at -= job.metadata.prompt_tokens / engine.prefill_tokens_per_s
         if job.spent_s or job.sends:
             return at
         fresh_s = _FRESH_SHARE * job.match.route.objective_s
--- a/src/clementinegw/direct/suspects.py
+++ b/src/clementinegw/direct/suspects.py
@@ -1,7 +1,7 @@
 """Requests that crash the servers that run them.
 
 Such a request comes again and again, at any entry, with the same method,
-target, caller and body. Those that merely shared a server with it at a crash
+target, customer and body. Those that merely shared a server with it at a crash
 are let go: only what was there at two crashes, and was never answered since, is
 refused. A server that answers again as the same start did not crash; its
 answers were lost.
@@ -112,22 +112,26 @@
         self._survived_at = collections.OrderedDict()
 
     def record_crash(
-        self, request: servers.Request, caller: str, start: str, now: float
+        self,
+        request: servers.Request,
+        customer_name: str,
+        start: str,
+        now: float,
     ) -> None:
         """Counts a connection that broke while a request ran.
 
         Args:
           request: The request.
-          caller: The customer's name.
+          customer_name: The customer's name.
           start: Names the server's start.
           now: Monotonic seconds.
         """
-        key = _fingerprint(request, caller)
+        key = _fingerprint(request, customer_name)
         self._add(key, _digest_start(start), _CrashRecord(now, local=True))
         self._evict_oldest()
 
     def record_completion(
-        self, request: servers.Request, caller: str, now: float
+        self, request: servers.Request, customer_name: str, now: float
     ) -> None:
         """Clears a request that a server ran to its end.
 
@@ -136,7 +140,7 @@
         """
         if not self._records:
             return
-        key = _fingerprint(request, caller)
+        key = _fingerprint(request, customer_name)
         record = self._records.get(key)
         if record is not None:
             record.completed_locally = True
@@ -166,12 +170,12 @@
                 self._drop(key)
 
     def is_refused(
-        self, request: servers.Request, caller: str, now: float
+        self, request: servers.Request, customer_name: str, now: float
     ) -> bool:
         """Returns whether a request has crashed too many servers."""
         if not self._records:
             return False
-        record = self._records.get(_fingerprint(request, caller))
+        record = self._records.get(_fingerprint(request, customer_name))
         if record is None:
             return False
         return len(record.recent_crashes(now)) >= _CRASHES_TO_REFUSE
@@ -319,13 +323,13 @@
     return crash
 
 
-def _fingerprint(request: servers.Request, caller: str) -> bytes:
+def _fingerprint(request: servers.Request, customer_name: str) -> bytes:
     digest = hashlib.blake2b(digest_size=_FINGERPRINT_BYTES)
     for part in (
         request.method.encode(),
         request.target.encode(),
         request.host.encode(),
-        caller.encode(),
+        customer_name.encode(),
         request.body,
     ):
         digest.update(len(part).to_bytes(8, "big"))
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -327,7 +327,7 @@
             if caller.first_at == math.inf:
                 caller.first_at = self.now + TRIP_S
                 backend.unread_tokens -= caller.prompt
-                job.first_answer_at = self._clock()
+                job.first_event_at = self._clock()
                 entry.placing.began(job)
                 facts = types.AnswerFacts(
                     "a", True, False, limit_per_s=self.limits.get(number)
--- a/tests/suspects_entry.py
+++ b/tests/suspects_entry.py
@@ -21,9 +21,9 @@
     def record_completion(self, body, at):
         self.suspects.record_completion(request(body), "c", self.clock_s + at)
 
-    def is_refused(self, body, at, caller="c"):
+    def is_refused(self, body, at, customer_name="c"):
         return self.suspects.is_refused(
-            request(body), caller, self.clock_s + at
+            request(body), customer_name, self.clock_s + at
         )
 
     def local_suspicions(self, at):
--- a/tests/test_direct_entry.py
+++ b/tests/test_direct_entry.py
@@ -586,7 +586,7 @@
                     raise exceptions.InvariantError("over and over")
                 return outcomes.NotRun(reason)
 
-            site.entry._forwarder._attempts.run = give_up
+            site.entry._forwarder._attempt_runner.run = give_up
             answer = await site.ask()
             return answer.status, len(tries)
 
--- a/tests/test_direct_suspects.py
+++ b/tests/test_direct_suspects.py
@@ -19,7 +19,7 @@
         one.record_crash(b"", f"i-{number}", 1.0)
     assert one.is_refused(b"", 2.0)
     assert not one.is_refused(b"other", 2.0)
-    assert not one.is_refused(b"", 2.0, caller="another")
+    assert not one.is_refused(b"", 2.0, customer_name="another")
     assert not one.is_refused(b"", 62.0)
 
 
