--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -395,8 +395,8 @@
 
         Raises:
           _ServerSilent: The server sent nothing on any connection for
-            `silence_s`, or the agent beside it is silent too, and another server can take
-            over.
+            `silence_s`, or the agent beside it is silent too, and another
+            server can take over.
         """
         since = self._clock()
         check_interval_s = (
