--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one backend server: send, await the answer, pass it on."""
+"""Runs one attempt: sends a request to a server and relays the answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,49 +14,52 @@
 from clementinegw.direct import types
 from clementinegw.direct import version_timeouts
 
-# The most bytes of an answer that is kept until it is whole, so that a broken
-# one never looks like an answer. Streams are passed on event by event.
+# Answers other than streams are buffered until they are complete, so that a
+# caller never receives a truncated one. Bytes.
 _MAX_BODY_BYTES = 16 << 20
-# A server that has sent nothing on any connection for so long, while it owes
-# an answer, is taken for dark where the request may run again. In seconds; at
-# least this, and a multiple of what is on time.
+# A server that owes an answer to a repeatable request, and has sent nothing on
+# any connection for this long, counts as unreachable. The limit is a multiple
+# of the route's objective or of its longest gap between events, and at least
+# the minimum, in seconds.
 _MIN_SILENCE_S = 0.6
 _SILENCE_PER_OBJECTIVE = 2.0
 _SILENCE_PER_GAP = 3.0
-# How often it is looked whether a server has fallen silent, in seconds.
+# Interval between checks for a silent server, in seconds.
 _SILENCE_CHECK_S = 0.2
 _MISDIRECTED_REQUEST = 421
-# What promises a caller that a request was not run.
+# Statuses that promise the caller that its request was not run.
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class _ServerSilent(Exception):  # noqa: N818
-    """The server is taken for dark."""
+    """The server sent nothing for too long and counts as unreachable."""
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """One request on its way.
+    """The state of one request from its admission to its final answer.
 
     Attributes:
-      request: As it came.
-      metadata: What its head says.
-      match: Its route and customer.
+      request: The caller's request.
+      metadata: What the request's headers say.
+      match: The request's route and customer.
       service: The service that serves it.
-      responder: Answers it.
-      deadline: When its final answer is due, in monotonic seconds.
-      spent_s: How long its caller has been at it before, in seconds.
-      sends: Times that it was handed to a server.
-      runs: Times that it may have begun to run.
-      withdrawals: Times that it was given up right before it was handed over.
-      last_event_id: The last event that the caller has got in this answer.
-      first_event_at: When the caller got the first part of its answer.
-      waited_s: How long it waited for room in the entry, in seconds.
+      responder: Sends the answer to the caller.
+      deadline: When the final answer is due, in monotonic seconds.
+      spent_s: How long the caller has been trying before, in seconds.
+      sends: How often it was sent to a server.
+      runs: How often it may have begun to run.
+      withdrawals: How often it was withdrawn right before it was sent.
+      last_event_id: The id of the last event that the caller received.
+      first_event_at: When the first event was received from a server, in
+        monotonic seconds.
+      waited_s: How long it waited in the entry's queue, in seconds.
       placed_at: When its last server was chosen, in monotonic seconds.
-      permitted: Whether it has a slot of that server's rate limit.
+      permitted: Whether it holds a slot of that server's rate limit.
       failed_connect_s: Time spent on connections that failed, in seconds.
-      utilization: The part of the last server's slots that seemed taken.
-      server_id: The last server that it was handed to.
+      utilization: The estimated share of the last server's slots in use.
+      server_id: The last server that was chosen for it.
+      tried: The server starts where it may have run without success.
     """
 
     request: servers.Request
@@ -81,17 +84,17 @@
 
     @property
     def customer_name(self) -> str:
-        """The customer's name; empty for an anonymous caller."""
+        """The name of the customer; empty for an anonymous caller."""
         return self.match.customer.name if self.match.customer else ""
 
     @property
     def streaming(self) -> bool:
-        """Whether its answer is a stream."""
+        """Whether the answer is a stream."""
         return self.match.route.repeat is types.Repeat.STREAM
 
 
 class AttemptRunner:
-    """Makes attempts; knows nothing of when and where to."""
+    """Runs attempts; the caller decides on the server and on retries."""
 
     def __init__(
         self,
@@ -99,12 +102,12 @@
         clock: Callable[[], float],
         on_first_event: Callable[[Job], None] = lambda job: None,
     ):
-        """Makes none before `run`.
+        """Stores its collaborators; `run` makes the attempts.
 
         Args:
-          codec: Knows the platform's headers.
-          clock: Monotonic seconds.
-          on_first_event: Told of each request whose first event has come.
+          codec: Translates the platform's headers.
+          clock: Returns monotonic seconds.
+          on_first_event: Called when a request's first event has arrived.
         """
         self._codec = codec
         self._clock = clock
@@ -118,15 +121,16 @@
         has_alternative: Callable[[], bool],
         version_timeout: version_timeouts.VersionTimeout,
     ) -> outcomes.AttemptOutcome:
-        """Makes one attempt.
+        """Makes one attempt and returns its outcome.
 
         Args:
           job: The request.
           backend: The server.
-          sending: What it is told besides the request.
+          sending: What the entry adds to the request.
           has_alternative: Returns whether another server could take the request
             over now. While none can, a silent server is waited for.
-          version_timeout: Takes it back before the server is too old for it.
+          version_timeout: Withdraws the request before the server's weights
+            become too old for it.
 
         Raises:
           channel.ChannelClosed: The caller has left.
@@ -146,7 +150,7 @@
                     version_timeout.stop()
         except TimeoutError:
             if job.sends == sends:
-                # Its connection was still coming up: nobody may have run it.
+                # The connection was still being opened: nothing was sent.
                 return outcomes.NotRun(outcomes.NotRunReason.TOO_OLD)
             return outcomes.Lost(outcomes.LostReason.OUTDATED)
         finally:
@@ -171,12 +175,12 @@
         if reason is not None:
             backend.pool.discard(connection)
             return outcomes.NotRun(reason)
-        whole = False
+        complete = False
         try:
             outcome = await self._call(
                 job, receiver, sending, connection, unread
             )
-            whole = not isinstance(outcome, outcomes.Lost)
+            complete = not isinstance(outcome, outcomes.Lost)
             return outcome
         except client.AnswerBroken:
             if not backend.yielding:
@@ -186,8 +190,8 @@
             receiver.record_unreachable()
             return outcomes.Lost(outcomes.LostReason.SILENT)
         finally:
-            # Closing is also how a server learns that its caller has left.
-            if whole:
+            # Closing also tells the server that the caller has left.
+            if complete:
                 backend.pool.release(connection)
             else:
                 backend.pool.discard(connection)
@@ -198,11 +202,12 @@
         backend: backend_lib.Backend,
         version_timeout: version_timeouts.VersionTimeout,
     ) -> outcomes.NotRunReason | None:
-        """Returns why a request that was placed is not sent after all.
+        """Returns why a request is not sent after all; None if it may be sent.
 
-        Its connection took time to come up, or the machine was suspended.
-        Without this a server that has reported something of itself meanwhile
-        would get requests against it.
+        Between the choice of the server and now the connection had to be
+        opened, or the machine was suspended. Without this check a server that
+        has meanwhile reported that it leaves, limits or backs off would get
+        requests all the same.
         """
         checks = (
             (backend.left, outcomes.NotRunReason.LEFT),
@@ -248,7 +253,7 @@
         ):
             return outcomes.Lost(outcomes.LostReason.CROSSED)
         if head.status != _MISDIRECTED_REQUEST:
-            # Another start of a server may answer with that status.
+            # That status may come from another start of the server.
             backend.signals.take(metadata, sent_at, now)
         if metadata.not_run or head.status == _MISDIRECTED_REQUEST:
             if head.status == _MISDIRECTED_REQUEST and metadata.server_id:
@@ -268,7 +273,8 @@
             backend.answered(self._clock())
             return outcomes.Delivered(head.status)
         if head.status in _NOT_RUN_STATUSES:
-            # Passed on, it would promise what this server did not.
+            # Relayed, it would promise that the request was not run, which
+            # this server did not say.
             return outcomes.Lost(outcomes.LostReason.FALSE_PROMISE)
         body = await connection.body(_MAX_BODY_BYTES)
         if head.status >= 500:
@@ -310,10 +316,10 @@
         head: client.Head,
         unread: "_UnreadTokens",
     ) -> None:
-        """Passes events on as they come, whole ones only.
+        """Relays complete events as they arrive.
 
-        A server may break off inside an event. Only whole ones are passed on,
-        so that another server can go on behind the last of them.
+        A server may fail in the middle of an event. Only complete events are
+        relayed, so that another server can resume after the last one.
         """
         splitter = sse.Splitter()
         route = job.match.route
@@ -323,26 +329,26 @@
             data = await receiver.receive(connection.data, silence_limit_s)
             if data is None:
                 break
-            whole = [
+            new_events = [
                 e for e in splitter.feed(data) if _is_new(e, job.last_event_id)
             ]
-            if not whole:
+            if not new_events:
                 continue
             unread.release()
             if job.first_event_at is None:
                 job.first_event_at = self._clock()
                 self._on_first_event(job)
             await self._begin_answer(job, head)
-            await job.responder.send(b"".join(e.data for e in whole))
-            if whole[-1].event_id is not None:
-                job.last_event_id = whole[-1].event_id
+            await job.responder.send(b"".join(e.data for e in new_events))
+            if new_events[-1].event_id is not None:
+                job.last_event_id = new_events[-1].event_id
         if splitter.remainder.strip():
-            raise client.AnswerBroken("ends inside an event")
+            raise client.AnswerBroken("stream ends in the middle of an event")
         await self._begin_answer(job, head)
         await job.responder.end()
 
     async def _begin_answer(self, job: Job, head: client.Head) -> None:
-        # A stream that goes on at another server keeps the head of its first.
+        # A stream resumed at another server keeps the head of the first one.
         if not job.responder.begun:
             await job.responder.begin(
                 head.status, self._codec.to_caller_headers(head)
@@ -350,7 +356,7 @@
 
 
 class _AnswerReceiver:
-    """Awaits bytes of one server, for as long as it is worth while."""
+    """Receives the answer of one server and detects when it falls silent."""
 
     def __init__(
         self,
@@ -364,25 +370,30 @@
         self._probing = backend.rest_until > clock()
 
     async def receive_head(
-        self, connection: client.Connection, silence_s: float | None
+        self, connection: client.Connection, silence_limit_s: float | None
     ) -> client.Head:
-        """Returns an answer's head; ends the rest of a server that was tried.
+        """Returns the answer's head; ends the cooldown of a probed server.
+
+        Args:
+          connection: The connection that the request was sent on.
+          silence_limit_s: As in `receive`.
 
         Raises:
-          _ServerSilent: See `receive`.
-          client.AnswerBroken: None came.
+          _ServerSilent: As in `receive`.
+          client.AnswerBroken: No valid head arrived.
         """
-        head = await self.receive(connection.head, silence_s)
+        head = await self.receive(connection.head, silence_limit_s)
         if self._probing:
             now = self._clock()
             self.backend.rest_until = min(self.backend.rest_until, now)
         return head
 
     def record_unreachable(self) -> None:
-        """Counts a failure to reach the server.
+        """Records a failure to reach the server.
 
-        What began before the server went to rest tells nothing new: ten
-        connections that fail together would make it rest for the longest time.
+        An attempt that began before the server's current cooldown does not
+        prolong it: ten connections that fail together would raise the cooldown
+        to its maximum.
         """
         now = self._clock()
         if self._probing or self.backend.rest_until <= now:
@@ -390,17 +401,23 @@
         else:
             self.backend.failed()
 
-    async def receive(self, read, silence_s: float | None):
-        """Returns what `read` does.
+    async def receive(self, read, silence_limit_s: float | None):
+        """Returns the result of `read`, which reads from the server.
+
+        Args:
+          read: Reads a part of the answer; may be cancelled and called again.
+          silence_limit_s: For how long the server may send nothing on any
+            connection, in seconds; None waits without a limit.
 
         Raises:
-          _ServerSilent: The server sent nothing on any connection for
-            `silence_s`, or the agent beside it is silent too, and another
-            server can take over.
+          _ServerSilent: The server exceeded the limit, or it and its agent are
+            both silent, and another server can take over.
         """
         since = self._clock()
         check_interval_s = (
-            None if silence_s is None else min(silence_s, _SILENCE_CHECK_S)
+            None
+            if silence_limit_s is None
+            else min(silence_limit_s, _SILENCE_CHECK_S)
         )
         while True:
             try:
@@ -410,20 +427,24 @@
                 return result
             except TimeoutError as error:
                 if (
-                    self._is_silent(since, silence_s)
+                    self._is_silent(since, silence_limit_s)
                     and self._has_alternative()
                 ):
                     raise _ServerSilent from error
 
-    def _is_silent(self, since: float, silence_s: float | None) -> bool:
+    def _is_silent(self, since: float, silence_limit_s: float | None) -> bool:
         now = self._clock()
         heard_at = max(since, self.backend.heard_at)
-        late = silence_s is not None and now - heard_at >= silence_s
+        late = silence_limit_s is not None and now - heard_at >= silence_limit_s
         return late or self.backend.silent(now)
 
 
 class _UnreadTokens:
-    """The tokens that a server still has to read, until its first event."""
+    """Counts a request's prompt tokens as unread until its first event.
+
+    Attributes:
+      version_timeout: Withdraws the request as long as it has not begun.
+    """
 
     def __init__(
         self,
@@ -436,14 +457,14 @@
         self._tokens = tokens
 
     def release(self) -> None:
-        """Counts them as read, once."""
+        """Counts the tokens as read and stops the timeout; may be repeated."""
         self._backend.unread_tokens -= self._tokens
         self._tokens = 0
         self.version_timeout.stop()
 
 
 def _is_new(event: sse.Event, last_event_id: str | None) -> bool:
-    """Returns whether the caller has not got an event yet."""
+    """Returns whether the caller has not received an event yet."""
     if event.event_id is None or last_event_id is None:
         return True
     try:
