--- a/src/clementinegw/direct/finisher.py
+++ b/src/clementinegw/direct/finisher.py
@@ -1,4 +1,4 @@
-"""The end of a request: its refusal, its log line, its figures."""
+"""Finishes requests: sends refusals and records outcomes."""
 
 from collections.abc import Callable
 import json
@@ -17,11 +17,11 @@
 
 Reason = outcomes.RefusalReason
 
-# Refusals for which only this process, or the way from it, is to blame: another
-# one may serve. The connection ends with them, for the balancer sends the
-# caller elsewhere only when it connects anew. An entry cut off from the
-# platform got 20 requests a second on kept connections for as long as that
-# lasted.
+# Refusals whose cause lies in this process or its network: another entry may
+# serve the request. They close the connection, because the load balancer picks
+# another entry only for a new one. Without this an entry that was cut off from
+# the platform received 20 requests a second on persistent connections for as
+# long as it was cut off.
 _LOCAL_REASONS = frozenset(
     {
         Reason.STALE_KEYS,
@@ -33,7 +33,7 @@
 
 
 class RequestFinisher:
-    """Ends requests."""
+    """Sends refusals and records how each request ended."""
 
     def __init__(
         self,
@@ -44,15 +44,15 @@
         counters: counters_lib.Counters,
         histograms: histograms_lib.Histograms,
     ):
-        """Ends nothing by itself.
+        """Stores its collaborators.
 
         Args:
-          codec: Knows the platform's headers.
-          knowledge: How old what the process knows is.
-          clock: Monotonic seconds.
-          log: Where events go.
-          counters: Counts refusals and answers by reason.
-          histograms: Of the answers' times.
+          codec: Translates the platform's headers.
+          knowledge: Tells how old the process's configuration is.
+          clock: Returns monotonic seconds.
+          log: Takes the log events.
+          counters: Count refusals by reason and answers by outcome.
+          histograms: Take the times of answers.
         """
         self._codec = codec
         self._knowledge = knowledge
@@ -68,13 +68,15 @@
         refusal: outcomes.Refusal,
         job: attempts.Job | None,
     ) -> None:
-        """Answers a request that no server's answer ends.
+        """Refuses a request and records the refusal.
+
+        An answer that has already begun is aborted instead.
 
         Args:
-          request: As it came.
-          responder: Answers it.
-          refusal: The status, why, and when to come back.
-          job: Set once it was admitted.
+          request: The caller's request.
+          responder: Sends the answer to the caller.
+          refusal: The status, the reason and when to retry.
+          job: The request's state; None if it was not admitted.
         """
         self._counters.add(f"direct.refused.{refusal.reason}")
         self._log.write(
@@ -107,14 +109,14 @@
             responder.abort()
 
     def _attempt_id(self, request: servers.Request) -> str:
-        """Returns the id of a request that was not admitted, for the log."""
+        """Returns the attempt id that a request names; empty if unreadable."""
         try:
             return self._codec.request_metadata(request.headers).attempt_id
         except ValueError:
             return ""
 
     def record_done(self, job: attempts.Job, outcome: str, status: int) -> None:
-        """Notes how an admitted request ended."""
+        """Records how an admitted request ended."""
         now = self._clock()
         first = job.first_event_at
         arrived = job.request.arrived_at
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -1,4 +1,4 @@
-"""A request from its head to its final answer: admit, send, repeat, answer."""
+"""Forwards requests to servers: admission, sending, retries and answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,11 +26,13 @@
 
 Reason = outcomes.RefusalReason
 
-# Refusals before a server has run a request are repeated this often at most:
-# each is an arrival that the retry budget pays for.
+# The most times that one request is sent. It also bounds the retries of a
+# request that servers reject without running it, though each of them is charged
+# to the retry budget.
 _MAX_SENDS = 4
-# What ends an attempt right before its request is sent. Nobody pays for such a
-# one, so only its number keeps a request from choosing servers without a pause.
+# Reasons to withdraw a request right before it is sent. The retry budget is not
+# charged for these, so that only counting them keeps a request from choosing
+# servers in a tight loop.
 _WITHDRAWN_REASONS = frozenset(
     {
         outcomes.NotRunReason.BACKOFF,
@@ -39,17 +41,19 @@
         outcomes.NotRunReason.TOO_OLD,
     }
 )
-# A server that said it is full is passed over for this long, in seconds.
+# A server that rejected a request unrun is skipped for this long, in seconds.
 _FULL_BACKOFF_S = 0.15
-# One that is another start than the list says, for this long, in seconds.
+# A server whose start differs from the listed one is skipped for this long, in
+# seconds.
 _WRONG_SERVER_BACKOFF_S = 0.3
-# A server stops at the time that it is given; the answer needs the way back.
+# A server works until the deadline that it is given; this is set aside for its
+# answer's way back, in seconds.
 _ANSWER_TRANSIT_S = 0.02
 _GATEWAY_TIMEOUT = 504
 
 
 class Forwarder:
-    """Serves requests."""
+    """Forwards callers' requests to backend servers and answers the callers."""
 
     def __init__(
         self,
@@ -64,6 +68,20 @@
         counters: counters_lib.Counters,
         histograms: histograms_lib.Histograms,
     ):
+        """Stores its collaborators; `handle` serves the requests.
+
+        Args:
+          codec: Translates the platform's headers.
+          knowledge: The configuration and its age.
+          balancer: Ranks the servers.
+          versions: Say which versions of weights may serve.
+          retry_limits: What the operators allow of retries.
+          rng: Draws services and servers.
+          clock: Returns monotonic seconds.
+          log: Takes the log events.
+          counters: Count attempts, answers and refusals by reason.
+          histograms: Take the times of answers.
+        """
         self._codec = codec
         self._knowledge = knowledge
         self._balancer = balancer
@@ -92,20 +110,20 @@
     async def handle(
         self, request: servers.Request, responder: servers.Responder
     ) -> None:
-        """Answers one request."""
+        """Forwards one request and answers its caller."""
         admitted = self._admit(request, responder)
         if isinstance(admitted, outcomes.Refusal):
             await self._finisher.refuse(request, responder, admitted, None)
             return
-        serving = asyncio.ensure_future(self._serve(admitted))
+        task = asyncio.ensure_future(self._serve(admitted))
         await asyncio.wait(
-            {serving, responder.disconnected},
+            {task, responder.disconnected},
             return_when=asyncio.FIRST_COMPLETED,
         )
-        if not serving.done():
-            serving.cancel()
+        if not task.done():
+            task.cancel()
         try:
-            outcome = await serving
+            outcome = await task
         except (asyncio.CancelledError, channel.ChannelClosed):
             responder.abort()
             self._finisher.record_done(admitted, "caller_left", 0)
@@ -179,7 +197,7 @@
         except TimeoutError:
             outcome = outcomes.Refusal(_GATEWAY_TIMEOUT, Reason.TIMEOUT)
         if isinstance(outcome, outcomes.Refusal) and failed is not None:
-            # The server's own failure says more than ours would.
+            # The server's own error tells the caller more than a refusal.
             return failed
         return outcome
 
@@ -233,37 +251,37 @@
         return outcome
 
     def dispatch(self) -> None:
-        """Looks for room for those who wait; servers told of their load."""
+        """Sends waiting requests on after several servers reported load."""
         self._placing.look()
 
     def dispatch_for(self, backend: backend_lib.Backend) -> None:
-        """Looks for room for those who wait; one server told of its load."""
+        """Sends waiting requests on after one server reported its load."""
         self._placing.look_at(backend)
 
     def on_versions_changed(self) -> None:
-        """Takes requests back by what is known of versions now."""
+        """Reschedules withdrawals and sends waiting requests on."""
         self._version_timeouts.reschedule_all()
         self.dispatch()
 
     def check_clock(self) -> None:
-        """Takes requests back that a suspended machine left at servers."""
+        """Withdraws requests that became overdue while the machine slept."""
         self._version_timeouts.check_clock()
 
     def suspicions(self) -> tuple[suspects_lib.Suspicion, ...]:
-        """Returns what was seen here of requests that crash servers."""
+        """Returns what this entry observed of requests that crash servers."""
         return self._suspects.local_suspicions(self._clock())
 
     def merge_suspicions(
         self, suspicions: tuple[suspects_lib.Suspicion, ...]
     ) -> None:
-        """Takes in what other entries saw of requests that crash servers."""
+        """Merges what other entries observed of requests that crash servers."""
         self._suspects.merge(suspicions, self._clock())
 
     def set_retry_limits(self, retry_limits: budgets.Terms) -> None:
-        """Takes over what the operators allow of repeated sends."""
+        """Applies changed limits to all retry budgets."""
         self._retry_limits = retry_limits
-        for found in self._budgets.values():
-            found.terms = retry_limits
+        for budget in self._budgets.values():
+            budget.terms = retry_limits
 
     def _record_failure(
         self,
@@ -278,15 +296,15 @@
             if outcome.reason is outcomes.NotRunReason.SHED:
                 backend.full_until = now + _FULL_BACKOFF_S
             if outcome.reason is outcomes.NotRunReason.WRONG_SERVER:
-                # Another start of a server, or of its weights: the list is
-                # behind, and catches up within a heartbeat.
+                # The server or its weights were started anew: the list is out
+                # of date and catches up within a heartbeat.
                 backend.rest_until = now + _WRONG_SERVER_BACKOFF_S
         else:
             job.tried.add(backend.server.start)
         if not isinstance(outcome, outcomes.NotRun):
             job.runs += 1
         if isinstance(outcome, outcomes.Lost):
-            # A server that loads breaks off what it runs, by our own order.
+            # A server that was ordered to load weights drops what it runs.
             broken = outcome.reason is outcomes.LostReason.BROKEN
             if broken and not (backend.yielding or backend.loading):
                 self._suspects.record_crash(
@@ -308,7 +326,7 @@
     def _may_retry(
         self, job: attempts.Job, outcome: outcomes.AttemptOutcome
     ) -> bool:
-        """Returns whether another attempt may be made."""
+        """Returns whether another attempt may be made; counts withdrawals."""
         if job.responder.begun and job.last_event_id is None:
             return False
         if job.sends >= _MAX_SENDS:
@@ -333,17 +351,17 @@
         return self._placing.unserved(job, Reason.ATTEMPTS_USED)
 
     def _budget(self, service: str) -> budgets.RetryBudget:
-        found = self._budgets.get(service)
-        if found is None:
-            found = self._budgets[service] = budgets.RetryBudget(
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = self._budgets[service] = budgets.RetryBudget(
                 self._retry_limits
             )
-        found.entries = self._balancer.entries
-        return found
+        budget.entries = self._balancer.entries
+        return budget
 
 
 def _is_unreachable(outcome: outcomes.AttemptOutcome) -> bool:
-    """Returns whether an attempt ended before anything was handed over."""
+    """Returns whether an attempt failed to connect: nothing was sent."""
     return (
         isinstance(outcome, outcomes.NotRun)
         and outcome.reason is outcomes.NotRunReason.UNREACHABLE
