--- a/src/clementinegw/direct/channel.py
+++ b/src/clementinegw/direct/channel.py
@@ -1,33 +1,33 @@
-"""One TCP connection as bytes that can be awaited, with bounded buffers."""
+"""A TCP connection with awaitable reads and writes and bounded buffers."""
 
 import asyncio
 import socket
 
 from clementinegw import exceptions
 
-# Reading pauses beyond this, so that a peer that sends faster than its bytes
-# are used cannot fill the memory. Bytes.
+# Reading pauses above this, so that a peer that sends faster than its data is
+# consumed cannot exhaust the memory. Bytes.
 _READ_HIGH_WATER_BYTES = 256 << 10
-# Unacknowledged bytes end the connection after this. A machine without power
-# does not answer, and the kernel's own patience is a quarter of an hour.
-# Milliseconds.
+# The connection ends when sent bytes stay unacknowledged for this long, in
+# milliseconds. A machine that lost power does not answer, and the kernel's own
+# limit is a quarter of an hour.
 _TCP_USER_TIMEOUT_MS = 4_000
 
 
 class ChannelClosed(exceptions.ClementineError):
-    """The connection ended.
+    """The connection is closed.
 
     Attributes:
-      clean: The peer closed in order, after all that it sent.
+      clean: Whether the peer closed it in order, after all that it sent.
     """
 
     def __init__(self, clean: bool):
-        super().__init__("the connection ended")
+        super().__init__("connection closed")
         self.clean = clean
 
 
 class Channel(asyncio.Protocol):
-    """The bytes of one connection."""
+    """Reads and writes the bytes of one connection."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -41,24 +41,24 @@
 
     @property
     def closed(self) -> bool:
-        """Whether no more bytes come or go."""
+        """Whether nothing can be read from or written to the peer any more."""
         return self._ended or self._transport is None
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes came that nobody has read."""
+        """Whether bytes were received that have not been read."""
         return bool(self._buffer)
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that have not left yet."""
+        """The number of buffered bytes to send; 0 once the channel closes."""
         if self._transport is None or self._transport.is_closing():
             return 0
         return self._transport.get_write_buffer_size()
 
     @property
     def disconnected(self) -> asyncio.Future:
-        """Done once the peer has closed or the connection broke."""
+        """A future that is done once the peer closed or the connection broke."""
         if self._disconnected is None:
             self._disconnected = asyncio.get_running_loop().create_future()
             if self._ended:
@@ -66,10 +66,10 @@
         return self._disconnected
 
     async def read(self) -> bytes:
-        """Returns the next bytes.
+        """Returns the next bytes; waits for them if there are none.
 
         Raises:
-          ChannelClosed: None come any more.
+          ChannelClosed: The connection ended and everything was read.
         """
         while not self._buffer:
             if self._ended:
@@ -86,7 +86,7 @@
         return data
 
     async def write(self, data: bytes) -> None:
-        """Sends bytes; returns once the peer keeps up.
+        """Sends bytes; returns once the write buffer has drained enough.
 
         Raises:
           ChannelClosed: The connection ended.
@@ -102,19 +102,19 @@
                 self._writable = None
 
     def close(self) -> None:
-        """Closes after what was written."""
+        """Closes the connection after the buffered bytes were sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Closes at once; the peer sees a broken connection."""
+        """Closes the connection at once; the peer sees it broken."""
         if self._transport is not None:
             self._transport.abort()
 
-    # asyncio.Protocol.
+    # Methods of asyncio.Protocol.
 
     def connection_made(self, transport) -> None:
-        """Sets the socket up."""
+        """Sets the socket options."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None and sock.family == socket.AF_INET:
@@ -126,7 +126,7 @@
                 )
 
     def data_received(self, data: bytes) -> None:
-        """Keeps bytes until they are read."""
+        """Buffers bytes until they are read."""
         self._buffer += data
         if (
             len(self._buffer) > _READ_HIGH_WATER_BYTES
@@ -136,21 +136,21 @@
         _wake(self._waiter)
 
     def eof_received(self) -> bool:
-        """Ends the reading side; the transport closes by itself."""
+        """Ends reading; the transport closes by itself."""
         self._end(clean=True)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends both sides."""
+        """Ends reading and writing."""
         self._end(clean=exc is None)
         _wake(self._writable)
 
     def pause_writing(self) -> None:
-        """Makes writers wait."""
+        """Makes `write` wait."""
         self._paused_writing = True
 
     def resume_writing(self) -> None:
-        """Lets writers go on."""
+        """Lets `write` return."""
         self._paused_writing = False
         _wake(self._writable)
 
@@ -163,5 +163,6 @@
 
 
 def _wake(future: asyncio.Future | None) -> None:
+    """Completes a future that something may wait for."""
     if future is not None and not future.done():
         future.set_result(None)
--- a/src/clementinegw/direct/version_timeouts.py
+++ b/src/clementinegw/direct/version_timeouts.py
@@ -1,8 +1,9 @@
-"""Requests that servers have not begun, and when each is taken back.
+"""Timeouts that withdraw requests before a server's weights become too old.
 
-A timer of the loop alone would take them back too late: it stands still while
-the machine is suspended, and keeps a moment that was computed before the
-process learned how long ago a newer version was declared.
+They apply to requests that a server has not begun. A plain timer of the event
+loop would withdraw them too late: it does not advance while the machine is
+suspended, and it keeps the time that was computed before the process learned
+how long ago a newer version was declared.
 """
 
 import asyncio
@@ -11,17 +12,18 @@
 
 from clementinegw.direct import versions as versions_lib
 
-# By how much the two clocks may part without a look, in seconds.
+# How far the boot clock and the loop's clock may drift apart before all
+# timeouts are rescheduled, in seconds.
 _MAX_CLOCK_DRIFT_S = 0.02
 
 
 class VersionTimeout:
-    """One request at one server, until it has begun.
+    """The timeout of one request at one server, until the request begins.
 
     Attributes:
-      model: The model that it asks for.
-      held: The version that its server has.
-      timeout: What ends the attempt.
+      model: The model that the request asks for.
+      held: The version of the weights that the server holds.
+      timeout: Ends the attempt; None while it is not watched.
     """
 
     def __init__(
@@ -31,7 +33,7 @@
         held: int,
         idempotent: bool,
     ):
-        """Is watched only within `start` and `stop`."""
+        """Does nothing before `start`; see `VersionTimeouts.create`."""
         self.model = model
         self.held = held
         self.timeout: asyncio.Timeout | None = None
@@ -40,17 +42,21 @@
 
     @property
     def outdated(self) -> bool:
-        """Whether the server is too old for the request by now."""
+        """Whether the server's weights are too old for the request by now."""
         return self._timeouts.is_outdated(self)
 
     def start(self, timeout: asyncio.Timeout) -> None:
-        """Ends an attempt in time; one that may not run again is left."""
+        """Watches an attempt; does nothing for one that may not be repeated.
+
+        Args:
+          timeout: Is rescheduled to the time when the request is withdrawn.
+        """
         if self._idempotent:
             self.timeout = timeout
             self._timeouts.add(self)
 
     def stop(self) -> None:
-        """Leaves the attempt alone: it has begun, or is over."""
+        """Ends the watch: the request has begun, or the attempt is over."""
         if self.timeout is not None:
             self._timeouts.remove(self)
             if not self.timeout.expired():
@@ -59,16 +65,16 @@
 
 
 class VersionTimeouts:
-    """All requests of one entry that have not begun."""
+    """Schedules the timeouts of one entry's requests that have not begun."""
 
     def __init__(
         self, versions: versions_lib.Versions, clock: Callable[[], float]
     ):
-        """Starts without any.
+        """Starts without timeouts.
 
         Args:
-          versions: Say which server is too old, and from when.
-          clock: The loop's seconds.
+          versions: Say which versions are too old, and from when on.
+          clock: Returns the event loop's seconds.
         """
         self._versions = versions
         self._clock = clock
@@ -76,39 +82,39 @@
         self._boot_offset_s = self._current_boot_offset_s()
 
     def create(self, model: str, held: int, idempotent: bool) -> VersionTimeout:
-        """Returns what takes one request back.
+        """Returns the timeout of one request; it is not started yet.
 
         Args:
-          model: The model that it asks for.
-          held: The version that its server has.
-          idempotent: Whether it may run again elsewhere.
+          model: The model that the request asks for.
+          held: The version of the weights that the server holds.
+          idempotent: Whether the request may be repeated at another server.
         """
         return VersionTimeout(self, model, held, idempotent)
 
     def is_outdated(self, version_timeout: VersionTimeout) -> bool:
-        """Returns whether a server is too old for a request by now."""
+        """Returns whether a server's weights are too old by now."""
         now = self._versions.now
         return (
             self._versions.demanded(version_timeout.model, now) or 0
         ) > version_timeout.held
 
     def add(self, version_timeout: VersionTimeout) -> None:
-        """Takes a request back in time."""
+        """Schedules a timeout and keeps it up to date until `remove`."""
         self._active.add(version_timeout)
         self._schedule(version_timeout)
 
     def remove(self, version_timeout: VersionTimeout) -> None:
-        """Leaves a request alone."""
+        """Stops updating a timeout."""
         self._active.discard(version_timeout)
 
     def reschedule_all(self) -> None:
-        """Computes all moments anew; to be called at each change."""
+        """Reschedules all timeouts; to be called at each change of versions."""
         self._boot_offset_s = self._current_boot_offset_s()
         for version_timeout in self._active:
             self._schedule(version_timeout)
 
     def check_clock(self) -> None:
-        """Computes all moments anew if the machine was suspended."""
+        """Reschedules all timeouts if the machine was suspended."""
         if (
             abs(self._current_boot_offset_s() - self._boot_offset_s)
             > _MAX_CLOCK_DRIFT_S
@@ -126,5 +132,5 @@
         timeout.reschedule(when)
 
     def _current_boot_offset_s(self) -> float:
-        """Returns how far the boot clock is ahead of the loop's."""
+        """Returns how far the boot clock is ahead of the loop's, in seconds."""
         return self._versions.now - self._clock()
