--- a/src/clementinegw/direct/channel.py
+++ b/src/clementinegw/direct/channel.py
@@ -58,7 +58,7 @@
 
     @property
     def disconnected(self) -> asyncio.Future:
-        """A future that is done once the peer closed or the connection broke."""
+        """A future that is done once the peer closed or the link broke."""
         if self._disconnected is None:
             self._disconnected = asyncio.get_running_loop().create_future()
             if self._ended:
--- a/src/clementinegw/direct/client.py
+++ b/src/clementinegw/direct/client.py
@@ -1,8 +1,8 @@
-"""HTTP calls to backend servers and to the platform, one at a time.
+"""An HTTP client for backend servers and the platform, with connection pools.
 
-Every byte that does not belong to the answer that is awaited spoils the
-connection: it is closed and never used again. A client library that pools by
-itself would hand such bytes to the next caller, or repeat a call on its own.
+A connection makes one call at a time. One that received any byte outside the
+awaited answer is closed and never reused. Client libraries with a pool of their
+own may hand such bytes to the next caller, or repeat a call by themselves.
 """
 
 import asyncio
@@ -18,16 +18,16 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# The most bytes of an answer's head.
+# The largest head of an answer, in bytes.
 _MAX_HEAD_BYTES = 64 << 10
 
 
 class ConnectFailed(exceptions.BackendUnreachable):
-    """No connection: nothing was handed over."""
+    """No connection could be opened: nothing was sent."""
 
 
 class AnswerBroken(exceptions.BackendLost):
-    """The answer did not come whole, or is no HTTP."""
+    """The answer is incomplete or not valid HTTP."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,14 +36,14 @@
 
     Attributes:
       status: The HTTP status.
-      headers: As they came, names in lower case.
+      headers: The headers in the order received, names in lower case.
     """
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
 
     def get(self, name: bytes) -> bytes | None:
-        """Returns the first header of that name, in lower case."""
+        """Returns the first value of a header; its name is in lower case."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -51,7 +51,13 @@
 
 
 class Connection:
-    """One connection that makes one call at a time."""
+    """An HTTP connection that makes one call at a time.
+
+    Attributes:
+      idle_since: When its last call ended, in the event loop's seconds.
+      keep_alive_s: How long the server keeps it open when idle, in seconds;
+        None if the server does not say.
+    """
 
     def __init__(self, channel: channels.Channel):
         self._channel = channel
@@ -64,10 +70,10 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another call may be made on it.
+        """Whether another call may be made on the connection.
 
-        A second answer, or bytes behind the whole one, show as unread bytes;
-        they would be taken for the next call's answer.
+        A second answer, or bytes after the first one, are still unread here;
+        they would be taken for the answer to the next call.
         """
         return (
             self._keep_alive
@@ -78,7 +84,7 @@
         )
 
     def start_next_call(self) -> None:
-        """Gets ready for another call after a whole answer."""
+        """Prepares for another call after a complete answer."""
         done = (self._http.our_state, self._http.their_state)
         if done != (h11.DONE, h11.DONE) or self._http.trailing_data[0]:
             self._keep_alive = False
@@ -103,60 +109,61 @@
             data += self._http.send(h11.EndOfMessage()) or b""
             await self._channel.write(data)
         except h11.LocalProtocolError as error:
-            raise AnswerBroken(f"not to be sent: {error}") from error
+            raise AnswerBroken(f"request cannot be sent: {error}") from error
         except channels.ChannelClosed as error:
             raise AnswerBroken(error.message) from error
 
     async def head(self) -> Head:
-        """Returns the head of the answer; interim ones are passed over.
+        """Returns the head of the answer; interim answers are skipped.
 
         Raises:
-          AnswerBroken: None came, or what came is no HTTP.
+          AnswerBroken: No head arrived, or it is not valid HTTP.
         """
         while True:
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise AnswerBroken("no head")
+                raise AnswerBroken("answer has no head")
             return Head(event.status_code, tuple(event.headers))
 
     async def data(self) -> bytes | None:
         """Returns the next bytes of the body; None at its end.
 
         Raises:
-          AnswerBroken: The body is not whole.
+          AnswerBroken: The body is incomplete.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise AnswerBroken("not whole")
+        raise AnswerBroken("answer body is incomplete")
 
     async def body(
         self, limit: int, on_progress: Callable[[int], None] | None = None
     ) -> bytes:
-        """Returns the whole body.
+        """Returns the complete body.
 
         Args:
-          limit: The most bytes that it may have.
-          on_progress: Told at each arrival how many bytes have come so far.
+          limit: The largest body that is accepted, in bytes.
+          on_progress: Called whenever bytes arrive, with the number received
+            so far.
 
         Raises:
-          AnswerBroken: It is not whole, or larger than `limit` bytes.
+          AnswerBroken: The body is incomplete, or larger than `limit` bytes.
         """
-        whole = bytearray()
+        received = bytearray()
         while (data := await self.data()) is not None:
-            whole += data
-            if len(whole) > limit:
-                raise AnswerBroken("too large")
+            received += data
+            if len(received) > limit:
+                raise AnswerBroken("answer body is too large")
             if on_progress is not None:
-                on_progress(len(whole))
-        return bytes(whole)
+                on_progress(len(received))
+        return bytes(received)
 
     def close(self) -> None:
-        """Ends the connection; the other side sees it at once."""
+        """Closes the connection at once; the peer sees it."""
         self._keep_alive = False
         self._channel.abort()
 
@@ -165,7 +172,9 @@
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                raise AnswerBroken(f"no HTTP: {error}") from error
+                raise AnswerBroken(
+                    f"answer is not valid HTTP: {error}"
+                ) from error
             if event is not h11.NEED_DATA:
                 return event
             try:
@@ -173,19 +182,25 @@
             except channels.ChannelClosed as error:
                 self._keep_alive = False
                 # A body without a length ends with its connection; after a
-                # reset nobody knows whether it was whole.
+                # reset it is unknown whether the body was complete.
                 if not error.clean:
                     raise AnswerBroken("reset") from error
                 self._http.receive_data(b"")
             except h11.RemoteProtocolError as error:
-                raise AnswerBroken(f"no HTTP: {error}") from error
+                raise AnswerBroken(
+                    f"answer is not valid HTTP: {error}"
+                ) from error
 
 
 async def connect(address: types.Address, timeout_s: float) -> Connection:
-    """Opens a connection.
+    """Opens a connection and returns it.
+
+    Args:
+      address: Where to connect to.
+      timeout_s: How long opening may take, in seconds.
 
     Raises:
-      ConnectFailed: None came up in time; nothing was sent.
+      ConnectFailed: The connection failed or timed out; nothing was sent.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -194,14 +209,14 @@
                 channels.Channel, address.host, address.port
             )
     except TimeoutError as error:
-        raise ConnectFailed(f"{address}: no connection") from error
+        raise ConnectFailed(f"{address}: connection timed out") from error
     except OSError as error:
         raise ConnectFailed(f"{address}: {error.strerror or error}") from error
     return Connection(channel)
 
 
 class Pool:
-    """The connections to one address; the last one used goes first."""
+    """A pool of connections to one address that reuses the last one first."""
 
     def __init__(
         self,
@@ -213,10 +228,10 @@
         """Starts without connections.
 
         Args:
-          address: Where they go.
-          max_open: The most that are open at once.
-          connect_timeout_s: How long one may take to come up, in seconds.
-          idle_s: The longest that one is kept idle, in seconds.
+          address: Where to connect to.
+          max_open: The most connections that are open at once.
+          connect_timeout_s: How long opening one may take, in seconds.
+          idle_s: How long one is kept when idle, in seconds.
         """
         self._address = address
         self._max_open = max_open
@@ -233,14 +248,14 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections in use or idle."""
+        """The number of connections in use or idle."""
         return self._open
 
     async def acquire(self) -> tuple[Connection, bool]:
         """Returns a connection, and whether it was used before.
 
         Raises:
-          ConnectFailed: None came up in time.
+          ConnectFailed: A new connection failed or timed out.
         """
         now = asyncio.get_running_loop().time()
         while self._idle:
@@ -265,12 +280,20 @@
         limit: int,
         patience: patience_lib.Patience,
     ) -> tuple[int, bytes]:
-        """Makes one call and returns status and body.
+        """Makes one call and returns the status and the body.
+
+        Args:
+          method: Such as GET.
+          target: The path and the query.
+          headers: The request's headers.
+          body: The request's body.
+          limit: The largest body of an answer that is accepted, in bytes.
+          patience: Bounds the time until the answer begins and its progress.
 
         Raises:
-          ConnectFailed: No connection: nothing was sent.
-          AnswerBroken: The answer is not whole, or over `limit` bytes.
-          TimeoutError: The patience was over.
+          ConnectFailed: No connection could be opened: nothing was sent.
+          AnswerBroken: The answer is incomplete, or over `limit` bytes.
+          TimeoutError: One of the time limits was exceeded.
         """
         async with patience_lib.Watch(patience) as watch:
             return await self._call(method, target, headers, body, limit, watch)
@@ -285,23 +308,23 @@
         watch: patience_lib.Watch,
     ) -> tuple[int, bytes]:
         connection, _ = await self.acquire()
-        whole = False
+        complete = False
         try:
             await connection.send(method, target, headers, body)
             head = await connection.head()
             watch.begun()
             data = await connection.body(limit, watch.heard)
-            whole = True
+            complete = True
             return head.status, data
         finally:
-            # On a connection whose answer was lost nothing follows any more.
-            if whole:
+            # A connection whose answer was lost cannot be reused.
+            if complete:
                 self.release(connection)
             else:
                 self._close(connection)
 
     def release(self, connection: Connection) -> None:
-        """Keeps a connection for another call, if it may be used again."""
+        """Keeps a reusable connection for another call; closes any other."""
         connection.start_next_call()
         if self._closed or not connection.reusable:
             self._close(connection)
@@ -310,11 +333,11 @@
         self._idle.append(connection)
 
     def discard(self, connection: Connection) -> None:
-        """Closes a connection whose call did not end well."""
+        """Closes a connection whose call failed."""
         self._close(connection)
 
     def prune(self) -> None:
-        """Closes idle connections that are over their time or spoilt."""
+        """Closes idle connections that have expired or are not reusable."""
         now = asyncio.get_running_loop().time()
         kept = []
         for connection in self._idle:
@@ -325,12 +348,12 @@
         self._idle = kept
 
     def close(self) -> None:
-        """Closes all idle connections, and the others as they come back."""
+        """Closes idle connections now and the others when they are released."""
         self._closed = True
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Closes all idle connections: what broke one may have broken all."""
+        """Closes all idle connections: a fault of one may affect all."""
         for connection in self._idle:
             self._close(connection)
         self._idle = []
@@ -338,8 +361,8 @@
     def _idle_deadline(self, connection: Connection) -> float:
         keep_alive_s = self._idle_s
         if connection.keep_alive_s is not None:
-            # The server closes at its own time; a request that crosses that
-            # close is lost, so the last second is left out.
+            # The server closes the connection at that time; a request that is
+            # under way then is lost, so the last second is not used.
             keep_alive_s = min(keep_alive_s, connection.keep_alive_s - 1.0)
         return connection.idle_since + keep_alive_s
 
@@ -351,5 +374,10 @@
 def without_headers(
     headers: Iterable[tuple[bytes, bytes]], names: frozenset
 ) -> Headers:
-    """Returns the headers whose names, in lower case, are not among `names`."""
+    """Returns the headers whose names are not among `names`.
+
+    Args:
+      headers: Pairs of a name and a value.
+      names: The names to leave out, in lower case.
+    """
     return [(k, v) for k, v in headers if k.lower() not in names]
