--- a/src/clementinegw/direct/request_reader.py
+++ b/src/clementinegw/direct/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads whole requests from one connection, within limits."""
+"""Reads complete requests from one connection, within limits."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,7 +9,7 @@
 from clementinegw.direct import channel as channels
 from clementinegw.direct import types
 
-# How long one body may take to arrive, in seconds.
+# How long a body may take to arrive, in seconds.
 _BODY_TIMEOUT_S = 20.0
 _BAD_REQUEST = 400
 _TOO_LARGE = 413
@@ -17,7 +17,11 @@
 
 
 class RequestRefused(Exception):  # noqa: N818
-    """The request is not taken; the connection ends."""
+    """The request is invalid or too large; the connection is to be closed.
+
+    Attributes:
+      status: The HTTP status to answer with.
+    """
 
     def __init__(self, status: int):
         super().__init__(status)
@@ -25,17 +29,17 @@
 
 
 class BodyMemory(Protocol):
-    """What the bodies of all requests may take."""
+    """Bounds the memory that the bodies of all requests take together."""
 
     def reserve(self, count: int) -> bool:
-        """Counts bytes of bodies; False when all bodies are too many."""
+        """Reserves bytes for a body; returns False if they exceed the bound."""
 
     def release(self, count: int) -> None:
-        """Gives counted bytes back."""
+        """Releases reserved bytes."""
 
 
 class RequestReader:
-    """Reads one request after the other."""
+    """Reads one request after the other from a connection."""
 
     def __init__(
         self,
@@ -44,13 +48,13 @@
         memory: BodyMemory,
         send: Callable[[h11.Event], Awaitable[None]],
     ):
-        """Reads nothing yet.
+        """Stores its collaborators; reads nothing yet.
 
         Args:
           channel: The connection.
-          http: Its state; who answers has it too.
-          memory: Counts the bytes of bodies.
-          send: Sends to the caller.
+          http: Its HTTP state, shared with the code that sends answers.
+          memory: Bounds the bytes of all bodies.
+          send: Sends an event to the caller.
         """
         self._channel = channel
         self._http = http
@@ -59,20 +63,20 @@
         self._reserved_bytes = 0
 
     def release_body(self) -> None:
-        """Gives back what the last body took."""
+        """Releases the memory that was reserved for the last body."""
         self._memory.release(self._reserved_bytes)
         self._reserved_bytes = 0
 
     async def head(self, limits: types.Limits) -> h11.Request | None:
-        """Returns the next request's head; None when no more follows.
+        """Returns the next request's head; None if none arrives in time.
 
         Raises:
-          RequestRefused: What came is none.
+          RequestRefused: What arrived is not the head of a request.
           channels.ChannelClosed: The connection broke.
         """
         event = self._http.next_event()
         if event is h11.NEED_DATA:
-            # Nothing of a head has come: the connection is idle until then.
+            # Nothing of a head has arrived: the connection is idle until then.
             if not await self._receive(limits.idle_timeout_s):
                 return None
             deadline = asyncio.get_running_loop().time()
@@ -90,11 +94,13 @@
         return event
 
     async def body(self, limits: types.Limits) -> bytes:
-        """Returns the whole body; its bytes count until `release_body`.
+        """Returns the complete body; its memory stays reserved.
+
+        `release_body` releases it.
 
         Raises:
-          RequestRefused: It is too large, or all bodies together are.
-          channels.ChannelClosed: It did not come whole.
+          RequestRefused: This body or all bodies together are too large.
+          channels.ChannelClosed: The body did not arrive completely or in time.
         """
         if self._http.they_are_waiting_for_100_continue:
             await self._send(
@@ -121,7 +127,14 @@
                 raise channels.ChannelClosed(clean=False)
 
     async def _receive(self, timeout_s: float) -> bool:
-        """Reads on; False at the end of the connection or the time."""
+        """Feeds received bytes to the HTTP state.
+
+        Args:
+          timeout_s: How long to wait for bytes, in seconds.
+
+        Returns:
+          False at the end of the connection or after the timeout.
+        """
         try:
             async with asyncio.timeout(timeout_s):
                 data = await self._channel.read()
--- a/src/clementinegw/direct/server.py
+++ b/src/clementinegw/direct/server.py
@@ -1,7 +1,7 @@
-"""Callers' HTTP: whole requests in, answers and streams out.
+"""An HTTP server for callers: reads requests, sends answers and streams.
 
-A connection serves one request after the other. Bytes that break HTTP end the
-connection with a clear answer and touch no other one.
+A connection serves one request after the other. Invalid HTTP is answered with
+an error status and closes its connection; other connections are not affected.
 """
 
 import asyncio
@@ -16,13 +16,13 @@
 from clementinegw.direct import request_reader
 from clementinegw.direct import types as direct_types
 
-# How long a caller may go without taking any byte of its answer, in seconds.
+# How long a write of an answer may wait for a slow caller, in seconds.
 _WRITE_TIMEOUT_S = 10.0
-# The bodies of all requests at once, in bytes: a share of the memory that a
-# small instance has for this process.
+# The bound on the bodies of all requests together, in bytes: a share of the
+# memory that a small instance has for this process.
 _MAX_BODIES_BYTES = 48 << 20
-# After a refused body the rest is read and thrown away for so long, so that
-# the caller reads the answer before the connection breaks. Seconds.
+# After a refused body its rest is read and discarded for this long, so that the
+# caller can read the answer before the connection closes. Seconds.
 _LINGER_S = 0.3
 _BAD_REQUEST = 400
 _HEAD_TOO_LARGE = 431
@@ -31,15 +31,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request.
+    """A complete request.
 
     Attributes:
       method: Such as GET.
-      target: Path and query as they came.
-      host: The host it names, in lower case, without a port.
-      headers: As they came, with their letter case.
-      body: The whole body.
-      arrived_at: When its head had come, in monotonic seconds.
+      target: The path and the query as received.
+      host: The host of the Host header, in lower case, without a port.
+      headers: The headers as received, with their letter case.
+      body: The complete body.
+      arrived_at: When the request was complete, in the event loop's seconds.
     """
 
     method: str
@@ -51,12 +51,17 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.partition("?")[0]
 
 
 class Responder:
-    """Answers one request."""
+    """Sends the answer to one request.
+
+    Attributes:
+      begun: Whether the head of the answer was sent.
+      ended: Whether the answer was sent completely.
+    """
 
     def __init__(self, session: "_Session"):
         self._session = session
@@ -65,7 +70,7 @@
 
     @property
     def disconnected(self) -> asyncio.Future:
-        """Done once the caller has closed its connection."""
+        """A future that is done once the caller has disconnected."""
         return self._session.channel.disconnected
 
     async def answer(
@@ -75,7 +80,13 @@
         body: bytes,
         close: bool = False,
     ) -> None:
-        """Sends a whole answer.
+        """Sends a complete answer.
+
+        Args:
+          status: The HTTP status.
+          headers: The headers; those that frame the body are replaced.
+          body: The complete body.
+          close: Whether to announce that the connection closes.
 
         Raises:
           channels.ChannelClosed: The caller has left.
@@ -90,6 +101,10 @@
     async def begin(self, status: int, headers: client.Headers) -> None:
         """Sends the head of an answer whose body follows in parts.
 
+        Args:
+          status: The HTTP status.
+          headers: The headers; those that frame the body are left out.
+
         Raises:
           channels.ChannelClosed: The caller has left.
         """
@@ -101,17 +116,17 @@
         """Sends a part of the body.
 
         Raises:
-          channels.ChannelClosed: The caller has left, or takes nothing.
+          channels.ChannelClosed: The caller has left, or is too slow.
         """
         await self._session.send(h11.Data(data=data))
 
     async def end(self) -> None:
-        """Ends the answer as whole."""
+        """Ends the body: the answer is complete."""
         await self._session.send(h11.EndOfMessage())
         self.ended = True
 
     def abort(self) -> None:
-        """Breaks the connection, so that no part is taken for the whole."""
+        """Breaks the connection, so that the answer counts as incomplete."""
         self._session.channel.abort()
 
     async def _begin(
@@ -141,14 +156,20 @@
 
 
 class Server:
-    """Listens for callers."""
+    """Accepts connections and passes each request to a handler.
+
+    Attributes:
+      limits: Bounds of requests and connections.
+      closing: Whether answers announce that their connection closes.
+      requests: How many requests were passed to the handler.
+    """
 
     def __init__(self, handler: Handler):
-        """Does nothing before `listen`.
+        """Accepts nothing before `listen`.
 
         Args:
-          handler: Answers each request; what it leaves without a whole answer
-            ends as a broken connection.
+          handler: Answers each request; the connection breaks if it returns
+            without a complete answer.
         """
         self._handler = handler
         self._server: asyncio.Server | None = None
@@ -161,11 +182,11 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that are not answered yet."""
+        """The number of requests whose handler is running."""
         return sum(session.busy for session in self._sessions)
 
     async def listen(self, address: types.Address) -> None:
-        """Takes connections from now on."""
+        """Starts accepting connections."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _ServerChannel(self._start_session),
@@ -175,17 +196,17 @@
         )
 
     async def wait_idle(self) -> None:
-        """Returns once no request is waiting for its answer."""
+        """Waits until no request is open."""
         while self.open_requests:
             self._request_ended.clear()
             await self._request_ended.wait()
 
     def announce_close(self) -> None:
-        """Answers from now on carry the wish to close."""
+        """Makes all further answers announce that their connection closes."""
         self.closing = True
 
     def close_idle(self) -> None:
-        """Takes no connection any more and closes those without a request."""
+        """Stops accepting connections and closes those without a request."""
         if self._server is not None:
             self._server.close()
         for session in self._sessions:
@@ -193,7 +214,7 @@
                 session.channel.close()
 
     async def stop(self) -> None:
-        """Ends every connection."""
+        """Stops accepting connections and ends all of them."""
         if self._server is not None:
             self._server.close()
         tasks = list(self._sessions.values())
@@ -202,18 +223,18 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def on_request_ended(self) -> None:
-        """Notes that a request has its answer, or its caller has left."""
+        """Wakes `wait_idle`; called when a request's handler has ended."""
         self._request_ended.set()
 
     def reserve(self, count: int) -> bool:
-        """Counts bytes of bodies; False when all bodies are too many."""
+        """Reserves bytes for a body; returns False if they exceed the bound."""
         if self._body_bytes + count > _MAX_BODIES_BYTES:
             return False
         self._body_bytes += count
         return True
 
     def release(self, count: int) -> None:
-        """Gives counted bytes back."""
+        """Releases reserved bytes."""
         self._body_bytes -= count
 
     def _start_session(self, channel: channels.Channel) -> None:
@@ -224,20 +245,26 @@
 
 
 class _ServerChannel(channels.Channel):
-    """A channel that tells of itself once it is up."""
+    """A channel that reports when its connection is open."""
 
     def __init__(self, on_open: Callable[[channels.Channel], None]):
         super().__init__()
         self._on_open = on_open
 
     def connection_made(self, transport) -> None:
-        """Starts to serve it."""
+        """Sets up the channel and reports it."""
         super().connection_made(transport)
         self._on_open(self)
 
 
 class _Session:
-    """One caller's connection."""
+    """The HTTP state of one caller's connection.
+
+    Attributes:
+      channel: The connection.
+      busy: Whether a request's handler is running.
+      idle: Whether it is waiting for the head of a request.
+    """
 
     def __init__(self, server: Server, channel: channels.Channel):
         self._server = server
@@ -254,11 +281,11 @@
 
     @property
     def closing(self) -> bool:
-        """Whether this is the last answer on the connection."""
+        """Whether the connection closes after the current answer."""
         return self._server.closing
 
     async def run(self, handler: Handler) -> None:
-        """Serves requests until either side ends the connection."""
+        """Serves requests until either side closes the connection."""
         try:
             while await self._serve_one(handler):
                 pass
@@ -273,14 +300,18 @@
             self.channel.abort()
             raise
         except BaseException:
-            # A defect in one request must not leave its caller waiting.
+            # After a bug in a handler its caller must not wait for an answer.
             self.channel.abort()
             raise
         finally:
             self._reader.release_body()
 
     async def send(self, event: h11.Event) -> None:
-        """Sends one event of the answer."""
+        """Sends one event of an answer.
+
+        Raises:
+          channels.ChannelClosed: The caller has left, or is too slow.
+        """
         data = self._http.send(event)
         if not data:
             return
@@ -321,7 +352,7 @@
         return not self.closing
 
     async def _refuse(self, status: int) -> None:
-        """Answers what is no proper request and ends the connection."""
+        """Answers an invalid request with a status; closes the connection."""
         headers: client.Headers = [
             (b"content-length", b"0"),
             (b"connection", b"close"),
