--- a/src/clementinegw/direct/catalog.py
+++ b/src/clementinegw/direct/catalog.py
@@ -1,4 +1,4 @@
-"""Finds a request's route and customer in the newest configuration."""
+"""An index of a configuration: finds routes, services and customers."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -8,11 +8,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteMatch:
-    """Where a request belongs.
+    """The route and the customer of a request.
 
     Attributes:
-      route: Its route.
-      customer: Whose it is; None when it came without a known key.
+      route: The request's route.
+      customer: The request's customer; None without a known key.
     """
 
     route: types.Route
@@ -20,7 +20,13 @@
 
 
 class Catalog:
-    """One configuration, indexed: a look-up costs the path's parts only."""
+    """An index of one configuration.
+
+    Finding a route takes one look-up for each segment of the path.
+
+    Attributes:
+      configuration: The configuration.
+    """
 
     def __init__(self, configuration: types.Configuration):
         self.configuration = configuration
@@ -31,16 +37,16 @@
 
     @property
     def version(self) -> int:
-        """The configuration's version."""
+        """The version of the configuration."""
         return self.configuration.version
 
     @property
     def services(self) -> Mapping[str, types.Service]:
-        """Every service by name."""
+        """All services by name."""
         return self.configuration.services
 
     def route(self, host: str, path: str) -> types.Route | None:
-        """Returns the route of the longest prefix that begins the path."""
+        """Returns the route with the longest matching prefix; None without."""
         prefixes = self._hosts.get(host)
         if prefixes is None:
             return None
@@ -52,10 +58,10 @@
         return None
 
     def customer(self, key: str) -> types.Customer | None:
-        """Returns whose key it is; None for an unknown one."""
+        """Returns the customer of an API key; None if the key is unknown."""
         return self.configuration.customers.get(key)
 
     @property
     def keyed(self) -> bool:
-        """Whether requests need a key at all."""
+        """Whether requests need an API key."""
         return self.configuration.keyed
--- a/src/clementinegw/direct/header_codec.py
+++ b/src/clementinegw/direct/header_codec.py
@@ -1,4 +1,4 @@
-"""What the direct path asks of whoever knows the platform's headers."""
+"""The interface for translating the platform's HTTP headers."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -10,22 +10,22 @@
 
 
 class HeaderCodec(Protocol):
-    """Translates between headers and facts; decides nothing."""
+    """Translates between HTTP headers and metadata; makes no decisions."""
 
     def request_metadata(self, headers: RawHeaders) -> types.RequestFacts:
-        """Returns what a caller's headers say.
+        """Returns the metadata in a caller's headers.
 
         Raises:
-          ValueError: A header cannot be read.
+          ValueError: A header is malformed.
         """
 
     def answer_metadata(self, head: client.Head) -> types.AnswerFacts:
-        """Returns what a server's headers say; unreadable ones say nothing."""
+        """Returns the metadata in a server's headers without malformed ones."""
 
     def to_server_headers(
         self, headers: RawHeaders, sending: types.Sending
     ) -> client.Headers:
-        """Returns a caller's headers as a server is sent them."""
+        """Returns the headers to send to a server for a caller's request."""
 
     def to_caller_headers(self, head: client.Head) -> client.Headers:
-        """Returns a server's headers as the caller gets them."""
+        """Returns the headers to send to the caller for a server's answer."""
--- a/src/clementinegw/direct/outcomes.py
+++ b/src/clementinegw/direct/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt at a server, and a request, can end."""
+"""The possible outcomes of an attempt at a server and of a request."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class NotRunReason(enum.StrEnum):
-    """Why an attempt is proved not to have run."""
+    """Why the request of an attempt has certainly not run."""
 
     UNREACHABLE = "unreachable"
     SHED = "shed"
@@ -19,7 +19,7 @@
 
 
 class LostReason(enum.StrEnum):
-    """Why nobody knows whether an attempt ran, or it ran in vain."""
+    """Why an attempt may have run but produced no usable answer."""
 
     BROKEN = "broken"
     SILENT = "silent"
@@ -31,10 +31,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delivered:
-    """The caller has the whole answer.
+    """The caller received the complete answer.
 
     Attributes:
-      status: The server's status.
+      status: The HTTP status of the server's answer.
     """
 
     status: int
@@ -42,18 +42,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The server has not run the request and never will."""
+    """The server has not run the request and will not run it.
+
+    Attributes:
+      reason: Why.
+    """
 
     reason: NotRunReason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The server ran the request and answered with a failure of its own.
+    """The server ran the request and answered with an error of its own.
 
     Attributes:
-      head: The answer's head.
-      body: The whole body.
+      head: The head of the answer.
+      body: The complete body.
     """
 
     head: client.Head
@@ -62,7 +66,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """The request may have run; there is no whole answer."""
+    """The request may have run, but there is no usable answer.
+
+    Attributes:
+      reason: Why.
+    """
 
     reason: LostReason
 
@@ -71,9 +79,9 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request is answered by the entry itself.
+    """Why the entry refuses a request itself.
 
-    Each has a counter `direct.refused.REASON`.
+    Each reason has a counter `direct.refused.REASON`.
     """
 
     NO_CONFIGURATION = "no_configuration"
@@ -96,12 +104,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """The entry's own answer.
+    """The entry's own answer to a request.
 
     Attributes:
-      status: The HTTP status; 503 and 429 promise that it was not run.
-      reason: Why.
-      retry_after_s: When to come back, in seconds; None when it cannot help.
+      status: The HTTP status; 503 and 429 promise that the request was not run.
+      reason: Why it is refused.
+      retry_after_s: When to retry, in seconds; None if that cannot help.
     """
 
     status: int
--- a/src/clementinegw/direct/sse.py
+++ b/src/clementinegw/direct/sse.py
@@ -1,9 +1,9 @@
-"""Splits a stream into whole events, so that a broken one can go on."""
+"""Splits a stream of server-sent events, so that it can be resumed."""
 
 import dataclasses
 import re
 
-# An event larger than this is passed on in parts and cannot be resumed. Bytes.
+# An event larger than this is relayed in parts and cannot be resumed. Bytes.
 _MAX_EVENT_BYTES = 256 << 10
 _EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 _ID_FIELD = re.compile(rb"(?:^|[\r\n])id: ?([^\r\n]*)")
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-      data: Its bytes, with the empty line that ends it.
-      event_id: Its id; None when it has none.
+      data: The event's bytes, including the empty line that ends it.
+      event_id: The value of its id field; None if it has none.
     """
 
     data: bytes
@@ -23,18 +23,18 @@
 
 
 class Splitter:
-    """Cuts bytes into events; keeps the rest for the next bytes."""
+    """Splits bytes into events and buffers an incomplete one."""
 
     def __init__(self) -> None:
         self._remainder = b""
 
     @property
     def remainder(self) -> bytes:
-        """Bytes of an event that has not ended."""
+        """The bytes of the incomplete event at the end."""
         return self._remainder
 
     def feed(self, data: bytes) -> list[Event]:
-        """Returns the events that are whole now."""
+        """Adds bytes and returns the events that they complete."""
         text = self._remainder + data
         events = []
         start = 0
--- a/src/clementinegw/direct/suspects.py
+++ b/src/clementinegw/direct/suspects.py
@@ -1,14 +1,15 @@
-"""Requests that crash the servers that run them.
+"""Detects requests that crash the servers that run them.
 
-Such a request comes again and again, at any entry, with the same method,
-target, customer and body. Those that merely shared a server with it at a crash
-are let go: only what was there at two crashes, and was never answered since, is
-refused. A server that answers again as the same start did not crash; its
+Such a request is sent repeatedly, at any entry, with the same method, target,
+customer and body. A request is refused once it was running at two crashes and
+has not been answered since; requests that merely shared a server with it at one
+crash are not. A server that answers again as the same start did not crash: its
 answers were lost.
 
-Each entry tells what it saw itself and takes in what others tell, in datagrams
-that get lost, come twice and come late. So a crash is named by the start of the
-server that it ended, and told with its age; what is taken in twice counts once.
+Each entry reports its own observations and merges those of others. They travel
+in datagrams that may be lost, duplicated or late. Therefore a crash is
+identified by the server start that it ended and reported with its age, and
+merging it twice counts once.
 """
 
 import collections
@@ -19,21 +20,24 @@
 
 from clementinegw.direct import server as servers
 
+# The most requests that are remembered.
 _MAX_REQUESTS = 4_096
-# How long a crash is remembered, in seconds, and at how many a request must
-# have been for it to be refused.
+# How long a crash is remembered, in seconds, and the number of remembered
+# crashes from which on a request is refused.
 _RETENTION_S = 60.0
 _CRASHES_TO_REFUSE = 2
-# Crashes kept of one request, and servers known to have outlived one.
+# The most crashes kept for one request, and the most server starts kept that
+# answered after a supposed crash.
 _MAX_CRASHES = 4
 _MAX_SURVIVORS = 1_024
-# What is told at once: a part of a datagram, about a kilobyte.
+# The most suspicions in one datagram; they take about a kilobyte.
 MAX_SUSPICIONS = 12
-# For how long an entry tells of what it saw, in seconds: some datagrams to each
-# of those who tell all, who remember it.
+# For how long an entry reports its own observations, in seconds: several
+# datagrams to each agent, which remembers them and passes them to all entries.
 _PUBLISH_S = 5.0
-# A crash that is told of is dated back by what its datagram may have taken, in
-# seconds: else a server that has answered since would look crashed again.
+# A crash in a datagram is dated back by the time that the datagram may have
+# taken, in seconds. Otherwise a server that has answered since would seem to
+# have crashed again.
 _MAX_TRANSIT_S = 0.25
 _FINGERPRINT_BYTES = 16
 _START_DIGEST_BYTES = 8
@@ -44,8 +48,8 @@
     """A connection that broke while a request ran.
 
     Attributes:
-      start: Names the server's start.
-      age_s: How long ago, in seconds.
+      start: The digest of the server's start.
+      age_s: How long ago it was, in seconds.
     """
 
     start: bytes
@@ -54,13 +58,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspicion:
-    """What is known of one request.
+    """What was observed of one request, as entries and agents exchange it.
 
     Attributes:
-      fingerprint: Names the request.
-      crashes: Where connections broke while it ran.
-      completed_age_s: How long ago a server ran it to its end, in seconds; None
-        when none did.
+      fingerprint: Identifies the request.
+      crashes: The broken connections while it ran.
+      completed_age_s: How long ago a server completed it, in seconds; None if
+        none did.
     """
 
     fingerprint: bytes
@@ -70,14 +74,25 @@
 
 @dataclasses.dataclass(slots=True)
 class _CrashRecord:
-    """A crash as it is kept; `local` where this process saw it itself."""
+    """A crash as the tracker keeps it.
+
+    Attributes:
+      crashed_at: When it happened, in monotonic seconds.
+      local: Whether this process observed it itself.
+    """
 
     crashed_at: float
     local: bool
 
 
 class _RequestRecord:
-    """What is kept of one request."""
+    """What the tracker keeps of one request.
+
+    Attributes:
+      crashes: The crashes by the digest of the server's start.
+      completed_at: When it was last completed, in monotonic seconds.
+      completed_locally: Whether this process observed a completion itself.
+    """
 
     def __init__(self) -> None:
         self.crashes: dict[bytes, _CrashRecord] = {}
@@ -86,14 +101,20 @@
 
     @property
     def last_changed_at(self) -> float:
-        """When something last happened, in monotonic seconds."""
+        """When the newest crash happened; without crashes, the completion."""
         crashed_at = (crash.crashed_at for crash in self.crashes.values())
         return max(crashed_at, default=self.completed_at)
 
     def recent_crashes(
         self, now: float, within_s: float = _RETENTION_S, local: bool = False
     ) -> tuple[Crash, ...]:
-        """Returns the crashes of late; only what was seen here with `local`."""
+        """Returns the crashes within a time.
+
+        Args:
+          now: Monotonic seconds.
+          within_s: The greatest age of a crash, in seconds.
+          local: Whether to leave out what other processes observed.
+        """
         return tuple(
             Crash(start, max(0.0, now - crash.crashed_at))
             for start, crash in self.crashes.items()
@@ -102,7 +123,7 @@
 
 
 class SuspectTracker:
-    """Counts crashes by what was sent."""
+    """Tracks which requests were running when servers crashed."""
 
     def __init__(self) -> None:
         self._records: collections.OrderedDict[bytes, _RequestRecord]
@@ -118,12 +139,12 @@
         start: str,
         now: float,
     ) -> None:
-        """Counts a connection that broke while a request ran.
+        """Records a connection that broke while a request ran.
 
         Args:
           request: The request.
-          customer_name: The customer's name.
-          start: Names the server's start.
+          customer_name: The name of its customer.
+          start: The text that names the server's start.
           now: Monotonic seconds.
         """
         key = _fingerprint(request, customer_name)
@@ -133,10 +154,10 @@
     def record_completion(
         self, request: servers.Request, customer_name: str, now: float
     ) -> None:
-        """Clears a request that a server ran to its end.
+        """Clears a request that a server completed.
 
-        Many callers ask the same; two of their answers that are lost in a
-        minute would else make it refused to all of them.
+        Many callers send the same request; without this, two lost answers
+        within a minute would make it refused for all of them.
         """
         if not self._records:
             return
@@ -147,9 +168,14 @@
             self._complete(key, record, now)
 
     def record_survival(self, start: str, sent_at: float) -> None:
-        """Takes in that a server answered what was sent to it at a time.
+        """Records that a server start answered a request.
+
+        The start was running when the request was sent, so no crash before that
+        had ended it.
 
-        The start was there then, so no crash before that had ended it.
+        Args:
+          start: The text that names the server's start.
+          sent_at: When the request was sent, in monotonic seconds.
         """
         if not self._requests_by_start:
             return
@@ -172,7 +198,7 @@
     def is_refused(
         self, request: servers.Request, customer_name: str, now: float
     ) -> bool:
-        """Returns whether a request has crashed too many servers."""
+        """Returns whether a request was running at too many crashes."""
         if not self._records:
             return False
         record = self._records.get(_fingerprint(request, customer_name))
@@ -181,9 +207,10 @@
         return len(record.recent_crashes(now)) >= _CRASHES_TO_REFUSE
 
     def local_suspicions(self, now: float) -> tuple[Suspicion, ...]:
-        """Returns what this process saw itself of late, for those who tell all.
+        """Returns this process's own recent observations, for the agents.
 
-        Told on by all, ages would grow at each step by what a datagram takes.
+        Entries do not forward the observations of others: at each step the ages
+        would be off by the transit time of a datagram.
         """
         self._expire(now)
         return self._select(
@@ -195,16 +222,17 @@
         )
 
     def confirmed_suspicions(self, now: float) -> tuple[Suspicion, ...]:
-        """Returns what is refused, and what was cleared, whoever saw it.
+        """Returns refused and cleared requests, whoever observed them.
 
-        Each entry tells all agents, so each knows the whole. What was at one
-        crash only is not told on: that is every request beside a bad one.
+        Each entry reports to all agents, so each agent knows all observations.
+        Requests with one crash are left out: they include every request that
+        merely ran beside a crashing one.
         """
         self._expire(now)
 
         def reported(record: _RequestRecord) -> tuple[tuple[Crash, ...], bool]:
-            found = record.recent_crashes(now)
-            return (found if len(found) >= _CRASHES_TO_REFUSE else (), True)
+            crashes = record.recent_crashes(now)
+            return (crashes if len(crashes) >= _CRASHES_TO_REFUSE else (), True)
 
         return self._select(reported, now)
 
@@ -213,11 +241,11 @@
         reported: Callable[[_RequestRecord], tuple[tuple[Crash, ...], bool]],
         now: float,
     ) -> tuple[Suspicion, ...]:
-        """Returns the newest records that have something to be told.
+        """Returns suspicions for the newest records with something to report.
 
         Args:
-          reported: Returns a record's crashes to tell, and whether to tell that
-            it was completed.
+          reported: Returns the crashes of a record to report, and whether to
+            report its completion.
           now: Monotonic seconds.
         """
         found = []
@@ -234,7 +262,7 @@
         return tuple(found)
 
     def merge(self, suspicions: Iterable[Suspicion], now: float) -> None:
-        """Takes in what others tell; what is malformed or too old is not."""
+        """Merges observations of others; ignores malformed and too old ones."""
         for suspicion in suspicions:
             key = suspicion.fingerprint
             if len(key) != _FINGERPRINT_BYTES:
@@ -278,11 +306,11 @@
                 self._drop_crash(key, start)
 
     def _drop_crash(self, key: bytes, start: bytes) -> None:
-        """Takes one crash away, from the record and from the index."""
+        """Removes a crash from its record and from the index by start."""
         del self._records[key].crashes[start]
-        requests = self._requests_by_start[start]
-        requests.discard(key)
-        if not requests:
+        keys = self._requests_by_start[start]
+        keys.discard(key)
+        if not keys:
             del self._requests_by_start[start]
 
     def _drop(self, key: bytes) -> None:
@@ -295,23 +323,23 @@
             self._drop(next(iter(self._records)))
 
     def _expire(self, now: float) -> None:
-        old = [
+        expired = [
             key
             for key, record in self._records.items()
             if now - record.last_changed_at >= _RETENTION_S
         ]
-        for key in old:
+        for key in expired:
             self._drop(key)
 
 
 def _merged(
     known_crash: _CrashRecord | None, crash: _CrashRecord
 ) -> _CrashRecord:
-    """Returns what is kept of a crash that is seen or told of once more.
+    """Returns which record is kept of a crash that is reported once more.
 
-    A start crashes once. What this process saw itself it knows better, and
-    what is told again arrives a little later each time: by its newest time it
-    would never be forgotten.
+    A start crashes only once. The process's own observation is more accurate
+    than a report. Of two reports the earlier time is kept: repeated reports
+    arrive a little later each time, so the latest time would never expire.
     """
     if known_crash is None or crash.local > known_crash.local:
         return crash
--- a/src/clementinegw/direct/suspicion_codec.py
+++ b/src/clementinegw/direct/suspicion_codec.py
@@ -1,4 +1,4 @@
-"""Suspicions as they travel between entries and agents."""
+"""Converts suspicions to and from their form in datagrams."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
 def to_wire(
     suspicions: Iterable[suspects.Suspicion],
 ) -> list[ttypes.Suspicion] | None:
-    """Returns what a datagram carries; None, which takes no byte, for none."""
+    """Returns the wire form; None, which takes no bytes, if there are none."""
     items = [
         ttypes.Suspicion(
             suspicion.fingerprint,
@@ -29,7 +29,7 @@
 def from_wire(
     items: list[ttypes.Suspicion] | None,
 ) -> tuple[suspects.Suspicion, ...]:
-    """Returns what a datagram carried; what lacks a field is left out."""
+    """Returns the suspicions of a datagram without those that lack a field."""
     return tuple(
         suspects.Suspicion(
             item.fingerprint,
