--- a/tests/suspects_entry.py
+++ b/tests/suspects_entry.py
@@ -1,15 +1,19 @@
-"""An entry's knowledge of requests that crash servers, for tests."""
+"""A test double of an entry that tracks requests that crash servers."""
 
 from clementinegw.direct import server as servers
 from clementinegw.direct import suspects
 
 
 def request(body=b"", target="/safe/x"):
+    """Returns a request with a body."""
     return servers.Request("POST", target, "h", (), body, 0.0)
 
 
 class Entry:
-    """An entry's knowledge, on a clock of its own."""
+    """A suspect tracker on a clock of its own.
+
+    The methods are those of the tracker, with times relative to `clock_s`.
+    """
 
     def __init__(self, clock_s=1_000.0):
         self.suspects = suspects.SuspectTracker()
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -1,4 +1,4 @@
-"""Servers that fall silent: found out from the agents beside them."""
+"""Tests how servers and agents that fall silent are detected."""
 
 import dataclasses
 import random
@@ -20,6 +20,7 @@
 
 
 def new_fleet(*names):
+    """Returns a fleet of listed servers."""
     backends = fleet.Fleet(logs.Log(), lambda service: 64, random.Random(1))
     records = tuple(
         follow.Record(
@@ -38,13 +39,15 @@
     return backends
 
 
-def tell(backend, *times):
+def report(backend, *times):
+    """Delivers reports of the server's agent at the given times."""
     for now in times:
-        told = reports.Report(backend.server.server_id, 1, 0, 16)
-        backend.take_report(told, now)
+        message = reports.Report(backend.server.server_id, 1, 0, 16)
+        backend.take_report(message, now)
 
 
 def chosen(backends, now):
+    """Returns the ids of the servers that are chosen in 50 draws."""
     place = places.Place("r", "d1")
     chooser = balance.Balancer(
         backends, place, {}, random.Random(1), lambda: now
@@ -53,23 +56,23 @@
     return {backend.server.server_id for backend in found}
 
 
-def test_a_server_that_fell_silent_with_its_agent_is_passed_over():
-    """Symptom: requests are late for as long as a machine is suspended.
+def test_a_server_silent_with_its_agent_is_skipped():
+    """Requests were late for as long as a machine was suspended.
 
-    Sequence: a machine stands still; each entry sends to its server, waits for
-    0.8 s, and tries it again soon after. Cause: only requests told of it.
+    Each entry sent to the suspended server, waited for 0.8 s and tried it again
+    soon after, because only requests revealed that it was silent.
     """
-    backends = new_fleet("frozen", "well")
-    tell(backends.find("frozen"), 10.0)
-    tell(backends.find("well"), 10.5)
-    assert chosen(backends, 10.6) == {"well"}
-    tell(backends.find("frozen"), 10.6)
-    assert chosen(backends, 10.7) == {"frozen", "well"}
+    backends = new_fleet("suspended", "healthy")
+    report(backends.find("suspended"), 10.0)
+    report(backends.find("healthy"), 10.5)
+    assert chosen(backends, 10.6) == {"healthy"}
+    report(backends.find("suspended"), 10.6)
+    assert chosen(backends, 10.7) == {"suspended", "healthy"}
 
 
-def test_where_all_fell_silent_requests_are_sent_all_the_same():
+def test_requests_are_sent_even_if_all_servers_are_silent():
     backends = new_fleet("a")
-    tell(backends.find("a"), 10.0)
+    report(backends.find("a"), 10.0)
     assert chosen(backends, 11.0) == {"a"}
 
 
@@ -77,75 +80,77 @@
     ("heard_at", "now", "silent"),
     [(9.9, 11.0, True), (10.4, 11.0, False), (9.9, 17.0, False)],
 )
-def test_a_server_that_answers_outlives_its_agent(heard_at, now, silent):
+def test_a_server_that_answers_is_not_silent_without_its_agent(
+    heard_at, now, silent
+):
     backend = new_fleet("a").find("a")
-    tell(backend, 10.0)
+    report(backend, 10.0)
     backend.heard_at = heard_at
     assert backend.silent(now) == silent
 
 
-def test_an_agent_that_tells_seldom_is_silent_later():
+def test_an_agent_with_rare_reports_counts_as_silent_later():
     backend = new_fleet("a").find("a")
-    tell(backend, *[0.4 * number for number in range(20)])
+    report(backend, *[0.4 * number for number in range(20)])
     assert not backend.silent(7.6 + 1.0)
     assert backend.silent(7.6 + 1.3)
-    tell(backend, *[9.0 + 0.1 * number for number in range(20)])
+    report(backend, *[9.0 + 0.1 * number for number in range(20)])
     assert backend.silent(10.9 + 0.5)
 
 
-class Sent:
-    """A transport that keeps who was sent to."""
+class Transport:
+    """A transport that records the receivers."""
 
     def __init__(self):
-        self.to = []
+        self.receivers = []
 
     def sendto(self, data, addr):
         del data
-        self.to.append(addr)
+        self.receivers.append(addr)
 
 
 @pytest.mark.parametrize(
     ("near", "far", "sent"),
     [(8, 0, 320), (8, 16, 480), (10, 31, 510), (14, 29, 570)],
 )
-def test_reports_grow_less_than_the_entries(near, far, sent):
-    """Symptom: connections to servers do not come up while weights come.
+def test_reports_grow_more_slowly_than_the_entries(near, far, sent):
+    """Connections to servers could not be opened while weights were fetched.
 
-    Sequence: 43 entries ask each agent; a tenth of the machine's link goes to
-    reports. Cause: every entry got every report.
+    43 entries subscribed to each agent and every entry got every report, which
+    took a tenth of the machine's link.
     """
 
     async def play():
         reporter = reports.Reporter(lambda declared: None)
-        transport = Sent()
+        transport = Transport()
         reporter.connection_made(transport)
         for number in range(near + far):
             message = ttypes.Subscribe(f"e{number}", {}, number >= near)
             reporter.datagram_received(codec.encode(message), (number,))
         for _ in range(41):
             reporter.tell(reports.Report("a", 1, 0, 16))
-        # The first one is news to all.
-        return len(transport.to) - near - far
+        # The first report is sent to all.
+        return len(transport.receivers) - near - far
 
     assert clocks.run(play()) == sent
 
 
-def test_a_server_that_rests_is_tried_only_where_no_other_is_left():
-    backends = new_fleet("resting", "well")
-    backends.find("resting").rest_until = 11.0
+def test_a_server_in_cooldown_is_tried_only_if_no_other_is_left():
+    backends = new_fleet("cooling", "healthy")
+    backends.find("cooling").rest_until = 11.0
     now = [10.0]
     chooser = balance.Balancer(
         backends, places.Place("r", "d1"), {}, random.Random(1), lambda: now[0]
     )
-    assert chooser.choose(WANTED) is backends.find("well")
-    found = chooser.choose(WANTED, {types.Start("well")})
-    assert found is backends.find("resting")
+    assert chooser.choose(WANTED) is backends.find("healthy")
+    found = chooser.choose(WANTED, {types.Start("healthy")})
+    assert found is backends.find("cooling")
     chooser.sent(found)
-    assert chooser.choose(WANTED, {types.Start("well")}) is None
+    assert chooser.choose(WANTED, {types.Start("healthy")}) is None
     now[0] = 10.3
-    assert chooser.choose(WANTED, {types.Start("well")}) is found
-    waited_for = dataclasses.replace(WANTED, resting=False)
-    assert chooser.choose(waited_for, {types.Start("well")}) is None
+    assert chooser.choose(WANTED, {types.Start("healthy")}) is found
+    without_cooling = dataclasses.replace(WANTED, resting=False)
+    assert chooser.choose(without_cooling, {types.Start("healthy")}) is None
     assert chooser.rested_in_s(WANTED) == 0.0
-    backends.find("well").rest_until = 10.5
+    backends.find("healthy").rest_until = 10.5
     assert chooser.rested_in_s(WANTED) == pytest.approx(0.2)
--- a/tests/test_direct_suspicions.py
+++ b/tests/test_direct_suspicions.py
@@ -1,4 +1,4 @@
-"""What entries and agents tell each other of requests that crash servers."""
+"""Tests how entries and agents exchange suspicions in datagrams."""
 
 import suspects_entry
 
@@ -13,31 +13,31 @@
 ADDRESS = places.Address("127.0.0.1", 9)
 
 
-def subscribed(entry, number, far):
-    """Returns an entry's subscription as it is sent."""
-    wire = Wire()
+def subscription(entry, number, far):
+    """Returns the datagram of an entry's subscription."""
+    transport = Transport()
     listener = reports.Listener(f"e{number}", lambda host, report: None)
-    listener.connection_made(wire)
+    listener.connection_made(transport)
     listener.subscribe(
         {ADDRESS: reports.Asking(far)},
         reports.Declared({}, {}),
         entry.local_suspicions(1.0),
     )
-    return wire.sent[0][1]
+    return transport.sent[0][1]
 
 
-def heard(entry, data):
-    """Hands an agent's datagram to an entry."""
+def deliver(entry, data):
+    """Delivers an agent's datagram to an entry."""
     listener = reports.Listener(
         "e",
         lambda host, report: None,
-        on_suspicions=lambda found: entry.merge(found, 1.2),
+        on_suspicions=lambda suspicions: entry.merge(suspicions, 1.2),
     )
     listener.datagram_received(data, ("127.0.0.1",))
 
 
-class Wire:
-    """A transport that keeps what is sent."""
+class Transport:
+    """A transport that records what is sent."""
 
     def __init__(self):
         self.sent = []
@@ -46,11 +46,11 @@
         self.sent.append((addr, data))
 
 
-def test_entries_learn_of_each_others_crashes_by_the_datagrams_that_go_anyway():
-    """A request came to one entry after the other, and crashed servers at each.
+def test_entries_learn_of_crashes_from_subscriptions_and_reports():
+    """A request was sent to one entry after the other and crashed servers.
 
-    Two entries saw one crash each; the agent that both ask for reports puts
-    them together and tells a third one, far away, which gets few reports.
+    Two entries see one crash each. The agent that all subscribe to combines the
+    crashes and reports them, also to a distant entry that gets few reports.
     """
 
     async def play():
@@ -59,63 +59,63 @@
             suspects_entry.Entry(0.0),
             suspects_entry.Entry(0.0),
         ]
-        hub = suspects.SuspectTracker()
+        tracker = suspects.SuspectTracker()
         reporter = reports.Reporter(
             lambda declared: None,
-            on_suspicions=lambda found: hub.merge(found, 1.0),
+            on_suspicions=lambda suspicions: tracker.merge(suspicions, 1.0),
         )
-        agent = Wire()
-        reporter.connection_made(agent)
+        transport = Transport()
+        reporter.connection_made(transport)
         for number, entry in enumerate(entries):
             if number < 2:
                 entry.record_crash(b"bad", f"i-{number}", 0.5)
                 entry.record_crash(b"beside %d" % number, f"i-{number}", 0.5)
-            data = subscribed(entry, number, far=number == 2)
+            data = subscription(entry, number, far=number == 2)
             reporter.datagram_received(data, (number,))
         report = reports.Report("i-9", 1, 0, 16)
         for _ in range(2):
             reporter.tell(report)
-        plain = len(agent.sent[0][1])
-        agent.sent.clear()
-        reporter.tell(report, hub.confirmed_suspicions(1.1))
-        for (number,), data in agent.sent:
-            heard(entries[number], data)
+        plain_bytes = len(transport.sent[0][1])
+        transport.sent.clear()
+        reporter.tell(report, tracker.confirmed_suspicions(1.1))
+        for (number,), data in transport.sent:
+            deliver(entries[number], data)
         bad = [entry.is_refused(b"bad", 1.3) for entry in entries]
         beside = [entry.is_refused(b"beside 0", 1.3) for entry in entries]
-        return bad, beside, len(agent.sent[0][1]) - plain
+        return bad, beside, len(transport.sent[0][1]) - plain_bytes
 
-    bad, beside, more_bytes = clocks.run(play())
+    bad, beside, added_bytes = clocks.run(play())
     assert bad == [True] * 3
     assert beside == [False] * 3
-    assert more_bytes < 64
+    assert added_bytes < 64
 
 
-def test_a_datagram_without_suspicions_takes_no_byte_more():
+def test_a_datagram_without_suspicions_is_not_longer():
     bare = ttypes.Subscribe("e", {}, False)
     none = ttypes.Subscribe(
         "e", {}, False, suspicions=suspicion_codec.to_wire(())
     )
     assert codec.encode(none) == codec.encode(bare)
-    most = suspects.Suspicion(
+    largest = suspects.Suspicion(
         b"f" * 16, (suspects.Crash(b"s" * 8, 59.9),) * 4, 59.9
     )
-    full = suspicion_codec.to_wire((most,) * suspects.MAX_SUSPICIONS)
+    full = suspicion_codec.to_wire((largest,) * suspects.MAX_SUSPICIONS)
     data = codec.encode(ttypes.Subscribe("e", {}, False, suspicions=full))
     assert len(data) < 1_200
-    found = suspicion_codec.from_wire(
+    decoded = suspicion_codec.from_wire(
         codec.decode(ttypes.Subscribe, data).suspicions
     )
-    assert found == (most,) * suspects.MAX_SUSPICIONS
+    assert decoded == (largest,) * suspects.MAX_SUSPICIONS
 
 
-def test_what_lacks_a_field_or_is_too_many_is_left_out():
+def test_incomplete_and_excess_suspicions_are_left_out():
     crash = ttypes.Crash(None, 5)
-    found = [
+    items = [
         ttypes.Suspicion(None, [], None),
         ttypes.Suspicion(b"f" * 16, None, None),
         ttypes.Suspicion(b"f" * 16, [crash], None),
         *[ttypes.Suspicion(b"f" * 16, [], None)] * 100,
     ]
-    taken = suspicion_codec.from_wire(found)
-    assert len(taken) == suspects.MAX_SUSPICIONS - 2
-    assert {one.crashes for one in taken} == {()}
+    decoded = suspicion_codec.from_wire(items)
+    assert len(decoded) == suspects.MAX_SUSPICIONS - 2
+    assert {suspicion.crashes for suspicion in decoded} == {()}
--- a/tests/test_direct_unsent.py
+++ b/tests/test_direct_unsent.py
@@ -1,4 +1,4 @@
-"""Requests that are taken back before anything of them was sent."""
+"""Tests requests that are withdrawn before they were sent."""
 
 import asyncio
 
@@ -8,26 +8,26 @@
 from clementinegw.testing import clock as clocks
 
 
-def test_what_was_taken_back_before_it_was_sent_has_not_run(monkeypatch):
-    """A caller was told that its request may have run, though none had it.
+def test_a_request_withdrawn_before_it_was_sent_has_not_run(monkeypatch):
+    """A caller was told that its request may have run, though it was not sent.
 
-    Its connection to the server was still coming up as the server's weights
-    became too old, and counted as an attempt.
+    The connection to the server was still being opened when the server's
+    weights became too old, and that counted as an attempt.
     """
     connect = client.connect
-    slow = []
+    slow_addresses = []
 
-    async def slowly(address, timeout_s):
-        if str(address) in slow:
+    async def connect_slowly(address, timeout_s):
+        if str(address) in slow_addresses:
             await asyncio.sleep(0.24)
         return await connect(address, timeout_s)
 
-    monkeypatch.setattr(client, "connect", slowly)
+    monkeypatch.setattr(client, "connect", connect_slowly)
 
     async def play():
         async with test_direct_due.Site("i-1") as site:
             (server,) = site.servers
-            slow.append(server.address)
+            slow_addresses.append(server.address)
             site.name()
             await asyncio.sleep(7.65)
             answer = await site.ask(headers=test_direct_due.MODEL)
