--- a/tests/test_direct_entry.py
+++ b/tests/test_direct_entry.py
@@ -1,4 +1,4 @@
-"""An entry before servers that fail in every way: what callers get."""
+"""Tests what callers get from an entry whose servers fail in various ways."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from clementinegw.direct import outcomes
 
 
-def test_an_answer_comes_back_as_the_server_gave_it():
+def test_an_answer_is_relayed_unchanged():
     async def play():
         async with sites.Site("i-1") as site:
             answer = await site.ask("/safe/1?x=%20y", body=b"abc")
@@ -26,11 +26,11 @@
     assert int(call.headers["x-clementinegw-deadline-ms"]) <= 2500
 
 
-def test_the_callers_own_words_about_tenant_and_server_are_not_passed_on():
-    """Symptom: a caller is served as another customer.
+def test_tenant_and_server_headers_of_callers_are_not_forwarded():
+    """A caller was served as another customer.
 
-    Sequence: it sends the header that names the customer to the server itself.
-    Cause: headers were passed on as they came.
+    It sent the header that names the customer to the server, and headers were
+    forwarded unchanged.
     """
 
     async def play():
@@ -58,7 +58,7 @@
         ("/safe/1", "", 401),
     ],
 )
-def test_what_the_configuration_does_not_know_is_refused(path, key, status):
+def test_unknown_routes_and_keys_are_refused(path, key, status):
     async def play():
         async with sites.Site("i-1") as site:
             answer = await site.ask(path, key=key)
@@ -68,20 +68,19 @@
     assert (answer.status, calls) == (status, 0)
 
 
-def test_a_second_answer_is_never_handed_to_the_next_caller():
-    """Symptom: a caller gets the answer to another request.
+def test_a_second_answer_is_not_relayed_to_the_next_caller():
+    """A caller got the answer to another request.
 
-    Sequence: a server sends a second answer behind a whole one; the connection
-    is kept and the next request goes out on it. Cause: unread bytes were taken
-    for the next answer.
+    A server sent a second answer after a complete one. The connection was
+    reused, and the unread bytes were taken for the answer to the next request.
     """
 
-    def twice(call):
+    def answer_twice(call):
         call.answer(b"first of " + call.attempt_id.encode())
         call.answer(b"again " + call.attempt_id.encode())
 
     async def play():
-        async with sites.Site("i-1", do=twice) as site:
+        async with sites.Site("i-1", do=answer_twice) as site:
             bodies = []
             for name in ("x1", "x2", "x3"):
                 answer = await site.ask("/once/1", attempt_id=name)
@@ -93,7 +92,7 @@
     assert bodies == [b"first of x1", b"first of x2", b"first of x3"]
 
 
-def test_an_answer_to_another_attempt_is_no_answer():
+def test_an_answer_to_another_attempt_is_not_relayed():
     async def play():
         def crossed(call):
             call.answer(attempt_id="someone-elses")
@@ -106,11 +105,11 @@
     assert "x-clementinegw-response-seal" not in answer.headers
 
 
-def test_a_broken_answer_is_repeated_where_it_may_be_and_only_there():
-    """Symptom: an order is booked twice.
+def test_a_broken_answer_is_retried_only_on_idempotent_routes():
+    """An order was booked twice.
 
-    Sequence: a server runs it and breaks off its answer; another server is
-    asked. Cause: a lost answer was taken for proof that nothing ran.
+    A server ran the request and its answer broke. It was sent to another
+    server, because a lost answer was taken for proof that nothing had run.
     """
 
     def broken(call):
@@ -126,10 +125,10 @@
     assert sites.run(play("/safe/1")) == (502, 2)
 
 
-def test_what_crashes_servers_is_refused_after_the_second():
-    """One request crashed a server after the other, each time it came again.
+def test_a_request_is_refused_after_two_crashes():
+    """One request crashed a server after the other each time it was repeated.
 
-    Crashes were counted up to three, and at each entry by itself.
+    It was refused only after three crashes, counted by each entry alone.
     """
 
     def crash(call):
@@ -140,20 +139,20 @@
 
     async def play():
         async with sites.Site("i-1", "i-2", "i-3", "i-4", do=crash) as site:
-            told = [
+            answers = [
                 (await site.ask("/safe/1", body=b"bad", attempt_id=f"b{n}"))
                 for n in range(5)
             ]
             crashes = sum(len(s.calls) for s in site.servers)
             other = await site.ask("/safe/1", body=b"good")
-            return [answer.status for answer in told], crashes, other.status
+            return [answer.status for answer in answers], crashes, other.status
 
     statuses, crashes, other = sites.run(play())
     assert statuses == [502, 503, 503, 503, 503]
     assert (crashes, other) == (2, 200)
 
 
-def test_a_request_that_no_server_ran_is_told_so_with_a_time():
+def test_a_request_that_no_server_ran_gets_503_with_retry_after():
     async def play():
         async with sites.Site("i-1", do=lambda call: call.shed()) as site:
             return await site.ask("/once/1")
@@ -163,11 +162,11 @@
     assert 0.0 < float(answer.headers["retry-after"]) < 1.0
 
 
-def test_a_promise_that_a_server_did_not_make_is_not_passed_on():
-    """Symptom: a caller repeats what has run, since it was told 503.
+def test_a_bare_503_of_a_server_is_not_relayed():
+    """A caller repeated a request that had run, because it received 503.
 
-    Sequence: a server answers 503 without saying that it did not run the
-    request. Cause: its status was passed on.
+    A server answered 503 without stating that it had not run the request, and
+    its status was relayed.
     """
 
     async def play():
@@ -180,7 +179,7 @@
     assert sites.run(play()).status == 502
 
 
-def test_an_unsealed_success_is_none():
+def test_an_unsealed_success_is_not_relayed():
     async def play():
         def unsealed(call):
             call.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -191,11 +190,11 @@
     assert sites.run(play()).status == 502
 
 
-def test_a_server_that_took_the_address_of_another_does_not_run_it():
-    """Symptom: a request is run by another service.
+def test_a_server_at_the_address_of_another_does_not_run_a_request():
+    """A request was run by a server of another service.
 
-    Sequence: a server ends and its address is given to a server of another
-    service while the list is behind. Cause: only the address named the server.
+    A server ended and its address was given to a server of another service
+    before the list of servers was updated. Only the address named the server.
     """
 
     async def play():
@@ -206,13 +205,13 @@
     assert sites.run(play()).status == 503
 
 
-def test_a_start_that_is_gone_is_asked_once():
-    """Symptom: refusals for two seconds behind a loss of power.
+def test_a_start_that_is_gone_is_tried_only_once():
+    """Requests were refused for two seconds after a loss of power.
 
-    Sequence: all servers start again at their addresses; the platform lists
-    the former starts until they run out; each request is sent to those again
-    and again, until the repeats are used up. Cause: who answers "another one
-    has my address" was passed over for a moment only.
+    All servers started anew at their addresses, and the platform listed the
+    former starts until these expired. Requests were sent to them repeatedly
+    until the retries were used up, because a server that answered with another
+    start was skipped only briefly.
     """
 
     async def play():
@@ -228,12 +227,11 @@
     assert sites.run(play()) <= 1
 
 
-def test_a_stream_goes_on_at_another_server_without_gap_or_repeat():
-    """Symptom: a stream ends early, or an event comes twice.
+def test_a_stream_resumes_at_another_server_without_gap_or_repeat():
+    """A stream ended early, or an event was relayed twice.
 
-    Sequence: a server crashes in the middle of an event of a stream that may
-    be resumed. Cause: the half event was passed on, or the other server was
-    asked from the beginning.
+    A server crashed in the middle of an event of a resumable stream. The
+    partial event was relayed, or the other server began from the start.
     """
 
     def stream(call):
@@ -257,7 +255,7 @@
     assert answer.headers["x-clementinegw-response-seal"] == "seal-a1"
 
 
-def test_a_stream_that_cannot_go_on_ends_broken():
+def test_a_stream_that_cannot_resume_ends_incomplete():
     def stream(call):
         call.begin_stream()
         call.event(1)
@@ -283,12 +281,12 @@
     assert (answer.status, answer.whole) == (200, False)
 
 
-def test_a_stream_that_has_not_begun_is_taken_back_before_a_version_is_due():
-    """Symptom: a request begins on the former version after the due time.
+def test_a_stream_not_yet_begun_is_withdrawn_before_a_version_is_due():
+    """A request began on the former version after the newer one was due.
 
-    Sequence: it is sent shortly before that time to a server on the former
-    version, waits there, and begins just after it; another server has the
-    newer one. Cause: nothing took it back in time.
+    It was sent shortly before that time to a server with the former version,
+    waited there and began just after it, though another server had the newer
+    version. Nothing withdrew it in time.
     """
     began = []
 
@@ -319,24 +317,22 @@
             due_s = site.entry._instance.bounds.weights_ms / 1e3
             await asyncio.sleep(due_s - 0.7)
             headers = ["X-Clementinegw-Model: m"]
-            asking = asyncio.ensure_future(
-                site.ask("/stream/1", headers=headers)
-            )
+            task = asyncio.ensure_future(site.ask("/stream/1", headers=headers))
             await asyncio.sleep(0.1)
             site.hold(new, 2)
-            answer = await asking
+            answer = await task
             return answer, len(old.calls), len(new.calls)
 
-    answer, olds, news = sites.run(play())
+    answer, old_calls, new_calls = sites.run(play())
     assert (answer.status, answer.whole) == (200, True)
-    assert (olds, news, began) == (1, 1, [])
+    assert (old_calls, new_calls, began) == (1, 1, [])
 
 
-def test_a_caller_that_leaves_ends_the_work_at_the_server():
-    """Symptom: servers work for callers that have left.
+def test_a_disconnected_caller_ends_the_work_at_the_server():
+    """Servers worked for callers that had disconnected.
 
-    Sequence: a caller closes its connection while a server works. Cause: the
-    connection to the server was kept until its answer.
+    A caller closed its connection while a server worked, and the connection to
+    the server was kept open until the answer.
     """
 
     async def play():
@@ -355,22 +351,22 @@
     assert sites.run(play()) == (0, 0)
 
 
-def test_a_request_is_answered_at_its_timeout():
+def test_a_request_is_answered_with_504_at_its_timeout():
     async def play():
         async def slow(call):
             await asyncio.sleep(30.0)
 
         async with sites.Site("i-1", do=slow) as site:
-            began = asyncio.get_running_loop().time()
+            began_at = asyncio.get_running_loop().time()
             answer = await site.ask("/once/1")
-            return answer.status, asyncio.get_running_loop().time() - began
+            return answer.status, asyncio.get_running_loop().time() - began_at
 
-    status, took = sites.run(play())
+    status, elapsed_s = sites.run(play())
     assert status == 504
-    assert 2.4 < took < 2.7
+    assert 2.4 < elapsed_s < 2.7
 
 
-def test_bytes_that_break_http_get_a_clear_end_and_harm_nobody_else():
+def test_invalid_http_gets_400_and_affects_no_other_connection():
     async def play():
         async with sites.Site("i-1") as site:
             async with sites.Caller(site) as caller:
@@ -403,11 +399,11 @@
 # Configuration.
 
 
-def test_a_change_is_in_force_at_once_and_an_older_one_never_again():
-    """Symptom: a route that was taken away is served again.
+def test_a_change_applies_at_once_and_an_older_one_is_ignored():
+    """A removed route was served again.
 
-    Sequence: version 3 is in force; the platform loses history and version 2
-    is read once more. Cause: whatever came last was taken over.
+    Version 3 was in force when the platform lost history and version 2 was read
+    once more. The record that was read last was applied.
     """
 
     async def play():
@@ -415,16 +411,16 @@
             empty = {**sites.config(3), "routes": []}
             site.store.put("keyed.op", "config", empty)
             await asyncio.sleep(0.1)
-            gone = await site.ask()
+            removed = await site.ask()
             site.store.put("keyed.op", "config", sites.config(2))
             await asyncio.sleep(0.1)
             again = await site.ask()
-            return gone.status, again.status
+            return removed.status, again.status
 
     assert sites.run(play()) == (404, 404)
 
 
-def test_a_malformed_configuration_leaves_the_last_good_one_in_force():
+def test_a_malformed_configuration_is_ignored():
     async def play():
         async with sites.Site("i-1") as site:
             site.store.put("keyed.op", "config", {"version": "seven"})
@@ -435,11 +431,11 @@
     assert sites.run(play()) == 200
 
 
-def test_keys_are_not_served_on_old_knowledge():
-    """Symptom: a key that was taken away is served by a machine cut off.
+def test_keys_are_not_served_on_an_old_configuration():
+    """A revoked key was served by a machine that was cut off.
 
-    Sequence: the store falls silent for one machine; keys are taken away. For
-    that machine nothing changes. Cause: knowledge had no age.
+    The store fell silent for one machine and a key was revoked, which that
+    machine did not learn. The age of the configuration was not tracked.
     """
 
     async def play():
@@ -457,11 +453,11 @@
     assert sites.run(play()) == (200, 503, False, 503)
 
 
-def test_a_caller_is_sent_elsewhere_by_a_process_that_is_cut_off():
-    """Symptom: callers of one entry are refused while others would serve them.
+def test_an_entry_that_is_cut_off_closes_callers_connections():
+    """Callers of one entry were refused while other entries could serve them.
 
-    Sequence: the store falls silent for one machine; the balancer sends no new
-    connections there. Cause: callers stayed on the ones that they had.
+    The store fell silent for one machine and the load balancer sent no new
+    connections there, but callers stayed on their open connections.
     """
 
     async def play():
@@ -480,7 +476,7 @@
 # Start and end.
 
 
-def test_a_process_that_knows_no_configuration_says_not_yet():
+def test_an_entry_without_a_configuration_answers_503():
     async def play():
         async with sites.Site("i-1") as site:
             site.entry._knowledge.catalog = None
@@ -489,12 +485,12 @@
     assert sites.run(play()) == (503, False)
 
 
-def test_a_process_that_is_told_to_stop_cuts_off_no_request():
-    """Symptom: a release of the entries cuts requests off.
+def test_a_stopping_entry_completes_open_requests():
+    """A release of the entries aborted requests.
 
-    Sequence: SIGTERM while a request runs; the balancer goes on sending new
-    connections until it has asked twice. Cause: the process ended, or closed
-    its port, at once.
+    SIGTERM came while a request ran, and the load balancer sends new
+    connections until it has checked twice. The process ended, or closed its
+    port, at once.
     """
 
     async def play():
@@ -519,16 +515,16 @@
     assert sites.run(play()) == (200, 200, False)
 
 
-def test_servers_out_of_reach_are_not_tried_over_and_over(monkeypatch):
-    """Symptom: one request makes up to 220 connections in 0.8 s.
+def test_unreachable_servers_are_not_tried_in_a_tight_loop(monkeypatch):
+    """One request opened up to 220 connections in 0.8 s.
 
-    Sequence: a failure domain is cut off, and all servers of a service that it
-    knows refuse connections at once. Cause: only sends count towards the
-    limit, and where all servers rest each is tried again at once.
+    A failure domain was cut off, and all its known servers of a service refused
+    connections at once. Only sends counted towards the limit, and if all
+    servers were in cooldown each was tried again immediately.
     """
     refusals = []
 
-    async def refused(address, timeout_s):
+    async def refuse(address, timeout_s):
         del address, timeout_s
         refusals.append(1)
         await asyncio.sleep(0.01)
@@ -536,7 +532,7 @@
 
     async def play():
         async with sites.Site("i-1", "i-2") as site:
-            monkeypatch.setattr(client, "connect", refused)
+            monkeypatch.setattr(client, "connect", refuse)
             for server in site.servers:
                 site.entry._fleet.find(server.name).pool.close()
             await site.ask()
@@ -545,11 +541,11 @@
     assert len(refusals) <= 8
 
 
-def test_customers_without_any_key_let_nobody_in():
-    """A key that had been taken away was served, and so were callers without.
+def test_removing_the_last_key_refuses_all_callers():
+    """A removed key was served, and so were callers without a key.
 
-    Operators took away the last key of the last customer. Whether keys are
-    asked for was told from whether there are any.
+    Operators removed the last key of the last customer, and keys were required
+    only if the configuration had any.
     """
 
     async def play():
@@ -567,29 +563,29 @@
 @pytest.mark.parametrize(
     "reason", [outcomes.NotRunReason.LEFT, outcomes.NotRunReason.TOO_OLD]
 )
-def test_a_request_that_is_given_up_before_it_is_sent_is_not_tried_for_ever(
+def test_the_number_of_withdrawals_before_sending_is_bounded(
     reason,
 ):
-    """A request chose servers over and over, without a pause, until its end.
+    """A request chose servers in a tight loop until its deadline.
 
-    Each time it was given up right before it was sent, which counted towards no
-    limit.
+    Each time it was withdrawn right before it was sent, which did not count
+    towards any limit.
     """
 
     async def play():
         async with sites.Site("a") as site:
-            tries = []
+            attempts = []
 
-            async def give_up(*_):
-                tries.append(reason)
-                if len(tries) > 50:
-                    raise exceptions.InvariantError("over and over")
+            async def withdraw(*_):
+                attempts.append(reason)
+                if len(attempts) > 50:
+                    raise exceptions.InvariantError("too many attempts")
                 return outcomes.NotRun(reason)
 
-            site.entry._forwarder._attempt_runner.run = give_up
+            site.entry._forwarder._attempt_runner.run = withdraw
             answer = await site.ask()
-            return answer.status, len(tries)
+            return answer.status, len(attempts)
 
-    status, tries = sites.run(play())
+    status, attempts = sites.run(play())
     assert status == 503
-    assert tries <= 4
+    assert attempts <= 4
