--- a/src/clementinegw/direct/client.py
+++ b/src/clementinegw/direct/client.py
@@ -229,7 +229,8 @@
 
         Args:
           address: Where to connect to.
-          max_open: The most connections that are open at once.
+          max_open: The most connections to open; `acquire` does not enforce it,
+            callers check `full` first.
           connect_timeout_s: How long opening one may take, in seconds.
           idle_s: How long one is kept when idle, in seconds.
         """
@@ -243,7 +244,7 @@
 
     @property
     def full(self) -> bool:
-        """Whether a call would have to wait for a connection."""
+        """Whether all connections are in use and no more are to be opened."""
         return self._open >= self._max_open and not self._idle
 
     @property
