--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -178,7 +178,7 @@
             return outcome
         except client.AnswerBroken:
             if not backend.yielding:
-                backend.failed()
+                backend.record_failure()
             return outcomes.Lost(outcomes.LostReason.BROKEN)
         except _Silent:
             hearing.unreachable()
@@ -200,8 +200,8 @@
         would get requests against it.
         """
         checks = (
-            (backend.left, outcomes.NotRunReason.LEFT),
-            (backend.backs_off(self._clock()), outcomes.NotRunReason.BACKOFF),
+            (backend.retired, outcomes.NotRunReason.LEFT),
+            (backend.in_backoff(self._clock()), outcomes.NotRunReason.BACKOFF),
             (
                 backend.signals.limited and not job.permitted,
                 outcomes.NotRunReason.LIMITED,
@@ -236,7 +236,7 @@
         connection.keep_s = facts.keep_s
         now = self._clock()
         if facts.load is not None:
-            backend.take_load(facts.load, now)
+            backend.update_load(facts.load, now)
         if facts.attempt_id and facts.attempt_id != job.facts.attempt_id:
             return outcomes.Lost(outcomes.LostReason.CROSSED)
         if head.status != _MISDIRECTED:
@@ -244,10 +244,10 @@
             backend.signals.take(facts, sent_at, now)
         if facts.not_run or head.status == _MISDIRECTED:
             if head.status == _MISDIRECTED and facts.server_id:
-                backend.met(facts.server_id)
+                backend.record_identity(facts.server_id)
             return await self._not_run(connection, backend, head)
         if facts.version is not None:
-            backend.take_version(facts.version)
+            backend.set_version(facts.version)
         if 200 <= head.status < 300:
             if not facts.sealed:
                 return outcomes.Lost(outcomes.LostReason.UNSEALED)
@@ -255,14 +255,14 @@
                 await self._stream(job, hearing, connection, head, unread)
             else:
                 await self._whole(job, hearing, connection, head)
-            backend.answered(self._clock())
+            backend.record_success(self._clock())
             return outcomes.Delivered(head.status)
         if head.status in _PROMISES:
             # Passed on, it would promise what this server did not.
             return outcomes.Lost(outcomes.LostReason.FALSE_PROMISE)
         body = await connection.body(_MAX_BODY_BYTES)
         if head.status >= 500:
-            backend.failed()
+            backend.record_failure()
         return outcomes.Failed(head, body)
 
     async def _not_run(
@@ -349,7 +349,7 @@
         self.backend = backend
         self._elsewhere = elsewhere
         self._clock = clock
-        self._trying = backend.rest_until > clock()
+        self._trying = backend.cooldown_until > clock()
 
     async def head(
         self, connection: client.Connection, silence_s: float | None
@@ -363,7 +363,7 @@
         head = await self.hear(connection.head, silence_s)
         if self._trying:
             now = self._clock()
-            self.backend.rest_until = min(self.backend.rest_until, now)
+            self.backend.cooldown_until = min(self.backend.cooldown_until, now)
         return head
 
     def unreachable(self) -> None:
@@ -373,10 +373,10 @@
         connections that fail together would make it rest for the longest time.
         """
         now = self._clock()
-        if self._trying or self.backend.rest_until <= now:
-            self.backend.unreachable(now)
+        if self._trying or self.backend.cooldown_until <= now:
+            self.backend.record_unreachable(now)
         else:
-            self.backend.failed()
+            self.backend.record_failure()
 
     async def hear(self, receive, silence_s: float | None):
         """Returns what `receive` does.
@@ -402,7 +402,7 @@
         now = self._clock()
         heard_at = max(since, self.backend.heard_at)
         late = silence_s is not None and now - heard_at >= silence_s
-        return late or self.backend.silent(now)
+        return late or self.backend.is_silent(now)
 
 
 class _Unread:
--- a/src/clementinegw/direct/backend.py
+++ b/src/clementinegw/direct/backend.py
@@ -11,26 +11,26 @@
 
 # What a failure adds to the doubt about a server, what a good answer leaves
 # of it, and the pause that a server gets after each of two failed connects.
-_DOUBT_GAIN = 0.2
-_FIRST_REST_S = 0.25
-_LONGEST_REST_S = 4.0
+_FAILURE_GAIN = 0.2
+_MIN_COOLDOWN_S = 0.25
+_MAX_COOLDOWN_S = 4.0
 # Time in which what others had under way at a server has changed by 1/e.
-_REPORT_MEMORY_S = 0.7
+_LOAD_DECAY_S = 0.7
 # A report older than this says nothing of free slots, in seconds.
-_REPORT_FRESH_S = 0.5
+_MAX_REPORT_AGE_S = 0.5
 # A server whose agent has told nothing for this long, and as many of its usual
 # intervals, and that has sent nothing itself since, is taken for frozen or cut
 # off. Found out from requests alone, each entry loses some of them to it. Lost
 # datagrams come one or two in a row. After a while only
 # requests tell: an agent may be gone for long beside a server that is well.
 # Seconds.
-_QUIET_S = 0.4
-_QUIET_SPANS = 3.0
-_LONG_QUIET_S = 6.0
+_MIN_SILENCE_S = 0.4
+_MIN_SILENCE_INTERVALS = 3.0
+_MAX_SILENCE_S = 6.0
 # How much the newest interval counts for the usual one.
-_NEWEST_SPAN = 0.3
+_INTERVAL_GAIN = 0.3
 # The longest time between two reports that counts, in seconds.
-_LONGEST_SPAN_S = 0.5
+_MAX_INTERVAL_S = 0.5
 
 
 class Backend:
@@ -52,8 +52,8 @@
         self.missing = False
         self.missing_until = math.inf
         self.heard_at = -math.inf
-        self.doubt = 0.0
-        self.rest_until = -math.inf
+        self.failure_rate = 0.0
+        self.cooldown_until = -math.inf
         self.full_until = -math.inf
         self.version = 0
         self.pace = 1.0
@@ -64,17 +64,17 @@
         self.ready_at = math.inf
         self._share = 1.0
         self._rng = rng
-        self.empty = False
+        self.weights_incomplete = False
         self.replaced = False
-        self._rest_s = _FIRST_REST_S
-        self._others = 0.0
-        self._reported_at = -math.inf
-        self._told_at = -math.inf
-        self._awaited_until = -math.inf
-        self._span_s = 0.0
+        self._cooldown_s = _MIN_COOLDOWN_S
+        self._other_requests = 0.0
+        self._load_at = -math.inf
+        self._last_report_at = -math.inf
+        self._first_report_due_at = -math.inf
+        self._report_interval_s = 0.0
 
     @property
-    def left(self) -> bool:
+    def retired(self) -> bool:
         """Whether this start gets nothing more: it leaves, or is over."""
         return (
             self.gone
@@ -83,7 +83,7 @@
             or self.signals.leaving
         )
 
-    def backs_off(self, now: float) -> bool:
+    def in_backoff(self, now: float) -> bool:
         """Returns whether it has asked this entry for a pause that lasts."""
         return self.signals.backoff_until > now
 
@@ -94,35 +94,37 @@
             return False
         return not signals.limited or signals.limiter.is_open()
 
-    def open_at(self, now: float) -> float:
+    def available_at(self, now: float) -> float:
         """Returns when it is available again; `now` where it is."""
-        return max(now, self.rest_until, self.signals.backoff_until)
+        return max(now, self.cooldown_until, self.signals.backoff_until)
 
-    def follow(self, followed: bool, now: float) -> None:
+    def set_followed(self, followed: bool, now: float) -> None:
         """Says whether this entry is told of its load, and may send to it."""
         if followed and not self.followed:
             # What was heard while it was not followed says nothing of silence,
             # and nothing of free slots.
-            self._told_at = -math.inf
-            self._awaited_until = now + _REPORT_FRESH_S
+            self._last_report_at = -math.inf
+            self._first_report_due_at = now + _MAX_REPORT_AGE_S
         self.followed = followed
 
-    def silent(self, now: float) -> bool:
+    def is_silent(self, now: float) -> bool:
         """Returns whether the server and the agent beside it fell silent."""
         if not self.followed:
             return False
-        quiet_s = max(_QUIET_S, _QUIET_SPANS * self._span_s)
-        if not quiet_s < now - self._told_at < _LONG_QUIET_S:
+        silence_s = max(
+            _MIN_SILENCE_S, _MIN_SILENCE_INTERVALS * self._report_interval_s
+        )
+        if not silence_s < now - self._last_report_at < _MAX_SILENCE_S:
             return False
-        return self.heard_at < self._told_at + quiet_s / 2
+        return self.heard_at < self._last_report_at + silence_s / 2
 
-    def take_load(self, load: types.Load, now: float) -> None:
+    def update_load(self, load: types.Load, now: float) -> None:
         """Takes in what the server says of its load."""
         total = load.running + load.waiting
-        self._others = max(0.0, total - self.in_flight)
-        self._reported_at = now
+        self._other_requests = max(0.0, total - self.in_flight)
+        self._load_at = now
 
-    def take_report(
+    def apply_report(
         self,
         report: reports.Report,
         now: float,
@@ -135,10 +137,12 @@
           now: Monotonic seconds.
           reading_s: How long the engine reads a usual prompt; 0 when unknown.
         """
-        span_s = min(now - self._told_at, _LONGEST_SPAN_S)
-        self._told_at = now
-        self._span_s += _NEWEST_SPAN * (span_s - self._span_s)
-        self.take_load(
+        interval_s = min(now - self._last_report_at, _MAX_INTERVAL_S)
+        self._last_report_at = now
+        self._report_interval_s += _INTERVAL_GAIN * (
+            interval_s - self._report_interval_s
+        )
+        self.update_load(
             types.Load(report.running, report.waiting, report.slots), now
         )
         self.loading = report.loading
@@ -147,8 +151,8 @@
         self.ready_at = math.inf
         if report.ready_in_s >= 0.0:
             self.ready_at = now + report.ready_in_s
-        reads = span_s / reading_s if reading_s else math.inf
-        self._share_room(report, reads)
+        reads = interval_s / reading_s if reading_s else math.inf
+        self._update_share(report, reads)
         if report.limit is not None:
             self.signals.take_relayed(report.limit)
         if 0 <= report.follower_rank < report.followers:
@@ -160,8 +164,8 @@
                 report.rank, report.entries
             )
         self.pace = max(1.0, report.pace)
-        self.take_version(report.version if report.whole else 0)
-        self.empty = not report.whole
+        self.set_version(report.version if report.whole else 0)
+        self.weights_incomplete = not report.whole
 
     def has_share(self, now: float) -> bool:
         """Returns whether this entry may take one more of the free slots.
@@ -174,21 +178,21 @@
         """
         if not self.followed:
             return False
-        if now - self._told_at > _REPORT_FRESH_S or not self.entries:
-            return now >= self._awaited_until and not self.unread_tokens
+        if now - self._last_report_at > _MAX_REPORT_AGE_S or not self.entries:
+            return now >= self._first_report_due_at and not self.unread_tokens
         return self._share >= 1.0
 
-    def take(self) -> None:
+    def begin_request(self) -> None:
         """Counts a request that is sent to the server."""
         self.in_flight += 1
         self._share -= 1.0
 
-    def free(self) -> None:
+    def end_request(self) -> None:
         """Counts a request that has left the server; its slot is ours again."""
         self.in_flight -= 1
         self._share += 1.0
 
-    def _share_room(self, report: reports.Report, reads: float) -> None:
+    def _update_share(self, report: reports.Report, reads: float) -> None:
         """Takes this entry's part of the slots that a report shows free.
 
         All entries see the same free slots at the same moment. With each
@@ -206,12 +210,14 @@
         more = self._rng.random() < part - whole
         self._share = float(whole + more)
 
-    def busy(self, now: float) -> float:
+    def estimated_requests(self, now: float) -> float:
         """Returns about how many requests are at the server."""
-        age = now - self._reported_at
-        return self.in_flight + self._others * math.exp(-age / _REPORT_MEMORY_S)
+        age = now - self._load_at
+        return self.in_flight + self._other_requests * math.exp(
+            -age / _LOAD_DECAY_S
+        )
 
-    def met(self, server_id: str) -> None:
+    def record_identity(self, server_id: str) -> None:
         """Takes in who answers at the server's address.
 
         A start that is gone never comes back; the platform lists it until it
@@ -219,32 +225,32 @@
         """
         self.replaced = server_id != self.server.server_id
 
-    def answered(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Counts a whole answer."""
         self.heard_at = now
-        self._rest_s = _FIRST_REST_S
-        self.doubt *= 1.0 - _DOUBT_GAIN
+        self._cooldown_s = _MIN_COOLDOWN_S
+        self.failure_rate *= 1.0 - _FAILURE_GAIN
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Counts a failed or broken answer."""
-        self.doubt += _DOUBT_GAIN * (1.0 - self.doubt)
+        self.failure_rate += _FAILURE_GAIN * (1.0 - self.failure_rate)
 
-    def unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Counts a connection that did not come up, or was reset."""
-        self.failed()
-        self.rest_until = now + self._rest_s
-        self._rest_s = min(2 * self._rest_s, _LONGEST_REST_S)
+        self.record_failure()
+        self.cooldown_until = now + self._cooldown_s
+        self._cooldown_s = min(2 * self._cooldown_s, _MAX_COOLDOWN_S)
 
-    def take_version(self, version: int) -> None:
+    def set_version(self, version: int) -> None:
         """Takes in which version's weights it answers with."""
         self.version = version
 
-    def held(self, layers: int) -> int:
+    def held_version(self, layers: int) -> int:
         """Returns the version of which it has all layers; 0 for none."""
-        if self.empty:
+        if self.weights_incomplete:
             return 0
         return self.version or self.server.version(layers)
 
     def serves(self, least_version: int, layers: int) -> bool:
         """Returns whether it has all layers of at least a version."""
-        return self.held(layers) >= least_version
+        return self.held_version(layers) >= least_version
--- a/src/clementinegw/direct/balance.py
+++ b/src/clementinegw/direct/balance.py
@@ -85,7 +85,7 @@
             (
                 backend.ready_at
                 for backend in self._servers.of(service)
-                if not backend.left and backend.ready_at > now - _OVERDUE_S
+                if not backend.retired and backend.ready_at > now - _OVERDUE_S
             ),
             default=float("inf"),
         )
@@ -96,7 +96,7 @@
         return [
             backend
             for backend in self._servers.of(wanted.service)
-            if not backend.left
+            if not backend.retired
             and (
                 not wanted.layers
                 or backend.serves(max(1, wanted.least_version), wanted.layers)
@@ -174,7 +174,7 @@
         """Returns whether any server of a service rests or is limited."""
         now = self._clock()
         return any(
-            b.rest_until > now
+            b.cooldown_until > now
             or b.signals.backoff_until > now
             or b.signals.limited
             for b in self._servers.of(service)
@@ -185,7 +185,7 @@
         now = self._clock()
         found = self.candidates(wanted)
         return bool(found) and all(
-            b.open_at(now) > now or b.signals.limited for b in found
+            b.available_at(now) > now or b.signals.limited for b in found
         )
 
     def room_until(self, wanted: Wanted, until: float) -> float:
@@ -202,7 +202,7 @@
         return sum(
             b.signals.limiter.slots_within(within_s)
             for b in self.candidates(wanted)
-            if b.open_at(now) < until
+            if b.available_at(now) < until
         )
 
     def _reachable(
@@ -223,20 +223,20 @@
         has room.
         """
         return (
-            lambda b: not b.silent(now),
+            lambda b: not b.is_silent(now),
             lambda b: not b.yielding,
             lambda b: b.serves(wanted.preferred_version, wanted.layers),
         )
 
     def busy(self, backend: backend_lib.Backend, now: float) -> float:
         """Returns a server's requests as a part of its slots."""
-        return backend.busy(now) / max(1, backend.server.slots)
+        return backend.estimated_requests(now) / max(1, backend.server.slots)
 
     def _score(self, backend: backend_lib.Backend, now: float) -> float:
-        requests = backend.busy(now) + 1.0
+        requests = backend.estimated_requests(now) + 1.0
         requests += backend.unread_tokens / _TOKENS_A_REQUEST
         load = requests / max(1, backend.server.slots) * backend.pace
-        load *= 1.0 + _DOUBT_WEIGHT * backend.doubt
+        load *= 1.0 + _DOUBT_WEIGHT * backend.failure_rate
         load += self._distance(backend.server.failure_domain)
         return load + self._rng.random() * _SPREAD
 
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -255,7 +255,7 @@
         backend = self._fleet.reported(report, host)
         if backend is None:
             return
-        backend.take_report(
+        backend.apply_report(
             report,
             self._clock(),
             self._reading_s(backend.server.service),
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -167,7 +167,7 @@
     def follow(self, server_ids: Collection[str], now: float) -> None:
         """Says which servers this entry is told of, and may send to."""
         for key, backend in self._backends.items():
-            backend.follow(key in server_ids, now)
+            backend.set_followed(key in server_ids, now)
 
     def settle(self, settled_s: float, now: float = 0.0) -> None:
         """Drops what is still missing once the platform is back for good.
@@ -209,7 +209,7 @@
         changed = backend.server != server
         if changed:
             self._tell(server)
-            backend.empty = False
+            backend.weights_incomplete = False
             backend.replaced = False
             backend.version = 0
         backend.server = server
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -196,7 +196,7 @@
             return self._placing.unserved(job, Reason.NO_BUDGET)
         now = self._clock()
         model = self._placing.model(job)
-        held = backend.held(self._placing.layers(job.service))
+        held = backend.held_version(self._placing.layers(job.service))
         sending = types.Sending(
             backend.server.server_id,
             max(0.001, job.deadline - now - _WAY_BACK_S),
@@ -267,7 +267,7 @@
             if outcome.reason is outcomes.NotRunReason.WRONG_SERVER:
                 # Another start of a server, or of its weights: the list is
                 # behind, and catches up within a heartbeat.
-                backend.rest_until = now + _WRONG_SERVER_S
+                backend.cooldown_until = now + _WRONG_SERVER_S
         else:
             job.tried.add(backend.server.start)
         if not isinstance(outcome, outcomes.NotRun):
@@ -286,7 +286,7 @@
             outcome=type(outcome).__name__,
             reason=str(reason),
             sends=job.sends,
-            doubt=round(backend.doubt, 2),
+            doubt=round(backend.failure_rate, 2),
         )
 
     def _again(self, job: attempts.Job, outcome: outcomes.Attempt) -> bool:
--- a/src/clementinegw/direct/queue.py
+++ b/src/clementinegw/direct/queue.py
@@ -81,13 +81,13 @@
         self.permitted = backend.signals.limiter.take()
         self._freed = freed
         self._held = True
-        backend.take()
+        backend.begin_request()
 
     def free(self) -> None:
         """Gives the place back."""
         if self._held:
             self._held = False
-            self.backend.free()
+            self.backend.end_request()
             self._freed()
 
 
--- a/src/clementinegw/direct/rests.py
+++ b/src/clementinegw/direct/rests.py
@@ -32,7 +32,7 @@
         self, backends: Sequence[backend_lib.Backend], now: float
     ) -> list[backend_lib.Backend]:
         """Returns the servers that do not rest."""
-        return [b for b in backends if b.rest_until <= now]
+        return [b for b in backends if b.cooldown_until <= now]
 
     def due(
         self, backends: Sequence[backend_lib.Backend], now: float
@@ -48,5 +48,5 @@
         self, backends: Sequence[backend_lib.Backend], now: float
     ) -> float:
         """Returns when the first rest is over, in seconds; 0 without one."""
-        at = min((b.rest_until for b in backends), default=now)
+        at = min((b.cooldown_until for b in backends), default=now)
         return max(0.0, at - now)
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -115,7 +115,7 @@
         self._standing = self._find_standing()
         found: set[str] = set()
         for service in self._fleet.services():
-            backends = [b for b in self._fleet.of(service) if not b.left]
+            backends = [b for b in self._fleet.of(service) if not b.retired]
             if self._knowledge.engine(service) is None:
                 # Nobody tells of these; there are a few of them.
                 found.update(b.server.server_id for b in backends)
@@ -157,7 +157,7 @@
             for backend in self._fleet.of(service):
                 found[backend.server.server_id] = (
                     backend.serves(max(1, least), engine.layers)
-                    and not backend.left
+                    and not backend.retired
                     and not backend.loading
                     and not backend.yielding
                 )
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -418,7 +418,7 @@
         )
         reading_s /= self.figures.prefill_tokens_per_s
         backend = entry.fleet.find(f"s{number}")
-        backend.take_report(report, self._clock(), reading_s)
+        backend.apply_report(report, self._clock(), reading_s)
         entry.placing.look_at(backend)
 
     def _spawn(self, coroutine):
--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -60,7 +60,7 @@
         told = reports.Report(
             backend.server.server_id, running, 0, 16, entries=1
         )
-        backend.take_report(told, now)
+        backend.apply_report(told, now)
 
 
 async def wait_in(line, tried=()):
@@ -87,7 +87,7 @@
         tell(backends, 16, loop.time())
         if share_left:
             refusing = backends.find("s2")
-            refusing.free()
+            refusing.end_request()
             refusing.full_until = loop.time() + 1.0
         tried = ("s1",) if with_tried else ()
         tasks = [
@@ -98,7 +98,7 @@
         line.look()
         passes = chooser.passes
         free = reports.Report("s3", 14, 0, 16, entries=1)
-        backends.find("s3").take_report(free, loop.time())
+        backends.find("s3").apply_report(free, loop.time())
         line.look()
         await asyncio.sleep(0)
         placed = [t.result().backend for t in tasks if t.done()]
@@ -160,7 +160,7 @@
         for running in (16, 14):
             backend = backends.find("s3")
             told = reports.Report("s3", running, 0, 16, entries=1)
-            backend.take_report(told, loop.time())
+            backend.apply_report(told, loop.time())
             finder.look_at(backend)
         return looks
 
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -438,7 +438,7 @@
         backends = fleet.Fleet(logs.Log(), lambda s: 64, random.Random(seed))
         backends.apply(batch(("a", server("a"))), True, 60.0)
         backend = backends.find("a")
-        backend.take_report(report(running=15, entries=8), 1.0)
+        backend.apply_report(report(running=15, entries=8), 1.0)
         taken += backend.has_share(1.0)
     # One slot among eight.
     assert 0.075 < taken / 800 < 0.175
@@ -458,9 +458,9 @@
         backend = backends.find("a")
         for now in (1.0, 1.1):
             empty = report(running=0, entries=8)
-            backend.take_report(empty, now, reading_s=0.03)
+            backend.apply_report(empty, now, reading_s=0.03)
         while backend.has_share(1.1):
-            backend.take()
+            backend.begin_request()
             taken += 1
     # Each of eight entries: 0.1 s are 3.3 prompts.
     assert 2.2 < 8 * taken / 400 < 4.7
@@ -470,7 +470,7 @@
     backends = new_fleet()
     backends.apply(batch(("a", server("a"))), True, 60.0)
     backend = backends.find("a")
-    backend.take_report(report(running=16, entries=8), 1.0)
+    backend.apply_report(report(running=16, entries=8), 1.0)
     assert not backend.has_share(1.1)
     assert backend.has_share(3.0)
 
@@ -497,7 +497,7 @@
     backends.apply(batch(("a", server("a", held=held))), True, 60.0)
     backend = backends.find("a")
     assert backend.serves(1, 16)
-    backend.take_report(report(version=0, whole=False), 1.0)
+    backend.apply_report(report(version=0, whole=False), 1.0)
     assert not backend.serves(1, 16)
 
 
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -175,10 +175,10 @@
         site = overload_site.Site(engines=1, entries=1)
         backend = site.entries[0].fleet.find("s0")
         told = reports.Report("s0", 0, 0, 8, entries=99, followers=4)
-        backend.take_report(told, 1.0)
+        backend.apply_report(told, 1.0)
         taken = 0
         while backend.has_share(1.0):
-            backend.take()
+            backend.begin_request()
             taken += 1
         site.stop()
         return taken, backend.entries
@@ -198,15 +198,15 @@
     async def run():
         site = overload_site.Site(engines=1, entries=1)
         backend = site.entries[0].fleet.find("s0")
-        backend.take_report(reports.Report("s0", 0, 0, 8, entries=9), 1.0)
-        backend.follow(False, 1.0)
+        backend.apply_report(reports.Report("s0", 0, 0, 8, entries=9), 1.0)
+        backend.set_followed(False, 1.0)
         shares = [backend.has_share(1.0)]
-        backend.follow(True, 2.0)
+        backend.set_followed(True, 2.0)
         shares.append(backend.has_share(2.1))
         # An agent that tells nothing must not keep a server from callers.
         shares.append(backend.has_share(2.6))
         told = reports.Report("s0", 0, 0, 8, entries=9, followers=2)
-        backend.take_report(told, 2.7)
+        backend.apply_report(told, 2.7)
         shares.append(backend.has_share(2.7))
         site.stop()
         return shares
@@ -263,7 +263,7 @@
         await asyncio.sleep(8.0)
         asking.look()
         before = left_out.followed
-        left_out.take_report(
+        left_out.apply_report(
             reports.Report("x", 0, 0, 8, "m", 2, True), loop.time()
         )
         asking.look()
--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -166,6 +166,6 @@
     signals = new_signals()
     backend = backends.Backend(None, None, None, signals)
     told = reports.Report("s1", 0, 0, 1, rank=3, follower_rank=0, entries=2)
-    backend._share_room = lambda report, reads: None
-    backend.take_report(told, 1.0)
+    backend._update_share = lambda report, reads: None
+    backend.apply_report(told, 1.0)
     assert (signals.position, signals.entry_position) == (None, None)
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -41,7 +41,7 @@
 def tell(backend, *times):
     for now in times:
         told = reports.Report(backend.server.server_id, 1, 0, 16)
-        backend.take_report(told, now)
+        backend.apply_report(told, now)
 
 
 def chosen(backends, now):
@@ -81,16 +81,16 @@
     backend = new_fleet("a").find("a")
     tell(backend, 10.0)
     backend.heard_at = heard_at
-    assert backend.silent(now) == silent
+    assert backend.is_silent(now) == silent
 
 
 def test_an_agent_that_tells_seldom_is_silent_later():
     backend = new_fleet("a").find("a")
     tell(backend, *[0.4 * number for number in range(20)])
-    assert not backend.silent(7.6 + 1.0)
-    assert backend.silent(7.6 + 1.3)
+    assert not backend.is_silent(7.6 + 1.0)
+    assert backend.is_silent(7.6 + 1.3)
     tell(backend, *[9.0 + 0.1 * number for number in range(20)])
-    assert backend.silent(10.9 + 0.5)
+    assert backend.is_silent(10.9 + 0.5)
 
 
 class Sent:
@@ -132,7 +132,7 @@
 
 def test_a_server_that_rests_is_tried_only_where_no_other_is_left():
     backends = new_fleet("resting", "well")
-    backends.find("resting").rest_until = 11.0
+    backends.find("resting").cooldown_until = 11.0
     now = [10.0]
     chooser = balance.Balancer(
         backends, places.Place("r", "d1"), {}, random.Random(1), lambda: now[0]
@@ -147,5 +147,5 @@
     waited_for = dataclasses.replace(WANTED, resting=False)
     assert chooser.choose(waited_for, {types.Start("well")}) is None
     assert chooser.rested_in_s(WANTED) == 0.0
-    backends.find("well").rest_until = 10.5
+    backends.find("well").cooldown_until = 10.5
     assert chooser.rested_in_s(WANTED) == pytest.approx(0.2)
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -70,17 +70,17 @@
         rank=1,
         follower_rank=1,
     )
-    backend.take_report(told, 10.0)
+    backend.apply_report(told, 10.0)
     facts = types.AnswerFacts(
         "a", True, False, limit_per_s=2.0, leaving=True, backoff_s=9.0
     )
     backend.signals.take(facts, 9.0, 10.0)
-    backend.take()
+    backend.begin_request()
     backend.unread_tokens += 700
-    backend.unreachable(10.0)
+    backend.record_unreachable(10.0)
     backend.heard_at = 10.0
     backend.full_until = math.inf
-    backend.empty = True
+    backend.weights_incomplete = True
     backend.replaced = True
     backend.missing = True
     backend.missing_until = 11.0
@@ -106,7 +106,7 @@
     moment that was past counted as now.
     """
     backends = new_fleet()
-    listed(backends, server(1)).take_report(report(ready_in_s=told), 10.0)
+    listed(backends, server(1)).apply_report(report(ready_in_s=told), 10.0)
     balancer = balance.Balancer(
         backends,
         places.Place("r1", "d1"),
@@ -130,7 +130,7 @@
     present = listed(backends, server(2))
     fresh = listed(new_fleet(), server(2))
     assert beliefs(present) == beliefs(fresh)
-    assert present.held(4) == 0
+    assert present.held_version(4) == 0
     assert present.pool is not former.pool
 
 
@@ -149,9 +149,9 @@
     told = report(born=born, version=2, whole=True)
     assert backends.reported(told, "127.0.0.2") is None
     assert (backends.reported(told, HOST) is backend) == taken
-    assert backend.left == over
+    assert backend.retired == over
     if over:
-        assert not listed(backends, server(3)).left
+        assert not listed(backends, server(3)).retired
 
 
 def test_a_report_carries_the_start_that_it_is_of():
@@ -182,9 +182,9 @@
 def test_a_server_that_leaves_goes_on_leaving_whatever_its_agent_tells():
     backends = new_fleet()
     backend = listed(backends, server(2, leaving=True))
-    backends.reported(report(born=2), HOST).take_report(report(born=2), 1.0)
+    backends.reported(report(born=2), HOST).apply_report(report(born=2), 1.0)
     assert backend.server.leaving
-    assert backend.left
+    assert backend.retired
 
 
 def test_a_start_that_is_listed_anew_still_leaves():
@@ -192,8 +192,8 @@
     listed(backends, server(2, leaving=True, sequence=4))
     gone = follow.Batch((follow.Record("a", None),), 1)
     backends.apply(gone, False, 60.0)
-    assert listed(backends, server(2, sequence=9)).left
-    assert not listed(backends, server(3, sequence=1)).left
+    assert listed(backends, server(2, sequence=9)).retired
+    assert not listed(backends, server(3, sequence=1)).retired
 
 
 def test_a_start_whose_birth_nobody_tells_is_named_by_its_id():
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -93,7 +93,7 @@
             if set(domain.versions()) == {2}:
                 took.setdefault("change", clock() - started)
             found = [e._fleet.find("i-1") for e in domain.entries]
-            if all(backend.left for backend in found):
+            if all(backend.retired for backend in found):
                 took.setdefault("leaving", clock() - started)
         domain.entries.append(reader)
         await server.stop()
