--- a/src/clementinegw/direct/balance.py
+++ b/src/clementinegw/direct/balance.py
@@ -6,32 +6,32 @@
 
 from clementinegw import types as places
 from clementinegw.direct import backend as backend_lib
+from clementinegw.direct import cooldown
 from clementinegw.direct import fleet
-from clementinegw.direct import rests
 from clementinegw.direct import types
 
 # What a server's load, as a part of its slots, counts for in another failure
 # domain and in another region. Bytes between places are paid for, and what is
 # known of a server far away is four times as old; but a full server costs more.
-_DISTANCE = (0.0, 0.15, 0.6)
+_DISTANCE_COSTS = (0.0, 0.15, 0.6)
 # How much a doubted server's load seems larger: one that fails half of its
 # requests gets a few only, and still enough to show that it is well again.
-_DOUBT_WEIGHT = 12.0
+_FAILURE_WEIGHT = 12.0
 # So many prompt tokens that are not read yet count as one more request: what
 # comes behind them waits for about 30 ms.
-_TOKENS_A_REQUEST = 1_000.0
+_TOKENS_PER_REQUEST = 1_000.0
 # A draw is added to each load, as a part of the slots. Without it all entries
 # send to the server that the last reports showed emptiest, until the next ones
 # come.
-_SPREAD = 0.4
+_JITTER = 0.4
 # A server that serves this much later than its agent told is not waited for, in
 # seconds: the longest time between two reports and half as much. An agent that
 # froze would else promise its server for ever.
-_OVERDUE_S = 0.6
+_READY_GRACE_S = 0.6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
+class Requirements:
     """What a request needs of a server.
 
     Attributes:
@@ -39,16 +39,18 @@
       layers: The layers of its model; 0 for a plain service.
       least_version: Of at least this version.
       preferred_version: Servers with at least this version go first.
-      most_busy: Servers with this part of their slots taken are passed over.
-      resting: Whether one that rests after a failure will do, where all rest.
+      max_utilization: Servers with this part of their slots taken are passed
+        over.
+      allow_cooldown: Whether one in cooldown after a failure will do, where all
+        are.
     """
 
     service: str
     layers: int = 0
     least_version: int = 0
     preferred_version: int = 0
-    most_busy: float = 3.0
-    resting: bool = True
+    max_utilization: float = 3.0
+    allow_cooldown: bool = True
 
 
 class Balancer:
@@ -67,7 +69,7 @@
         self._regions = regions
         self._rng = rng
         self._clock = clock
-        self._rests = rests.Rests()
+        self._cooldowns = cooldown.Cooldowns()
         self._distances: dict[str, float] = {}
 
     @property
@@ -85,54 +87,59 @@
             (
                 backend.ready_at
                 for backend in self._servers.of(service)
-                if not backend.retired and backend.ready_at > now - _OVERDUE_S
+                if not backend.retired
+                and backend.ready_at > now - _READY_GRACE_S
             ),
             default=float("inf"),
         )
         return max(0.0, at - now)
 
-    def candidates(self, wanted: Wanted) -> list[backend_lib.Backend]:
+    def candidates(
+        self, requirements: Requirements
+    ) -> list[backend_lib.Backend]:
         """Returns the servers that could run the request, busy or not."""
         return [
             backend
-            for backend in self._servers.of(wanted.service)
+            for backend in self._servers.of(requirements.service)
             if not backend.retired
             and (
-                not wanted.layers
-                or backend.serves(max(1, wanted.least_version), wanted.layers)
+                not requirements.layers
+                or backend.serves(
+                    max(1, requirements.least_version), requirements.layers
+                )
             )
         ]
 
     def choose(
-        self, wanted: Wanted, tried: Collection[types.Start] = ()
+        self, requirements: Requirements, tried: Collection[types.Start] = ()
     ) -> backend_lib.Backend | None:
         """Returns the server to send to; None when none has room.
 
         Args:
-          wanted: What the request needs.
+          requirements: What the request needs.
           tried: Starts of servers that have had it.
         """
         now = self._clock()
-        fitting = self.candidates(wanted)
+        fitting = self.candidates(requirements)
         if tried:
             fitting = [b for b in fitting if b.server.start not in tried]
         found = [
             backend
-            for backend in self._reachable(fitting, wanted, now)
+            for backend in self._reachable(fitting, requirements, now)
             if not backend.loading
             and backend.full_until <= now
             and backend.accepts(now)
             and not backend.pool.full
-            and self.busy(backend, now) < wanted.most_busy
+            and self.utilization(backend, now) < requirements.max_utilization
         ]
-        for better in self._preferences(wanted, now):
+        for better in self._preferences(requirements, now):
             found = [b for b in found if better(b)] or found
         # Only now: a request waits for the next report rather than go where
         # it is broken off soon.
         sharing = [b for b in found if b.has_share(now)]
         return min(sharing, key=lambda b: self._score(b, now), default=None)
 
-    def has_room(self, service: str) -> bool:
+    def has_capacity(self, service: str) -> bool:
         """Returns whether this entry has a share left at any server.
 
         Whoever chooses for many asks this first, since it looks at nothing else
@@ -144,30 +151,30 @@
             for b in self._servers.of(service)
         )
 
-    def sent(self, backend: backend_lib.Backend) -> None:
+    def record_sent(self, backend: backend_lib.Backend) -> None:
         """Notes that a request goes to a server."""
-        self._rests.tried(backend, self._clock())
+        self._cooldowns.record_sent(backend, self._clock())
 
-    def rested_in_s(self, wanted: Wanted) -> float:
+    def cooldown_ends_in_s(self, requirements: Requirements) -> float:
         """Returns when the first server that could run a request rests no more.
 
         In seconds; 0 where one does not rest, or there is none at all.
         """
         now = self._clock()
-        return self._rests.over_in_s(self.candidates(wanted), now)
+        return self._cooldowns.ends_in_s(self.candidates(requirements), now)
 
-    def backoff_in_s(self, wanted: Wanted) -> float:
+    def backoff_ends_in_s(self, requirements: Requirements) -> float:
         """Returns when the first server's pause for a request ends.
 
         In seconds; 0 where one asked for none, or there is none at all.
         """
         now = self._clock()
-        ends = (b.signals.backoff_until for b in self.candidates(wanted))
+        ends = (b.signals.backoff_until for b in self.candidates(requirements))
         return max(0.0, min(ends, default=now) - now)
 
-    def is_limited(self, wanted: Wanted) -> bool:
+    def is_limited(self, requirements: Requirements) -> bool:
         """Returns whether all servers for a request have a rate limit."""
-        found = self.candidates(wanted)
+        found = self.candidates(requirements)
         return bool(found) and all(b.signals.limited for b in found)
 
     def has_restricted(self, service: str) -> bool:
@@ -180,41 +187,44 @@
             for b in self._servers.of(service)
         )
 
-    def is_restricted(self, wanted: Wanted) -> bool:
+    def is_restricted(self, requirements: Requirements) -> bool:
         """Returns whether all servers for a request rest or are limited."""
         now = self._clock()
-        found = self.candidates(wanted)
+        found = self.candidates(requirements)
         return bool(found) and all(
             b.available_at(now) > now or b.signals.limited for b in found
         )
 
-    def room_until(self, wanted: Wanted, until: float) -> float:
+    def capacity_until(self, requirements: Requirements, until: float) -> float:
         """Returns the most requests that servers may get up to a moment.
 
         Infinite where one takes them without a limit.
 
         Args:
-          wanted: What the requests need.
+          requirements: What the requests need.
           until: In monotonic seconds.
         """
         now = self._clock()
         within_s = until - now
         return sum(
             b.signals.limiter.slots_within(within_s)
-            for b in self.candidates(wanted)
+            for b in self.candidates(requirements)
             if b.available_at(now) < until
         )
 
     def _reachable(
-        self, backends: list[backend_lib.Backend], wanted: Wanted, now: float
+        self,
+        backends: list[backend_lib.Backend],
+        requirements: Requirements,
+        now: float,
     ) -> list[backend_lib.Backend]:
-        awake = self._rests.awake(backends, now)
-        if awake or not wanted.resting:
-            return awake
-        return self._rests.due(backends, now)
+        available = self._cooldowns.available(backends, now)
+        if available or not requirements.allow_cooldown:
+            return available
+        return self._cooldowns.probe_candidates(backends, now)
 
     def _preferences(
-        self, wanted: Wanted, now: float
+        self, requirements: Requirements, now: float
     ) -> tuple[Callable[[backend_lib.Backend], bool], ...]:
         """Returns what a server should be, the most important first.
 
@@ -225,31 +235,35 @@
         return (
             lambda b: not b.is_silent(now),
             lambda b: not b.yielding,
-            lambda b: b.serves(wanted.preferred_version, wanted.layers),
+            lambda b: b.serves(
+                requirements.preferred_version, requirements.layers
+            ),
         )
 
-    def busy(self, backend: backend_lib.Backend, now: float) -> float:
+    def utilization(self, backend: backend_lib.Backend, now: float) -> float:
         """Returns a server's requests as a part of its slots."""
         return backend.estimated_requests(now) / max(1, backend.server.slots)
 
     def _score(self, backend: backend_lib.Backend, now: float) -> float:
         requests = backend.estimated_requests(now) + 1.0
-        requests += backend.unread_tokens / _TOKENS_A_REQUEST
+        requests += backend.unread_tokens / _TOKENS_PER_REQUEST
         load = requests / max(1, backend.server.slots) * backend.pace
-        load *= 1.0 + _DOUBT_WEIGHT * backend.failure_rate
-        load += self._distance(backend.server.failure_domain)
-        return load + self._rng.random() * _SPREAD
+        load *= 1.0 + _FAILURE_WEIGHT * backend.failure_rate
+        load += self._distance_cost(backend.server.failure_domain)
+        return load + self._rng.random() * _JITTER
 
-    def _distance(self, domain: str) -> float:
+    def _distance_cost(self, domain: str) -> float:
         """Returns what a failure domain's distance counts for."""
         found = self._distances.get(domain)
         if found is None:
-            distance = region_of(self._regions, self._place, domain)
-            found = self._distances[domain] = _DISTANCE[distance]
+            distance = distance_to(self._regions, self._place, domain)
+            found = self._distances[domain] = _DISTANCE_COSTS[distance]
         return found
 
 
-def region_of(regions: dict[str, str], place: places.Place, domain: str) -> int:
+def distance_to(
+    regions: dict[str, str], place: places.Place, domain: str
+) -> int:
     """Returns 0 for the same failure domain, 1 the same region, 2 another."""
     if domain == place.failure_domain:
         return 0
--- a/src/clementinegw/direct/rests.py
+++ b/src/clementinegw/direct/cooldown.py
@@ -13,38 +13,39 @@
 # A server that rests is tried no more often than one whose connections time
 # out would be, also where it refuses them at once: a request would connect over
 # and over. Seconds, as long as a connection may take to come up.
-_TRY_EVERY_S = 0.25
+_PROBE_INTERVAL_S = 0.25
 
 
-class Rests:
+class Cooldowns:
     """When each server was tried last."""
 
     def __init__(self) -> None:
         # Weak: a server that is gone is forgotten with its backend.
-        self._tried_at: weakref.WeakKeyDictionary[backend_lib.Backend, float]
-        self._tried_at = weakref.WeakKeyDictionary()
+        self._sent_at: weakref.WeakKeyDictionary[backend_lib.Backend, float]
+        self._sent_at = weakref.WeakKeyDictionary()
 
-    def tried(self, backend: backend_lib.Backend, now: float) -> None:
+    def record_sent(self, backend: backend_lib.Backend, now: float) -> None:
         """Notes that a request goes to a server."""
-        self._tried_at[backend] = now
+        self._sent_at[backend] = now
 
-    def awake(
+    def available(
         self, backends: Sequence[backend_lib.Backend], now: float
     ) -> list[backend_lib.Backend]:
         """Returns the servers that do not rest."""
         return [b for b in backends if b.cooldown_until <= now]
 
-    def due(
+    def probe_candidates(
         self, backends: Sequence[backend_lib.Backend], now: float
     ) -> list[backend_lib.Backend]:
         """Returns the servers that are tried though they may rest."""
         return [
             backend
             for backend in backends
-            if now - self._tried_at.get(backend, -_TRY_EVERY_S) >= _TRY_EVERY_S
+            if now - self._sent_at.get(backend, -_PROBE_INTERVAL_S)
+            >= _PROBE_INTERVAL_S
         ]
 
-    def over_in_s(
+    def ends_in_s(
         self, backends: Sequence[backend_lib.Backend], now: float
     ) -> float:
         """Returns when the first rest is over, in seconds; 0 without one."""
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -14,7 +14,7 @@
 from clementinegw.direct import dialect as dialects
 from clementinegw.direct import finals
 from clementinegw.direct import outcomes
-from clementinegw.direct import placing
+from clementinegw.direct import placement
 from clementinegw.direct import recalls
 from clementinegw.direct import server as servers
 from clementinegw.direct import suspects as suspects_lib
@@ -73,10 +73,12 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._placing = placing.Placing(
+        self._placer = placement.Placer(
             knowledge, balancer, versions, rng, clock
         )
-        self._attempts = attempts.Attempts(dialect, clock, self._placing.began)
+        self._attempts = attempts.Attempts(
+            dialect, clock, self._placer.record_first_event
+        )
         self._recalls = recalls.Recalls(versions, clock)
         self._finals = finals.Finals(
             dialect, knowledge, clock, log, counters, histograms
@@ -180,23 +182,23 @@
         self, job: attempts.Job
     ) -> outcomes.Attempt | outcomes.Refusal:
         if self._suspects.refused(job.request, job.caller, self._clock()):
-            return self._placing.unserved(job, Reason.CRASHES_SERVERS)
-        place = await self._placing.choose(job)
+            return self._placer.refuse(job, Reason.CRASHES_SERVERS)
+        place = await self._placer.reserve(job)
         if isinstance(place, outcomes.Refusal):
             return place
         try:
             return await self._send(job, place.backend)
         finally:
-            place.free()
+            place.release()
 
     async def _send(
         self, job: attempts.Job, backend: backend_lib.Backend
     ) -> outcomes.Attempt | outcomes.Refusal:
         if job.sends and not self._budget(job.service).allow(self._clock()):
-            return self._placing.unserved(job, Reason.NO_BUDGET)
+            return self._placer.refuse(job, Reason.NO_BUDGET)
         now = self._clock()
-        model = self._placing.model(job)
-        held = backend.held_version(self._placing.layers(job.service))
+        model = self._placer.model(job)
+        held = backend.held_version(self._placer.layers(job.service))
         sending = types.Sending(
             backend.server.server_id,
             max(0.001, job.deadline - now - _WAY_BACK_S),
@@ -209,7 +211,7 @@
             job,
             backend,
             sending,
-            lambda: self._placing.elsewhere(job, backend),
+            lambda: self._placer.has_alternative(job, backend),
             self._recalls.new(model, held, job.match.route.idempotent),
         )
         if isinstance(outcome, outcomes.Delivered):
@@ -221,11 +223,11 @@
 
     def look(self) -> None:
         """Looks for room for those who wait; servers told of their load."""
-        self._placing.look()
+        self._placer.dispatch()
 
     def look_at(self, backend: backend_lib.Backend) -> None:
         """Looks for room for those who wait; one server told of its load."""
-        self._placing.look_at(backend)
+        self._placer.dispatch_for(backend)
 
     def redate(self) -> None:
         """Takes requests back by what is known of versions now."""
@@ -296,7 +298,7 @@
         if job.sends >= _MOST_SENDS:
             return False
         if _unreached(outcome):
-            return self._placing.may_try(job)
+            return self._placer.may_reconnect(job)
         if isinstance(outcome, outcomes.NotRun):
             job.unsent += outcome.reason in _UNSENT
             return job.unsent < _MOST_SENDS
@@ -311,8 +313,8 @@
         if isinstance(outcome, outcomes.Failed):
             return outcome
         if _unreached(outcome):
-            return self._placing.out_of_reach(job)
-        return self._placing.unserved(job, Reason.ATTEMPTS_USED)
+            return self._placer.refuse_unreachable(job)
+        return self._placer.refuse(job, Reason.ATTEMPTS_USED)
 
     def _budget(self, service: str) -> budgets.RetryBudget:
         found = self._budgets.get(service)
--- a/src/clementinegw/direct/spare.py
+++ b/src/clementinegw/direct/late_limit.py
@@ -13,38 +13,38 @@
 # What is left of the part after a new request has found no room, and what each
 # one that found room at once adds: it halves within five misses, and ten
 # requests that come in time make one miss good.
-_AFTER_MISS = 0.85
-_AFTER_ROOM = 0.012
+_DECREASE_FACTOR = 0.85
+_INCREASE = 0.012
 # One that waited no longer than this found room at once, in seconds: a look or
 # two of the queue.
-_AT_ONCE_S = 0.05
+_MAX_IMMEDIATE_WAIT_S = 0.05
 
 
-class Spare:
+class LateLimit:
     """The part of the slots that late requests may take."""
 
-    def __init__(self, least: float, most: float):
-        """Starts at the most: nobody has missed anything yet.
+    def __init__(self, low: float, high: float):
+        """Starts at `high`: nobody has missed anything yet.
 
         Args:
-          least: The part that they may always take. Who is late must not wait
+          low: The part that they may always take. Who is late must not wait
             for ever while others come.
-          most: The most that they may take.
+          high: The most that they may take.
         """
-        self._least = least
-        self._most = most
-        self._part = most
+        self._low = low
+        self._high = high
+        self._limit = high
 
     @property
-    def part(self) -> float:
+    def limit(self) -> float:
         """Servers with less of their slots taken take a late request."""
-        return self._part
+        return self._limit
 
-    def found_room(self, waited_s: float) -> None:
+    def record_placed(self, waited_s: float) -> None:
         """Notes that a request which could be on time was sent."""
-        if waited_s <= _AT_ONCE_S:
-            self._part = min(self._most, self._part + _AFTER_ROOM)
+        if waited_s <= _MAX_IMMEDIATE_WAIT_S:
+            self._limit = min(self._high, self._limit + _INCREASE)
 
-    def missed(self) -> None:
+    def record_miss(self) -> None:
         """Notes that one which could be on time found no room until then."""
-        self._part = max(self._least, self._part * _AFTER_MISS)
+        self._limit = max(self._low, self._limit * _DECREASE_FACTOR)
--- a/src/clementinegw/direct/foresight.py
+++ b/src/clementinegw/direct/latency_estimator.py
@@ -16,32 +16,32 @@
 _STEP_S = 0.01
 
 
-class Foresight:
+class LatencyEstimator:
     """An upper estimate of the time to the first event."""
 
-    def __init__(self, first_s: float, most_s: float):
+    def __init__(self, initial_s: float, max_s: float):
         """Believes in a time before the first answer.
 
         Args:
-          first_s: That time, in seconds.
-          most_s: The longest that is believed, in seconds. Beyond it, what is
+          initial_s: That time, in seconds.
+          max_s: The longest that is believed, in seconds. Beyond it, what is
             learned from requests that should not have been sent would make
             every request too late from the start.
         """
-        self._usual_s = first_s
-        self._most_s = most_s
+        self._estimate_s = initial_s
+        self._max_s = max_s
 
     @property
-    def usual_s(self) -> float:
+    def estimate_s(self) -> float:
         """From the send to the first event beside reading the own prompt."""
-        return self._usual_s
+        return self._estimate_s
 
-    def took(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Learns from one answer."""
         # Each answer moves the estimate up or down so that it rests where the
         # wanted part of the answers is below it; how far off one is does not
         # matter, so a server that hangs moves it no more than any other.
-        longer = seconds > self._usual_s
+        longer = seconds > self._estimate_s
         move_s = _QUANTILE if longer else _QUANTILE - 1.0
-        self._usual_s += _STEP_S * move_s
-        self._usual_s = min(max(self._usual_s, 0.0), self._most_s)
+        self._estimate_s += _STEP_S * move_s
+        self._estimate_s = min(max(self._estimate_s, 0.0), self._max_s)
--- a/src/clementinegw/direct/queue.py
+++ b/src/clementinegw/direct/queue.py
@@ -12,63 +12,63 @@
 
 from clementinegw.direct import backend as backend_lib
 from clementinegw.direct import balance
-from clementinegw.direct import spare
+from clementinegw.direct import late_limit
 from clementinegw.direct import types
 
 # How often waiting requests are looked through besides when a request ends
 # or a report comes, in seconds.
-_LOOK_S = 0.02
+_DISPATCH_INTERVAL_S = 0.02
 
-_NOBODY: frozenset[types.Start] = frozenset()
+_NO_STARTS: frozenset[types.Start] = frozenset()
 
 # Needs that no server could meet a moment ago: what is wanted, whether too late
 # to be on time, and who is left out.
-_Unmet = set[tuple[balance.Wanted, bool, frozenset[types.Start]]]
-# How many requests that need the same go first; see `Queue._is_hopeless`.
-_Ahead = dict[balance.Wanted, int | None]
+_Unmet = set[tuple[balance.Requirements, bool, frozenset[types.Start]]]
+# How many requests that need the same go first; see `Queue._will_expire`.
+_Ahead = dict[balance.Requirements, int | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Terms:
+class Policy:
     """How long requests of a service wait, and for what room.
 
     Attributes:
-      most_busy: The part of its slots that a server may have taken for one
-        more that can be on time.
-      most_busy_late: The same for one that is late, while those that can be
+      max_utilization: The part of its slots that a server may have taken for
+        one more that can be on time.
+      late_limit_high: The same for one that is late, while those that can be
         on time find room.
-      least_busy_late: The same where they find none.
+      late_limit_low: The same where they find none.
     """
 
-    most_busy: float
-    most_busy_late: float
-    least_busy_late: float
+    max_utilization: float
+    late_limit_high: float
+    late_limit_low: float
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Waiting:
+class Waiter:
     """One request that waits.
 
     Attributes:
-      wanted: Returns what it needs of a server now.
+      requirements: Returns what it needs of a server now.
       tried: Starts of servers that have had it.
-      on_time_until: When it must begin to be on time, in monotonic seconds.
-      until: When it is given up, in monotonic seconds.
-      place: Its place at a server; None when it is given up.
-      since: When it came, in monotonic seconds.
+      latest_start: When it must begin to be on time, in monotonic seconds.
+      give_up_at: When it is given up, in monotonic seconds.
+      reservation: Its place at a server; None when it is given up.
+      queued_at: When it came, in monotonic seconds.
       counted: Whether it has been counted as late.
     """
 
-    wanted: Callable[[], balance.Wanted]
+    requirements: Callable[[], balance.Requirements]
     tried: frozenset[types.Start]
-    on_time_until: float
-    until: float
-    place: asyncio.Future["Place | None"]
-    since: float
+    latest_start: float
+    give_up_at: float
+    reservation: asyncio.Future["Reservation | None"]
+    queued_at: float
     counted: bool = False
 
 
-class Place:
+class Reservation:
     """A request's place at a server, from the choice to the end.
 
     Attributes:
@@ -76,19 +76,21 @@
       permitted: Whether it used up a slot of the server's rate limit.
     """
 
-    def __init__(self, backend: backend_lib.Backend, freed: Callable[[], None]):
+    def __init__(
+        self, backend: backend_lib.Backend, on_release: Callable[[], None]
+    ):
         self.backend = backend
         self.permitted = backend.signals.limiter.take()
-        self._freed = freed
+        self._on_release = on_release
         self._held = True
         backend.begin_request()
 
-    def free(self) -> None:
+    def release(self) -> None:
         """Gives the place back."""
         if self._held:
             self._held = False
             self.backend.end_request()
-            self._freed()
+            self._on_release()
 
 
 class Queue:
@@ -98,7 +100,7 @@
         self,
         service: str,
         balancer: balance.Balancer,
-        terms: Terms,
+        policy: Policy,
         clock: Callable[[], float],
     ):
         """Starts without anybody who waits.
@@ -106,150 +108,166 @@
         Args:
           service: The service's name.
           balancer: Ranks its servers.
-          terms: How long requests wait, and for what room.
+          policy: How long requests wait, and for what room.
           clock: Monotonic seconds.
         """
         self._service = service
         self._balancer = balancer
-        self._terms = terms
+        self._policy = policy
         self._clock = clock
-        self._spare = spare.Spare(terms.least_busy_late, terms.most_busy_late)
-        self._waiting: list[Waiting] = []
+        self._late_limit = late_limit.LateLimit(
+            policy.late_limit_low, policy.late_limit_high
+        )
+        self._waiters: list[Waiter] = []
         self._timer: asyncio.TimerHandle | None = None
 
-    async def place(
+    async def reserve(
         self,
-        wanted: Callable[[], balance.Wanted],
+        requirements: Callable[[], balance.Requirements],
         tried: frozenset[types.Start],
-        on_time_until: float,
-        until: float,
-    ) -> Place | None:
+        latest_start: float,
+        give_up_at: float,
+    ) -> Reservation | None:
         """Returns a place at a server; None when there is none in time.
 
         Args:
-          wanted: Returns what the request needs of a server now; a newer
+          requirements: Returns what the request needs of a server now; a newer
             version of weights may be demanded while it waits.
           tried: Starts of servers that have had it.
-          on_time_until: When it must begin to be on time.
-          until: When it is given up.
+          latest_start: When it must begin to be on time.
+          give_up_at: When it is given up.
         """
         future = asyncio.get_running_loop().create_future()
         now = self._clock()
         # Who comes late has missed nothing here.
-        late = on_time_until < now
-        waiting = Waiting(
-            wanted, tried, on_time_until, until, future, now, counted=late
+        late = latest_start < now
+        waiter = Waiter(
+            requirements,
+            tried,
+            latest_start,
+            give_up_at,
+            future,
+            now,
+            counted=late,
         )
-        self._waiting.append(waiting)
-        self.look()
+        self._waiters.append(waiter)
+        self.dispatch()
         try:
             return await future
         except asyncio.CancelledError:
             if future.done() and not future.cancelled():
-                place = future.result()
-                if place is not None:
-                    place.free()
+                reservation = future.result()
+                if reservation is not None:
+                    reservation.release()
             raise
         finally:
-            if waiting in self._waiting:
-                self._waiting.remove(waiting)
+            if waiter in self._waiters:
+                self._waiters.remove(waiter)
 
-    def look(self) -> None:
+    def dispatch(self) -> None:
         """Gives places to those that can have one now."""
-        if not self._waiting:
+        if not self._waiters:
             return
         now = self._clock()
         restricted = self._balancer.has_restricted(self._service)
         ahead: _Ahead = {}
         unmet: _Unmet = set()
-        room = self._balancer.has_room(self._service)
+        has_capacity = self._balancer.has_capacity(self._service)
         # The order matters to nobody while nobody finds room, but where it is
         # known how many will.
-        in_order = room or restricted
-        for waiting in self._in_order(now) if in_order else [*self._waiting]:
-            if waiting.place.done():
-                self._waiting.remove(waiting)
+        ordered = has_capacity or restricted
+        for waiter in self._in_order(now) if ordered else [*self._waiters]:
+            if waiter.reservation.done():
+                self._waiters.remove(waiter)
                 continue
-            late = waiting.on_time_until < now
-            backend = self._choose(waiting, late, unmet) if room else None
-            self._count(waiting, late, backend is not None, now)
+            late = waiter.latest_start < now
+            backend = (
+                self._choose(waiter, late, unmet) if has_capacity else None
+            )
+            self._record_wait(waiter, late, backend is not None, now)
             if backend is not None:
                 # One that is full now may leave the choice to others.
                 unmet.clear()
-                self._waiting.remove(waiting)
-                self._balancer.sent(backend)
-                waiting.place.set_result(Place(backend, self.look))
-                room = self._balancer.has_room(self._service)
-            elif now >= waiting.until or (
-                restricted and self._is_hopeless(waiting, ahead)
+                self._waiters.remove(waiter)
+                self._balancer.record_sent(backend)
+                waiter.reservation.set_result(
+                    Reservation(backend, self.dispatch)
+                )
+                has_capacity = self._balancer.has_capacity(self._service)
+            elif now >= waiter.give_up_at or (
+                restricted and self._will_expire(waiter, ahead)
             ):
-                self._waiting.remove(waiting)
-                waiting.place.set_result(None)
-        if self._waiting and self._timer is None:
+                self._waiters.remove(waiter)
+                waiter.reservation.set_result(None)
+        if self._waiters and self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(_LOOK_S, self._again)
+            self._timer = loop.call_later(_DISPATCH_INTERVAL_S, self._on_timer)
 
-    def _count(
-        self, waiting: Waiting, late: bool, found: bool, now: float
+    def _record_wait(
+        self, waiter: Waiter, late: bool, found: bool, now: float
     ) -> None:
         """Learns how much room those need that can be on time."""
-        if waiting.counted:
+        if waiter.counted:
             return
         if late:
-            waiting.counted = True
+            waiter.counted = True
             # Where no server may begin anything, no late one took its room.
-            if self._balancer.candidates(waiting.wanted()):
-                self._spare.missed()
+            if self._balancer.candidates(waiter.requirements()):
+                self._late_limit.record_miss()
         elif found:
-            self._spare.found_room(now - waiting.since)
+            self._late_limit.record_placed(now - waiter.queued_at)
 
-    def _is_hopeless(self, waiting: Waiting, ahead: _Ahead) -> bool:
+    def _will_expire(self, waiter: Waiter, ahead: _Ahead) -> bool:
         """Returns whether a request's time ends before it finds a server.
 
         Args:
-          waiting: The request.
+          waiter: The request.
           ahead: How many who need the same go first, where all servers for them
             are restricted; None where one is not.
         """
-        wanted = waiting.wanted()
-        if wanted not in ahead:
-            restricted = self._balancer.is_restricted(wanted)
-            ahead[wanted] = 0 if restricted else None
-        before = ahead[wanted]
-        if before is None:
+        requirements = waiter.requirements()
+        if requirements not in ahead:
+            restricted = self._balancer.is_restricted(requirements)
+            ahead[requirements] = 0 if restricted else None
+        count = ahead[requirements]
+        if count is None:
             return False
-        if before >= self._balancer.room_until(wanted, waiting.until):
+        if count >= self._balancer.capacity_until(
+            requirements, waiter.give_up_at
+        ):
             return True
-        ahead[wanted] = before + 1
+        ahead[requirements] = count + 1
         return False
 
-    def _again(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self.look()
+        self.dispatch()
 
-    def _in_order(self, now: float) -> list[Waiting]:
+    def _in_order(self, now: float) -> list[Waiter]:
         return sorted(
-            self._waiting,
-            key=lambda w: (w.on_time_until < now, w.on_time_until),
+            self._waiters,
+            key=lambda w: (w.latest_start < now, w.latest_start),
         )
 
     def _choose(
-        self, waiting: Waiting, late: bool, unmet: _Unmet
+        self, waiter: Waiter, late: bool, unmet: _Unmet
     ) -> backend_lib.Backend | None:
         """Returns a server with room; notes what none has room for.
 
         Most who wait need the same: with each looking through all servers, at
         each of a hundred reports a second, an entry has no time left.
         """
-        needed = waiting.wanted()
-        for tried in (waiting.tried, _NOBODY):
-            need = (needed, late, tried)
-            if need in unmet:
+        base = waiter.requirements()
+        for tried in (waiter.tried, _NO_STARTS):
+            key = (base, late, tried)
+            if key in unmet:
                 continue
-            most = self._spare.part if late else self._terms.most_busy
-            wanted = dataclasses.replace(needed, most_busy=most)
-            backend = self._balancer.choose(wanted, tried)
+            most = (
+                self._late_limit.limit if late else self._policy.max_utilization
+            )
+            requirements = dataclasses.replace(base, max_utilization=most)
+            backend = self._balancer.choose(requirements, tried)
             if backend is not None:
                 return backend
-            unmet.add(need)
+            unmet.add(key)
         return None
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -188,7 +188,7 @@
 
     def _is_far(self, server: types.Server) -> bool:
         """Returns whether a server stands in another region."""
-        distance = balance.region_of(
+        distance = balance.distance_to(
             self._instance.regions,
             self._instance.place,
             server.failure_domain,
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -22,7 +22,7 @@
 from clementinegw.direct import fleet as fleets
 from clementinegw.direct import follow
 from clementinegw.direct import following
-from clementinegw.direct import placing
+from clementinegw.direct import placement
 from clementinegw.direct import queue
 from clementinegw.direct import reports
 from clementinegw.direct import types
@@ -114,8 +114,8 @@
             catalog.Catalog(site.configuration), lambda: 0.0, 5.0, 3.0
         )
         self.callers_time = admit.CallersTime()
-        more = {} if terms is None else {"engine_terms": terms}
-        self.placing = placing.Placing(
+        more = {} if terms is None else {"engine_policy": terms}
+        self.placer = placement.Placer(
             knowledge,
             balancer,
             versions.Versions(8.0, clock),
@@ -303,10 +303,10 @@
         )
         try:
             async with asyncio.timeout(min(left_s, PATIENCE_S)):
-                place = await entry.placing.choose(job)
+                place = await entry.placer.reserve(job)
         except TimeoutError:
             return None
-        if not isinstance(place, queue.Place):
+        if not isinstance(place, queue.Reservation):
             return place.retry_after_s
         await self._run(caller, entry, job, place, left_s)
         return None
@@ -328,7 +328,7 @@
                 caller.first_at = self.now + TRIP_S
                 backend.unread_tokens -= caller.prompt
                 job.first_answer_at = self._clock()
-                entry.placing.began(job)
+                entry.placer.record_first_event(job)
                 facts = types.AnswerFacts(
                     "a", True, False, limit_per_s=self.limits.get(number)
                 )
@@ -351,7 +351,7 @@
             engine.drop(work)
             if caller.first_at == math.inf:
                 backend.unread_tokens -= caller.prompt
-        place.free()
+        place.release()
 
     async def _hear(self, heard, ended):
         while not ended.is_set():
@@ -419,7 +419,7 @@
         reading_s /= self.figures.prefill_tokens_per_s
         backend = entry.fleet.find(f"s{number}")
         backend.apply_report(report, self._clock(), reading_s)
-        entry.placing.look_at(backend)
+        entry.placer.dispatch_for(backend)
 
     def _spawn(self, coroutine):
         task = asyncio.ensure_future(coroutine)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -80,7 +80,7 @@
         "return False",
     ),
     "true_refusal": (
-        "src/clementinegw/direct/placing.py",
+        "src/clementinegw/direct/placement.py",
         "if job.runs:\n            return outcomes.Refusal(_BAD_GATEWAY",
         "if False:\n            return outcomes.Refusal(_BAD_GATEWAY",
     ),
--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -12,7 +12,7 @@
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
 from clementinegw.direct import follow
-from clementinegw.direct import placing
+from clementinegw.direct import placement
 from clementinegw.direct import queue
 from clementinegw.direct import reports
 from clementinegw.direct import types
@@ -20,8 +20,10 @@
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
 
-WANTED = balance.Wanted("engine")
-TERMS = queue.Terms(most_busy=1.0, most_busy_late=0.9, least_busy_late=0.3)
+REQUIREMENTS = balance.Requirements("engine")
+TERMS = queue.Policy(
+    max_utilization=1.0, late_limit_high=0.9, late_limit_low=0.3
+)
 SERVERS = 20
 WAITING = 100
 
@@ -31,9 +33,9 @@
 
     passes = 0
 
-    def candidates(self, wanted):
+    def candidates(self, requirements):
         self.passes += 1
-        return super().candidates(wanted)
+        return super().candidates(requirements)
 
 
 def new_fleet():
@@ -65,8 +67,8 @@
 
 async def wait_in(line, tried=()):
     now = asyncio.get_running_loop().time()
-    return await line.place(
-        lambda: WANTED, frozenset(tried), now + 0.5, now + 1.0
+    return await line.reserve(
+        lambda: REQUIREMENTS, frozenset(tried), now + 0.5, now + 1.0
     )
 
 
@@ -95,11 +97,11 @@
         ]
         await asyncio.sleep(0.001)
         chooser.passes = 0
-        line.look()
+        line.dispatch()
         passes = chooser.passes
         free = reports.Report("s3", 14, 0, 16, entries=1)
         backends.find("s3").apply_report(free, loop.time())
-        line.look()
+        line.dispatch()
         await asyncio.sleep(0)
         placed = [t.result().backend for t in tasks if t.done()]
         for task in tasks:
@@ -147,7 +149,7 @@
         backends = new_fleet()
         place = places.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
-        finder = placing.Placing(
+        finder = placement.Placer(
             admit.Knowledge(None, lambda: 0.0, 1.0, 1.0),
             chooser,
             versions.Versions(8.0, loop.time),
@@ -155,13 +157,13 @@
             loop.time,
         )
         looks = []
-        finder.look = lambda: looks.append("all")
-        finder._queue("engine").look = lambda: looks.append("engine")
+        finder.dispatch = lambda: looks.append("all")
+        finder._queue("engine").dispatch = lambda: looks.append("engine")
         for running in (16, 14):
             backend = backends.find("s3")
             told = reports.Report("s3", running, 0, 16, entries=1)
             backend.apply_report(told, loop.time())
-            finder.look_at(backend)
+            finder.dispatch_for(backend)
         return looks
 
     assert clocks.run(play()) == ["engine"]
@@ -181,15 +183,15 @@
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         line = queue.Queue("engine", chooser, TERMS, loop.time)
         tell(backends, 16, loop.time())
-        newer = balance.Wanted("engine", layers=4, least_version=2)
+        newer = balance.Requirements("engine", layers=4, least_version=2)
         now = loop.time()
         picky = asyncio.ensure_future(
-            line.place(lambda: newer, frozenset(), now + 0.5, now + 1.0)
+            line.reserve(lambda: newer, frozenset(), now + 0.5, now + 1.0)
         )
         plain = asyncio.ensure_future(wait_in(line))
         await asyncio.sleep(0.001)
         tell(backends, 8, loop.time())
-        line.look()
+        line.dispatch()
         await asyncio.sleep(0)
         done = (picky.done(), plain.done())
         picky.cancel()
--- a/tests/test_direct_overload.py
+++ b/tests/test_direct_overload.py
@@ -7,14 +7,16 @@
 import pytest
 
 from clementinegw.direct import admit
-from clementinegw.direct import foresight
+from clementinegw.direct import late_limit
+from clementinegw.direct import latency_estimator
 from clementinegw.direct import queue
-from clementinegw.direct import spare
 from clementinegw.testing import clock as clocks
 from clementinegw.testing import engine_model
 
 # Late requests might take a fixed part of the slots once.
-FORMER = queue.Terms(most_busy=1.0, most_busy_late=0.9, least_busy_late=0.9)
+FORMER = queue.Policy(
+    max_utilization=1.0, late_limit_high=0.9, late_limit_low=0.9
+)
 BURST = (4.0, 10.0)
 TEN_S_LATER = (20.0, 25.0)
 # Requests under way at the end are waited for.
@@ -165,46 +167,46 @@
 
 
 def test_late_requests_give_way_to_those_that_find_no_room():
-    part = spare.Spare(least=0.3, most=0.9)
+    part = late_limit.LateLimit(low=0.3, high=0.9)
     for _ in range(3):
-        part.missed()
-    assert 0.5 < part.part < 0.6
+        part.record_miss()
+    assert 0.5 < part.limit < 0.6
     for _ in range(20):
-        part.missed()
-    assert part.part == 0.3
+        part.record_miss()
+    assert part.limit == 0.3
 
 
 def test_late_requests_take_more_again_once_all_find_room():
-    part = spare.Spare(least=0.3, most=0.9)
-    part.missed()
+    part = late_limit.LateLimit(low=0.3, high=0.9)
+    part.record_miss()
     for _ in range(100):
-        part.found_room(0.0)
-    assert part.part == 0.9
+        part.record_placed(0.0)
+    assert part.limit == 0.9
 
 
 def test_a_request_that_waited_for_its_room_makes_no_more_for_late_ones():
-    part = spare.Spare(least=0.3, most=0.9)
-    part.missed()
-    before = part.part
-    part.found_room(0.2)
-    assert part.part == before
+    part = late_limit.LateLimit(low=0.3, high=0.9)
+    part.record_miss()
+    before = part.limit
+    part.record_placed(0.2)
+    assert part.limit == before
 
 
 # How long a first event takes.
 
 
 def test_the_time_to_a_first_event_is_learned_from_answers():
-    found = foresight.Foresight(first_s=0.2, most_s=0.3)
+    found = latency_estimator.LatencyEstimator(initial_s=0.2, max_s=0.3)
     for number in range(400):
-        found.took(0.05 if number % 3 else 0.25)
-    assert 0.2 <= found.usual_s <= 0.3
+        found.record(0.05 if number % 3 else 0.25)
+    assert 0.2 <= found.estimate_s <= 0.3
 
 
 def test_what_should_not_have_been_sent_teaches_no_more_than_the_most():
-    found = foresight.Foresight(first_s=0.2, most_s=0.3)
+    found = latency_estimator.LatencyEstimator(initial_s=0.2, max_s=0.3)
     for _ in range(200):
-        found.took(5.0)
-    assert found.usual_s == 0.3
+        found.record(5.0)
+    assert found.estimate_s == 0.3
 
 
 # Who is new, and who came back.
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -16,7 +16,7 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
 
-WANTED = balance.Wanted("engine")
+REQUIREMENTS = balance.Requirements("engine")
 
 
 def new_fleet(*names):
@@ -49,7 +49,7 @@
     chooser = balance.Balancer(
         backends, place, {}, random.Random(1), lambda: now
     )
-    found = {chooser.choose(WANTED) for _ in range(50)}
+    found = {chooser.choose(REQUIREMENTS) for _ in range(50)}
     return {backend.server.server_id for backend in found}
 
 
@@ -137,15 +137,15 @@
     chooser = balance.Balancer(
         backends, places.Place("r", "d1"), {}, random.Random(1), lambda: now[0]
     )
-    assert chooser.choose(WANTED) is backends.find("well")
-    found = chooser.choose(WANTED, {types.Start("well")})
+    assert chooser.choose(REQUIREMENTS) is backends.find("well")
+    found = chooser.choose(REQUIREMENTS, {types.Start("well")})
     assert found is backends.find("resting")
-    chooser.sent(found)
-    assert chooser.choose(WANTED, {types.Start("well")}) is None
+    chooser.record_sent(found)
+    assert chooser.choose(REQUIREMENTS, {types.Start("well")}) is None
     now[0] = 10.3
-    assert chooser.choose(WANTED, {types.Start("well")}) is found
-    waited_for = dataclasses.replace(WANTED, resting=False)
+    assert chooser.choose(REQUIREMENTS, {types.Start("well")}) is found
+    waited_for = dataclasses.replace(REQUIREMENTS, allow_cooldown=False)
     assert chooser.choose(waited_for, {types.Start("well")}) is None
-    assert chooser.rested_in_s(WANTED) == 0.0
+    assert chooser.cooldown_ends_in_s(REQUIREMENTS) == 0.0
     backends.find("well").cooldown_until = 10.5
-    assert chooser.rested_in_s(WANTED) == pytest.approx(0.2)
+    assert chooser.cooldown_ends_in_s(REQUIREMENTS) == pytest.approx(0.2)
--- a/tests/test_platform_foreign_model.py
+++ b/tests/test_platform_foreign_model.py
@@ -27,14 +27,14 @@
             # The next one finds a connection that is up.
             await site.ask()
             sends = []
-            choose = site.entry._forwarder._placing.choose
+            reserve = site.entry._forwarder._placer.reserve
 
             async def counted(job):
                 sends.append(job)
                 assert len(sends) < 50, "no pause between two choices"
-                return await choose(job)
+                return await reserve(job)
 
-            site.entry._forwarder._placing.choose = counted
+            site.entry._forwarder._placer.reserve = counted
             answer = await site.ask(path, headers=MODEL)
             return answer.status, len(sends)
 
