--- a/src/clementinegw/direct/admit.py
+++ b/src/clementinegw/direct/admit.py
@@ -15,25 +15,26 @@
 # The least part of its time after which a caller that was turned away comes
 # back. Callers of a route differ in patience by up to as much, so one whose
 # time is shorter by less is new.
-LEAST_RETURN_SHARE = 0.15
+MIN_RETRY_SHARE = 0.15
 _UNAVAILABLE = 503
 
 
 @dataclasses.dataclass(slots=True)
-class Knowledge:
+class ConfigView:
     """What the entry knows of its surroundings.
 
     Attributes:
       catalog: The configuration in force; None before the first.
       age_s: How old that knowledge may be, in seconds.
-      revoke_s: Keys are served while it is younger than this.
-      routes_s: Unknown routes and keys are refused for good while younger.
+      max_key_age_s: Keys are served while it is younger than this.
+      max_rejection_age_s: Unknown routes and keys are refused for good while
+        younger.
     """
 
     catalog: catalogs.Catalog | None
     age_s: Callable[[], float]
-    revoke_s: float
-    routes_s: float
+    max_key_age_s: float
+    max_rejection_age_s: float
 
     def service(self, name: str) -> types.Service | None:
         """Returns a service of the configuration; None while unknown."""
@@ -46,20 +47,20 @@
 
 
 def match(
-    knowledge: Knowledge, request: servers.Request, facts: types.RequestFacts
+    config_view: ConfigView, request: servers.Request, facts: types.RequestFacts
 ) -> catalogs.Match | outcomes.Refusal:
     """Returns a request's route and customer, or why it is refused."""
-    catalog = knowledge.catalog
+    catalog = config_view.catalog
     if catalog is None:
-        return later(Reason.NO_CONFIGURATION, _RETRY_SOON_S)
+        return unavailable(Reason.NO_CONFIGURATION, _RETRY_SOON_S)
     # What is unknown here may be new: only a process that has heard from
     # the platform just now may say that it does not exist.
-    fresh = knowledge.age_s() < knowledge.routes_s
+    fresh = config_view.age_s() < config_view.max_rejection_age_s
     route = catalog.route(request.host, request.path)
     if route is None:
         if fresh:
             return outcomes.Refusal(404, Reason.NO_ROUTE)
-        return later(Reason.STALE_ROUTES, _RETRY_SOON_S)
+        return unavailable(Reason.STALE_ROUTES, _RETRY_SOON_S)
     if not catalog.keyed or (route.anonymous and not facts.key):
         return catalogs.Match(route, None)
     customer = catalog.customer(facts.key)
@@ -68,15 +69,15 @@
     if customer is None:
         if fresh:
             return outcomes.Refusal(401, Reason.NO_KEY)
-        return later(Reason.STALE_KEYS, _RETRY_SOON_S)
+        return unavailable(Reason.STALE_KEYS, _RETRY_SOON_S)
     # The key may have been taken away since the platform last answered.
     # Whoever is cut off shows nothing else, so the age alone decides.
-    if knowledge.age_s() >= knowledge.revoke_s:
-        return later(Reason.STALE_KEYS, _RETRY_SOON_S)
+    if config_view.age_s() >= config_view.max_key_age_s:
+        return unavailable(Reason.STALE_KEYS, _RETRY_SOON_S)
     return catalogs.Match(route, customer)
 
 
-class CallersTime:
+class CallerTimeouts:
     """How long callers of each route wait at first.
 
     A caller that was refused comes back with less time. Taken for a new one,
@@ -95,9 +96,9 @@
         usual_s = max(self._usual_s.get(route, 0.0), timeout_s)
         self._usual_s[route] = usual_s
         spent_s = usual_s - timeout_s
-        return spent_s if spent_s > LEAST_RETURN_SHARE * usual_s else 0.0
+        return spent_s if spent_s > MIN_RETRY_SHARE * usual_s else 0.0
 
 
-def later(reason: Reason, retry_after_s: float) -> outcomes.Refusal:
+def unavailable(reason: Reason, retry_after_s: float) -> outcomes.Refusal:
     """Returns the answer that a request was not run and may come back."""
     return outcomes.Refusal(_UNAVAILABLE, reason, retry_after_s)
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -117,7 +117,7 @@
             boot_clock,
         )
         self._operators, self._listing = topics.operators, topics.servers
-        self._knowledge = admit.Knowledge(
+        self._config_view = admit.ConfigView(
             None,
             lambda: self._operators.age_s,
             bounds.keys_ms / 1e3 * _KEYS_SHARE,
@@ -141,7 +141,7 @@
         self.histograms = histograms.Histograms()
         self._forwarder = forward.Forwarder(
             platform.dialect(),
-            self._knowledge,
+            self._config_view,
             self._balancer,
             self._versions,
             _terms(bounds),
@@ -160,7 +160,7 @@
         )
         self._subscriptions = subscriptions.Subscriptions(
             instance,
-            self._knowledge,
+            self._config_view,
             self._fleet,
             self._versions,
             self._reports,
@@ -178,7 +178,7 @@
         keys_s = self._instance.bounds.keys_ms / 1e3
         return (
             not self._leaving
-            and self._knowledge.catalog is not None
+            and self._config_view.catalog is not None
             and self._listing.known
             and self._operators.age_s < keys_s * _READY_SHARE
         )
@@ -202,7 +202,7 @@
         """Takes over a changed instance file; addresses stay as they are."""
         self._instance = instance
         bounds = instance.bounds
-        self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
+        self._config_view.max_key_age_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
         self._versions.due_s = bounds.weights_ms / 1e3
         self._fleet.ran_out.terms = _fleet_terms(bounds)
         self._forwarder.set_terms(_terms(bounds))
@@ -264,7 +264,7 @@
 
     def _reading_s(self, service: str) -> float:
         """Returns how long a usual prompt is read; 0 when that is unknown."""
-        engine = self._knowledge.engine(service)
+        engine = self._config_view.engine(service)
         if engine is None or not engine.prefill_tokens_per_s:
             return 0.0
         return engine.usual_prompt / engine.prefill_tokens_per_s
@@ -309,7 +309,7 @@
             self._forwarder.redate()
 
     def _take_configuration(self, configuration: types.Configuration) -> None:
-        catalog = self._knowledge.catalog
+        catalog = self._config_view.catalog
         if catalog is not None and configuration.version <= catalog.version:
             if configuration.version < catalog.version:
                 # Records may be read twice after the platform lost its
@@ -320,7 +320,7 @@
                     in_force=catalog.version,
                 )
             return
-        self._knowledge.catalog = catalogs.Catalog(configuration)
+        self._config_view.catalog = catalogs.Catalog(configuration)
         self._server.limits = configuration.limits
         self._log.write(
             _events.CONFIGURATION_TAKEN,
@@ -341,7 +341,7 @@
         self._subscriptions.ask_new()
 
     def _max_connections(self, service: str) -> int:
-        known = self._knowledge.service(service)
+        known = self._config_view.service(service)
         return known.max_connections if known else 32
 
 
--- a/src/clementinegw/direct/finals.py
+++ b/src/clementinegw/direct/finals.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         dialect: dialects.Dialect,
-        knowledge: admit.Knowledge,
+        config_view: admit.ConfigView,
         clock: Callable[[], float],
         log: logs.Log,
         counters: counters_lib.Counters,
@@ -48,14 +48,14 @@
 
         Args:
           dialect: Knows the platform's headers.
-          knowledge: How old what the process knows is.
+          config_view: How old what the process knows is.
           clock: Monotonic seconds.
           log: Where events go.
           counters: Counts refusals and answers by reason.
           histograms: Of the answers' times.
         """
         self._dialect = dialect
-        self._knowledge = knowledge
+        self._config_view = config_view
         self._clock = clock
         self._log = log
         self._counters = counters
@@ -86,7 +86,7 @@
             sends=job.sends if job else 0,
             runs=job.runs if job else 0,
             spent_ms=round(job.spent_s * 1e3) if job else 0,
-            age_s=round(min(self._knowledge.age_s(), 9_999.0), 3),
+            age_s=round(min(self._config_view.age_s(), 9_999.0), 3),
             after_ms=round((self._clock() - request.arrived_at) * 1000, 1),
         )
         if responder.begun:
@@ -134,5 +134,5 @@
             waited_ms=round(job.waited_s * 1e3),
             first_ms=None if first is None else round((first - arrived) * 1e3),
             total_ms=round((now - arrived) * 1e3),
-            age_s=round(min(self._knowledge.age_s(), 9_999.0), 3),
+            age_s=round(min(self._config_view.age_s(), 9_999.0), 3),
         )
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -54,7 +54,7 @@
     def __init__(
         self,
         dialect: dialects.Dialect,
-        knowledge: admit.Knowledge,
+        config_view: admit.ConfigView,
         balancer: balance.Balancer,
         versions: versions_lib.Versions,
         terms: budgets.Terms,
@@ -65,7 +65,7 @@
         histograms: histograms_lib.Histograms,
     ):
         self._dialect = dialect
-        self._knowledge = knowledge
+        self._config_view = config_view
         self._balancer = balancer
         self._versions = versions
         self._terms = terms
@@ -74,17 +74,17 @@
         self._log = log
         self._counters = counters
         self._placer = placement.Placer(
-            knowledge, balancer, versions, rng, clock
+            config_view, balancer, versions, rng, clock
         )
         self._attempts = attempts.Attempts(
             dialect, clock, self._placer.record_first_event
         )
         self._recalls = recalls.Recalls(versions, clock)
         self._finals = finals.Finals(
-            dialect, knowledge, clock, log, counters, histograms
+            dialect, config_view, clock, log, counters, histograms
         )
         self._budgets: dict[str, budgets.RetryBudget] = {}
-        self._callers_time = admit.CallersTime()
+        self._caller_timeouts = admit.CallerTimeouts()
         self._suspects = suspects_lib.Suspects()
 
     async def handle(
@@ -132,14 +132,14 @@
             return outcomes.Refusal(400, Reason.MALFORMED)
         if not facts.attempt_id:
             return outcomes.Refusal(400, Reason.MALFORMED)
-        matched = admit.match(self._knowledge, request, facts)
+        matched = admit.match(self._config_view, request, facts)
         if isinstance(matched, outcomes.Refusal):
             return matched
         route = matched.route
         timeout_s = route.timeout_s
         if facts.timeout_s is not None:
             timeout_s = min(timeout_s, facts.timeout_s)
-        spent_s = self._callers_time.spent_s(route.name, facts.timeout_s)
+        spent_s = self._caller_timeouts.spent_s(route.name, facts.timeout_s)
         service = balance.draw_service(route, self._rng)
         self._budget(service).request(self._clock())
         return attempts.Job(
--- a/src/clementinegw/direct/placement.py
+++ b/src/clementinegw/direct/placement.py
@@ -46,7 +46,7 @@
 # When to come back, as a part of the caller's time: when servers have no room,
 # and when none serves.
 # Callers wait for a third of their time at most; what is refused twice is lost.
-_RETRY_FULL = (admit.LEAST_RETURN_SHARE, 0.3)
+_RETRY_FULL = (admit.MIN_RETRY_SHARE, 0.3)
 _RETRY_NOT_READY = (0.27, 0.33)
 # What crashes servers does so again: its caller gets no second chance.
 _RETRY_NEVER = (1.0, 1.0)
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        knowledge: admit.Knowledge,
+        config_view: admit.ConfigView,
         balancer: balance.Balancer,
         versions: versions_lib.Versions,
         rng: random.Random,
@@ -75,7 +75,7 @@
         """Places nothing before a request comes.
 
         Args:
-          knowledge: How engines work.
+          config_view: How engines work.
           balancer: Ranks servers.
           versions: Which weights may serve.
           rng: Spreads the times to come back.
@@ -84,7 +84,7 @@
         """
         self._engine_policy = engine_policy
         self._estimators: dict[str, latency_estimator.LatencyEstimator] = {}
-        self._knowledge = knowledge
+        self._config_view = config_view
         self._balancer = balancer
         self._versions = versions
         self._rng = rng
@@ -174,7 +174,7 @@
         Args:
           job: The request; its place was found by `reserve`.
         """
-        engine = self._knowledge.engine(job.service)
+        engine = self._config_view.engine(job.service)
         if engine is None or job.first_answer_at is None:
             return
         reading_s = job.facts.prompt_tokens / engine.prefill_tokens_per_s
@@ -183,7 +183,7 @@
 
     def layers(self, service: str) -> int:
         """Returns the layers of a service's model; 0 for a plain one."""
-        engine = self._knowledge.engine(service)
+        engine = self._config_view.engine(service)
         return engine.layers if engine else 0
 
     def model(self, job: attempts.Job) -> str:
@@ -193,7 +193,7 @@
         there would make each of its servers too old for ever. A request that
         names none is for the model of its service.
         """
-        engine = self._knowledge.engine(job.service)
+        engine = self._config_view.engine(job.service)
         if engine is None or not engine.models:
             return ""
         return job.facts.model or engine.models[0]
@@ -246,13 +246,13 @@
         if job.runs:
             return outcomes.Refusal(_BAD_GATEWAY, Reason.MAY_HAVE_RUN)
         left_s = max(0.0, job.deadline - self._clock())
-        return admit.later(reason, share * left_s)
+        return admit.unavailable(reason, share * left_s)
 
     def _latest_start(self, job: attempts.Job) -> float:
         """Returns when a request must begin to be answered on time."""
         at = job.request.arrived_at - job.spent_s
         at += job.match.route.objective_s
-        engine = self._knowledge.engine(job.service)
+        engine = self._config_view.engine(job.service)
         if engine is None:
             return at
         at -= self._estimator(job.service, engine).estimate_s
@@ -293,7 +293,7 @@
         if found is None:
             policy = (
                 self._engine_policy
-                if self._knowledge.engine(service)
+                if self._config_view.engine(service)
                 else _PLAIN_POLICY
             )
             found = queue.Queue(service, self._balancer, policy, self._clock)
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -29,7 +29,7 @@
     def __init__(
         self,
         instance: instances.Instance,
-        knowledge: admit.Knowledge,
+        config_view: admit.ConfigView,
         fleet: fleets.Fleet,
         versions: versions_lib.Versions,
         listener: reports.Listener,
@@ -42,7 +42,7 @@
 
         Args:
           instance: What the entry knows of itself.
-          knowledge: Which services run engines.
+          config_view: Which services run engines.
           fleet: The servers; it is told which of them are followed.
           versions: Which weights may serve.
           listener: Sends the subscriptions.
@@ -52,7 +52,7 @@
           counters: Keeps how many servers are followed.
         """
         self._instance = instance
-        self._knowledge = knowledge
+        self._config_view = config_view
         self._fleet = fleet
         self._versions = versions
         self._listener = listener
@@ -116,7 +116,7 @@
         found: set[str] = set()
         for service in self._fleet.services():
             backends = [b for b in self._fleet.of(service) if not b.retired]
-            if self._knowledge.engine(service) is None:
+            if self._config_view.engine(service) is None:
                 # Nobody tells of these; there are a few of them.
                 found.update(b.server.server_id for b in backends)
             else:
@@ -149,7 +149,7 @@
         """Returns for each model server whether a request may begin there."""
         found: dict[str, bool] = {}
         for service in self._fleet.services():
-            engine = self._knowledge.engine(service)
+            engine = self._config_view.engine(service)
             if engine is None:
                 continue
             model = engine.models[0] if engine.models else ""
@@ -174,7 +174,7 @@
                 limits.get(backend.server.server_id),
             )
             for backend in self._fleet.all()
-            if self._knowledge.engine(backend.server.service) is not None
+            if self._config_view.engine(backend.server.service) is not None
         }
 
     def _limits(self) -> dict[str, rate_limit.Observation]:
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -110,13 +110,13 @@
         )
         self.place = site.place(number)
         balancer = balance.Balancer(self.fleet, self.place, REGIONS, rng, clock)
-        knowledge = admit.Knowledge(
+        config_view = admit.ConfigView(
             catalog.Catalog(site.configuration), lambda: 0.0, 5.0, 3.0
         )
-        self.callers_time = admit.CallersTime()
+        self.caller_timeouts = admit.CallerTimeouts()
         more = {} if terms is None else {"engine_policy": terms}
         self.placer = placement.Placer(
-            knowledge,
+            config_view,
             balancer,
             versions.Versions(8.0, clock),
             rng,
@@ -299,7 +299,7 @@
             SERVICE,
             None,
             now + left_s,
-            entry.callers_time.spent_s(route.name, left_s),
+            entry.caller_timeouts.spent_s(route.name, left_s),
         )
         try:
             async with asyncio.timeout(min(left_s, PATIENCE_S)):
--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -150,7 +150,7 @@
         place = places.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         finder = placement.Placer(
-            admit.Knowledge(None, lambda: 0.0, 1.0, 1.0),
+            admit.ConfigView(None, lambda: 0.0, 1.0, 1.0),
             chooser,
             versions.Versions(8.0, loop.time),
             random.Random(1),
--- a/tests/test_direct_entry.py
+++ b/tests/test_direct_entry.py
@@ -483,7 +483,7 @@
 def test_a_process_that_knows_no_configuration_says_not_yet():
     async def play():
         async with sites.Site("i-1") as site:
-            site.entry._knowledge.catalog = None
+            site.entry._config_view.catalog = None
             return (await site.ask()).status, site.entry.ready
 
     assert sites.run(play()) == (503, False)
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -246,7 +246,7 @@
                 regions=overload_site.REGIONS,
                 peer_ports=(7_700, 7_715),
             ),
-            admit.Knowledge(
+            admit.ConfigView(
                 catalog.Catalog(site.configuration), lambda: 0.0, 5.0, 3.0
             ),
             entry.fleet,
--- a/tests/test_direct_overload.py
+++ b/tests/test_direct_overload.py
@@ -220,13 +220,13 @@
     been turned away before. Cause: its patience, not a refusal, made the
     difference.
     """
-    found = admit.CallersTime()
+    found = admit.CallerTimeouts()
     assert found.spent_s("r", 6.0) == 0.0
     assert found.spent_s("r", 5.12) == 0.0
 
 
 def test_callers_that_were_turned_away_have_spent_time():
-    found = admit.CallersTime()
+    found = admit.CallerTimeouts()
     found.spent_s("r", 6.0)
-    least_s = admit.LEAST_RETURN_SHARE * 6.0
+    least_s = admit.MIN_RETRY_SHARE * 6.0
     assert found.spent_s("r", 6.0 - least_s - 0.01) > least_s
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -163,7 +163,7 @@
             assert (await site.ask()).status == 200
             site.store.put("keyed.op", "config", platform_site.config(7))
             await asyncio.sleep(1.0)
-            assert site.entry._knowledge.catalog.version == 7
+            assert site.entry._config_view.catalog.version == 7
             assert not site.entry.crashed
 
     platform_site.run(play())
--- a/tests/test_platform_pages.py
+++ b/tests/test_platform_pages.py
@@ -42,7 +42,7 @@
             for _ in range(50):
                 await asyncio.sleep(0.1)
                 told.add((await site.ask(key=sites.KEY)).status)
-            version = site.entry._knowledge.catalog.version
+            version = site.entry._config_view.catalog.version
             return first.status, told, version
 
     first, told, version = sites.run(play())
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -70,7 +70,7 @@
 
     def versions(self):
         """Returns which configuration each entry has."""
-        catalogs = [entry._knowledge.catalog for entry in self.entries]
+        catalogs = [entry._config_view.catalog for entry in self.entries]
         return [catalog.version if catalog else None for catalog in catalogs]
 
     async def until(self, version, most_s):
