--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -20,7 +20,7 @@
 from clementinegw.direct import raw
 from clementinegw.direct import relay
 from clementinegw.direct import reports
-from clementinegw.direct import starts
+from clementinegw.direct import server_records
 from clementinegw.direct import suspects
 from clementinegw.direct import types
 from clementinegw.telemetry import counters as counters_lib
@@ -126,7 +126,7 @@
             self._declared,
         )
         self._known = asyncio.Event()
-        self._starts = starts.Starts(log)
+        self._server_records = server_records.ServerRecords(log)
 
     async def on_start(self) -> None:
         """Listens for peers and entries, and follows the platform."""
@@ -273,7 +273,7 @@
         if not isinstance(record.value, types.Server):
             self._around.servers.pop(record.key, None)
             return
-        server = self._starts.take(record.value)
+        server = self._server_records.accept(record.value)
         if server is not None and server.service == self._instance.service:
             # The one that was heard of last stands last.
             self._around.servers.pop(record.key, None)
--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -241,7 +241,7 @@
             return outcomes.Lost(outcomes.LostReason.CROSSED)
         if head.status != _MISDIRECTED:
             # Another start of a server may answer with that status.
-            backend.signals.take(facts, sent_at, now)
+            backend.signals.apply(facts, sent_at, now)
         if facts.not_run or head.status == _MISDIRECTED:
             if head.status == _MISDIRECTED and facts.server_id:
                 backend.record_identity(facts.server_id)
--- a/src/clementinegw/direct/backend.py
+++ b/src/clementinegw/direct/backend.py
@@ -154,7 +154,7 @@
         reads = interval_s / reading_s if reading_s else math.inf
         self._update_share(report, reads)
         if report.limit is not None:
-            self.signals.take_relayed(report.limit)
+            self.signals.apply_relayed(report.limit)
         if 0 <= report.follower_rank < report.followers:
             self.signals.position = rate_limit.Position(
                 report.follower_rank, report.followers
--- a/src/clementinegw/direct/budget.py
+++ b/src/clementinegw/direct/budget.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Terms:
+class Limits:
     """What the operators allow.
 
     Attributes:
@@ -27,7 +27,7 @@
 # The part of the slack that all entries take together, and for how many
 # entries it is shared while nobody has told their number.
 _SLACK_SHARE = 0.7
-_MOST_ENTRIES = 50
+_ASSUMED_ENTRIES = 50
 # Requests stay in the window that they are counted in a little shorter than
 # the sends that they pay for, so that a late count never allows too much.
 _RATIO_SHARE = 0.9
@@ -36,30 +36,30 @@
 class RetryBudget:
     """The repeated sends of one service."""
 
-    def __init__(self, terms: Terms):
-        self.terms = terms
+    def __init__(self, limits: Limits):
+        self.limits = limits
         self._requests: collections.deque[float] = collections.deque()
-        self._repeats: collections.deque[float] = collections.deque()
+        self._retries: collections.deque[float] = collections.deque()
         self.entries = 0
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Counts a caller's request."""
         self._requests.append(now)
-        self._forget(now)
+        self._expire(now)
 
-    def allow(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Counts one repeated send; False when it is over the limit."""
-        self._forget(now)
-        earned = len(self._requests) * self.terms.ratio * _RATIO_SHARE
-        slack = self.terms.slack * _SLACK_SHARE
-        limit = earned + slack / (self.entries or _MOST_ENTRIES)
-        if len(self._repeats) + 1 > limit:
+        self._expire(now)
+        earned = len(self._requests) * self.limits.ratio * _RATIO_SHARE
+        slack = self.limits.slack * _SLACK_SHARE
+        limit = earned + slack / (self.entries or _ASSUMED_ENTRIES)
+        if len(self._retries) + 1 > limit:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        start = now - self.terms.window_s
-        for times in (self._requests, self._repeats):
+    def _expire(self, now: float) -> None:
+        start = now - self.limits.window_s
+        for times in (self._requests, self._retries):
             while times and times[0] < start:
                 times.popleft()
--- a/src/clementinegw/direct/client.py
+++ b/src/clementinegw/direct/client.py
@@ -14,7 +14,7 @@
 from clementinegw import exceptions
 from clementinegw import types
 from clementinegw.direct import channel as channels
-from clementinegw.direct import patience as patience_lib
+from clementinegw.direct import timeouts as timeouts_lib
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -263,17 +263,19 @@
         headers: Headers,
         body: bytes,
         limit: int,
-        patience: patience_lib.Patience,
+        timeouts: timeouts_lib.Timeouts,
     ) -> tuple[int, bytes]:
         """Makes one call and returns status and body.
 
         Raises:
           ConnectFailed: No connection: nothing was sent.
           AnswerBroken: The answer is not whole, or over `limit` bytes.
-          TimeoutError: The patience was over.
+          TimeoutError: A timeout expired.
         """
-        async with patience_lib.Watch(patience) as watch:
-            return await self._call(method, target, headers, body, limit, watch)
+        async with timeouts_lib.Watchdog(timeouts) as watchdog:
+            return await self._call(
+                method, target, headers, body, limit, watchdog
+            )
 
     async def _call(
         self,
@@ -282,15 +284,15 @@
         headers: Headers,
         body: bytes,
         limit: int,
-        watch: patience_lib.Watch,
+        watchdog: timeouts_lib.Watchdog,
     ) -> tuple[int, bytes]:
         connection, _ = await self.take()
         whole = False
         try:
             await connection.send(method, target, headers, body)
             head = await connection.head()
-            watch.begun()
-            data = await connection.body(limit, watch.heard)
+            watchdog.head_received()
+            data = await connection.body(limit, watchdog.body_progress)
             whole = True
             return head.status, data
         finally:
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -204,7 +204,7 @@
         bounds = instance.bounds
         self._config_view.max_key_age_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
         self._versions.due_s = bounds.weights_ms / 1e3
-        self._fleet.ran_out.terms = _fleet_terms(bounds)
+        self._fleet.listing_expiry.terms = _fleet_terms(bounds)
         self._forwarder.set_terms(_terms(bounds))
 
     async def drain(self) -> None:
@@ -234,25 +234,25 @@
     async def _keep_house(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(_HOUSEKEEPING_S)
-            self._fleet.settle(self._listing.settled_s, self._clock())
+            self._fleet.drop_missing(self._listing.settled_s, self._clock())
             self._fleet.prune()
-            self._fleet.count_entries()
+            self._fleet.update_position()
             self._counters.gauge("direct.servers.limited", self._fleet.limited)
             self._forwarder.check_clock()
-            self._subscriptions.look()
+            self._subscriptions.refresh()
             self._tell_ready()
 
     @mode.Service.task
     async def _subscribe(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(_SUBSCRIBE_S)
-            self._subscriptions.ask_all()
+            self._subscriptions.renew()
 
     def _on_report(self, host: str, report: reports.Report) -> None:
         if report.ages_s:
             changes = self._versions.told(report.model, report.ages_s)
             self._note_declared(changes)
-        backend = self._fleet.reported(report, host)
+        backend = self._fleet.match_report(report, host)
         if backend is None:
             return
         backend.apply_report(
@@ -338,7 +338,7 @@
             self._listing.away_s,
             self._clock(),
         )
-        self._subscriptions.ask_new()
+        self._subscriptions.subscribe_changed()
 
     def _max_connections(self, service: str) -> int:
         known = self._config_view.service(service)
@@ -349,7 +349,7 @@
     return outage.Terms(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
-def _terms(bounds: instances.Bounds) -> budget.Terms:
-    return budget.Terms(
+def _terms(bounds: instances.Bounds) -> budget.Limits:
+    return budget.Limits(
         bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
     )
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -12,20 +12,20 @@
 from clementinegw.direct import outage
 from clementinegw.direct import rate_limit
 from clementinegw.direct import reports
+from clementinegw.direct import server_records
 from clementinegw.direct import signals as signals_lib
-from clementinegw.direct import starts
 from clementinegw.direct import types
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
 # How long a connection may take to come up, in seconds: some round trips
 # between regions, and less than the objective of the quickest requests.
-_CONNECT_S = 0.25
+_CONNECT_TIMEOUT_S = 0.25
 # The longest that a connection stays idle, in seconds.
-_IDLE_S = 8.0
+_MAX_IDLE_S = 8.0
 # The part of a server's connections that one entry takes.
 _CONNECTION_SHARE = 1 / 12
-_FEWEST_CONNECTIONS = 4
+_MIN_CONNECTIONS = 4
 
 
 class Fleet:
@@ -56,19 +56,19 @@
           counters: Counts what servers report of themselves.
         """
         self._position = rate_limit.Position.assumed(entry)
-        self._signals = signals_lib.Board(
+        self._signals = signals_lib.Registry(
             lambda: self._position,
             wall_clock,
             log,
             counters or counters_lib.Counters(),
         )
-        self.ran_out = outage.RanOut(terms or outage.Terms())
+        self.listing_expiry = outage.RanOut(terms or outage.Terms())
         self._log = log
         self._rng = rng
         self._max_connections = max_connections
         self._backends: dict[str, backend_lib.Backend] = {}
         self._of_service: dict[str, list[backend_lib.Backend]] = {}
-        self._starts = starts.Starts(log)
+        self._server_records = server_records.ServerRecords(log)
 
     def all(self) -> Iterable[backend_lib.Backend]:
         """Returns every backend server."""
@@ -91,7 +91,7 @@
         """Returns a backend server by its id."""
         return self._backends.get(server_id)
 
-    def reported(
+    def match_report(
         self, report: reports.Report, host: str
     ) -> backend_lib.Backend | None:
         """Returns the start that a report is of; None for any other.
@@ -134,20 +134,22 @@
         gone = {key for key, value in last.items() if value is None}
         if whole:
             gone |= set(self._backends) - set(last)
-        left_s = self.ran_out.terms.back_s - settled_s
-        if not self.ran_out.seems(gone, set(self._backends), left_s, away_s):
+        left_s = self.listing_expiry.terms.back_s - settled_s
+        if not self.listing_expiry.seems(
+            gone, set(self._backends), left_s, away_s
+        ):
             left_s = 0.0
         for record in batch.records:
             if isinstance(record.value, types.Server):
-                self._seen(record.key, record.value)
+                self._apply_listed(record.key, record.value)
             elif record.value is not None and record.key in self._backends:
                 # What the platform lists there now is no server to send to.
                 self._drop(record.key)
         for key in gone & set(self._backends):
-            self._vanished(key, now, left_s)
-        self._index()
+            self._apply_unlisted(key, now, left_s)
+        self._rebuild_index()
 
-    def count_entries(self) -> None:
+    def update_position(self) -> None:
         """Finds this entry's position among all entries.
 
         The agent that knows of most entries is believed: one that is cut off or
@@ -164,34 +166,34 @@
             default=self._position,
         )
 
-    def follow(self, server_ids: Collection[str], now: float) -> None:
+    def set_followed(self, server_ids: Collection[str], now: float) -> None:
         """Says which servers this entry is told of, and may send to."""
         for key, backend in self._backends.items():
             backend.set_followed(key in server_ids, now)
 
-    def settle(self, settled_s: float, now: float = 0.0) -> None:
+    def drop_missing(self, settled_s: float, now: float = 0.0) -> None:
         """Drops what is still missing once the platform is back for good.
 
         Args:
           settled_s: How long the platform has answered without failure.
           now: Monotonic seconds.
         """
-        settled = settled_s >= self.ran_out.terms.back_s
+        settled = settled_s >= self.listing_expiry.terms.back_s
         for key, backend in list(self._backends.items()):
             if backend.missing and (settled or now >= backend.missing_until):
                 self._drop(key)
-        self._index()
+        self._rebuild_index()
 
     def prune(self) -> None:
         """Closes connections that are over their time."""
         for backend in self._backends.values():
             backend.pool.prune()
 
-    def _seen(self, key: str, listed: types.Server) -> None:
-        server = self._starts.take(listed)
+    def _apply_listed(self, key: str, listed: types.Server) -> None:
+        server = self._server_records.accept(listed)
         if server is None:
             return
-        signals = self._signals.of(server.start)
+        signals = self._signals.get(server.start)
         backend = self._backends.get(key)
         if backend is not None and not backend.server.start.same(server.start):
             # What was seen of one start says nothing of the next; requests
@@ -202,13 +204,13 @@
             pool = self._pool(server)
             backend = backend_lib.Backend(server, pool, self._rng, signals)
             self._backends[key] = backend
-            self._tell(server)
+            self._log_listed(server)
         elif backend.server.address != server.address:
             backend.pool.close()
             backend.pool = self._pool(server)
         changed = backend.server != server
         if changed:
-            self._tell(server)
+            self._log_listed(server)
             backend.weights_incomplete = False
             backend.replaced = False
             backend.version = 0
@@ -217,10 +219,12 @@
 
     def _pool(self, server: types.Server) -> client.Pool:
         share = self._max_connections(server.service) * _CONNECTION_SHARE
-        most = max(_FEWEST_CONNECTIONS, int(share))
-        return client.Pool(server.address, most, _CONNECT_S, _IDLE_S)
+        most = max(_MIN_CONNECTIONS, int(share))
+        return client.Pool(
+            server.address, most, _CONNECT_TIMEOUT_S, _MAX_IDLE_S
+        )
 
-    def _vanished(self, key: str, now: float, left_s: float) -> None:
+    def _apply_unlisted(self, key: str, now: float, left_s: float) -> None:
         backend = self._backends[key]
         # A listing that ran out while the platform was away says nothing of
         # the server; without it all servers would be given up at once.
@@ -239,13 +243,13 @@
         server = backend.server
         self._log.write(_events.SERVER_GONE, server=key, service=server.service)
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self._of_service = {}
         for backend in self._backends.values():
             service = backend.server.service
             self._of_service.setdefault(service, []).append(backend)
 
-    def _tell(self, server: types.Server) -> None:
+    def _log_listed(self, server: types.Server) -> None:
         self._log.write(
             _events.SERVER_LISTED,
             server=server.server_id,
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -57,7 +57,7 @@
         config_view: admit.ConfigView,
         balancer: balance.Balancer,
         versions: versions_lib.Versions,
-        terms: budgets.Terms,
+        terms: budgets.Limits,
         rng: random.Random,
         clock: Callable[[], float],
         log: logs.Log,
@@ -141,7 +141,7 @@
             timeout_s = min(timeout_s, facts.timeout_s)
         spent_s = self._caller_timeouts.spent_s(route.name, facts.timeout_s)
         service = balance.draw_service(route, self._rng)
-        self._budget(service).request(self._clock())
+        self._budget(service).record_request(self._clock())
         return attempts.Job(
             request,
             facts,
@@ -194,7 +194,9 @@
     async def _send(
         self, job: attempts.Job, backend: backend_lib.Backend
     ) -> outcomes.Attempt | outcomes.Refusal:
-        if job.sends and not self._budget(job.service).allow(self._clock()):
+        if job.sends and not self._budget(job.service).try_acquire(
+            self._clock()
+        ):
             return self._placer.refuse(job, Reason.NO_BUDGET)
         now = self._clock()
         model = self._placer.model(job)
@@ -248,11 +250,11 @@
         """Takes in what other entries saw of requests that crash servers."""
         self._suspects.take(suspicions, self._clock())
 
-    def set_terms(self, terms: budgets.Terms) -> None:
+    def set_terms(self, terms: budgets.Limits) -> None:
         """Takes over what the operators allow of repeated sends."""
         self._terms = terms
         for found in self._budgets.values():
-            found.terms = terms
+            found.limits = terms
 
     def _note(
         self,
--- a/src/clementinegw/direct/queue.py
+++ b/src/clementinegw/direct/queue.py
@@ -80,7 +80,7 @@
         self, backend: backend_lib.Backend, on_release: Callable[[], None]
     ):
         self.backend = backend
-        self.permitted = backend.signals.limiter.take()
+        self.permitted = backend.signals.limiter.take_slot()
         self._on_release = on_release
         self._held = True
         backend.begin_request()
--- a/src/clementinegw/direct/rate_limit.py
+++ b/src/clementinegw/direct/rate_limit.py
@@ -25,7 +25,7 @@
 _VALID_SLOTS = 2.0
 # Lower limits count as this one, in requests a second. A server that reports
 # 0 gets a probe from time to time, which shows when the limit has ended.
-_LEAST_PER_S = 0.1
+_MIN_PER_S = 0.1
 # How many entries are assumed while no agent reports their number.
 _ASSUMED_ENTRIES = 50
 
@@ -76,7 +76,7 @@
         position: Callable[[], Position],
         wall_clock: Callable[[], float],
     ):
-        """Limits nothing before `report`.
+        """Limits nothing before `set_limit`.
 
         Args:
           server_id: The server; the slots of several servers are offset.
@@ -99,17 +99,17 @@
         """The limit in force, in requests a second; None without one."""
         return self._per_s
 
-    def report(self, per_s: float | None) -> None:
+    def set_limit(self, per_s: float | None) -> None:
         """Takes over the limit that the server reports; None ends it."""
         if per_s is not None:
-            per_s = max(per_s, _LEAST_PER_S)
+            per_s = max(per_s, _MIN_PER_S)
         self._per_s = per_s
 
     def is_open(self) -> bool:
         """Returns whether a request may be sent now."""
         return self._per_s is None or self._next_slot() <= self._now_slot()
 
-    def take(self) -> bool:
+    def take_slot(self) -> bool:
         """Uses up a slot; returns whether a limit is in force."""
         if self._per_s is None:
             return False
--- a/src/clementinegw/direct/starts.py
+++ b/src/clementinegw/direct/server_records.py
@@ -14,67 +14,71 @@
 
 # Starts that are remembered, also after they are gone: some times the servers
 # of a large deployment, at about 200 bytes each.
-_MOST_KEPT = 4_096
+_MAX_SERVERS = 4_096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Mark:
+class _Newest:
     """The newest record of a server."""
 
-    born: int
+    started_ms: int
     sequence: int
     leaving: bool
 
 
-class Starts:
+class ServerRecords:
     """What was last believed of every server, by its id."""
 
     def __init__(self, log: logs.Log):
         self._log = log
-        self._marks: collections.OrderedDict[str, _Mark]
-        self._marks = collections.OrderedDict()
+        self._newest: collections.OrderedDict[str, _Newest]
+        self._newest = collections.OrderedDict()
 
-    def take(self, server: types.Server) -> types.Server | None:
+    def accept(self, server: types.Server) -> types.Server | None:
         """Takes a record in and returns what it says; None for an older one.
 
         Starts of one id are ordered by when they were born, the records of one
         start by their sequence. A start that has said it leaves never takes
         that back.
         """
-        mark = self._marks.get(server.server_id)
-        if mark is not None and _is_older(server, mark):
+        newest = self._newest.get(server.server_id)
+        if newest is not None and _is_older(server, newest):
             self._log.write(
                 _events.SERVER_RECORD_OLD,
                 server=server.server_id,
                 born=server.born,
                 sequence=server.sequence,
-                known=dataclasses.astuple(mark),
+                known=dataclasses.astuple(newest),
             )
             return None
-        if mark is not None and _one_start(server, mark):
+        if newest is not None and _is_same_start(server, newest):
             server = dataclasses.replace(
                 server,
-                leaving=server.leaving or mark.leaving,
-                born=server.born or mark.born,
+                leaving=server.leaving or newest.leaving,
+                born=server.born or newest.started_ms,
             )
-        self._marks[server.server_id] = _Mark(
+        self._newest[server.server_id] = _Newest(
             server.born, server.sequence, server.leaving
         )
-        self._marks.move_to_end(server.server_id)
-        while len(self._marks) > _MOST_KEPT:
-            self._marks.popitem(last=False)
+        self._newest.move_to_end(server.server_id)
+        while len(self._newest) > _MAX_SERVERS:
+            self._newest.popitem(last=False)
         return server
 
 
-def _one_start(server: types.Server, mark: _Mark) -> bool:
+def _is_same_start(server: types.Server, newest: _Newest) -> bool:
     """Returns whether a record is of the start that is known.
 
     Without a time of birth the id alone names the start.
     """
-    return not server.born or not mark.born or server.born == mark.born
+    return (
+        not server.born
+        or not newest.started_ms
+        or server.born == newest.started_ms
+    )
 
 
-def _is_older(server: types.Server, mark: _Mark) -> bool:
-    if _one_start(server, mark):
-        return server.sequence < mark.sequence
-    return server.born < mark.born
+def _is_older(server: types.Server, newest: _Newest) -> bool:
+    if _is_same_start(server, newest):
+        return server.sequence < newest.sequence
+    return server.born < newest.started_ms
--- a/src/clementinegw/direct/signals.py
+++ b/src/clementinegw/direct/signals.py
@@ -19,10 +19,10 @@
 _RELAY_FOR_S = 10.0
 # The longest pause that a server may ask for, in seconds: a faulty value must
 # not take it out for ever.
-_LONGEST_BACKOFF_S = 300.0
+_MAX_BACKOFF_S = 300.0
 # Starts that are remembered, also after they are gone from the list: some
 # times the servers of a large deployment.
-_MOST_KEPT = 4_096
+_MAX_STARTS = 4_096
 
 
 class Signals:
@@ -64,7 +64,7 @@
         self._limit_at = -math.inf
         self._malformed: frozenset[str] = frozenset()
 
-    def observed(self, now: float) -> rate_limit.Observation | None:
+    def recent_observation(self, now: float) -> rate_limit.Observation | None:
         """Returns what answers to this entry reported of the rate limit.
 
         Only own observations are relayed: relayed twice, an observation would
@@ -74,7 +74,7 @@
             return None
         return self._observed
 
-    def take(
+    def apply(
         self, facts: types.AnswerFacts, sent_at: float, now: float
     ) -> None:
         """Takes in what an answer reports.
@@ -84,15 +84,15 @@
           sent_at: When its request was sent, in monotonic seconds.
           now: Monotonic seconds.
         """
-        self._note_malformed(facts.malformed)
+        self._log_malformed(facts.malformed)
         if facts.leaving:
-            self._take_leaving()
+            self._apply_leaving()
         if facts.backoff_s:
-            self._take_backoff(min(facts.backoff_s, _LONGEST_BACKOFF_S), now)
+            self._apply_backoff(min(facts.backoff_s, _MAX_BACKOFF_S), now)
         if "limit_per_s" not in facts.malformed:
-            self._take_limit(facts.limit_per_s, sent_at, now)
+            self._apply_limit(facts.limit_per_s, sent_at, now)
 
-    def _take_leaving(self) -> None:
+    def _apply_leaving(self) -> None:
         if self.leaving:
             return
         self.leaving = True
@@ -103,7 +103,7 @@
             born=self.start.born,
         )
 
-    def _take_backoff(self, backoff_s: float, now: float) -> None:
+    def _apply_backoff(self, backoff_s: float, now: float) -> None:
         if self.backoff_until <= now:
             self._counters.add("direct.server_backoff")
             self._log.write(
@@ -116,7 +116,7 @@
         # later does not end a longer one.
         self.backoff_until = max(self.backoff_until, now + backoff_s)
 
-    def _take_limit(
+    def _apply_limit(
         self, per_s: float | None, sent_at: float, now: float
     ) -> None:
         if per_s is None and sent_at <= self._limit_at:
@@ -128,7 +128,7 @@
         self._observed = rate_limit.Observation(self.start, per_s, now)
         self._set_limit(self._observed, "answer")
 
-    def take_relayed(self, observation: rate_limit.Observation) -> None:
+    def apply_relayed(self, observation: rate_limit.Observation) -> None:
         """Takes in an observation of another entry, relayed by the agent."""
         same = self.start.same(observation.start)
         if same and observation.at > self._limit_at:
@@ -139,7 +139,7 @@
     ) -> None:
         self._limit_at = observation.at
         was = self.limiter.per_s
-        self.limiter.report(observation.per_s)
+        self.limiter.set_limit(observation.per_s)
         self.limited = observation.per_s is not None
         if self.limiter.per_s != was:
             self._counters.add("direct.server_limit.changed")
@@ -153,7 +153,7 @@
                 source=source,
             )
 
-    def _note_malformed(self, fields: frozenset[str]) -> None:
+    def _log_malformed(self, fields: frozenset[str]) -> None:
         """Logs fields that cannot be read, once until they can be."""
         for field in fields - self._malformed:
             self._log.write(
@@ -167,7 +167,7 @@
         self._malformed = fields
 
 
-class Board:
+class Registry:
     """The signals of all starts."""
 
     def __init__(
@@ -189,12 +189,12 @@
         self._wall_clock = wall_clock
         self._log = log
         self._counters = counters
-        self._kept: collections.OrderedDict[str, Signals]
-        self._kept = collections.OrderedDict()
+        self._by_server: collections.OrderedDict[str, Signals]
+        self._by_server = collections.OrderedDict()
 
-    def of(self, start: types.Start) -> Signals:
+    def get(self, start: types.Start) -> Signals:
         """Returns the signals of a start; new ones for one not seen before."""
-        found = self._kept.get(start.server_id)
+        found = self._by_server.get(start.server_id)
         if found is None or not found.start.same(start):
             found = Signals(
                 start,
@@ -203,11 +203,11 @@
                 self._log,
                 self._counters,
             )
-            self._kept[start.server_id] = found
+            self._by_server[start.server_id] = found
         elif start.born:
             # The platform's list may name a start before its birth is known.
             found.start = start
-        self._kept.move_to_end(start.server_id)
-        while len(self._kept) > _MOST_KEPT:
-            self._kept.popitem(last=False)
+        self._by_server.move_to_end(start.server_id)
+        while len(self._by_server) > _MAX_STARTS:
+            self._by_server.popitem(last=False)
         return found
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -8,10 +8,10 @@
 from clementinegw.direct import backend as backend_lib
 from clementinegw.direct import balance
 from clementinegw.direct import fleet as fleets
-from clementinegw.direct import following
 from clementinegw.direct import instance as instances
 from clementinegw.direct import rate_limit
 from clementinegw.direct import reports
+from clementinegw.direct import subsetting
 from clementinegw.direct import suspects
 from clementinegw.direct import types
 from clementinegw.direct import versions as versions_lib
@@ -20,7 +20,7 @@
 
 # In how many rounds an agent that is asked for changes only is asked once: it
 # keeps such a subscription for twelve of them.
-_CHANGES_ROUNDS = 3
+_CHANGES_ONLY_ROUNDS = 3
 
 
 class Subscriptions:
@@ -38,7 +38,7 @@
         log: logs.Log,
         counters: counters_lib.Counters,
     ):
-        """Asks nobody before `ask_new` or `ask_all`.
+        """Asks nobody before `subscribe_changed` or `renew`.
 
         Args:
           instance: What the entry knows of itself.
@@ -60,59 +60,59 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._asked: dict[places.Address, reports.Asking] = {}
+        self._subscribed: dict[places.Address, reports.Asking] = {}
         self._followed: set[str] = set()
-        self._standing: dict[str, bool] = {}
+        self._serving: dict[str, bool] = {}
         self._relayed_limits: dict[str, rate_limit.Observation] = {}
         self._rounds = 0
 
-    def ask_all(self) -> None:
+    def renew(self) -> None:
         """Renews what is due; called about once a second."""
-        self._follow()
-        self._asked = self._agents()
+        self._update_followed()
+        self._subscribed = self._agents()
         self._rounds += 1
         suspicions = self._suspicions()
         asked = {
             agent: asking
-            for number, (agent, asking) in enumerate(self._asked.items())
+            for number, (agent, asking) in enumerate(self._subscribed.items())
             # What crashes servers is told to all agents at once.
             if suspicions
             or not asking.changes_only
-            or (number + self._rounds) % _CHANGES_ROUNDS == 0
+            or (number + self._rounds) % _CHANGES_ONLY_ROUNDS == 0
         }
         self._listener.subscribe(asked, self._declared(), suspicions)
 
-    def ask_new(self) -> None:
+    def subscribe_changed(self) -> None:
         """Asks agents that the entry has just come to need, without delay.
 
         An agent tells each entry its share of the free slots. After a loss of
         power it heard of the first entries only for a second, and each of them
         took half of the slots.
         """
-        self._follow()
+        self._update_followed()
         agents = self._agents()
         fresh = {
             agent: asking
             for agent, asking in agents.items()
-            if self._asked.get(agent) != asking
+            if self._subscribed.get(agent) != asking
         }
-        self._asked = agents
+        self._subscribed = agents
         if fresh:
             self._listener.subscribe(fresh, self._declared())
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Asks anew where other servers may begin a request than before."""
-        if self._find_standing() != self._standing or _values(
-            self._limits()
-        ) != _values(self._relayed_limits):
-            self.ask_new()
+        if self._find_serving() != self._serving or _rates(
+            self._observed_limits()
+        ) != _rates(self._relayed_limits):
+            self.subscribe_changed()
 
     def _declared(self) -> reports.Declared:
         return reports.Declared(self._versions.all(), self._versions.ages_s())
 
-    def _follow(self) -> None:
+    def _update_followed(self) -> None:
         """Chooses the servers that the entry sends to."""
-        self._standing = self._find_standing()
+        self._serving = self._find_serving()
         found: set[str] = set()
         for service in self._fleet.services():
             backends = [b for b in self._fleet.of(service) if not b.retired]
@@ -120,32 +120,32 @@
                 # Nobody tells of these; there are a few of them.
                 found.update(b.server.server_id for b in backends)
             else:
-                found |= following.followed(
+                found |= subsetting.select_followed(
                     self._instance.name, [self._candidate(b) for b in backends]
                 )
-        self._fleet.follow(found, self._clock())
+        self._fleet.set_followed(found, self._clock())
         if found != self._followed:
             self._followed = found
-            self._tell(found)
+            self._log_followed(found)
 
-    def _tell(self, found: set[str]) -> None:
+    def _log_followed(self, found: set[str]) -> None:
         self._counters.gauge("direct.servers.followed", len(found))
         self._log.write(
             _events.FOLLOWING_CHANGED,
             followed=len(found),
             listed=sum(1 for _ in self._fleet.all()),
-            serving=sum(self._standing.values()),
+            serving=sum(self._serving.values()),
         )
 
-    def _candidate(self, backend: backend_lib.Backend) -> following.Candidate:
+    def _candidate(self, backend: backend_lib.Backend) -> subsetting.Candidate:
         server_id = backend.server.server_id
-        return following.Candidate(
+        return subsetting.Candidate(
             server_id,
             not self._is_far(backend.server),
-            self._standing.get(server_id, False),
+            self._serving.get(server_id, False),
         )
 
-    def _find_standing(self) -> dict[str, bool]:
+    def _find_serving(self) -> dict[str, bool]:
         """Returns for each model server whether a request may begin there."""
         found: dict[str, bool] = {}
         for service in self._fleet.services():
@@ -166,7 +166,7 @@
     def _agents(self) -> dict[places.Address, reports.Asking]:
         """Returns where agents listen, and what each is asked for."""
         port = self._instance.peer_ports[0]
-        self._relayed_limits = limits = self._limits()
+        self._relayed_limits = limits = self._observed_limits()
         return {
             places.Address(backend.server.address.host, port): reports.Asking(
                 self._is_far(backend.server),
@@ -177,13 +177,13 @@
             if self._config_view.engine(backend.server.service) is not None
         }
 
-    def _limits(self) -> dict[str, rate_limit.Observation]:
+    def _observed_limits(self) -> dict[str, rate_limit.Observation]:
         """Returns what servers reported to this entry of their rate limits."""
         now = self._clock()
         return {
             backend.server.server_id: observed
             for backend in self._fleet.all()
-            if (observed := backend.signals.observed(now)) is not None
+            if (observed := backend.signals.recent_observation(now)) is not None
         }
 
     def _is_far(self, server: types.Server) -> bool:
@@ -196,7 +196,7 @@
         return distance > 1
 
 
-def _values(
+def _rates(
     limits: dict[str, rate_limit.Observation],
 ) -> dict[str, float | None]:
     """Returns limits without their times, which change with each answer."""
--- a/src/clementinegw/direct/following.py
+++ b/src/clementinegw/direct/subsetting.py
@@ -17,13 +17,13 @@
 # Up to so many servers are followed, all of them in a fleet that is no larger:
 # an entry sends ten requests a second or so, and among 24 servers there is one
 # with room as often as among 60.
-_MOST_NEAR = 24
+_MAX_NEAR = 24
 # So many servers of other regions at least: where the own region is full, load
 # leaves it; with fewer, entries that follow the same ones crowd there.
-_LEAST_FAR = 8
+_MIN_FAR = 8
 # So many that may begin a request at least. Where few have the version that is
 # demanded, all entries need those, wherever they are.
-_LEAST_SERVING = 8
+_MIN_SERVING = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,7 +41,9 @@
     serves: bool
 
 
-def followed(entry: str, candidates: Sequence[Candidate]) -> frozenset[str]:
+def select_followed(
+    entry: str, candidates: Sequence[Candidate]
+) -> frozenset[str]:
     """Returns the servers that an entry follows.
 
     Args:
@@ -49,11 +51,11 @@
       candidates: The servers of one service.
     """
     ranked = sorted(candidates, key=lambda c: _rank(entry, c.server_id))
-    near = [c for c in ranked if c.near][:_MOST_NEAR]
+    near = [c for c in ranked if c.near][:_MAX_NEAR]
     far = [c for c in ranked if not c.near]
-    found = near + far[: max(_LEAST_FAR, _MOST_NEAR - len(near))]
+    found = near + far[: max(_MIN_FAR, _MAX_NEAR - len(near))]
     chosen = {c.server_id for c in found}
-    missing = _LEAST_SERVING - sum(c.serves for c in found)
+    missing = _MIN_SERVING - sum(c.serves for c in found)
     more = [c for c in ranked if c.serves and c.server_id not in chosen]
     chosen.update(c.server_id for c in more[: max(0, missing)])
     return frozenset(chosen)
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -21,10 +21,10 @@
 from clementinegw.direct import catalog
 from clementinegw.direct import fleet as fleets
 from clementinegw.direct import follow
-from clementinegw.direct import following
 from clementinegw.direct import placement
 from clementinegw.direct import queue
 from clementinegw.direct import reports
+from clementinegw.direct import subsetting
 from clementinegw.direct import types
 from clementinegw.direct import versions
 from clementinegw.telemetry import logs
@@ -130,14 +130,16 @@
     def follow(self):
         """Follows some servers only, as the daemon does."""
         candidates = [
-            following.Candidate(
+            subsetting.Candidate(
                 backend.server.server_id,
                 backend.server.failure_domain == self.place.failure_domain,
                 True,
             )
             for backend in self.fleet.of(SERVICE)
         ]
-        self.fleet.follow(following.followed(self.name, candidates), 0.0)
+        self.fleet.set_followed(
+            subsetting.select_followed(self.name, candidates), 0.0
+        )
 
 
 class Site:
@@ -332,7 +334,7 @@
                 facts = types.AnswerFacts(
                     "a", True, False, limit_per_s=self.limits.get(number)
                 )
-                backend.signals.take(facts, sent_at, self._clock())
+                backend.signals.apply(facts, sent_at, self._clock())
             else:
                 caller.gap_s = max(caller.gap_s, self.now - last[0])
             last[0] = self.now
@@ -373,9 +375,9 @@
                 limit
                 for entry in self.entries
                 if (
-                    limit := entry.fleet.find(f"s{number}").signals.observed(
-                        self._clock()
-                    )
+                    limit := entry.fleet.find(
+                        f"s{number}"
+                    ).signals.recent_observation(self._clock())
                 )
             ]
             told_to = [
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -55,7 +55,7 @@
     ),
     "budget": (
         "src/clementinegw/direct/budget.py",
-        "if len(self._repeats) + 1 > limit:",
+        "if len(self._retries) + 1 > limit:",
         "if False:",
     ),
     "digest_check": (
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -361,9 +361,9 @@
     servers.apply(batch(("a", None), ("b", None)), False, 0.3)
     assert len(servers.of("engine")) == 2
     servers.apply(batch(("a", server("a"))), False, 1.5)
-    servers.settle(1.9)
+    servers.drop_missing(1.9)
     assert len(servers.of("engine")) == 2
-    servers.settle(3.0)
+    servers.drop_missing(3.0)
     assert [b.server.server_id for b in servers.of("engine")] == ["a"]
 
 
@@ -401,7 +401,7 @@
     for name in names:
         servers.apply(batch((name, None)), False, 0.3)
     assert len(servers.of("engine")) == 6
-    servers.settle(3.0)
+    servers.drop_missing(3.0)
     assert servers.of("engine") == []
 
 
@@ -510,28 +510,28 @@
     Sequence: every send of eight entries fails and each repeats as often as
     its budget allows. Cause: each entry used the whole slack.
     """
-    terms = budget.Terms(ratio=0.2, slack=104.0, window_s=10.0)
+    terms = budget.Limits(ratio=0.2, slack=104.0, window_s=10.0)
     repeats, requests = 0, 0
     for _ in range(8):
         one = budget.RetryBudget(terms)
         one.entries = 8
         for number in range(100):
             now = number * 0.1
-            one.request(now)
+            one.record_request(now)
             requests += 1
-            while one.allow(now):
+            while one.try_acquire(now):
                 repeats += 1
     assert repeats <= 0.2 * requests + 104.0
     assert repeats > 0.15 * requests
 
 
 def test_the_budget_comes_back_after_its_window():
-    one = budget.RetryBudget(budget.Terms(0.0, 100.0, 10.0))
+    one = budget.RetryBudget(budget.Limits(0.0, 100.0, 10.0))
     one.entries = 10
-    while one.allow(0.0):
+    while one.try_acquire(0.0):
         pass
-    assert not one.allow(9.9)
-    assert one.allow(10.1)
+    assert not one.try_acquire(9.9)
+    assert one.try_acquire(10.1)
 
 
 # Routes.
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -10,9 +10,9 @@
 
 from clementinegw.direct import admit
 from clementinegw.direct import catalog
-from clementinegw.direct import following
 from clementinegw.direct import reports
 from clementinegw.direct import subscriptions
+from clementinegw.direct import subsetting
 from clementinegw.direct import types as direct_types
 from clementinegw.direct import versions
 from clementinegw.telemetry import counters
@@ -27,7 +27,7 @@
 
 def servers_of(entry_domain, servers, serving=lambda n: True):
     return [
-        following.Candidate(f"s{n}", n % DOMAINS == entry_domain, serving(n))
+        subsetting.Candidate(f"s{n}", n % DOMAINS == entry_domain, serving(n))
         for n in range(servers)
     ]
 
@@ -37,13 +37,13 @@
     found = collections.Counter({f"s{n}": 0 for n in range(servers)})
     for number, entry in enumerate(entries):
         near = servers_of(number % DOMAINS, servers, serving)
-        found.update(following.followed(entry, near))
+        found.update(subsetting.select_followed(entry, near))
     return found
 
 
 def test_a_small_fleet_is_followed_whole():
     candidates = servers_of(0, 24)
-    assert len(following.followed("e", candidates)) == 24
+    assert len(subsetting.select_followed("e", candidates)) == 24
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
 )
 def test_servers_of_a_large_fleet_are_followed_about_alike(entries, servers):
     found = followers(servers, entries=ENTRIES[:entries])
-    each = len(following.followed("e", servers_of(0, servers)))
+    each = len(subsetting.select_followed("e", servers_of(0, servers)))
     assert each <= 32
     mean = statistics.fmean(found.values())
     # Chance spreads a few dozen followers by a fifth either way.
@@ -69,7 +69,7 @@
     for number, entry in enumerate(ENTRIES[:100]):
         if number % DOMAINS:
             near = servers_of(number % DOMAINS, 100)
-            found.update(following.followed(entry, near))
+            found.update(subsetting.select_followed(entry, near))
     assert min(found[f"s{n}"] for n in range(0, 100, DOMAINS)) >= 2
 
 
@@ -85,9 +85,11 @@
 
 def test_a_server_that_goes_changes_what_is_followed_by_one():
     candidates = servers_of(0, 100)
-    before = following.followed("e", candidates)
+    before = subsetting.select_followed("e", candidates)
     gone = next(c for c in candidates if c.server_id in before)
-    after = following.followed("e", [c for c in candidates if c != gone])
+    after = subsetting.select_followed(
+        "e", [c for c in candidates if c != gone]
+    )
     assert len(before - after) == 1
     assert len(after - before) <= 1
 
@@ -257,16 +259,16 @@
             logs.Log(),
             counters.Counters(),
         )
-        asking.ask_all()
+        asking.renew()
         left_out = next(b for b in entry.fleet.all() if not b.followed)
         known.declare(direct_types.Declared("m", 2))
         await asyncio.sleep(8.0)
-        asking.look()
+        asking.refresh()
         before = left_out.followed
         left_out.apply_report(
             reports.Report("x", 0, 0, 8, "m", 2, True), loop.time()
         )
-        asking.look()
+        asking.refresh()
         site.stop()
         return before, left_out.followed, listener.rounds
 
--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -140,25 +140,27 @@
 
 def test_the_newest_observation_of_any_entry_is_in_force():
     signals = new_signals()
-    signals.take(LIMITED, 9.0, 10.0)
-    signals.take_relayed(rate_limit.Observation(START, None, 9.5))
+    signals.apply(LIMITED, 9.0, 10.0)
+    signals.apply_relayed(rate_limit.Observation(START, None, 9.5))
     assert signals.limiter.per_s == 2.0
-    signals.take_relayed(rate_limit.Observation(NEXT_START, None, 11.0))
+    signals.apply_relayed(rate_limit.Observation(NEXT_START, None, 11.0))
     assert signals.limiter.per_s == 2.0
-    signals.take_relayed(rate_limit.Observation(START, None, 11.0))
+    signals.apply_relayed(rate_limit.Observation(START, None, 11.0))
     assert signals.limiter.per_s is None
 
 
 def test_only_what_a_server_told_an_entry_itself_is_passed_on():
     """Relayed twice it would seem newer each time, and never end."""
     signals = new_signals()
-    signals.take_relayed(rate_limit.Observation(START, 2.0, 10.0))
+    signals.apply_relayed(rate_limit.Observation(START, 2.0, 10.0))
     assert signals.limiter.per_s == 2.0
-    assert signals.observed(10.1) is None
-    signals.take(NONE, 10.2, 10.4)
+    assert signals.recent_observation(10.1) is None
+    signals.apply(NONE, 10.2, 10.4)
     assert signals.limiter.per_s is None
-    assert signals.observed(10.5) == rate_limit.Observation(START, None, 10.4)
-    assert signals.observed(60.0) is None
+    assert signals.recent_observation(10.5) == rate_limit.Observation(
+        START, None, 10.4
+    )
+    assert signals.recent_observation(60.0) is None
 
 
 def test_a_place_outside_the_entries_is_ignored():
--- a/tests/test_direct_reach.py
+++ b/tests/test_direct_reach.py
@@ -179,6 +179,6 @@
             for number in range(30):
                 await site.ask(path, attempt_id=f"b{number}")
             budget = site.entry._forwarder._budget("plain")
-            return len(budget._repeats), sum(len(s.calls) for s in site.servers)
+            return len(budget._retries), sum(len(s.calls) for s in site.servers)
 
     assert sites.run(play()) == (0, 0)
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -74,7 +74,7 @@
     facts = types.AnswerFacts(
         "a", True, False, limit_per_s=2.0, leaving=True, backoff_s=9.0
     )
-    backend.signals.take(facts, 9.0, 10.0)
+    backend.signals.apply(facts, 9.0, 10.0)
     backend.begin_request()
     backend.unread_tokens += 700
     backend.record_unreachable(10.0)
@@ -147,8 +147,8 @@
     backends = new_fleet()
     backend = listed(backends, server(2))
     told = report(born=born, version=2, whole=True)
-    assert backends.reported(told, "127.0.0.2") is None
-    assert (backends.reported(told, HOST) is backend) == taken
+    assert backends.match_report(told, "127.0.0.2") is None
+    assert (backends.match_report(told, HOST) is backend) == taken
     assert backend.retired == over
     if over:
         assert not listed(backends, server(3)).retired
@@ -182,7 +182,9 @@
 def test_a_server_that_leaves_goes_on_leaving_whatever_its_agent_tells():
     backends = new_fleet()
     backend = listed(backends, server(2, leaving=True))
-    backends.reported(report(born=2), HOST).apply_report(report(born=2), 1.0)
+    backends.match_report(report(born=2), HOST).apply_report(
+        report(born=2), 1.0
+    )
     assert backend.server.leaving
     assert backend.retired
 
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -46,7 +46,7 @@
     async def call(self, *args):
         """Hangs once the path is cut, as long as the caller has patience."""
         clock = asyncio.get_running_loop().time
-        patient_until = clock() + args[-1].first_s
+        patient_until = clock() + args[-1].head_s
         call = asyncio.ensure_future(self._call(*args))
         cut = asyncio.ensure_future(self._cut.wait())
         try:
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -10,16 +10,14 @@
 from clementinegw.direct import client
 from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
-from clementinegw.direct import patience as patience_lib
+from clementinegw.direct import timeouts as timeouts_lib
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
 _READERS = 8
 # Eight readings of the configuration take five seconds of it.
 _LINK_BYTES_PER_S = 700_000
-_PATIENCE = patience_lib.Patience(
-    first_s=1.0, silent_s=0.5, least_bytes_per_s=1_000
-)
+_TIMEOUTS = timeouts_lib.Timeouts(head_s=1.0, idle_s=0.5, min_bytes_per_s=1_000)
 
 
 def large_config():
@@ -154,7 +152,7 @@
         try:
             headers = [(b"host", b"h")]
             _, body = await pool.call(
-                "GET", "/", headers, b"", 1 << 20, _PATIENCE
+                "GET", "/", headers, b"", 1 << 20, _TIMEOUTS
             )
             return len(body), None, pool.open
         except TimeoutError:
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -33,7 +33,7 @@
         ]
         self.limiters = [self._limiter(n) for n in range(entries)]
         for limiter in self.limiters:
-            limiter.report(per_s)
+            limiter.set_limit(per_s)
 
     def _limiter(self, number):
         return rate_limit.Limiter(
@@ -48,7 +48,7 @@
         while self.now < until_s:
             for limiter in self.limiters:
                 if self._rng.random() < chance and limiter.is_open():
-                    assert limiter.take()
+                    assert limiter.take_slot()
                     self.sent_at.append(self.now)
             self.now += STEP_S
 
@@ -134,19 +134,19 @@
     fleet = Fleet(1, 1.0, seed=8)
     (limiter,) = fleet.limiters
     while limiter.is_open():
-        limiter.take()
+        limiter.take_slot()
     assert limiter.slots_within(0.1) == 0
-    limiter.report(None)
+    limiter.set_limit(None)
     assert limiter.is_open()
     assert limiter.slots_within(0.0) == math.inf
-    assert not limiter.take()
+    assert not limiter.take_slot()
 
 
 def test_slots_to_come_are_counted():
     fleet = Fleet(4, 2.0, seed=9)
     limiter = fleet.limiters[0]
     while limiter.is_open():
-        limiter.take()
+        limiter.take_slot()
     # A round of four entries at two a second takes two seconds.
     assert limiter.slots_within(2.0) == 1
     assert limiter.slots_within(4.0) == 2
