--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -117,7 +117,7 @@
             boot_clock,
         )
         self._operators, self._listing = topics.operators, topics.servers
-        self._knowledge = admit.Knowledge(
+        self._config_view = admit.ConfigView(
             None,
             lambda: self._operators.age_s,
             bounds.keys_ms / 1e3 * _KEYS_SHARE,
@@ -141,7 +141,7 @@
         self.histograms = histograms.Histograms()
         self._forwarder = forward.Forwarder(
             platform.dialect(),
-            self._knowledge,
+            self._config_view,
             self._balancer,
             self._versions,
             _terms(bounds),
@@ -160,7 +160,7 @@
         )
         self._subscriptions = subscriptions.Subscriptions(
             instance,
-            self._knowledge,
+            self._config_view,
             self._fleet,
             self._versions,
             self._reports,
@@ -178,7 +178,7 @@
         keys_s = self._instance.bounds.keys_ms / 1e3
         return (
             not self._leaving
-            and self._knowledge.catalog is not None
+            and self._config_view.catalog is not None
             and self._listing.known
             and self._operators.age_s < keys_s * _READY_SHARE
         )
@@ -202,9 +202,9 @@
         """Takes over a changed instance file; addresses stay as they are."""
         self._instance = instance
         bounds = instance.bounds
-        self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
+        self._config_view.max_key_age_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
         self._versions.due_s = bounds.weights_ms / 1e3
-        self._fleet.ran_out.terms = _fleet_terms(bounds)
+        self._fleet.listing_expiry.terms = _fleet_terms(bounds)
         self._forwarder.set_terms(_terms(bounds))
 
     async def drain(self) -> None:
@@ -234,28 +234,28 @@
     async def _keep_house(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(_HOUSEKEEPING_S)
-            self._fleet.settle(self._listing.settled_s, self._clock())
+            self._fleet.drop_missing(self._listing.settled_s, self._clock())
             self._fleet.prune()
-            self._fleet.count_entries()
+            self._fleet.update_position()
             self._counters.gauge("direct.servers.limited", self._fleet.limited)
             self._forwarder.check_clock()
-            self._subscriptions.look()
+            self._subscriptions.refresh()
             self._tell_ready()
 
     @mode.Service.task
     async def _subscribe(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(_SUBSCRIBE_S)
-            self._subscriptions.ask_all()
+            self._subscriptions.renew()
 
     def _on_report(self, host: str, report: reports.Report) -> None:
         if report.ages_s:
             changes = self._versions.told(report.model, report.ages_s)
             self._note_declared(changes)
-        backend = self._fleet.reported(report, host)
+        backend = self._fleet.match_report(report, host)
         if backend is None:
             return
-        backend.take_report(
+        backend.apply_report(
             report,
             self._clock(),
             self._reading_s(backend.server.service),
@@ -264,7 +264,7 @@
 
     def _reading_s(self, service: str) -> float:
         """Returns how long a usual prompt is read; 0 when that is unknown."""
-        engine = self._knowledge.engine(service)
+        engine = self._config_view.engine(service)
         if engine is None or not engine.prefill_tokens_per_s:
             return 0.0
         return engine.usual_prompt / engine.prefill_tokens_per_s
@@ -309,7 +309,7 @@
             self._forwarder.redate()
 
     def _take_configuration(self, configuration: types.Configuration) -> None:
-        catalog = self._knowledge.catalog
+        catalog = self._config_view.catalog
         if catalog is not None and configuration.version <= catalog.version:
             if configuration.version < catalog.version:
                 # Records may be read twice after the platform lost its
@@ -320,7 +320,7 @@
                     in_force=catalog.version,
                 )
             return
-        self._knowledge.catalog = catalogs.Catalog(configuration)
+        self._config_view.catalog = catalogs.Catalog(configuration)
         self._server.limits = configuration.limits
         self._log.write(
             _events.CONFIGURATION_TAKEN,
@@ -338,10 +338,10 @@
             self._listing.away_s,
             self._clock(),
         )
-        self._subscriptions.ask_new()
+        self._subscriptions.subscribe_changed()
 
     def _max_connections(self, service: str) -> int:
-        known = self._knowledge.service(service)
+        known = self._config_view.service(service)
         return known.max_connections if known else 32
 
 
@@ -349,7 +349,7 @@
     return outage.Terms(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
-def _terms(bounds: instances.Bounds) -> budget.Terms:
-    return budget.Terms(
+def _terms(bounds: instances.Bounds) -> budget.Limits:
+    return budget.Limits(
         bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
     )
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -14,7 +14,7 @@
 from clementinegw.direct import dialect as dialects
 from clementinegw.direct import finals
 from clementinegw.direct import outcomes
-from clementinegw.direct import placing
+from clementinegw.direct import placement
 from clementinegw.direct import recalls
 from clementinegw.direct import server as servers
 from clementinegw.direct import suspects as suspects_lib
@@ -54,10 +54,10 @@
     def __init__(
         self,
         dialect: dialects.Dialect,
-        knowledge: admit.Knowledge,
+        config_view: admit.ConfigView,
         balancer: balance.Balancer,
         versions: versions_lib.Versions,
-        terms: budgets.Terms,
+        terms: budgets.Limits,
         rng: random.Random,
         clock: Callable[[], float],
         log: logs.Log,
@@ -65,7 +65,7 @@
         histograms: histograms_lib.Histograms,
     ):
         self._dialect = dialect
-        self._knowledge = knowledge
+        self._config_view = config_view
         self._balancer = balancer
         self._versions = versions
         self._terms = terms
@@ -73,16 +73,18 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._placing = placing.Placing(
-            knowledge, balancer, versions, rng, clock
+        self._placer = placement.Placer(
+            config_view, balancer, versions, rng, clock
+        )
+        self._attempts = attempts.Attempts(
+            dialect, clock, self._placer.record_first_event
         )
-        self._attempts = attempts.Attempts(dialect, clock, self._placing.began)
         self._recalls = recalls.Recalls(versions, clock)
         self._finals = finals.Finals(
-            dialect, knowledge, clock, log, counters, histograms
+            dialect, config_view, clock, log, counters, histograms
         )
         self._budgets: dict[str, budgets.RetryBudget] = {}
-        self._callers_time = admit.CallersTime()
+        self._caller_timeouts = admit.CallerTimeouts()
         self._suspects = suspects_lib.Suspects()
 
     async def handle(
@@ -130,16 +132,16 @@
             return outcomes.Refusal(400, Reason.MALFORMED)
         if not facts.attempt_id:
             return outcomes.Refusal(400, Reason.MALFORMED)
-        matched = admit.match(self._knowledge, request, facts)
+        matched = admit.match(self._config_view, request, facts)
         if isinstance(matched, outcomes.Refusal):
             return matched
         route = matched.route
         timeout_s = route.timeout_s
         if facts.timeout_s is not None:
             timeout_s = min(timeout_s, facts.timeout_s)
-        spent_s = self._callers_time.spent_s(route.name, facts.timeout_s)
+        spent_s = self._caller_timeouts.spent_s(route.name, facts.timeout_s)
         service = balance.draw_service(route, self._rng)
-        self._budget(service).request(self._clock())
+        self._budget(service).record_request(self._clock())
         return attempts.Job(
             request,
             facts,
@@ -180,23 +182,25 @@
         self, job: attempts.Job
     ) -> outcomes.Attempt | outcomes.Refusal:
         if self._suspects.refused(job.request, job.caller, self._clock()):
-            return self._placing.unserved(job, Reason.CRASHES_SERVERS)
-        place = await self._placing.choose(job)
+            return self._placer.refuse(job, Reason.CRASHES_SERVERS)
+        place = await self._placer.reserve(job)
         if isinstance(place, outcomes.Refusal):
             return place
         try:
             return await self._send(job, place.backend)
         finally:
-            place.free()
+            place.release()
 
     async def _send(
         self, job: attempts.Job, backend: backend_lib.Backend
     ) -> outcomes.Attempt | outcomes.Refusal:
-        if job.sends and not self._budget(job.service).allow(self._clock()):
-            return self._placing.unserved(job, Reason.NO_BUDGET)
+        if job.sends and not self._budget(job.service).try_acquire(
+            self._clock()
+        ):
+            return self._placer.refuse(job, Reason.NO_BUDGET)
         now = self._clock()
-        model = self._placing.model(job)
-        held = backend.held(self._placing.layers(job.service))
+        model = self._placer.model(job)
+        held = backend.held_version(self._placer.layers(job.service))
         sending = types.Sending(
             backend.server.server_id,
             max(0.001, job.deadline - now - _WAY_BACK_S),
@@ -209,7 +213,7 @@
             job,
             backend,
             sending,
-            lambda: self._placing.elsewhere(job, backend),
+            lambda: self._placer.has_alternative(job, backend),
             self._recalls.new(model, held, job.match.route.idempotent),
         )
         if isinstance(outcome, outcomes.Delivered):
@@ -221,11 +225,11 @@
 
     def look(self) -> None:
         """Looks for room for those who wait; servers told of their load."""
-        self._placing.look()
+        self._placer.dispatch()
 
     def look_at(self, backend: backend_lib.Backend) -> None:
         """Looks for room for those who wait; one server told of its load."""
-        self._placing.look_at(backend)
+        self._placer.dispatch_for(backend)
 
     def redate(self) -> None:
         """Takes requests back by what is known of versions now."""
@@ -246,11 +250,11 @@
         """Takes in what other entries saw of requests that crash servers."""
         self._suspects.take(suspicions, self._clock())
 
-    def set_terms(self, terms: budgets.Terms) -> None:
+    def set_terms(self, terms: budgets.Limits) -> None:
         """Takes over what the operators allow of repeated sends."""
         self._terms = terms
         for found in self._budgets.values():
-            found.terms = terms
+            found.limits = terms
 
     def _note(
         self,
@@ -267,7 +271,7 @@
             if outcome.reason is outcomes.NotRunReason.WRONG_SERVER:
                 # Another start of a server, or of its weights: the list is
                 # behind, and catches up within a heartbeat.
-                backend.rest_until = now + _WRONG_SERVER_S
+                backend.cooldown_until = now + _WRONG_SERVER_S
         else:
             job.tried.add(backend.server.start)
         if not isinstance(outcome, outcomes.NotRun):
@@ -286,7 +290,7 @@
             outcome=type(outcome).__name__,
             reason=str(reason),
             sends=job.sends,
-            doubt=round(backend.doubt, 2),
+            doubt=round(backend.failure_rate, 2),
         )
 
     def _again(self, job: attempts.Job, outcome: outcomes.Attempt) -> bool:
@@ -296,7 +300,7 @@
         if job.sends >= _MOST_SENDS:
             return False
         if _unreached(outcome):
-            return self._placing.may_try(job)
+            return self._placer.may_reconnect(job)
         if isinstance(outcome, outcomes.NotRun):
             job.unsent += outcome.reason in _UNSENT
             return job.unsent < _MOST_SENDS
@@ -311,8 +315,8 @@
         if isinstance(outcome, outcomes.Failed):
             return outcome
         if _unreached(outcome):
-            return self._placing.out_of_reach(job)
-        return self._placing.unserved(job, Reason.ATTEMPTS_USED)
+            return self._placer.refuse_unreachable(job)
+        return self._placer.refuse(job, Reason.ATTEMPTS_USED)
 
     def _budget(self, service: str) -> budgets.RetryBudget:
         found = self._budgets.get(service)
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -21,10 +21,10 @@
 from clementinegw.direct import catalog
 from clementinegw.direct import fleet as fleets
 from clementinegw.direct import follow
-from clementinegw.direct import following
-from clementinegw.direct import placing
+from clementinegw.direct import placement
 from clementinegw.direct import queue
 from clementinegw.direct import reports
+from clementinegw.direct import subsetting
 from clementinegw.direct import types
 from clementinegw.direct import versions
 from clementinegw.telemetry import logs
@@ -110,13 +110,13 @@
         )
         self.place = site.place(number)
         balancer = balance.Balancer(self.fleet, self.place, REGIONS, rng, clock)
-        knowledge = admit.Knowledge(
+        config_view = admit.ConfigView(
             catalog.Catalog(site.configuration), lambda: 0.0, 5.0, 3.0
         )
-        self.callers_time = admit.CallersTime()
-        more = {} if terms is None else {"engine_terms": terms}
-        self.placing = placing.Placing(
-            knowledge,
+        self.caller_timeouts = admit.CallerTimeouts()
+        more = {} if terms is None else {"engine_policy": terms}
+        self.placer = placement.Placer(
+            config_view,
             balancer,
             versions.Versions(8.0, clock),
             rng,
@@ -130,14 +130,16 @@
     def follow(self):
         """Follows some servers only, as the daemon does."""
         candidates = [
-            following.Candidate(
+            subsetting.Candidate(
                 backend.server.server_id,
                 backend.server.failure_domain == self.place.failure_domain,
                 True,
             )
             for backend in self.fleet.of(SERVICE)
         ]
-        self.fleet.follow(following.followed(self.name, candidates), 0.0)
+        self.fleet.set_followed(
+            subsetting.select_followed(self.name, candidates), 0.0
+        )
 
 
 class Site:
@@ -299,14 +301,14 @@
             SERVICE,
             None,
             now + left_s,
-            entry.callers_time.spent_s(route.name, left_s),
+            entry.caller_timeouts.spent_s(route.name, left_s),
         )
         try:
             async with asyncio.timeout(min(left_s, PATIENCE_S)):
-                place = await entry.placing.choose(job)
+                place = await entry.placer.reserve(job)
         except TimeoutError:
             return None
-        if not isinstance(place, queue.Place):
+        if not isinstance(place, queue.Reservation):
             return place.retry_after_s
         await self._run(caller, entry, job, place, left_s)
         return None
@@ -328,11 +330,11 @@
                 caller.first_at = self.now + TRIP_S
                 backend.unread_tokens -= caller.prompt
                 job.first_answer_at = self._clock()
-                entry.placing.began(job)
+                entry.placer.record_first_event(job)
                 facts = types.AnswerFacts(
                     "a", True, False, limit_per_s=self.limits.get(number)
                 )
-                backend.signals.take(facts, sent_at, self._clock())
+                backend.signals.apply(facts, sent_at, self._clock())
             else:
                 caller.gap_s = max(caller.gap_s, self.now - last[0])
             last[0] = self.now
@@ -351,7 +353,7 @@
             engine.drop(work)
             if caller.first_at == math.inf:
                 backend.unread_tokens -= caller.prompt
-        place.free()
+        place.release()
 
     async def _hear(self, heard, ended):
         while not ended.is_set():
@@ -373,9 +375,9 @@
                 limit
                 for entry in self.entries
                 if (
-                    limit := entry.fleet.find(f"s{number}").signals.observed(
-                        self._clock()
-                    )
+                    limit := entry.fleet.find(
+                        f"s{number}"
+                    ).signals.recent_observation(self._clock())
                 )
             ]
             told_to = [
@@ -418,8 +420,8 @@
         )
         reading_s /= self.figures.prefill_tokens_per_s
         backend = entry.fleet.find(f"s{number}")
-        backend.take_report(report, self._clock(), reading_s)
-        entry.placing.look_at(backend)
+        backend.apply_report(report, self._clock(), reading_s)
+        entry.placer.dispatch_for(backend)
 
     def _spawn(self, coroutine):
         task = asyncio.ensure_future(coroutine)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -55,7 +55,7 @@
     ),
     "budget": (
         "src/clementinegw/direct/budget.py",
-        "if len(self._repeats) + 1 > limit:",
+        "if len(self._retries) + 1 > limit:",
         "if False:",
     ),
     "digest_check": (
@@ -80,7 +80,7 @@
         "return False",
     ),
     "true_refusal": (
-        "src/clementinegw/direct/placing.py",
+        "src/clementinegw/direct/placement.py",
         "if job.runs:\n            return outcomes.Refusal(_BAD_GATEWAY",
         "if False:\n            return outcomes.Refusal(_BAD_GATEWAY",
     ),
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -16,7 +16,7 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
 
-WANTED = balance.Wanted("engine")
+REQUIREMENTS = balance.Requirements("engine")
 
 
 def new_fleet(*names):
@@ -41,7 +41,7 @@
 def tell(backend, *times):
     for now in times:
         told = reports.Report(backend.server.server_id, 1, 0, 16)
-        backend.take_report(told, now)
+        backend.apply_report(told, now)
 
 
 def chosen(backends, now):
@@ -49,7 +49,7 @@
     chooser = balance.Balancer(
         backends, place, {}, random.Random(1), lambda: now
     )
-    found = {chooser.choose(WANTED) for _ in range(50)}
+    found = {chooser.choose(REQUIREMENTS) for _ in range(50)}
     return {backend.server.server_id for backend in found}
 
 
@@ -81,16 +81,16 @@
     backend = new_fleet("a").find("a")
     tell(backend, 10.0)
     backend.heard_at = heard_at
-    assert backend.silent(now) == silent
+    assert backend.is_silent(now) == silent
 
 
 def test_an_agent_that_tells_seldom_is_silent_later():
     backend = new_fleet("a").find("a")
     tell(backend, *[0.4 * number for number in range(20)])
-    assert not backend.silent(7.6 + 1.0)
-    assert backend.silent(7.6 + 1.3)
+    assert not backend.is_silent(7.6 + 1.0)
+    assert backend.is_silent(7.6 + 1.3)
     tell(backend, *[9.0 + 0.1 * number for number in range(20)])
-    assert backend.silent(10.9 + 0.5)
+    assert backend.is_silent(10.9 + 0.5)
 
 
 class Sent:
@@ -132,20 +132,20 @@
 
 def test_a_server_that_rests_is_tried_only_where_no_other_is_left():
     backends = new_fleet("resting", "well")
-    backends.find("resting").rest_until = 11.0
+    backends.find("resting").cooldown_until = 11.0
     now = [10.0]
     chooser = balance.Balancer(
         backends, places.Place("r", "d1"), {}, random.Random(1), lambda: now[0]
     )
-    assert chooser.choose(WANTED) is backends.find("well")
-    found = chooser.choose(WANTED, {types.Start("well")})
+    assert chooser.choose(REQUIREMENTS) is backends.find("well")
+    found = chooser.choose(REQUIREMENTS, {types.Start("well")})
     assert found is backends.find("resting")
-    chooser.sent(found)
-    assert chooser.choose(WANTED, {types.Start("well")}) is None
+    chooser.record_sent(found)
+    assert chooser.choose(REQUIREMENTS, {types.Start("well")}) is None
     now[0] = 10.3
-    assert chooser.choose(WANTED, {types.Start("well")}) is found
-    waited_for = dataclasses.replace(WANTED, resting=False)
+    assert chooser.choose(REQUIREMENTS, {types.Start("well")}) is found
+    waited_for = dataclasses.replace(REQUIREMENTS, allow_cooldown=False)
     assert chooser.choose(waited_for, {types.Start("well")}) is None
-    assert chooser.rested_in_s(WANTED) == 0.0
-    backends.find("well").rest_until = 10.5
-    assert chooser.rested_in_s(WANTED) == pytest.approx(0.2)
+    assert chooser.cooldown_ends_in_s(REQUIREMENTS) == 0.0
+    backends.find("well").cooldown_until = 10.5
+    assert chooser.cooldown_ends_in_s(REQUIREMENTS) == pytest.approx(0.2)
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -46,7 +46,7 @@
     async def call(self, *args):
         """Hangs once the path is cut, as long as the caller has patience."""
         clock = asyncio.get_running_loop().time
-        patient_until = clock() + args[-1].first_s
+        patient_until = clock() + args[-1].head_s
         call = asyncio.ensure_future(self._call(*args))
         cut = asyncio.ensure_future(self._cut.wait())
         try:
@@ -93,7 +93,7 @@
             if set(domain.versions()) == {2}:
                 took.setdefault("change", clock() - started)
             found = [e._fleet.find("i-1") for e in domain.entries]
-            if all(backend.left for backend in found):
+            if all(backend.retired for backend in found):
                 took.setdefault("leaving", clock() - started)
         domain.entries.append(reader)
         await server.stop()
