--- a/src/clementinegw/direct/admit.py
+++ b/src/clementinegw/direct/admit.py
@@ -48,7 +48,7 @@
 
 def match(
     config_view: ConfigView, request: servers.Request, facts: types.RequestFacts
-) -> catalogs.Match | outcomes.Refusal:
+) -> catalogs.RouteMatch | outcomes.Refusal:
     """Returns a request's route and customer, or why it is refused."""
     catalog = config_view.catalog
     if catalog is None:
@@ -62,10 +62,10 @@
             return outcomes.Refusal(404, Reason.NO_ROUTE)
         return unavailable(Reason.STALE_ROUTES, _RETRY_SOON_S)
     if not catalog.keyed or (route.anonymous and not facts.key):
-        return catalogs.Match(route, None)
+        return catalogs.RouteMatch(route, None)
     customer = catalog.customer(facts.key)
     if customer is None and route.anonymous:
-        return catalogs.Match(route, None)
+        return catalogs.RouteMatch(route, None)
     if customer is None:
         if fresh:
             return outcomes.Refusal(401, Reason.NO_KEY)
@@ -74,7 +74,7 @@
     # Whoever is cut off shows nothing else, so the age alone decides.
     if config_view.age_s() >= config_view.max_key_age_s:
         return unavailable(Reason.STALE_KEYS, _RETRY_SOON_S)
-    return catalogs.Match(route, customer)
+    return catalogs.RouteMatch(route, customer)
 
 
 class CallerTimeouts:
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -15,10 +15,10 @@
 from clementinegw.direct import budget
 from clementinegw.direct import catalog as catalogs
 from clementinegw.direct import declarations
-from clementinegw.direct import dialect as dialects
 from clementinegw.direct import fleet as fleets
 from clementinegw.direct import follow
 from clementinegw.direct import forward
+from clementinegw.direct import header_codec as header_codec_lib
 from clementinegw.direct import instance as instances
 from clementinegw.direct import outage
 from clementinegw.direct import raw
@@ -60,7 +60,7 @@
 class Platform(raw.Platform, Protocol):
     """What the daemon needs of the platform."""
 
-    def dialect(self) -> dialects.Dialect:
+    def header_codec(self) -> header_codec_lib.HeaderCodec:
         """Returns what knows the platform's headers."""
 
 
@@ -140,7 +140,7 @@
         )
         self.histograms = histograms.Histograms()
         self._forwarder = forward.Forwarder(
-            platform.dialect(),
+            platform.header_codec(),
             self._config_view,
             self._balancer,
             self._versions,
@@ -156,7 +156,7 @@
         self._reports = reports.Listener(
             instance.name,
             self._on_report,
-            on_suspicions=self._forwarder.take_suspicions,
+            on_suspicions=self._forwarder.merge_suspicions,
         )
         self._subscriptions = subscriptions.Subscriptions(
             instance,
@@ -205,15 +205,17 @@
         self._config_view.max_key_age_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
         self._versions.due_s = bounds.weights_ms / 1e3
         self._fleet.listing_expiry.terms = _fleet_terms(bounds)
-        self._forwarder.set_terms(_terms(bounds))
+        self._forwarder.set_retry_limits(_terms(bounds))
 
     async def drain(self) -> None:
         """Takes no new callers and finishes what it has."""
-        self._log.write(events.PROCESS_STOPPING, busy=self._server.busy)
+        self._log.write(
+            events.PROCESS_STOPPING, busy=self._server.open_requests
+        )
         self._leaving = True
         started = self._clock()
         end = started + self._instance.bounds.grace_s - _LEAVE_EARLY_S
-        self._server.refuse_new()
+        self._server.announce_close()
         # The balancer goes on sending callers until it has asked twice.
         await asyncio.sleep(_TAKE_ON_S)
         self._server.close_idle()
@@ -221,7 +223,7 @@
             async with asyncio.timeout_at(end):
                 await self._server.wait_idle()
         except TimeoutError:
-            self._log.write(_events.CUT_OFF, busy=self._server.busy)
+            self._log.write(_events.CUT_OFF, busy=self._server.open_requests)
 
     async def on_shutdown(self) -> None:
         """Ends what is left."""
@@ -260,7 +262,7 @@
             self._clock(),
             self._reading_s(backend.server.service),
         )
-        self._forwarder.look_at(backend)
+        self._forwarder.dispatch_for(backend)
 
     def _reading_s(self, service: str) -> float:
         """Returns how long a usual prompt is read; 0 when that is unknown."""
@@ -306,7 +308,7 @@
             at = self._versions.demanded_at(change.declaration)
             declarations.note(self._log, change, self._versions.now, at)
         if changes:
-            self._forwarder.redate()
+            self._forwarder.on_versions_changed()
 
     def _take_configuration(self, configuration: types.Configuration) -> None:
         catalog = self._config_view.catalog
--- a/src/clementinegw/direct/placement.py
+++ b/src/clementinegw/direct/placement.py
@@ -137,7 +137,7 @@
             return self.refuse(job, Reason.BUSY)
         job.placed_at = now
         job.permitted = reservation.permitted
-        job.busy = self._balancer.utilization(reservation.backend, now)
+        job.utilization = self._balancer.utilization(reservation.backend, now)
         job.server_id = reservation.backend.server.server_id
         return reservation
 
@@ -175,10 +175,10 @@
           job: The request; its place was found by `reserve`.
         """
         engine = self._config_view.engine(job.service)
-        if engine is None or job.first_answer_at is None:
+        if engine is None or job.first_event_at is None:
             return
-        reading_s = job.facts.prompt_tokens / engine.prefill_tokens_per_s
-        latency_s = job.first_answer_at - job.placed_at - reading_s
+        reading_s = job.metadata.prompt_tokens / engine.prefill_tokens_per_s
+        latency_s = job.first_event_at - job.placed_at - reading_s
         self._estimator(job.service, engine).record(latency_s)
 
     def layers(self, service: str) -> int:
@@ -196,7 +196,7 @@
         engine = self._config_view.engine(job.service)
         if engine is None or not engine.models:
             return ""
-        return job.facts.model or engine.models[0]
+        return job.metadata.model or engine.models[0]
 
     def refuse(self, job: attempts.Job, reason: Reason) -> outcomes.Refusal:
         """Returns the answer to a request without one."""
@@ -220,7 +220,7 @@
         loses its time with connections that time out could not come back.
         """
         time_s = job.deadline - job.request.arrived_at
-        return job.unreached_s < _RETRIED_WAIT_SHARE * time_s
+        return job.failed_connect_s < _RETRIED_WAIT_SHARE * time_s
 
     def _refuse_until_ready(
         self, job: attempts.Job, reason: Reason, ready_in_s: float
@@ -256,7 +256,7 @@
         if engine is None:
             return at
         at -= self._estimator(job.service, engine).estimate_s
-        at -= job.facts.prompt_tokens / engine.prefill_tokens_per_s
+        at -= job.metadata.prompt_tokens / engine.prefill_tokens_per_s
         if job.spent_s or job.sends:
             return at
         min_start_s = _MIN_START_SHARE * job.match.route.objective_s
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -297,7 +297,7 @@
         job = attempts.Job(
             builtin_types.SimpleNamespace(arrived_at=now),
             facts,
-            catalog.Match(route, None),
+            catalog.RouteMatch(route, None),
             SERVICE,
             None,
             now + left_s,
@@ -329,7 +329,7 @@
             if caller.first_at == math.inf:
                 caller.first_at = self.now + TRIP_S
                 backend.unread_tokens -= caller.prompt
-                job.first_answer_at = self._clock()
+                job.first_event_at = self._clock()
                 entry.placer.record_first_event(job)
                 facts = types.AnswerFacts(
                     "a", True, False, limit_per_s=self.limits.get(number)
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -217,11 +217,11 @@
     class Request:
         method, target, host, body = "POST", "/a", "h", b"x"
 
-    known = suspects.Suspects()
+    tracker = suspects.SuspectTracker()
     for born in (1, 2):
-        assert not known.refused(Request, "c", 1.0)
-        known.crashed(Request, "c", types.Start("a", born).text, 1.0)
-    assert known.refused(Request, "c", 1.0)
+        assert not tracker.is_refused(Request, "c", 1.0)
+        tracker.record_crash(Request, "c", types.Start("a", born).text, 1.0)
+    assert tracker.is_refused(Request, "c", 1.0)
 
 
 def test_connections_of_a_start_that_is_over_are_not_kept():
@@ -250,12 +250,12 @@
         link = channel.Channel()
         link.connection_made(transport)
         connection = client.Connection(link)
-        connection.renew = lambda: None
+        connection.start_next_call = lambda: None
         assert connection.reusable
         pool._open = 1
         listed(backends, server(2))
-        pool.give_back(connection)
-        assert pool.open == 0
+        pool.release(connection)
+        assert pool.open_connections == 0
         assert transport.aborted
 
     clocks.run(play())
