--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -11,18 +11,18 @@
 from clementinegw import exceptions
 from clementinegw import types as places
 from clementinegw.direct import _events
-from clementinegw.direct import backing
-from clementinegw.direct import bring
+from clementinegw.direct import agent_interfaces
 from clementinegw.direct import declarations
+from clementinegw.direct import fetcher as fetcher_lib
 from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
-from clementinegw.direct import keep
 from clementinegw.direct import raw
 from clementinegw.direct import relay
 from clementinegw.direct import reports
 from clementinegw.direct import starts
 from clementinegw.direct import suspects
 from clementinegw.direct import types
+from clementinegw.direct import updater
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import events
 from clementinegw.telemetry import histograms
@@ -30,7 +30,7 @@
 
 # Entries pass a new declaration on within a second, so a connection to the
 # platform that went silent may go unnoticed for a while.
-_PACES = follow.Paces(
+_POLL_PACES = follow.Paces(
     operators=follow.Pace(wait_s=6.0, pause_s=0.0),
     servers=follow.Pace(wait_s=10.0, pause_s=3.0),
 )
@@ -38,19 +38,21 @@
 # version, in seconds. A question costs nothing there and bounds the age of what
 # entries balance by. All wake up at the same moments: on their own, each of the
 # three cost a question to the kernel of its own.
-_TICK_S = 0.1
+_TICK_INTERVAL_S = 0.1
 # How often entries are told of requests that crash servers, in seconds: each
 # must know before such a request has come again some times.
-_ACCUSE_S = 0.5
+_SUSPICIONS_INTERVAL_S = 0.5
 
 
 class Platform(raw.Platform, Protocol):
     """What the daemon needs of the platform."""
 
-    def beside(self, address: places.Address, model: str) -> backing.Beside:
+    def local_server(
+        self, address: places.Address, model: str
+    ) -> agent_interfaces.LocalServer:
         """Returns the server beside the agent."""
 
-    def origin(self, address: places.Address) -> backing.Origin:
+    def origin(self, address: places.Address) -> agent_interfaces.Origin:
         """Returns the origin of weights."""
 
 
@@ -80,23 +82,23 @@
             instance,
             places.Role.AGENT,
             platform,
-            _PACES,
+            _POLL_PACES,
             log,
             counters,
             boot_clock,
         )
         topics = follow.Topics(
             self._relay,
-            _PACES,
+            _POLL_PACES,
             self._on_operators,
             self._on_servers,
             log,
             counters,
             boot_clock,
         )
-        self._operators, self._listing = topics.operators, topics.servers
-        self._me = self._agent_at(instance.host, instance.place)
-        self._bringer = bring.Bringer(
+        self._operators, self._server_list = topics.operators, topics.servers
+        self._me = self._agent_instance(instance.host, instance.place)
+        self._fetcher = fetcher_lib.Fetcher(
             self._me,
             instance.link_bytes_per_s,
             rng or random.Random(),
@@ -110,42 +112,42 @@
             boot_clock,
         )
         self._suspects = suspects.Suspects()
-        self._accused_at = 0.0
+        self._suspicions_sent_at = 0.0
         self._reporter = reports.Reporter(
-            self._on_declared, self._ages, self._on_suspicions
+            self._on_declared, self._ages_report, self._on_suspicions
         )
         self.histograms = histograms.Histograms()
         self._origin_address: places.Address | None = None
-        self._around = keep.Around(instance)
-        self._weights = keep.Weights(
-            self._around,
-            self._bringer,
+        self._context = updater.Context(instance)
+        self._updater = updater.WeightsUpdater(
+            self._context,
+            self._fetcher,
             log,
             counters,
             self.histograms,
             self._declared,
         )
-        self._known = asyncio.Event()
+        self._initialized = asyncio.Event()
         self._starts = starts.Starts(log)
 
     async def on_start(self) -> None:
         """Listens for peers and entries, and follows the platform."""
-        await self._bringer.listen()
+        await self._fetcher.listen()
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self._reporter,
             local_addr=(self._instance.host, self._instance.peer_ports[0]),
         )
-        await self.add_runtime_dependency(self._bringer.transfer)
+        await self.add_runtime_dependency(self._fetcher.transfer)
         await self.add_runtime_dependency(self._relay)
         await self.add_runtime_dependency(self._operators)
-        await self.add_runtime_dependency(self._listing)
+        await self.add_runtime_dependency(self._server_list)
         self._log.write(events.PROCESS_STARTED)
 
     def reload(self, instance: instances.Instance) -> None:
         """Takes over a changed instance file; addresses stay as they are."""
         self._instance = instance
-        self._around.instance = instance
+        self._context.instance = instance
         self._declared.due_s = instance.bounds.weights_ms / 1e3
 
     async def drain(self) -> None:
@@ -155,7 +157,7 @@
     async def on_shutdown(self) -> None:
         """Ends all connections."""
         self._reporter.close()
-        await self._bringer.close()
+        await self._fetcher.close()
         self._log.write(events.PROCESS_STOPPED)
 
     # What the platform says.
@@ -164,72 +166,72 @@
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
-                self._take_configuration(record.value)
+                self._apply_configuration(record.value)
         # Only now: the configuration says which model this server is for.
         for record in batch.records:
             if isinstance(record.value, types.Declared):
                 declared = record.value
-                self._take_declared(
+                self._apply_declared(
                     declared.model,
                     declared.version,
                     self._operators.unread_s,
                     declarations.Source.STORE,
                 )
 
-    def _take_configuration(self, configuration: types.Configuration) -> None:
+    def _apply_configuration(self, configuration: types.Configuration) -> None:
         mine = configuration.services.get(self._instance.service)
         if mine is not None and mine.engine is not None:
-            self._around.engine = mine.engine
+            self._context.engine = mine.engine
         for service in configuration.services.values():
             if service.origin is not None:
                 address = service.origin.address
                 if address != self._origin_address:
                     self._origin_address = address
-                    self._around.origin = self._platform.origin(address)
-                self._bringer.set_origin_rate(service.origin.link_bytes_per_s)
-        self._tell_known()
+                    self._context.origin = self._platform.origin(address)
+                self._fetcher.set_origin_rate(service.origin.link_bytes_per_s)
+        self._update_initialized()
 
     def _on_declared(self, declared: reports.Declared) -> None:
         """Takes in what an entry knows."""
         entry = declarations.Source.ENTRY
         for model, ages_s in declared.ages_s.items():
-            changes = self._declared.told(model, ages_s, entry)
-            self._note_declared(changes)
+            changes = self._declared.merge_ages(model, ages_s, entry)
+            self._publish_changes(changes)
         newest = self._declared.newest()
         for model, version in declared.newest.items():
             # The entry knows no age, and this process has read of no version:
             # it may have been named since its own last proof.
             if version > newest.get(model, 0):
                 age_s = self._operators.age_s
-                self._take_declared(model, version, age_s, entry)
+                self._apply_declared(model, version, age_s, entry)
 
-    def _take_declared(
+    def _apply_declared(
         self,
         model: str,
         version: int,
         unread_s: float,
         source: declarations.Source,
     ) -> None:
-        change = self._declared.read(model, version, unread_s, source)
-        self._note_declared([change] if change else [])
+        change = self._declared.record(model, version, unread_s, source)
+        self._publish_changes([change] if change else [])
 
-    def _note_declared(self, changes: list[declarations.Change]) -> None:
+    def _publish_changes(self, changes: list[declarations.Change]) -> None:
         """Logs what changed, and tells the entries at once."""
-        news = [change for change in changes if change.matters]
-        for change in news:
-            if change.model == self._around.model:
-                declarations.note(
+        significant = [change for change in changes if change.is_significant]
+        for change in significant:
+            if change.model == self._context.model:
+                declarations.log_change(
                     self._log,
                     change,
                     self._declared.now,
-                    change.declaration.at + self._declared.due_s,
+                    change.declaration.declared_at + self._declared.due_s,
                 )
-        if news:
+        if significant:
             self._reporter.news()
 
-    def _ages(self) -> reports.Report | None:
+    def _ages_report(self) -> reports.Report | None:
         """Returns a report of ages only; None while none is known."""
-        model = self._around.model
+        model = self._context.model
         ages_s = self._declared.ages_s(model)
         if not ages_s:
             return None
@@ -243,53 +245,55 @@
     def _suspicions(self) -> tuple[suspects.Suspicion, ...]:
         """Returns what entries are told this time of bad requests."""
         now = self._clock()
-        if now - self._accused_at < _ACCUSE_S:
+        if now - self._suspicions_sent_at < _SUSPICIONS_INTERVAL_S:
             return ()
-        self._accused_at = now
+        self._suspicions_sent_at = now
         return self._suspects.proved(now)
 
     def _on_servers(self, batch: follow.Batch, whole: bool) -> None:
         if whole:
             listed = {record.key for record in batch.records}
-            for key in set(self._around.servers) - listed:
-                del self._around.servers[key]
+            for key in set(self._context.servers) - listed:
+                del self._context.servers[key]
         for record in batch.records:
-            self._take_server(record)
+            self._apply_server(record)
         others = {
-            server.address.host: self._agent_at(
+            server.address.host: self._agent_instance(
                 server.address.host,
                 places.Place(
                     self._instance.regions.get(server.failure_domain, ""),
                     server.failure_domain,
                 ),
             )
-            for server in self._around.servers.values()
+            for server in self._context.servers.values()
         }
         others.pop(self._instance.host, None)
-        self._bringer.set_fleet(list(others.values()))
-        self._tell_known()
+        self._fetcher.set_fleet(list(others.values()))
+        self._update_initialized()
 
-    def _take_server(self, record: follow.Record) -> None:
+    def _apply_server(self, record: follow.Record) -> None:
         if not isinstance(record.value, types.Server):
-            self._around.servers.pop(record.key, None)
+            self._context.servers.pop(record.key, None)
             return
         server = self._starts.take(record.value)
         if server is not None and server.service == self._instance.service:
             # The one that was heard of last stands last.
-            self._around.servers.pop(record.key, None)
-            self._around.servers[record.key] = server
+            self._context.servers.pop(record.key, None)
+            self._context.servers[record.key] = server
 
-    def _tell_known(self) -> None:
-        if not self._around.model:
+    def _update_initialized(self) -> None:
+        if not self._context.model:
             return
-        if self._around.beside is None:
-            self._around.beside = self._platform.beside(
-                self._backend, self._around.model
+        if self._context.local_server is None:
+            self._context.local_server = self._platform.local_server(
+                self._backend, self._context.model
             )
-        if self._around.origin is not None and self._listing.known:
-            self._known.set()
+        if self._context.origin is not None and self._server_list.known:
+            self._initialized.set()
 
-    def _agent_at(self, host: str, place: places.Place) -> places.Instance:
+    def _agent_instance(
+        self, host: str, place: places.Place
+    ) -> places.Instance:
         return places.Instance(
             f"agent-{host}",
             places.Role.AGENT,
@@ -303,37 +307,42 @@
     async def _watch_server(self) -> None:
         while not self.should_stop:
             await self._tick()
-            if self._around.beside is not None:
-                await self._look(self._around.beside)
+            if self._context.local_server is not None:
+                await self._poll_server(self._context.local_server)
 
-    async def _look(self, beside: backing.Beside) -> None:
-        former = self._around.state
+    async def _poll_server(
+        self, local_server: agent_interfaces.LocalServer
+    ) -> None:
+        former = self._context.state
         try:
-            self._around.state = await beside.state()
+            self._context.state = await local_server.state()
         except exceptions.BackendError as error:
-            self._around.state = None
+            self._context.state = None
             self._counters.add("direct.state.failed")
             if former is not None:
                 self._log.write(_events.SERVER_SILENT, reason=error.message)
             return
-        if former is not None and former.born != self._around.state.born:
-            self._weights.restarted()
-        if former is None or former.held != self._around.state.held:
+        if (
+            former is not None
+            and former.started_ms != self._context.state.started_ms
+        ):
+            self._updater.on_server_restart()
+        if former is None or former.held != self._context.state.held:
             self._log.write(
                 _events.SERVER_HOLDS,
                 held=[
                     (h.model, h.version, h.layers)
-                    for h in self._around.state.held
+                    for h in self._context.state.held
                 ],
-                busy=self._around.state.busy,
-                sequence=self._around.state.sequence,
-                born=self._around.state.born,
+                busy=self._context.state.busy,
+                sequence=self._context.state.sequence,
+                born=self._context.state.started_ms,
             )
-        self._tell(self._around.state)
+        self._send_report(self._context.state)
 
-    def _tell(self, state: backing.State) -> None:
-        start = self._around.start
-        held = [h for h in state.held if h.model == self._around.model]
+    def _send_report(self, state: agent_interfaces.ServerState) -> None:
+        start = self._context.start
+        held = [h for h in state.held if h.model == self._context.model]
         best = max(held, key=lambda h: h.version, default=None)
         self._reporter.tell(
             reports.Report(
@@ -341,19 +350,19 @@
                 born=start.born,
                 running=state.running,
                 waiting=state.waiting,
-                slots=self._around.engine.slots if self._around.engine else 1,
-                model=self._around.model,
+                slots=self._context.engine.slots if self._context.engine else 1,
+                model=self._context.model,
                 version=best.version if best else 0,
-                whole=best is not None and self._weights.whole(best),
+                whole=best is not None and self._updater.is_complete(best),
                 loading=state.busy,
                 pace=state.pace,
-                yielding=self._weights.yielding,
+                yielding=self._updater.yielding,
                 entries=self._reporter.entries,
                 followers=self._reporter.followers,
-                ready_in_s=self._weights.ready_in_s(
-                    best is not None and self._weights.whole(best)
+                ready_in_s=self._updater.ready_in_s(
+                    best is not None and self._updater.is_complete(best)
                 ),
-                ages_s=self._declared.ages_s(self._around.model),
+                ages_s=self._declared.ages_s(self._context.model),
             ),
             self._suspicions(),
         )
@@ -361,16 +370,16 @@
     # Weights.
 
     @mode.Service.task
-    async def _keep_bringing(self) -> None:
-        await self._known.wait()
+    async def _fetch_loop(self) -> None:
+        await self._initialized.wait()
         while not self.should_stop:
-            await self._step(self._weights.bring)
+            await self._step(self._updater.bring)
 
     @mode.Service.task
-    async def _keep_loading(self) -> None:
-        await self._known.wait()
+    async def _load_loop(self) -> None:
+        await self._initialized.wait()
         while not self.should_stop:
-            await self._step(self._weights.load_newest)
+            await self._step(self._updater.load_newest)
 
     async def _step(self, step: Callable[[], Awaitable[None]]) -> None:
         """Takes a step, then waits for a change or a while."""
@@ -390,7 +399,7 @@
 
     async def _tick(self) -> None:
         """Sleeps until the next moment at which all parts wake up."""
-        left_s = _TICK_S - self._clock() % _TICK_S
-        if left_s < _TICK_S / 2:
-            left_s += _TICK_S
+        left_s = _TICK_INTERVAL_S - self._clock() % _TICK_INTERVAL_S
+        if left_s < _TICK_INTERVAL_S / 2:
+            left_s += _TICK_INTERVAL_S
         await asyncio.sleep(left_s)
--- a/src/clementinegw/direct/backing.py
+++ b/src/clementinegw/direct/agent_interfaces.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class State:
+class ServerState:
     """What the server says of itself.
 
     Attributes:
@@ -17,7 +17,8 @@
       running: Requests that it works on.
       waiting: Requests in its queue.
       pace: How many times slower than usual it works.
-      born: When it started, in Unix milliseconds; 0 where that is not said.
+      started_ms: When it started, in Unix milliseconds; 0 where that is not
+        said.
     """
 
     held: tuple[types.Held, ...]
@@ -26,11 +27,11 @@
     running: int
     waiting: int
     pace: float
-    born: int = 0
+    started_ms: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Digests:
+class VersionManifest:
     """What a version of a model consists of.
 
     Attributes:
@@ -46,14 +47,14 @@
     digests: tuple[bytes, ...]
 
 
-class Beside(Protocol):
+class LocalServer(Protocol):
     """The server beside the agent.
 
     Every method raises `exceptions.BackendError` when no answer comes; the
     call may have taken effect all the same.
     """
 
-    async def state(self) -> State:
+    async def state(self) -> ServerState:
         """Returns what it says of itself."""
 
     async def staged(self) -> frozenset[int]:
@@ -66,7 +67,7 @@
         """Puts a piece there, over the one that lay there."""
 
     async def load(
-        self, model: str, version: int, sequence: int, cut: bool
+        self, model: str, version: int, sequence: int, abort_running: bool
     ) -> bool:
         """Orders it to load what is staged.
 
@@ -74,7 +75,7 @@
           model: The model.
           version: The version that is staged.
           sequence: Orders it must have accepted so far, else it refuses.
-          cut: Whether what runs is broken off; else it ends first.
+          abort_running: Whether what runs is broken off; else it ends first.
 
         Returns:
           Whether the order has begun or is in effect already.
@@ -87,7 +88,9 @@
     Every method raises `exceptions.PlatformError` when no answer comes.
     """
 
-    async def digests(self, model: str, version: int | None) -> Digests:
+    async def manifest(
+        self, model: str, version: int | None
+    ) -> VersionManifest:
         """Returns what a version consists of; of the newest without one."""
 
     async def piece(self, model: str, version: int, number: int) -> bytes:
--- a/src/clementinegw/direct/declarations.py
+++ b/src/clementinegw/direct/declarations.py
@@ -9,7 +9,7 @@
 wins, in whatever order they come and however often. What is told is an age, and
 ages need no common clock. The way of a datagram makes an estimate late by as
 much, a few milliseconds; nothing makes it early but the guess about records
-that lay unread, by `MOST_UNREAD_S` at most.
+that lay unread, by `MAX_UNREAD_S` at most.
 """
 
 from collections.abc import Callable, Mapping
@@ -24,14 +24,14 @@
 # connection had gone silent. After an outage of the platform for everybody the
 # time counts anew: all servers would load at once else. So no more than what a
 # silent connection takes to be noticed is taken off, in seconds.
-MOST_UNREAD_S = 1.2
+MAX_UNREAD_S = 1.2
 # A process is up about so long after it was started, in seconds.
-_START_S = 0.5
+_STARTUP_S = 0.5
 # What is not worth a line, in seconds.
-_MOVED_S = 0.1
+_MIN_LOGGED_SHIFT_S = 0.1
 # Versions of a model that are kept. Older ones are of no use: each that was
 # declared since is due soon after.
-_KEPT = 8
+_MAX_VERSIONS = 8
 
 
 class Source(enum.StrEnum):
@@ -48,15 +48,15 @@
 
     Attributes:
       version: Its number.
-      at: When it was named, in boot time, in seconds.
-      known: Whether that is known. Else the process found it declared when it
-        started, and `at` is the moment that makes it due as soon as the
-        process is bound.
+      declared_at: When it was named, in boot time, in seconds.
+      time_known: Whether that is known. Else the process found it declared
+        when it started, and `declared_at` is the moment that makes it due as
+        soon as the process is bound.
     """
 
     version: int
-    at: float
-    known: bool = True
+    declared_at: float
+    time_known: bool = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -77,14 +77,14 @@
     moved_s: float | None
 
     @property
-    def new(self) -> bool:
+    def is_new(self) -> bool:
         """Whether the version was not known here."""
         return self.moved_s is None
 
     @property
-    def matters(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether it is worth a line."""
-        return self.moved_s is None or abs(self.moved_s) > _MOVED_S
+        return self.moved_s is None or abs(self.moved_s) > _MIN_LOGGED_SHIFT_S
 
 
 class Declarations:
@@ -102,7 +102,7 @@
         """
         self.due_s = due_s
         self._clock = clock
-        self._bound_at = clock() + max(0.0, settled_s - _START_S)
+        self._enforced_at = clock() + max(0.0, settled_s - _STARTUP_S)
         # Of each model the versions in order.
         self._models: dict[str, tuple[Declaration, ...]] = {}
 
@@ -111,7 +111,7 @@
         """The boot time, in seconds."""
         return self._clock()
 
-    def read(
+    def record(
         self,
         model: str,
         version: int,
@@ -130,20 +130,20 @@
         Returns:
           What changed; None when nothing did.
         """
-        known = {d.version: d.known for d in self.of(model)}
+        known = {d.version: d.time_known for d in self.for_model(model)}
         if not math.isinf(unread_s) and not known.get(version, True):
             # Read once more, as after lost history: it was there at the start.
             return None
         if math.isinf(unread_s):
             # Nobody may be able to tell, as after a loss of all power. It may
             # be due already; but the process isn't bound from its start on.
-            found = Declaration(version, self._bound_at - self.due_s, False)
+            found = Declaration(version, self._enforced_at - self.due_s, False)
         else:
-            at = self._clock() - min(unread_s, MOST_UNREAD_S)
+            at = self._clock() - min(unread_s, MAX_UNREAD_S)
             found = Declaration(version, at)
-        return self._learn(model, found, source)
+        return self._update(model, found, source)
 
-    def told(
+    def merge_ages(
         self, model: str, ages_s: Mapping[int, float], source: Source
     ) -> list[Change]:
         """Takes in what a neighbour knows; returns what changed.
@@ -155,30 +155,32 @@
         """
         now = self._clock()
         changes = [
-            self._learn(model, Declaration(version, now - age_s), source)
+            self._update(model, Declaration(version, now - age_s), source)
             for version, age_s in sorted(ages_s.items())
             if age_s >= 0
         ]
         return [change for change in changes if change is not None]
 
-    def _learn(
+    def _update(
         self, model: str, found: Declaration, source: Source
     ) -> Change | None:
         if found.version <= 0:
             return None
-        versions = {d.version: d for d in self.of(model)}
+        versions = {d.version: d for d in self.for_model(model)}
         former = versions.get(found.version)
-        if former is not None and not _better(found, former):
+        if former is not None and not _supersedes(found, former):
             return None
         versions[found.version] = found
-        kept = _useful(versions)
+        kept = _relevant(versions)
         if found not in kept:
             return None
         self._models[model] = kept
-        moved_s = None if former is None else found.at - former.at
+        moved_s = (
+            None if former is None else found.declared_at - former.declared_at
+        )
         return Change(model, found, source, moved_s)
 
-    def of(self, model: str) -> tuple[Declaration, ...]:
+    def for_model(self, model: str) -> tuple[Declaration, ...]:
         """Returns a model's versions, the newest last."""
         return self._models.get(model, ())
 
@@ -193,11 +195,12 @@
         not known would be taken for known ones.
         """
         now = self._clock()
-        found = self.of(model)
+        found = self.for_model(model)
         return {
-            d.version: now - d.at
+            d.version: now - d.declared_at
             for d in found
-            if d.known and (d is found[-1] or now < d.at + self.due_s)
+            if d.time_known
+            and (d is found[-1] or now < d.declared_at + self.due_s)
         }
 
     def all_ages_s(self) -> dict[str, dict[int, float]]:
@@ -206,14 +209,16 @@
         return {model: ages for model, ages in found.items() if ages}
 
 
-def note(log: logs.Log, change: Change, now: float, demanded_at: float) -> None:
+def log_change(
+    log: logs.Log, change: Change, now: float, required_at: float
+) -> None:
     """Writes a line about a change.
 
     Args:
       log: Where it goes.
       change: What was learned.
       now: Boot seconds.
-      demanded_at: From when on the former version no longer serves.
+      required_at: From when on the former version no longer serves.
     """
     found = change.declaration
     event = _events.WEIGHTS_REDATED
@@ -224,31 +229,31 @@
         model=change.model,
         version=found.version,
         source=str(change.source),
-        known=found.known,
-        age_s=round(now - found.at, 3),
+        known=found.time_known,
+        age_s=round(now - found.declared_at, 3),
         moved_s=change.moved_s and round(change.moved_s, 3),
-        demanded_in_s=round(demanded_at - now, 3),
+        demanded_in_s=round(required_at - now, 3),
     )
 
 
-def _useful(versions: Mapping[int, Declaration]) -> tuple[Declaration, ...]:
+def _relevant(versions: Mapping[int, Declaration]) -> tuple[Declaration, ...]:
     """Returns the versions that count, the newest last.
 
     One that is due no sooner than a newer one is of no use.
     """
     kept: list[Declaration] = []
-    least_at = math.inf
-    for version in sorted(versions, reverse=True)[:_KEPT]:
+    earliest_at = math.inf
+    for version in sorted(versions, reverse=True)[:_MAX_VERSIONS]:
         found = versions[version]
-        if found.at < least_at:
+        if found.declared_at < earliest_at:
             kept.append(found)
-        if found.known:
-            least_at = min(least_at, found.at)
+        if found.time_known:
+            earliest_at = min(earliest_at, found.declared_at)
     return tuple(reversed(kept))
 
 
-def _better(found: Declaration, former: Declaration) -> bool:
+def _supersedes(found: Declaration, former: Declaration) -> bool:
     """Returns whether an estimate takes the place of another one."""
-    if found.known != former.known:
-        return found.known
-    return found.at < former.at
+    if found.time_known != former.time_known:
+        return found.time_known
+    return found.declared_at < former.declared_at
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -27,7 +27,7 @@
 from clementinegw.direct import server as servers
 from clementinegw.direct import subscriptions
 from clementinegw.direct import types
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import events
 from clementinegw.telemetry import histograms
@@ -132,7 +132,7 @@
             wall_clock=wall_clock,
             counters=counters,
         )
-        self._versions = versions_lib.Versions(
+        self._versions = version_policy.VersionPolicy(
             bounds.weights_ms / 1e3, boot_clock, bounds.settled_ms / 1e3
         )
         self._balancer = balance.Balancer(
@@ -250,7 +250,7 @@
 
     def _on_report(self, host: str, report: reports.Report) -> None:
         if report.ages_s:
-            changes = self._versions.told(report.model, report.ages_s)
+            changes = self._versions.merge_ages(report.model, report.ages_s)
             self._note_declared(changes)
         backend = self._fleet.reported(report, host)
         if backend is None:
@@ -296,15 +296,15 @@
 
     def _take_declared(self, declared: types.Declared) -> None:
         unread_s = self._operators.unread_s
-        change = self._versions.declare(declared, unread_s)
+        change = self._versions.record_declared(declared, unread_s)
         self._note_declared([change] if change else [])
 
     def _note_declared(self, changes: list[declarations.Change]) -> None:
         for change in changes:
-            if not change.matters:
+            if not change.is_significant:
                 continue
-            at = self._versions.demanded_at(change.declaration)
-            declarations.note(self._log, change, self._versions.now, at)
+            at = self._versions.required_at(change.declaration)
+            declarations.log_change(self._log, change, self._versions.now, at)
         if changes:
             self._forwarder.redate()
 
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -19,7 +19,7 @@
 from clementinegw.direct import server as servers
 from clementinegw.direct import suspects as suspects_lib
 from clementinegw.direct import types
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import histograms as histograms_lib
 from clementinegw.telemetry import logs
@@ -56,7 +56,7 @@
         dialect: dialects.Dialect,
         knowledge: admit.Knowledge,
         balancer: balance.Balancer,
-        versions: versions_lib.Versions,
+        versions: version_policy.VersionPolicy,
         terms: budgets.Terms,
         rng: random.Random,
         clock: Callable[[], float],
--- a/src/clementinegw/direct/descriptions.py
+++ b/src/clementinegw/direct/manifest_cache.py
@@ -15,7 +15,7 @@
 
 from clementinegw import exceptions
 from clementinegw import types
-from clementinegw.direct import backing
+from clementinegw.direct import agent_interfaces
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.weights import manifest as manifests
 from clementinegw.wire import codec
@@ -24,13 +24,13 @@
 
 # Agents that are asked one after the other, and how long each may take in
 # seconds: all that have begun a version know it, and a frozen one answers not.
-_MOST_ASKED = 3
-_ANSWER_S = 0.3
+_MAX_ASKED = 3
+_ANSWER_TIMEOUT_S = 0.3
 # Versions that are told of: those whose pieces are kept, and one more.
-_KEPT = 4
+_MAX_CACHED = 4
 
 
-class Descriptions:
+class ManifestCache:
     """The digests of versions that one agent knows, and asks others for."""
 
     def __init__(
@@ -49,22 +49,24 @@
         self._endpoint = endpoint
         self._rng = rng
         self._counters = counters
-        self._known: dict[str, backing.Digests] = {}
+        self._manifests: dict[str, agent_interfaces.VersionManifest] = {}
         endpoint.on_call(connections.Kind.MANIFEST_GET, self._on_get)
 
-    def keep(self, digests: backing.Digests) -> None:
+    def add(self, manifest: agent_interfaces.VersionManifest) -> None:
         """Remembers a version, to tell others."""
-        self._known[_name(digests.model, digests.version)] = digests
-        while len(self._known) > _KEPT:
-            del self._known[next(iter(self._known))]
+        self._manifests[_key(manifest.model, manifest.version)] = manifest
+        while len(self._manifests) > _MAX_CACHED:
+            del self._manifests[next(iter(self._manifests))]
 
-    def find(self, model: str, version: int) -> backing.Digests | None:
+    def get(
+        self, model: str, version: int
+    ) -> agent_interfaces.VersionManifest | None:
         """Returns a version that this agent knows."""
-        return self._known.get(_name(model, version))
+        return self._manifests.get(_key(model, version))
 
-    async def ask(
-        self, model: str, version: int, first: Collection[str] = ()
-    ) -> backing.Digests | None:
+    async def fetch(
+        self, model: str, version: int, preferred: Collection[str] = ()
+    ) -> agent_interfaces.VersionManifest | None:
         """Returns a version as another agent knows it; None when none does.
 
         Wrong digests do no harm beyond delay: no piece would match them.
@@ -72,33 +74,36 @@
         Args:
           model: The model's name.
           version: The version.
-          first: The ids of agents that are asked before all others.
+          preferred: The ids of agents that are asked before all others.
         """
         agents = [
             connection
             for connection in self._endpoint.connections()
             if connection.peer.role is types.Role.AGENT
         ]
-        body = codec.encode(ttypes.ManifestGet(digest=_name(model, version)))
+        body = codec.encode(ttypes.ManifestGet(digest=_key(model, version)))
         self._rng.shuffle(agents)
-        agents.sort(key=lambda agent: agent.peer.instance_id not in first)
-        for agent in agents[:_MOST_ASKED]:
+        agents.sort(key=lambda agent: agent.peer.instance_id not in preferred)
+        for agent in agents[:_MAX_ASKED]:
             try:
                 frame = await connections.call(
-                    agent, connections.Kind.MANIFEST_GET, body, _ANSWER_S
+                    agent,
+                    connections.Kind.MANIFEST_GET,
+                    body,
+                    _ANSWER_TIMEOUT_S,
                 )
             except (exceptions.ConnectionLost, TimeoutError):
                 self._counters.add("weights.digests.unanswered")
                 continue
-            found = self.read(frame.body, model, version)
+            found = self.decode(frame.body, model, version)
             if found is not None:
                 self._counters.add("weights.digests.from_agents")
                 return found
         return None
 
-    def read(
+    def decode(
         self, body: bytes, model: str, version: int
-    ) -> backing.Digests | None:
+    ) -> agent_interfaces.VersionManifest | None:
         """Returns what another agent told; None when it tells nothing."""
         if not body:
             return None
@@ -111,7 +116,9 @@
             self._counters.add("weights.digests.unreadable")
             return None
         names = tuple(chunk.digest for chunk in found.chunks)
-        return backing.Digests(model, version, found.chunk_bytes, names)
+        return agent_interfaces.VersionManifest(
+            model, version, found.chunk_bytes, names
+        )
 
     async def _on_get(
         self,
@@ -121,26 +128,28 @@
     ) -> None:
         del connection
         asked = codec.decode(ttypes.ManifestGet, frame.body)
-        known = self._known.get(asked.digest)
-        body = manifest_of(known).encode() if known is not None else b""
+        cached = self._manifests.get(asked.digest)
+        body = to_swarm_manifest(cached).encode() if cached is not None else b""
         await exchange.send(connections.Kind.MANIFEST_DATA, body)
 
 
-def manifest_of(digests: backing.Digests) -> manifests.Manifest:
+def to_swarm_manifest(
+    manifest: agent_interfaces.VersionManifest,
+) -> manifests.Manifest:
     """Returns the product's manifest of a version."""
-    size = digests.chunk_bytes * len(digests.digests)
+    size = manifest.chunk_bytes * len(manifest.digests)
     return manifests.Manifest(
-        model=digests.model,
-        version=str(digests.version),
-        chunk_bytes=digests.chunk_bytes,
+        model=manifest.model,
+        version=str(manifest.version),
+        chunk_bytes=manifest.chunk_bytes,
         total_bytes=size,
         files=(manifests.File("weights", size),),
         chunks=tuple(
-            manifests.Chunk(digest, digests.chunk_bytes)
-            for digest in digests.digests
+            manifests.Chunk(digest, manifest.chunk_bytes)
+            for digest in manifest.digests
         ),
     )
 
 
-def _name(model: str, version: int) -> str:
+def _key(model: str, version: int) -> str:
     return f"{model}/{version}"
--- a/src/clementinegw/direct/placing.py
+++ b/src/clementinegw/direct/placing.py
@@ -12,7 +12,7 @@
 from clementinegw.direct import outcomes
 from clementinegw.direct import queue
 from clementinegw.direct import types
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 
 Reason = outcomes.RefusalReason
 
@@ -67,7 +67,7 @@
         self,
         knowledge: admit.Knowledge,
         balancer: balance.Balancer,
-        versions: versions_lib.Versions,
+        versions: version_policy.VersionPolicy,
         rng: random.Random,
         clock: Callable[[], float],
         engine_terms: queue.Terms = _ENGINE_TERMS,
@@ -264,9 +264,9 @@
         """Returns what a request needs of a server that it is sent to now."""
         now = self._versions.now
         model = self.model(job)
-        least = self._versions.demanded(model, now) or 0
+        least = self._versions.required(model, now) or 0
         if job.runs:
-            least = max(least, self._versions.lasting(model, now))
+            least = max(least, self._versions.stable(model, now))
         return balance.Wanted(
             job.service,
             self.layers(job.service),
--- a/src/clementinegw/direct/ahead.py
+++ b/src/clementinegw/direct/prefetch.py
@@ -9,44 +9,46 @@
 
 from clementinegw import exceptions
 from clementinegw.direct import _events
-from clementinegw.direct import backing
-from clementinegw.direct import bring
+from clementinegw.direct import agent_interfaces
+from clementinegw.direct import fetcher as fetcher_lib
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
 
-class Ahead:
-    """An agent's own part of one version, drawn before its turn."""
+class Prefetcher:
+    """An agent's own part of one version, fetched before its turn."""
 
     def __init__(
         self,
-        bringer: bring.Bringer,
+        fetcher: fetcher_lib.Fetcher,
         log: logs.Log,
         counters: counters_lib.Counters,
     ):
-        """Draws nothing before `begin`.
+        """Draws nothing before `start`.
 
         Args:
-          bringer: Keeps the pieces.
+          fetcher: Keeps the pieces.
           log: Where events go.
           counters: Counts the pieces.
         """
-        self._bringer = bringer
+        self._fetcher = fetcher
         self._log = log
         self._counters = counters
         self._version = 0
         self._stopping = False
         self._task: asyncio.Task | None = None
 
-    def begin(self, origin: backing.Origin, model: str, version: int) -> None:
+    def start(
+        self, origin: agent_interfaces.Origin, model: str, version: int
+    ) -> None:
         """Begins to draw a version; each is begun once."""
         if version <= self._version or self._busy:
             return
         self._version = version
         self._stopping = False
-        self._task = asyncio.ensure_future(self._draw(origin, model, version))
+        self._task = asyncio.ensure_future(self._fetch(origin, model, version))
 
-    async def settle(self) -> None:
+    async def stop(self) -> None:
         """Ends the drawing; a piece under way is awaited.
 
         The exchange would else draw that piece a second time.
@@ -60,16 +62,20 @@
     def _busy(self) -> bool:
         return self._task is not None and not self._task.done()
 
-    async def _draw(
-        self, origin: backing.Origin, model: str, version: int
+    async def _fetch(
+        self, origin: agent_interfaces.Origin, model: str, version: int
     ) -> None:
-        drawn = 0
+        fetched = 0
         try:
-            digests = await self._bringer.describe(origin, model, version)
-            for number in self._bringer.own_part(digests):
+            manifest = await self._fetcher.fetch_manifest(
+                origin, model, version
+            )
+            for number in self._fetcher.assigned_pieces(manifest):
                 if self._stopping:
                     break
-                drawn += await self._bringer.draw(origin, digests, number)
+                fetched += await self._fetcher.fetch_from_origin(
+                    origin, manifest, number
+                )
         except exceptions.ClementineError as error:
             self._log.write(_events.WEIGHTS_WAIT, reason=error.message)
-        self._counters.add("weights.drawn_ahead", drawn)
+        self._counters.add("weights.drawn_ahead", fetched)
--- a/src/clementinegw/direct/recalls.py
+++ b/src/clementinegw/direct/recalls.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 import math
 
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 
 # By how much the two clocks may part without a look, in seconds.
 _SLEPT_S = 0.02
@@ -58,7 +58,7 @@
     """All requests of one entry that have not begun."""
 
     def __init__(
-        self, versions: versions_lib.Versions, clock: Callable[[], float]
+        self, versions: version_policy.VersionPolicy, clock: Callable[[], float]
     ):
         """Starts without any.
 
@@ -84,7 +84,7 @@
     def late(self, recall: Recall) -> bool:
         """Returns whether a server is too old for a request by now."""
         now = self._versions.now
-        return (self._versions.demanded(recall.model, now) or 0) > recall.held
+        return (self._versions.required(recall.model, now) or 0) > recall.held
 
     def add(self, recall: Recall) -> None:
         """Takes a request back in time."""
@@ -110,7 +110,7 @@
         waiting = recall.waiting
         if waiting is None or waiting.expired():
             return
-        at = self._versions.take_back_at(recall.model, recall.held)
+        at = self._versions.withdraw_at(recall.model, recall.held)
         when = None if math.isinf(at) else at - self._boot_ahead_s()
         waiting.reschedule(when)
 
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -14,7 +14,7 @@
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
 from clementinegw.direct import types
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
@@ -31,7 +31,7 @@
         instance: instances.Instance,
         knowledge: admit.Knowledge,
         fleet: fleets.Fleet,
-        versions: versions_lib.Versions,
+        versions: version_policy.VersionPolicy,
         listener: reports.Listener,
         suspicions: Callable[[], tuple[suspects.Suspicion, ...]],
         clock: Callable[[], float],
@@ -108,7 +108,9 @@
             self.ask_new()
 
     def _declared(self) -> reports.Declared:
-        return reports.Declared(self._versions.all(), self._versions.ages_s())
+        return reports.Declared(
+            self._versions.newest_by_model(), self._versions.ages_s()
+        )
 
     def _follow(self) -> None:
         """Chooses the servers that the entry sends to."""
--- a/src/clementinegw/direct/turns.py
+++ b/src/clementinegw/direct/swap_schedule.py
@@ -13,24 +13,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Terms:
+class SwapPolicy:
     """How a swap is spread.
 
     Attributes:
       groups: Parts of the servers that load one after the other.
       step_s: How much later each further group loads, in seconds.
       drain_s: How long a server yields before it loads, in seconds.
-      least_drain_s: The same where there is little time left.
+      min_drain_s: The same where there is little time left.
     """
 
     groups: int
     step_s: float
     drain_s: float
-    least_drain_s: float
+    min_drain_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Turn:
+class SwapTimes:
     """One server's turn.
 
     Attributes:
@@ -42,14 +42,14 @@
     load_at: float
 
 
-def turn(
-    me: str,
+def swap_times(
+    server_id: str,
     servers: Iterable[str],
     version: int,
-    here_at: float,
-    last_at: float,
-    terms: Terms,
-) -> Turn:
+    complete_at: float,
+    latest_at: float,
+    policy: SwapPolicy,
+) -> SwapTimes:
     """Returns a server's turn.
 
     The first group yields while the last pieces come, so that its requests
@@ -58,23 +58,25 @@
     no server for a second.
 
     Args:
-      me: The server's id.
+      server_id: The server's id.
       servers: All servers' ids.
       version: The version, so that another one goes first each time.
-      here_at: When every piece is here, in monotonic seconds.
-      last_at: When the last group must load to serve in time.
-      terms: How the swap is spread.
+      complete_at: When every piece is here, in monotonic seconds.
+      latest_at: When the last group must load to serve in time.
+      policy: How the swap is spread.
     """
-    ranked = sorted({me, *servers}, key=lambda name: _score(name, version))
-    group = ranked.index(me) * terms.groups // len(ranked)
-    first_at = min(here_at, last_at)
-    most_s = (last_at - first_at) / max(1, terms.groups - 1)
-    step_s = min(terms.step_s, most_s)
+    ranked = sorted(
+        {server_id, *servers}, key=lambda name: _score(name, version)
+    )
+    group = ranked.index(server_id) * policy.groups // len(ranked)
+    first_at = min(complete_at, latest_at)
+    max_step_s = (latest_at - first_at) / max(1, policy.groups - 1)
+    step_s = min(policy.step_s, max_step_s)
     load_at = first_at + group * step_s
-    drain_s = terms.drain_s
-    if step_s < terms.step_s:
-        drain_s = max(step_s, terms.least_drain_s)
-    return Turn(load_at - drain_s, load_at)
+    drain_s = policy.drain_s
+    if step_s < policy.step_s:
+        drain_s = max(step_s, policy.min_drain_s)
+    return SwapTimes(load_at - drain_s, load_at)
 
 
 def _score(name: str, version: int) -> bytes:
--- /dev/null
+++ b/src/clementinegw/direct/updater.py
@@ -0,0 +1,484 @@
+"""One server's weights: what to bring, when to yield, when to load."""
+
+import asyncio
+from collections.abc import Sequence
+import dataclasses
+import math
+
+from clementinegw.direct import _events
+from clementinegw.direct import agent_interfaces
+from clementinegw.direct import declarations
+from clementinegw.direct import fetcher as fetcher_lib
+from clementinegw.direct import instance as instances
+from clementinegw.direct import plan
+from clementinegw.direct import prefetch
+from clementinegw.direct import swap_schedule
+from clementinegw.direct import types
+from clementinegw.telemetry import counters as counters_lib
+from clementinegw.telemetry import histograms as histograms_lib
+from clementinegw.telemetry import logs
+
+# After an order until the server's state shows it, in seconds.
+_ORDER_VISIBLE_S = 0.3
+# Servers swap in groups, so that most serve at any time: the parts that go one
+# after the other, the time between them, and how long a server gets no new
+# requests before it loads.
+_SWAP_POLICY = swap_schedule.SwapPolicy(
+    groups=3, step_s=0.8, drain_s=1.0, min_drain_s=0.3
+)
+# How long a server takes to load and to be known to serve again, in seconds.
+_LOAD_S = 0.6
+# The same where there is no time left to wait for requests that run.
+_SWAP_S = _SWAP_POLICY.min_drain_s + _LOAD_S
+# How much longer than at the links' limit a version takes to come.
+_FETCH_TIME_FACTOR = 1.22
+_VERSIONS_KEPT = 3
+# Without any new piece for so long, a version that was begun before is taken
+# up again, and the one that stalled is left aside for so long. Agents give the
+# newest one up within a second of each other; who gave up the older one as soon
+# would leave it just as the others come, and none would ever be whole. Seconds.
+_STALL_TIMEOUT_S = 1.0
+_OLDER_STALL_TIMEOUT_S = 3.0
+# The newest one is given up after so long of failed draws: they mean that
+# pieces are missing everywhere, while those that are out go on arriving.
+_ORIGIN_FAILURE_TIMEOUT_S = 0.5
+_STALL_COOLDOWN_S = 4.0
+
+
+# A version that was declared so short a time ago lies with no agent yet: the
+# first pieces are drawn a tenth of a second later. Seconds.
+_NEW_VERSION_S = 0.3
+
+
+@dataclasses.dataclass(slots=True)
+class Context:
+    """What an agent knows of its surroundings.
+
+    Attributes:
+      instance: What it knows of itself.
+      engine: How the server beside works; None before the configuration.
+      origin: Where weights come from first.
+      servers: The listed servers of its service by id.
+      state: What the server beside last said; None while it is silent.
+      local_server: The server beside.
+    """
+
+    instance: instances.Instance
+    engine: types.Engine | None = None
+    origin: agent_interfaces.Origin | None = None
+    servers: dict[str, types.Server] = dataclasses.field(default_factory=dict)
+    state: agent_interfaces.ServerState | None = None
+    local_server: agent_interfaces.LocalServer | None = None
+
+    @property
+    def model(self) -> str:
+        """The model that the server beside serves; empty when unknown."""
+        if self.engine is None or not self.engine.models:
+            return ""
+        return self.engine.models[0]
+
+    @property
+    def start(self) -> types.Start:
+        """The present start of the server beside; its id empty when unlisted.
+
+        A start that crashed stays listed for seconds beside the next one, with
+        the same address. The server itself says first when it was born.
+        """
+        here = [
+            server
+            for server in self.servers.values()
+            if server.address == self.instance.backend
+        ]
+        started_ms = self.state.started_ms if self.state is not None else 0
+        # Of those that are born at the same time, or say nothing of it, the
+        # one that was heard of last.
+        newest = max(
+            enumerate(here),
+            key=lambda found: (
+                found[1].born == started_ms,
+                found[1].born,
+                found[0],
+            ),
+            default=None,
+        )
+        if newest is None:
+            return types.Start("")
+        listed = newest[1].start
+        return types.Start(listed.server_id, started_ms or listed.born)
+
+    @property
+    def server_id(self) -> str:
+        """The id of the server beside; empty when it is not listed."""
+        return self.start.server_id
+
+
+class WeightsUpdater:
+    """The weights of the server beside an agent."""
+
+    def __init__(
+        self,
+        context: Context,
+        fetcher: fetcher_lib.Fetcher,
+        log: logs.Log,
+        counters: counters_lib.Counters,
+        histograms: histograms_lib.Histograms,
+        declared: declarations.Declarations,
+    ):
+        """Knows of no version.
+
+        Args:
+          context: What the agent knows.
+          fetcher: Fetches pieces.
+          log: Where events go.
+          counters: Counts orders.
+          histograms: Keeps how long orders took.
+          declared: What operators named, in boot time.
+        """
+        self._context = context
+        self._fetcher = fetcher
+        self._log = log
+        self._counters = counters
+        self._histograms = histograms
+        # Stalls are counted by a clock that stands still with the machine: no
+        # piece could come. Due times are not.
+        self._clock = asyncio.get_running_loop().time
+        self._declared = declared
+        self._prefetcher = prefetch.Prefetcher(fetcher, log, counters)
+        self._manifests: dict[int, agent_interfaces.VersionManifest] = {}
+        self._complete_at: dict[int, float] = {}
+        self._stalled_until: dict[int, float] = {}
+        self._abandoned_missing: dict[int, float] = {}
+        self._last_missing = 1.0
+        self._progress_at = 0.0
+        self._yielding = False
+        self._yielding_since = 0.0
+
+    @property
+    def yielding(self) -> bool:
+        """Whether the server is about to load and others are preferred."""
+        return self._yielding
+
+    def on_server_restart(self) -> None:
+        """Forgets what was begun with the start before."""
+        self._yielding = False
+
+    def ready_in_s(self, serves: bool) -> float:
+        """Returns about when the server serves; negative when unknown.
+
+        Of a version that is on its way, if there is one: callers who may begin
+        on the present one find a server without asking. Told to be ready at
+        once all the same, callers were held for 1.5 s and then turned away,
+        500 of them while the origin was down.
+
+        Args:
+          serves: Whether it has all layers of any version now.
+        """
+        manifest = self._fetcher.manifest
+        if serves and (manifest is None or self._serves(manifest.version)):
+            return 0.0
+        if self._context.state is not None and self._context.state.busy:
+            return _LOAD_S
+        if manifest is None or self._halted:
+            return -1.0
+        return self._fetcher.missing_fraction * self._fetch_s() + _LOAD_S
+
+    @property
+    def _halted(self) -> bool:
+        """Whether pieces are missing and none comes."""
+        if self._fetcher.missing_fraction <= 0:
+            return False
+        quiet_s = self._clock() - self._progress_at
+        return (
+            quiet_s > _STALL_TIMEOUT_S
+            or self._fetcher.origin_failing_s > _ORIGIN_FAILURE_TIMEOUT_S
+        )
+
+    def _versions(self) -> Sequence[plan.Declaration]:
+        """Returns what is to be served: declared, or what others have.
+
+        Before the first declaration the servers that were there from the
+        start hold the first version, and an empty one must get it.
+        """
+        declared = self._declared.for_model(self._context.model)
+        if declared:
+            return declared[-_VERSIONS_KEPT:]
+        held = [
+            h.version
+            for server in self._context.servers.values()
+            for h in server.held
+            if h.model == self._context.model and self.is_complete(h)
+        ]
+        return [plan.Declaration(max(held, default=1), -math.inf)]
+
+    def is_complete(self, held: types.Held) -> bool:
+        """Returns whether all layers of a model are there."""
+        return (
+            self._context.engine is not None
+            and held.layers >= self._context.engine.layers
+        )
+
+    def _serves(self, version: int) -> bool:
+        return self._context.state is not None and any(
+            h.model == self._context.model
+            and self.is_complete(h)
+            and h.version >= version
+            for h in self._context.state.held
+        )
+
+    async def bring(self) -> None:
+        """Begins to bring the version that the plan names."""
+        manifest = self._fetcher.manifest
+        current = None
+        if manifest is not None:
+            current = plan.Progress(
+                manifest.version, self._fetcher.missing_fraction
+            )
+            if self._stalled():
+                self._stalled_until[manifest.version] = (
+                    self._clock() + _STALL_COOLDOWN_S
+                )
+        version = plan.choose(
+            self._versions(),
+            current,
+            self._timing(),
+            self._declared.now,
+            self._excluded_versions(),
+            self._abandoned_missing,
+        )
+        assert self._context.origin is not None
+        if manifest is not None and self._must_finish_spreading(
+            manifest.version, version
+        ):
+            return
+        if manifest is not None and manifest.version == version:
+            newest = self._versions()[-1].version
+            if newest > version and not self._fetcher.unspread_fraction:
+                self._prefetcher.start(
+                    self._context.origin, self._context.model, newest
+                )
+            return
+        if not version:
+            return
+        await self._prefetcher.stop()
+        found = self._manifests.get(version)
+        if found is None:
+            found = await self._fetcher.fetch_manifest(
+                self._context.origin, self._context.model, version
+            )
+        self._manifests[version] = found
+        for old in sorted(self._manifests)[:-_VERSIONS_KEPT]:
+            del self._manifests[old]
+        staged = 0
+        if self._context.local_server is not None:
+            staged = await self._fetcher.restore_staged(
+                self._context.local_server, found
+            )
+        self._log.write(
+            _events.WEIGHTS_WANTED,
+            version=version,
+            pieces=len(found.digests),
+            staged=staged,
+            was=manifest.version if manifest is not None else 0,
+            was_left=round(self._fetcher.missing_fraction, 3),
+            was_unspread=round(self._fetcher.unspread_fraction, 3),
+        )
+        self._progress_at = self._clock()
+        if manifest is not None:
+            self._abandoned_missing[manifest.version] = (
+                self._fetcher.missing_fraction
+            )
+            for old in sorted(self._abandoned_missing)[:-_VERSIONS_KEPT]:
+                del self._abandoned_missing[old]
+        is_new = any(
+            declared.version == version
+            and self._declared.now - declared.declared_at < _NEW_VERSION_S
+            for declared in self._declared.for_model(self._context.model)
+        )
+        self._fetcher.set_target(self._context.origin, found, is_new)
+
+    def _must_finish_spreading(self, version: int, newer: int) -> bool:
+        """Returns whether a version's last pieces go before a newer version."""
+        if (
+            newer <= version
+            or self._fetcher.origin_failing_s > _ORIGIN_FAILURE_TIMEOUT_S
+        ):
+            return False
+        return plan.should_finish_spreading(
+            plan.Declaration(version, self._declared_at(version)),
+            plan.Declaration(newer, self._declared_at(newer)),
+            self._fetcher.unspread_fraction * self._origin_copy_s(),
+            self._timing(),
+            self._declared.now,
+        )
+
+    def _origin_copy_s(self) -> float:
+        """Returns how long the origin takes to send a version once."""
+        if self._context.engine is None:
+            return math.inf
+        size = self._context.engine.chunks * self._context.engine.chunk_bytes
+        return size / self._fetcher.origin_bytes_per_s
+
+    def _stalled(self) -> bool:
+        """Returns whether no piece has come for a while."""
+        missing = self._fetcher.missing_fraction
+        now = self._clock()
+        if missing != self._last_missing:
+            self._last_missing = missing
+            self._progress_at = now
+        newest = self._versions()[-1].version
+        manifest = self._fetcher.manifest
+        older = manifest is not None and manifest.version < newest
+        if (
+            not older
+            and self._fetcher.origin_failing_s > _ORIGIN_FAILURE_TIMEOUT_S
+        ):
+            return missing > 0
+        timeout_s = _OLDER_STALL_TIMEOUT_S if older else _STALL_TIMEOUT_S
+        return missing > 0 and now - self._progress_at > timeout_s
+
+    def _excluded_versions(self) -> set[int]:
+        """Returns the versions that stall, and those that are served.
+
+        None stalls for good: where no other is left, they are tried again.
+        """
+        now = self._clock()
+        stalled = {v for v, until in self._stalled_until.items() if until > now}
+        served = {v for v in self._manifests if self._serves(v)}
+        return stalled | served if stalled else set()
+
+    def _timing(self) -> plan.RolloutTiming:
+        return plan.RolloutTiming(
+            self._fetch_s(), _SWAP_S, self._declared.due_s
+        )
+
+    def _fetch_s(self) -> float:
+        """Returns how long the links take to bring a version everywhere."""
+        if self._context.engine is None:
+            return 0.0
+        size = self._context.engine.chunks * self._context.engine.chunk_bytes
+        return (
+            size / self._context.instance.link_bytes_per_s * _FETCH_TIME_FACTOR
+        )
+
+    async def load_newest(self) -> None:
+        """Orders the newest version that is here, if it is not served."""
+        if (
+            self._context.state is None
+            or self._context.local_server is None
+            or self._context.state.busy
+        ):
+            return
+        yielded, self._yielding = self._yielding, False
+        for version in sorted(self._manifests, reverse=True):
+            if self._serves(version):
+                return
+            empty = not any(
+                self.is_complete(h) for h in self._context.state.held
+            )
+            times = self._swap_times(version)
+            if not empty and self._declared.now < times.yield_at:
+                continue
+            self._yielding = not empty
+            if not yielded:
+                self._yielding_since = self._declared.now
+            if self._fetcher.holds_all(self._manifests[version]):
+                await self._load(self._manifests[version], times)
+                return
+
+    async def _load(
+        self,
+        manifest: agent_interfaces.VersionManifest,
+        times: swap_schedule.SwapTimes,
+    ) -> None:
+        assert self._context.local_server is not None
+        decided = self._context.state
+        former = await self._context.local_server.state()
+        if not await self._fetcher.stage(self._context.local_server, manifest):
+            return
+        state = await self._context.local_server.state()
+        # Another start may not have what lies staged, nor what was decided on.
+        if state.busy or not _same_start(decided, former, state):
+            return
+        now = self._declared.now
+        yielded_s = now - self._yielding_since
+        if state.running and now < self._drain_deadline(
+            manifest.version, times
+        ):
+            return
+        # Streams last for seconds; what is left of them goes on at another
+        # server, which takes a quarter of a second.
+        # The orders counted are those before pieces were staged: a start since
+        # then has accepted none, and refuses to load without them.
+        begun = await self._context.local_server.load(
+            self._context.model,
+            manifest.version,
+            former.sequence,
+            abort_running=True,
+        )
+        self._counters.add("weights.orders")
+        self._histograms.add(
+            "weights.declared_to_order",
+            self._declared.now - self._declared_at(manifest.version),
+        )
+        self._log.write(
+            _events.WEIGHTS_ORDERED,
+            version=manifest.version,
+            sequence=state.sequence,
+            begun=begun,
+            running=state.running,
+            yielded_s=round(yielded_s, 3),
+            after_s=round(
+                self._declared.now - self._declared_at(manifest.version), 3
+            ),
+            received_bytes=self._counters.value("weights.received_bytes"),
+            from_afar_bytes=self._counters.value("weights.cross_domain_bytes"),
+            drawn_bytes=self._counters.value("weights.drawn_bytes"),
+        )
+        await asyncio.sleep(_ORDER_VISIBLE_S)
+
+    def _declared_at(self, version: int) -> float:
+        """Returns when a version was declared; now when it never was."""
+        for declared in self._declared.for_model(self._context.model):
+            if declared.version == version:
+                return declared.declared_at
+        return self._declared.now
+
+    def _swap_times(self, version: int) -> swap_schedule.SwapTimes:
+        """Returns when this server yields and loads for a version."""
+        same = [
+            server.server_id
+            for server in self._context.servers.values()
+            if not server.leaving
+        ]
+        now = self._declared.now
+        if self._fetcher.holds_all(self._manifests[version]):
+            complete_at = self._complete_at.setdefault(version, now)
+        else:
+            complete_at = now + self._fetcher.missing_fraction * self._fetch_s()
+        latest_at = self._latest_load_at(version)
+        server_id = self._context.server_id
+        return swap_schedule.swap_times(
+            server_id, same, version, complete_at, latest_at, _SWAP_POLICY
+        )
+
+    def _drain_deadline(
+        self, version: int, times: swap_schedule.SwapTimes
+    ) -> float:
+        """Returns until when requests that run are waited for.
+
+        The pieces may have come sooner than was thought, and the server have
+        yielded later than its turn says.
+        """
+        yielded_at = self._yielding_since + times.load_at - times.yield_at
+        return max(
+            times.load_at, min(yielded_at, self._latest_load_at(version))
+        )
+
+    def _latest_load_at(self, version: int) -> float:
+        """Returns when a load must begin so that the server serves in time."""
+        return self._declared_at(version) + self._declared.due_s - _LOAD_S
+
+
+def _same_start(*states: agent_interfaces.ServerState | None) -> bool:
+    """Returns whether states are of one start that took no order meanwhile."""
+    return len({s and (s.started_ms, s.sequence) for s in states}) == 1
--- a/src/clementinegw/direct/versions.py
+++ b/src/clementinegw/direct/version_policy.py
@@ -9,18 +9,18 @@
 # A version is demanded this much before it is due: the time in which a request
 # that is sent now begins at a server with room. Any more, and servers stand
 # idle before each due time. Seconds.
-_MARGIN_S = 0.3
+_DISPATCH_MARGIN_S = 0.3
 # Servers that have it already are preferred from this much earlier, in seconds.
-_PREFER_S = 0.3
+_PREFER_LEAD_S = 0.3
 # Servers without it load within about this time before it is demanded: they
 # swap in groups, and as late as they can where its pieces come late. Seconds.
-_LASTING_S = 1.3
+_STABLE_LEAD_S = 1.3
 # A request that has not begun yet is taken back from a server with an older
 # version this much before the newer one is due: some round trips. Seconds.
-_TAKE_BACK_S = 0.15
+_CANCEL_LEAD_S = 0.15
 
 
-class Versions:
+class VersionPolicy:
     """What is demanded of servers, by the declared versions of every model.
 
     Times are boot time: a machine that was suspended must find on waking that
@@ -57,7 +57,7 @@
         """The boot time, in seconds."""
         return self._clock()
 
-    def declare(
+    def record_declared(
         self, declared: types.Declared, unread_s: float = 0.0
     ) -> declarations.Change | None:
         """Takes a declaration in; returns what is new; None for nothing.
@@ -67,33 +67,35 @@
           unread_s: How long ago it may have been named, in seconds; infinite
             when the process found it declared at its start.
         """
-        return self._declared.read(declared.model, declared.version, unread_s)
+        return self._declared.record(declared.model, declared.version, unread_s)
 
-    def told(
+    def merge_ages(
         self, model: str, ages_s: Mapping[int, float]
     ) -> list[declarations.Change]:
-        """Takes in what an agent knows; see `Declarations.told`."""
-        return self._declared.told(model, ages_s, declarations.Source.AGENT)
+        """Takes in what an agent knows; see `Declarations.merge_ages`."""
+        return self._declared.merge_ages(
+            model, ages_s, declarations.Source.AGENT
+        )
 
     def ages_s(self) -> dict[str, dict[int, float]]:
         """Returns what agents are told, by model and version."""
         return self._declared.all_ages_s()
 
-    def declared(self, model: str) -> int:
+    def newest_declared(self, model: str) -> int:
         """Returns the newest declared version; 0 when there is none."""
         return self._declared.newest().get(model, 0)
 
-    def all(self) -> dict[str, int]:
+    def newest_by_model(self) -> dict[str, int]:
         """Returns the newest declared version of every model."""
         return self._declared.newest()
 
-    def demanded_at(self, found: declarations.Declaration) -> float:
+    def required_at(self, found: declarations.Declaration) -> float:
         """Returns from when on no former version may begin a request."""
-        return found.at + self.due_s - _MARGIN_S
+        return found.declared_at + self.due_s - _DISPATCH_MARGIN_S
 
-    def demanded(self, model: str, now: float) -> int | None:
+    def required(self, model: str, now: float) -> int | None:
         """Returns the least version that may begin a request now."""
-        return self._demanded_by(model, now) or None
+        return self._required_by(model, now) or None
 
     def preferred(self, model: str, now: float) -> int:
         """Returns the version whose servers go first now; 0 for any.
@@ -101,26 +103,26 @@
         A request may wait at a server, and would begin there on a version that
         is no longer allowed by then.
         """
-        return self._demanded_by(model, now + _PREFER_S)
+        return self._required_by(model, now + _PREFER_LEAD_S)
 
-    def lasting(self, model: str, now: float) -> int:
+    def stable(self, model: str, now: float) -> int:
         """Returns the version whose servers do not load soon; 0 for any.
 
         A stream that a load broke off must not be broken off once more by the
         next server's load: it would have used its attempts, and be lost.
         """
-        return self._demanded_by(model, now + _LASTING_S)
+        return self._required_by(model, now + _STABLE_LEAD_S)
 
-    def _demanded_by(self, model: str, until: float) -> int:
+    def _required_by(self, model: str, until: float) -> int:
         """Returns the newest version that is demanded by then; 0 for none."""
         near = [
             found.version
-            for found in self._declared.of(model)
-            if self.demanded_at(found) <= until
+            for found in self._declared.for_model(model)
+            if self.required_at(found) <= until
         ]
         return max(near, default=0)
 
-    def take_back_at(self, model: str, held: int) -> float:
+    def withdraw_at(self, model: str, held: int) -> float:
         """Returns when a request must have begun at a server.
 
         A server that is slow, or fuller than it seemed, lets a request wait
@@ -134,12 +136,12 @@
           Boot seconds; infinite while no newer version is on its way.
         """
         newer = [
-            self.demanded_at(found)
-            for found in self._declared.of(model)
+            self.required_at(found)
+            for found in self._declared.for_model(model)
             if found.version > held
         ]
-        take_back_s = _MARGIN_S - _TAKE_BACK_S
-        return min(newer, default=math.inf) + take_back_s
+        grace_s = _DISPATCH_MARGIN_S - _CANCEL_LEAD_S
+        return min(newer, default=math.inf) + grace_s
 
     def expected(self, model: str, held: int, now: float) -> int | None:
         """Returns the exact version to ask a server for; None for any.
@@ -149,12 +151,12 @@
           held: The version that the server is known to have; 0 when unknown.
           now: Boot seconds.
         """
-        demanded = self.demanded(model, now)
-        if demanded is None:
+        required = self.required(model, now)
+        if required is None:
             return None
-        newest = self.declared(model)
-        if demanded == newest:
+        newest = self.newest_declared(model)
+        if required == newest:
             return newest
         # A newer one is on its way: naming the demanded one would turn away
         # from the servers that have the newer one already.
-        return held if held >= demanded else demanded
+        return held if held >= required else required
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -26,7 +26,7 @@
 from clementinegw.direct import queue
 from clementinegw.direct import reports
 from clementinegw.direct import types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import logs
 from clementinegw.testing import engine_model
 
@@ -118,7 +118,7 @@
         self.placing = placing.Placing(
             knowledge,
             balancer,
-            versions.Versions(8.0, clock),
+            version_policy.VersionPolicy(8.0, clock),
             rng,
             clock,
             **more,
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -59,10 +59,10 @@
         "if False:",
     ),
     "digest_check": (
-        "src/clementinegw/direct/bring.py",
-        "if lying is not None and digest_of(lying) == digest:\n"
+        "src/clementinegw/direct/fetcher.py",
+        "if existing is not None and digest_of(existing) == digest:\n"
         "                continue",
-        "if lying is not None:\n                continue",
+        "if existing is not None:\n                continue",
     ),
     "server_limit": (
         "src/clementinegw/direct/balance.py",
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -11,14 +11,14 @@
 from clementinegw import exceptions
 from clementinegw import types as places
 from clementinegw.direct import agent as agents
-from clementinegw.direct import backing
+from clementinegw.direct import agent_interfaces
 from clementinegw.direct import declarations
-from clementinegw.direct import descriptions
 from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
-from clementinegw.direct import keep
+from clementinegw.direct import manifest_cache
 from clementinegw.direct import raw
 from clementinegw.direct import types
+from clementinegw.direct import updater
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
@@ -42,7 +42,7 @@
     return hashlib.sha256(data).digest()
 
 
-class Beside:
+class LocalServer:
     """A model server: takes what lies staged, checks nothing."""
 
     def __init__(self):
@@ -62,7 +62,9 @@
         now = asyncio.get_running_loop().time()
         busy = now < self.busy_until
         held = () if busy else self.held
-        return backing.State(held, busy, self.sequence, 0, 0, 1.0, self.born)
+        return agent_interfaces.ServerState(
+            held, busy, self.sequence, 0, 0, 1.0, self.born
+        )
 
     async def staged(self):
         found = frozenset(self.staged_pieces)
@@ -86,7 +88,7 @@
             self.staged_pieces.clear()
         self.staged_pieces[number] = data
 
-    async def load(self, model, version, sequence, cut):
+    async def load(self, model, version, sequence, abort_running):
         if sequence != self.sequence:
             return False
         self.sequence += 1
@@ -111,12 +113,14 @@
         self.down = False
         self.spoil = 0
 
-    async def digests(self, model, version):
+    async def manifest(self, model, version):
         self.asked += 1
         if self.down:
             raise exceptions.PlatformUnavailable("down")
         names = tuple(digest(piece(version, n)) for n in range(PIECES))
-        return backing.Digests(model, version, PIECE_BYTES, names)
+        return agent_interfaces.VersionManifest(
+            model, version, PIECE_BYTES, names
+        )
 
     async def piece(self, model, version, number):
         await asyncio.sleep(0.02)
@@ -169,7 +173,7 @@
     def __init__(self, count=3, link_bytes_per_s=50_000.0):
         self.link_bytes_per_s = link_bytes_per_s
         self.origin = Origin()
-        self.besides = [Beside() for _ in range(count)]
+        self.local_servers = [LocalServer() for _ in range(count)]
         self.topics = (Topic(), Topic())
         self.agents = []
         # How long the machines have been suspended, in seconds.
@@ -184,8 +188,8 @@
     def servers(self):
         return self.topics[1]
 
-    def beside(self, address, model):
-        return self.besides[int(address.host.rpartition(".")[2]) - 11]
+    def local_server(self, address, model):
+        return self.local_servers[int(address.host.rpartition(".")[2]) - 11]
 
     def origin_at(self, address):
         return self.origin
@@ -205,7 +209,7 @@
         }
         configuration = types.Configuration(1, (), services, {})
         self.topics[0].records.append(follow.Record("c", configuration))
-        hosts = [f"{NETWORK}.{11 + n}" for n in range(len(self.besides))]
+        hosts = [f"{NETWORK}.{11 + n}" for n in range(len(self.local_servers))]
         for number, host in enumerate(hosts):
             server = types.Server(
                 f"i-{number}",
@@ -221,7 +225,7 @@
 
     async def start(self, number, host):
         instance = instance_of(
-            self.link_bytes_per_s, number, host, len(self.besides)
+            self.link_bytes_per_s, number, host, len(self.local_servers)
         )
         platform = Platform(self)
         agent = agents.Agent(
@@ -244,7 +248,10 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         while loop.time() < began + most_s:
-            states = [await beside.state() for beside in self.besides]
+            states = [
+                await local_server.state()
+                for local_server in self.local_servers
+            ]
             if all(
                 any(h.version == version for h in state.held)
                 for state in states
@@ -277,7 +284,7 @@
         self.operators = site.operators
         self.servers = site.servers
         self.readers = lambda me: NoReaders()
-        self.beside = site.beside
+        self.local_server = site.local_server
         self.origin = site.origin_at
 
 
@@ -292,7 +299,7 @@
             site.origin.sent = 0
             site.declare(2)
             took = await site.until_all_hold(2)
-            wholes = [beside.whole for beside in site.besides]
+            wholes = [local_server.whole for local_server in site.local_servers]
             return took, site.origin.sent, wholes
 
     took, sent, wholes = run(play())
@@ -333,9 +340,9 @@
 
     async def play():
         async with Site(1) as site:
-            site.besides[0].rot = True
+            site.local_servers[0].rot = True
             await site.until_all_hold(1)
-            return site.besides[0].whole
+            return site.local_servers[0].whole
 
     assert run(play()) == [True]
 
@@ -350,9 +357,9 @@
 
     async def play():
         async with Site(1) as site:
-            site.besides[0].restart = True
+            site.local_servers[0].restart = True
             await site.until_all_hold(1)
-            return site.besides[0].whole
+            return site.local_servers[0].whole
 
     assert run(play()) == [True]
 
@@ -367,10 +374,10 @@
     async def play():
         async with Site(1) as site:
             await site.until_all_hold(1)
-            site.besides[0].restart_with = 2
+            site.local_servers[0].restart_with = 2
             site.declare(2)
             await site.until_all_hold(2)
-            return site.besides[0].whole
+            return site.local_servers[0].whole
 
     assert run(play()) == [True, True]
 
@@ -380,7 +387,7 @@
         async with Site(1) as site:
             site.origin.spoil = 3
             await site.until_all_hold(1, most_s=30.0)
-            return site.besides[0].whole
+            return site.local_servers[0].whole
 
     assert run(play()) == [True]
 
@@ -394,10 +401,10 @@
 
     async def play():
         async with Site(1) as site:
-            site.besides[0].lose_answer = True
+            site.local_servers[0].lose_answer = True
             await site.until_all_hold(1)
             await asyncio.sleep(2.0)
-            return site.besides[0].loads
+            return site.local_servers[0].loads
 
     assert run(play()) == [1]
 
@@ -408,7 +415,7 @@
             await site.until_all_hold(1)
             site.origin.sent = 0
             await site.agents.pop().stop()
-            site.besides[0].held = ()
+            site.local_servers[0].held = ()
             await site.start(0, f"{NETWORK}.11")
             await site.until_all_hold(1)
             return site.origin.sent
@@ -425,7 +432,7 @@
             await asyncio.sleep(gap_s)
             site.declare(3)
             await site.until_all_hold(3)
-            return [beside.whole for beside in site.besides]
+            return [local_server.whole for local_server in site.local_servers]
 
     assert all(all(whole) for whole in run(play()))
 
@@ -462,7 +469,9 @@
             await asyncio.sleep(0.05)
             site.origin.down = True
             took = await site.until_all_hold(2)
-            return took, [beside.whole for beside in site.besides]
+            return took, [
+                local_server.whole for local_server in site.local_servers
+            ]
 
     took, wholes = run(play())
     assert took < 8.0
@@ -484,9 +493,9 @@
             await site.until_all_hold(2)
             site.origin.down = True
             await site.agents.pop(0).stop()
-            beside = site.besides[0]
-            beside.staged_pieces.clear()
-            beside.held, beside.sequence = (), 0
+            local_server = site.local_servers[0]
+            local_server.staged_pieces.clear()
+            local_server.held, local_server.sequence = (), 0
             await site.start(0, f"{NETWORK}.11")
             return await site.until_all_hold(2, most_s=6.0)
 
@@ -514,15 +523,17 @@
 
 def test_what_another_agent_tells_of_a_version_is_checked():
     """An unreadable or another version's description names nothing."""
-    digests = backing.Digests(MODEL, 2, PIECE_BYTES, (digest(b"p"),))
-    body = descriptions.manifest_of(digests).encode()
-    found = descriptions.Descriptions(
+    manifest = agent_interfaces.VersionManifest(
+        MODEL, 2, PIECE_BYTES, (digest(b"p"),)
+    )
+    body = manifest_cache.to_swarm_manifest(manifest).encode()
+    found = manifest_cache.ManifestCache(
         Endpoint(), random.Random(1), counters_lib.Counters()
     )
-    assert found.read(body, MODEL, 2) == digests
-    assert found.read(body, MODEL, 3) is None
-    assert found.read(b"{" + body, MODEL, 2) is None
-    assert found.read(b"", MODEL, 2) is None
+    assert found.decode(body, MODEL, 2) == manifest
+    assert found.decode(body, MODEL, 3) is None
+    assert found.decode(b"{" + body, MODEL, 2) is None
+    assert found.decode(b"", MODEL, 2) is None
 
 
 class Endpoint:
@@ -536,13 +547,13 @@
 
 
 @dataclasses.dataclass
-class Bringing:
-    """What is brought, as `keep.Weights` asks it."""
+class FakeFetcher:
+    """What is brought, as `updater.WeightsUpdater` asks it."""
 
-    digests: backing.Digests
+    manifest: agent_interfaces.VersionManifest
     origin_failing_s: float
-    left: float = 0.9
-    unspread: float = 1.0
+    missing_fraction: float = 0.9
+    unspread_fraction: float = 1.0
     origin_bytes_per_s: float = 2_000.0
 
 
@@ -559,21 +570,23 @@
     """
 
     async def play():
-        digests = backing.Digests(MODEL, version, PIECE_BYTES, (b"d",))
+        manifest = agent_interfaces.VersionManifest(
+            MODEL, version, PIECE_BYTES, (b"d",)
+        )
         declared = declarations.Declarations(
             8.0, 3.0, asyncio.get_running_loop().time
         )
-        weights = keep.Weights(
-            keep.Around(None),
-            Bringing(digests, failing_s),
+        weights = updater.WeightsUpdater(
+            updater.Context(None),
+            FakeFetcher(manifest, failing_s),
             logs.Log(),
             counters_lib.Counters(),
             histograms.Histograms(),
             declared,
         )
-        declared.read("", 2, 0.0)
-        declared.read("", 3, 0.0)
-        weights._moved_at = asyncio.get_running_loop().time()
+        declared.record("", 2, 0.0)
+        declared.record("", 3, 0.0)
+        weights._progress_at = asyncio.get_running_loop().time()
         return weights._stalled()
 
     assert run(play()) == given_up
@@ -605,21 +618,23 @@
 
     async def play():
         clock = asyncio.get_running_loop().time
-        digests = backing.Digests(MODEL, 2, PIECE_BYTES, (b"d",))
+        manifest = agent_interfaces.VersionManifest(
+            MODEL, 2, PIECE_BYTES, (b"d",)
+        )
         instance = instance_of(link_bytes_per_s=1_000.0)
         engine = types.Engine((MODEL,), 16, 0.01, 0.0, 1e4, 6, 4, 5, 1_000)
         declared = declarations.Declarations(8.0, 3.0, clock)
-        weights = keep.Weights(
-            keep.Around(instance, engine),
-            Bringing(digests, failing_s, unspread=unspread),
+        weights = updater.WeightsUpdater(
+            updater.Context(instance, engine),
+            FakeFetcher(manifest, failing_s, unspread_fraction=unspread),
             logs.Log(),
             counters_lib.Counters(),
             histograms.Histograms(),
             declared,
         )
-        declared.read(MODEL, 2, 0.0)
+        declared.record(MODEL, 2, 0.0)
         await asyncio.sleep(since_s)
-        return weights._must_spread(2, 3)
+        return weights._must_finish_spreading(2, 3)
 
     assert run(play()) == waits
 
@@ -640,16 +655,18 @@
 
     async def play():
         clock = asyncio.get_running_loop().time
-        digests = backing.Digests(MODEL, 3, PIECE_BYTES, (b"d",))
-        weights = keep.Weights(
-            keep.Around(None),
-            Bringing(digests, failing_s),
+        manifest = agent_interfaces.VersionManifest(
+            MODEL, 3, PIECE_BYTES, (b"d",)
+        )
+        weights = updater.WeightsUpdater(
+            updater.Context(None),
+            FakeFetcher(manifest, failing_s),
             logs.Log(),
             counters_lib.Counters(),
             histograms.Histograms(),
             declarations.Declarations(8.0, 3.0, clock),
         )
-        weights._moved_at = clock() - quiet_s
+        weights._progress_at = clock() - quiet_s
         return weights.ready_in_s(serves=True)
 
     found = run(play())
@@ -666,13 +683,17 @@
     async def play():
         async with Site() as site:
             await site.until_all_hold(1)
-            beside = site.besides[0]
-            beside.held, beside.sequence, beside.born = (), 0, 7
-            loads = len(beside.loads)
+            local_server = site.local_servers[0]
+            local_server.held, local_server.sequence, local_server.born = (
+                (),
+                0,
+                7,
+            )
+            loads = len(local_server.loads)
             await asyncio.sleep(5.0)
-            assert len(beside.loads) == loads + 1
-            assert all(beside.whole)
-            told = site.agents[0]._around.start
+            assert len(local_server.loads) == loads + 1
+            assert all(local_server.whole)
+            told = site.agents[0]._context.start
             assert told == types.Start("i-0", 7)
 
     run(play())
--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -16,7 +16,7 @@
 from clementinegw.direct import queue
 from clementinegw.direct import reports
 from clementinegw.direct import types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
 
@@ -150,7 +150,7 @@
         finder = placing.Placing(
             admit.Knowledge(None, lambda: 0.0, 1.0, 1.0),
             chooser,
-            versions.Versions(8.0, loop.time),
+            version_policy.VersionPolicy(8.0, loop.time),
             random.Random(1),
             loop.time,
         )
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -13,12 +13,12 @@
 from clementinegw.direct import follow
 from clementinegw.direct import plan
 from clementinegw.direct import reports
-from clementinegw.direct import turns
+from clementinegw.direct import swap_schedule
 from clementinegw.direct import types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import logs
 
-TERMS = plan.Terms(bring_s=5.0, swap_s=1.6, due_s=8.0)
+TERMS = plan.RolloutTiming(fetch_s=5.0, swap_s=1.6, due_s=8.0)
 FIRST = plan.Declaration(2, 0.0)
 
 
@@ -65,7 +65,7 @@
     Cause: only the newest version was ever brought.
     """
     both = [FIRST, plan.Declaration(3, 4.0)]
-    current = plan.Progress(2, left=0.25)
+    current = plan.Progress(2, missing=0.25)
     assert plan.choose(both, current, TERMS, now=4.0) == 2
 
 
@@ -77,16 +77,16 @@
     due and 3 would be 2.5 s late; dropped, nothing serves for 3.2 s. Cause:
     what came late by however little was held to be worth nothing.
     """
-    slow = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=8.0)
+    slow = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=8.0)
     both = [FIRST, plan.Declaration(3, 4.0)]
-    current = plan.Progress(2, left=0.49)
+    current = plan.Progress(2, missing=0.49)
     assert plan.choose(both, current, slow, now=4.1) == 2
 
 
 def test_an_older_version_gives_way_where_the_newer_one_would_wait_longer():
-    slow = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=8.0)
+    slow = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=8.0)
     both = [FIRST, plan.Declaration(3, 2.0)]
-    current = plan.Progress(2, left=0.68)
+    current = plan.Progress(2, missing=0.68)
     assert plan.choose(both, current, slow, now=2.1) == 3
 
 
@@ -99,7 +99,7 @@
     those who hold its pieces. Cause: they are within a few pieces of the point
     at which the decision changes.
     """
-    slow = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=8.0)
+    slow = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=8.0)
     both = [FIRST, plan.Declaration(3, 4.0)]
     assert plan.choose(both, plan.Progress(2, left), slow, now=4.1) == 2
 
@@ -112,14 +112,14 @@
     due by then. Cause: it was not asked what an older one is still good for.
     """
     both = [FIRST, plan.Declaration(3, 2.0)]
-    current = plan.Progress(2, left=0.1)
+    current = plan.Progress(2, missing=0.1)
     assert plan.choose(both, current, TERMS, 8.2, {3}) == 3
     assert plan.choose(both, current, TERMS, 7.0, {3}) == 2
 
 
 def test_a_newer_version_that_comes_in_time_for_both_is_brought_alone():
     both = [FIRST, plan.Declaration(3, 0.5)]
-    current = plan.Progress(2, left=0.95)
+    current = plan.Progress(2, missing=0.95)
     assert plan.choose(both, current, TERMS, now=0.5) == 3
 
 
@@ -130,7 +130,7 @@
 
 def test_a_version_that_comes_too_late_in_any_case_gives_way():
     both = [FIRST, plan.Declaration(3, 7.5)]
-    current = plan.Progress(2, left=0.9)
+    current = plan.Progress(2, missing=0.9)
     assert plan.choose(both, current, TERMS, now=7.5) == 3
 
 
@@ -141,9 +141,9 @@
     the origin is cut off. Cause: what lay with the agents was given up.
     """
     both = [FIRST, plan.Declaration(3, 2.0)]
-    current = plan.Progress(3, left=0.9)
+    current = plan.Progress(3, missing=0.9)
     assert plan.choose(both, current, TERMS, 3.5, {3}) == 2
-    again = plan.Progress(2, left=0.4)
+    again = plan.Progress(2, missing=0.4)
     assert plan.choose(both, again, TERMS, 3.6, {3}) == 2
     assert plan.choose(both, again, TERMS, 5.0, {2, 3}) == 3
 
@@ -155,14 +155,14 @@
     the links' usual time it comes 1.7 s before version 2 is due; it comes 1.8 s
     after. Cause: where no gap was expected either way, the older was dropped.
     """
-    usual = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=13.4)
+    usual = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=13.4)
     both = [FIRST, plan.Declaration(3, 4.0)]
     assert plan.choose(both, plan.Progress(2, 0.3), usual, now=4.5) == 2
 
 
 def test_an_older_version_with_little_done_gives_way_to_the_newest():
     """Both could come in time, but the newest alone has more to spare."""
-    usual = plan.Terms(bring_s=4.9, swap_s=0.9, due_s=9.7)
+    usual = plan.RolloutTiming(fetch_s=4.9, swap_s=0.9, due_s=9.7)
     both = [FIRST, plan.Declaration(3, 2.0)]
     assert plan.choose(both, plan.Progress(2, 0.6), usual, now=2.1) == 3
 
@@ -175,7 +175,7 @@
     whole and was taken up; taken up, it could not come in time, and was left.
     Cause: what was missing of a version was forgotten as it was left.
     """
-    usual = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=13.4)
+    usual = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=13.4)
     both = [plan.Declaration(2, 0.0), plan.Declaration(3, 0.1)]
     lefts = {2: 0.95, 3: 1.0}
     version, changes = 2, 0
@@ -197,11 +197,13 @@
     time of a whole version is over. Cause: last pieces went first, though the
     older version is due when the newest one is.
     """
-    usual = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=13.4)
+    usual = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=13.4)
     first = plan.Declaration(2, 0.0)
     together, later = plan.Declaration(3, 0.1), plan.Declaration(3, 2.0)
-    assert not plan.spreads_first(first, together, 4.3, usual, now=1.3)
-    assert plan.spreads_first(first, later, 0.5, usual, now=3.0)
+    assert not plan.should_finish_spreading(
+        first, together, 4.3, usual, now=1.3
+    )
+    assert plan.should_finish_spreading(first, later, 0.5, usual, now=3.0)
 
 
 @pytest.mark.parametrize("current", [None, plan.Progress(1, 0.0)])
@@ -216,12 +218,15 @@
 # Turns.
 
 
-SWAP = turns.Terms(groups=3, step_s=0.8, drain_s=1.0, least_drain_s=0.3)
+SWAP = swap_schedule.SwapPolicy(
+    groups=3, step_s=0.8, drain_s=1.0, min_drain_s=0.3
+)
 
 
 def turns_of(names, here_at, last_at):
     return [
-        turns.turn(name, names, 7, here_at, last_at, SWAP) for name in names
+        swap_schedule.swap_times(name, names, 7, here_at, last_at, SWAP)
+        for name in names
     ]
 
 
@@ -255,7 +260,7 @@
 
 
 def test_an_agent_that_is_not_listed_yet_has_a_turn():
-    assert turns.turn("me", [], 1, 5.0, 9.0, SWAP).load_at == 5.0
+    assert swap_schedule.swap_times("me", [], 1, 5.0, 9.0, SWAP).load_at == 5.0
 
 
 # Versions.
@@ -263,12 +268,12 @@
 
 def test_a_version_is_demanded_shortly_before_it_is_due():
     now = [100.0]
-    known = versions.Versions(8.0, lambda: now[0])
-    assert known.declare(types.Declared("m", 2))
+    known = version_policy.VersionPolicy(8.0, lambda: now[0])
+    assert known.record_declared(types.Declared("m", 2))
     assert known.preferred("m", 107.3) == 0
     assert known.preferred("m", 107.6) == 2
-    assert known.demanded("m", 107.6) is None
-    assert known.demanded("m", 107.8) == 2
+    assert known.required("m", 107.6) is None
+    assert known.required("m", 107.8) == 2
 
 
 def test_a_request_that_waits_at_a_server_does_not_begin_on_an_old_version():
@@ -277,11 +282,11 @@
     Sequence: it is sent a second before that time to a server on the former
     version, waits there for 1.1 s and begins. Cause: nobody took it back.
     """
-    known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2))
-    assert 8.0 - 0.2 < known.take_back_at("m", held=1) < 8.0 - 0.1
-    assert known.take_back_at("m", held=2) == math.inf
-    assert known.take_back_at("other", held=1) == math.inf
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    known.record_declared(types.Declared("m", 2))
+    assert 8.0 - 0.2 < known.withdraw_at("m", held=1) < 8.0 - 0.1
+    assert known.withdraw_at("m", held=2) == math.inf
+    assert known.withdraw_at("other", held=1) == math.inf
 
 
 def test_a_declaration_that_lay_unread_is_due_that_much_earlier():
@@ -290,9 +295,9 @@
     Sequence: its connection to the platform goes silent, and it reads of the
     version a second after the others. Cause: the time counted from there.
     """
-    known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2), unread_s=1.0)
-    assert known.demanded("m", 8.0 - 1.2) == 2
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    known.record_declared(types.Declared("m", 2), unread_s=1.0)
+    assert known.required("m", 8.0 - 1.2) == 2
 
 
 def test_after_a_long_outage_a_version_has_nearly_its_whole_time():
@@ -301,9 +306,9 @@
     Sequence: a version is named while the platform is down for eight seconds;
     every process reads of it afterwards, and holds it to be overdue.
     """
-    known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2), unread_s=8.0)
-    assert known.demanded("m", 6.0) is None
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    known.record_declared(types.Declared("m", 2), unread_s=8.0)
+    assert known.required("m", 6.0) is None
 
 
 def test_a_stream_that_was_broken_off_goes_where_no_load_is_near():
@@ -313,19 +318,19 @@
     to load, and is broken off again. Cause: the next server was chosen as for
     a new request, and its attempts were used up.
     """
-    known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2))
-    assert known.lasting("m", 5.0) == 0
-    assert known.lasting("m", 6.6) == 2
-    assert known.demanded("m", 6.6) is None
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    known.record_declared(types.Declared("m", 2))
+    assert known.stable("m", 5.0) == 0
+    assert known.stable("m", 6.6) == 2
+    assert known.required("m", 6.6) is None
 
 
 def test_a_repeated_or_older_declaration_changes_nothing():
-    known = versions.Versions(8.0, lambda: 0.0)
-    assert known.declare(types.Declared("m", 3))
-    assert not known.declare(types.Declared("m", 3))
-    assert not known.declare(types.Declared("m", 2))
-    assert known.declared("m") == 3
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    assert known.record_declared(types.Declared("m", 3))
+    assert not known.record_declared(types.Declared("m", 3))
+    assert not known.record_declared(types.Declared("m", 2))
+    assert known.newest_declared("m") == 3
 
 
 def test_a_server_with_the_newer_version_is_not_turned_away():
@@ -336,10 +341,10 @@
     whatever the server had.
     """
     now = [0.0]
-    known = versions.Versions(8.0, lambda: now[0])
-    known.declare(types.Declared("m", 2))
+    known = version_policy.VersionPolicy(8.0, lambda: now[0])
+    known.record_declared(types.Declared("m", 2))
     now[0] = 4.0
-    known.declare(types.Declared("m", 3))
+    known.record_declared(types.Declared("m", 3))
     assert known.expected("m", held=3, now=8.0) == 3
     assert known.expected("m", held=2, now=8.0) == 2
     assert known.expected("m", held=1, now=8.0) == 2
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -12,7 +12,7 @@
 from clementinegw.direct import follow
 from clementinegw.direct import reports
 from clementinegw.direct import types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
@@ -28,11 +28,11 @@
 
 
 def read(version, unread_s):
-    return lambda known: known.read("m", version, unread_s)
+    return lambda known: known.record("m", version, unread_s)
 
 
 def told(version, age_s):
-    return lambda known: known.told("m", {version: age_s}, AGENT)
+    return lambda known: known.merge_ages("m", {version: age_s}, AGENT)
 
 
 @pytest.mark.parametrize(
@@ -55,17 +55,21 @@
         known = new()
         for say in (*order, *order[::-1]):
             say(known)
-        found.add(known.of("m"))
+        found.add(known.for_model("m"))
     assert len(found) == 1
 
 
 def test_who_learned_earlier_is_nearer_to_the_truth():
     known = new()
-    known.read("m", 2, 0.0)
-    (change,) = known.told("m", {2: 3.0}, AGENT)
-    assert (change.new, change.matters, change.moved_s) == (False, True, -3.0)
-    assert known.told("m", {2: 2.0}, AGENT) == []
-    assert known.of("m") == (declarations.Declaration(2, 97.0),)
+    known.record("m", 2, 0.0)
+    (change,) = known.merge_ages("m", {2: 3.0}, AGENT)
+    assert (change.is_new, change.is_significant, change.moved_s) == (
+        False,
+        True,
+        -3.0,
+    )
+    assert known.merge_ages("m", {2: 2.0}, AGENT) == []
+    assert known.for_model("m") == (declarations.Declaration(2, 97.0),)
 
 
 def test_what_is_known_takes_the_place_of_what_was_assumed_at_the_start():
@@ -76,10 +80,10 @@
     moment stayed, though it was only assumed.
     """
     known = new()
-    known.read("m", 2, FIRST)
-    assert known.of("m")[0].at < 96.0
-    known.told("m", {2: 1.0}, AGENT)
-    assert known.of("m") == (declarations.Declaration(2, 99.0),)
+    known.record("m", 2, FIRST)
+    assert known.for_model("m")[0].declared_at < 96.0
+    known.merge_ages("m", {2: 1.0}, AGENT)
+    assert known.for_model("m") == (declarations.Declaration(2, 99.0),)
 
 
 def test_what_is_only_assumed_is_not_told():
@@ -89,34 +93,34 @@
     tells its neighbours. Cause: an assumption was told like knowledge.
     """
     known = new()
-    known.read("m", 2, FIRST)
+    known.record("m", 2, FIRST)
     assert known.all_ages_s() == {}
-    known.read("m", 3, 0.0)
+    known.record("m", 3, 0.0)
     assert known.all_ages_s() == {"m": {3: 0.0}}
 
 
 def test_the_newest_and_those_not_due_yet_are_told():
     known = new()
-    known.told("m", {2: 9.0, 3: 7.0, 4: 1.0}, AGENT)
+    known.merge_ages("m", {2: 9.0, 3: 7.0, 4: 1.0}, AGENT)
     assert known.ages_s("m") == {3: 7.0, 4: 1.0}
     old = new()
-    old.told("m", {2: 60.0}, AGENT)
+    old.merge_ages("m", {2: 60.0}, AGENT)
     assert old.ages_s("m") == {2: 60.0}
 
 
 @pytest.mark.parametrize("ages_s", [{0: 1.0}, {-1: 1.0}, {2: -1.0}])
 def test_what_cannot_be_is_left_aside(ages_s):
     known = new()
-    assert known.told("m", ages_s, AGENT) == []
+    assert known.merge_ages("m", ages_s, AGENT) == []
     assert known.newest() == {}
 
 
 def test_a_version_that_nobody_can_date_is_due_when_the_process_is_bound():
     now = [100.0]
-    known = versions.Versions(8.0, lambda: now[0], settled_s=3.0)
-    known.declare(types.Declared("m", 2), unread_s=FIRST)
-    assert known.demanded("m", 101.5) is None
-    assert known.demanded("m", 103.0 - 0.5) == 2
+    known = version_policy.VersionPolicy(8.0, lambda: now[0], settled_s=3.0)
+    known.record_declared(types.Declared("m", 2), unread_s=FIRST)
+    assert known.required("m", 101.5) is None
+    assert known.required("m", 103.0 - 0.5) == 2
 
 
 # What is told.
@@ -371,14 +375,14 @@
     """
     now = [100.0]
     known = declarations.Declarations(8.0, 3.0, lambda: now[0])
-    known.read("m", 2, FIRST)
-    (found,) = known.of("m")
+    known.record("m", 2, FIRST)
+    (found,) = known.for_model("m")
     now[0] = 110.0
-    assert known.read("m", 2, 2.0) is None
-    assert known.of("m") == (found,)
+    assert known.record("m", 2, 2.0) is None
+    assert known.for_model("m") == (found,)
     # A neighbour that did not start then may still tell.
-    known.told("m", {2: 30.0}, AGENT)
-    assert known.of("m")[0].at == 80.0
+    known.merge_ages("m", {2: 30.0}, AGENT)
+    assert known.for_model("m")[0].declared_at == 80.0
     # What comes after the first reading was named since.
-    known.read("m", 3, 0.5)
-    assert known.of("m")[-1] == declarations.Declaration(3, 109.5)
+    known.record("m", 3, 0.5)
+    assert known.for_model("m")[-1] == declarations.Declaration(3, 109.5)
--- a/tests/test_direct_due.py
+++ b/tests/test_direct_due.py
@@ -188,7 +188,7 @@
         await agent.stop()
     site.agents.clear()
     again_at = site.boot_time()
-    for number in range(len(site.besides)):
+    for number in range(len(site.local_servers)):
         host = f"{agent_sites.NETWORK}.{11 + number}"
         await site.start(number, host)
     return again_at + 3.0
@@ -229,7 +229,7 @@
             due_at = await happens(site)
             await asyncio.sleep(0.5)
             # When a load must begin at the latest.
-            lasts = [agent._weights._last_at(2) for agent in site.agents]
+            lasts = [agent._updater._latest_load_at(2) for agent in site.agents]
             return all(-1.5 < last - due_at < -0.5 for last in lasts)
 
     plays = [
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -14,7 +14,7 @@
 from clementinegw.direct import reports
 from clementinegw.direct import subscriptions
 from clementinegw.direct import types as direct_types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
@@ -238,7 +238,7 @@
         site = overload_site.Site(engines=60, entries=1, domains=DOMAINS)
         entry = site.entries[0]
         listener = Asked()
-        known = versions.Versions(8.0, loop.time)
+        known = version_policy.VersionPolicy(8.0, loop.time)
         asking = subscriptions.Subscriptions(
             types.SimpleNamespace(
                 name="e",
@@ -259,7 +259,7 @@
         )
         asking.ask_all()
         left_out = next(b for b in entry.fleet.all() if not b.followed)
-        known.declare(direct_types.Declared("m", 2))
+        known.record_declared(direct_types.Declared("m", 2))
         await asyncio.sleep(8.0)
         asking.look()
         before = left_out.followed
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from clementinegw import types as places
-from clementinegw.direct import backing
+from clementinegw.direct import agent_interfaces
 from clementinegw.direct import balance
 from clementinegw.direct import channel
 from clementinegw.direct import client
@@ -15,10 +15,10 @@
 from clementinegw.direct import fleet
 from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
-from clementinegw.direct import keep
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
 from clementinegw.direct import types
+from clementinegw.direct import updater
 from clementinegw.telemetry import counters
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
@@ -280,9 +280,9 @@
         link_bytes_per_s=1e6,
         bounds=instances.Bounds(),
     )
-    state = backing.State((), False, 0, 0, 0, 1.0, born)
+    state = agent_interfaces.ServerState((), False, 0, 0, 0, 1.0, born)
     found = {s.server_id: s for s in servers}
-    return keep.Around(instance, servers=found, state=state)
+    return updater.Context(instance, servers=found, state=state)
 
 
 def named(server_id, born):
@@ -318,50 +318,54 @@
     had accepted no order, so that the number of orders told nothing.
     """
 
-    class Beside:
+    class LocalServer:
         loads = 0
         born = 1
 
         async def state(self):
-            return backing.State((), False, 0, 0, 0, 1.0, self.born)
+            return agent_interfaces.ServerState(
+                (), False, 0, 0, 0, 1.0, self.born
+            )
 
-        async def load(self, model, version, sequence, cut):
+        async def load(self, model, version, sequence, abort_running):
             self.loads += 1
             return True
 
-    class Bringer:
-        digests = None
-        left = 0.0
+    class Fetcher:
+        manifest = None
+        missing_fraction = 0.0
 
-        def holds(self, digests):
+        def holds_all(self, manifest):
             return True
 
-        async def stage(self, beside, digests):
-            beside.born = 2
+        async def stage(self, local_server, manifest):
+            local_server.born = 2
             return True
 
     async def play():
         known = around(named("a", 1), born=1)
         known.engine = types.Engine(("m",), 16, 0.01, 0.0, 1e4, 6, 4, 1, 10)
-        known.beside = Beside()
+        known.local_server = LocalServer()
         declared = declarations.Declarations(
             8.0, 3.0, asyncio.get_running_loop().time
         )
-        weights = keep.Weights(
+        weights = updater.WeightsUpdater(
             known,
-            Bringer(),
+            Fetcher(),
             logs.Log(),
             counters.Counters(),
             histograms.Histograms(),
             declared,
         )
-        declared.read("m", 2, 0.0)
-        weights._digests[2] = backing.Digests("m", 2, 10, (b"d",))
+        declared.record("m", 2, 0.0)
+        weights._manifests[2] = agent_interfaces.VersionManifest(
+            "m", 2, 10, (b"d",)
+        )
         await asyncio.sleep(10.0)
         await weights.load_newest()
-        assert known.beside.loads == 0
-        known.state = await known.beside.state()
+        assert known.local_server.loads == 0
+        known.state = await known.local_server.state()
         await weights.load_newest()
-        assert known.beside.loads == 1
+        assert known.local_server.loads == 1
 
     clocks.run(play())
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -247,6 +247,6 @@
         beside = weights.Beside(places.Address(host, int(port)), "m")
         state = await beside.state()
         await server.stop()
-        return state.sequence, state.born
+        return state.sequence, state.started_ms
 
     assert platform_site.run(play()) == (3, 1_780_000_000_123)
