--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -18,8 +18,8 @@
 from clementinegw.direct import server as servers
 from clementinegw.direct import suspects as suspects_lib
 from clementinegw.direct import types
+from clementinegw.direct import version_policy
 from clementinegw.direct import version_timeouts
-from clementinegw.direct import versions as versions_lib
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import histograms as histograms_lib
 from clementinegw.telemetry import logs
@@ -56,7 +56,7 @@
         codec: header_codec.HeaderCodec,
         config_view: admit.ConfigView,
         balancer: balance.Balancer,
-        versions: versions_lib.Versions,
+        versions: version_policy.VersionPolicy,
         retry_limits: budgets.Limits,
         rng: random.Random,
         clock: Callable[[], float],
@@ -79,7 +79,9 @@
         self._attempt_runner = attempts.AttemptRunner(
             codec, clock, self._placer.record_first_event
         )
-        self._version_timeouts = version_timeouts.VersionTimeouts(versions, clock)
+        self._version_timeouts = version_timeouts.VersionTimeouts(
+            versions, clock
+        )
         self._finisher = finisher.RequestFinisher(
             codec, config_view, clock, log, counters, histograms
         )
@@ -97,7 +99,8 @@
             return
         serving = asyncio.ensure_future(self._serve(admitted))
         await asyncio.wait(
-            {serving, responder.disconnected}, return_when=asyncio.FIRST_COMPLETED
+            {serving, responder.disconnected},
+            return_when=asyncio.FIRST_COMPLETED,
         )
         if not serving.done():
             serving.cancel()
@@ -117,7 +120,9 @@
                 self._codec.to_caller_headers(outcome.head),
                 outcome.body,
             )
-            self._finisher.record_done(admitted, "failed_at_server", outcome.head.status)
+            self._finisher.record_done(
+                admitted, "failed_at_server", outcome.head.status
+            )
         else:
             self._finisher.record_done(admitted, "answered", outcome.status)
 
@@ -181,7 +186,9 @@
     async def _attempt_once(
         self, job: attempts.Job
     ) -> outcomes.AttemptOutcome | outcomes.Refusal:
-        if self._suspects.is_refused(job.request, job.customer_name, self._clock()):
+        if self._suspects.is_refused(
+            job.request, job.customer_name, self._clock()
+        ):
             return self._placer.refuse(job, Reason.CRASHES_SERVERS)
         place = await self._placer.reserve(job)
         if isinstance(place, outcomes.Refusal):
@@ -214,11 +221,15 @@
             backend,
             sending,
             lambda: self._placer.has_alternative(job, backend),
-            self._version_timeouts.create(model, held, job.match.route.idempotent),
+            self._version_timeouts.create(
+                model, held, job.match.route.idempotent
+            ),
         )
         if isinstance(outcome, outcomes.Delivered):
             self._suspects.record_survival(backend.server.start.text, now)
-            self._suspects.record_completion(job.request, job.customer_name, self._clock())
+            self._suspects.record_completion(
+                job.request, job.customer_name, self._clock()
+            )
         else:
             self._record_failure(job, backend, outcome)
         return outcome
@@ -281,7 +292,10 @@
             broken = outcome.reason is outcomes.LostReason.BROKEN
             if broken and not (backend.yielding or backend.loading):
                 self._suspects.record_crash(
-                    job.request, job.customer_name, backend.server.start.text, now
+                    job.request,
+                    job.customer_name,
+                    backend.server.start.text,
+                    now,
                 )
         self._log.write(
             _events.ATTEMPT_ENDED,
@@ -293,7 +307,9 @@
             doubt=round(backend.failure_rate, 2),
         )
 
-    def _may_retry(self, job: attempts.Job, outcome: outcomes.AttemptOutcome) -> bool:
+    def _may_retry(
+        self, job: attempts.Job, outcome: outcomes.AttemptOutcome
+    ) -> bool:
         """Returns whether another attempt may be made."""
         if job.responder.begun and job.last_event_id is None:
             return False
@@ -321,7 +337,9 @@
     def _budget(self, service: str) -> budgets.RetryBudget:
         found = self._budgets.get(service)
         if found is None:
-            found = self._budgets[service] = budgets.RetryBudget(self._retry_limits)
+            found = self._budgets[service] = budgets.RetryBudget(
+                self._retry_limits
+            )
         found.entries = self._balancer.entries
         return found
 
--- a/src/clementinegw/direct/version_timeouts.py
+++ b/src/clementinegw/direct/version_timeouts.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 import math
 
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 
 # By how much the two clocks may part without a look, in seconds.
 _MAX_CLOCK_DRIFT_S = 0.02
@@ -62,7 +62,7 @@
     """All requests of one entry that have not begun."""
 
     def __init__(
-        self, versions: versions_lib.Versions, clock: Callable[[], float]
+        self, versions: version_policy.VersionPolicy, clock: Callable[[], float]
     ):
         """Starts without any.
 
@@ -89,7 +89,7 @@
         """Returns whether a server is too old for a request by now."""
         now = self._versions.now
         return (
-            self._versions.demanded(version_timeout.model, now) or 0
+            self._versions.required(version_timeout.model, now) or 0
         ) > version_timeout.held
 
     def add(self, version_timeout: VersionTimeout) -> None:
@@ -119,7 +119,7 @@
         timeout = version_timeout.timeout
         if timeout is None or timeout.expired():
             return
-        at = self._versions.take_back_at(
+        at = self._versions.withdraw_at(
             version_timeout.model, version_timeout.held
         )
         when = None if math.isinf(at) else at - self._current_boot_offset_s()
