--- a/src/clementinegw/direct/shared.py
+++ b/src/clementinegw/direct/shared.py
@@ -15,11 +15,11 @@
 from clementinegw.direct import _events
 from clementinegw.direct import choice as choices
 from clementinegw.direct import follow
+from clementinegw.direct import hedged_call
 from clementinegw.direct import newest as newest_lib
 from clementinegw.direct import outage
 from clementinegw.direct import proofs
 from clementinegw.direct import questions
-from clementinegw.direct import race as races
 from clementinegw.direct import raw
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
@@ -77,7 +77,7 @@
 
 # Takes an answer over; only the first one that came is.
 _Taking = Callable[[], follow.Batch]
-_Race = races.Race[choices.Reader, _Taking]
+_HedgedCall = hedged_call.HedgedCall[choices.Reader, _Taking]
 
 
 class Shared:
@@ -139,7 +139,7 @@
         self._watch = outage.Watch(clock)
         self._open = 0
         self._asked_until = 0.0
-        self._race: _Race | None = None
+        self._hedged_call: _HedgedCall | None = None
         self._changed = asyncio.Event()
 
     @property
@@ -165,34 +165,36 @@
         async def ask(reader: choices.Reader) -> _Taking:
             if reader is None:
                 return await self._ask_store(offset, wait_s)
-            return await self._ask_peer(reader, offset, race.hold)
+            return await self._ask_peer(reader, offset, hedged.postpone)
 
-        race = self._race = _Race(ask, follow.HistoryLost)
+        hedged = self._hedged_call = _HedgedCall(ask, follow.HistoryLost)
         try:
-            won = await race.run(order, self._pace_of(order[0], offset, wait_s))
+            result = await hedged.run(
+                order, self._hedge_timing(order[0], offset, wait_s)
+            )
         finally:
-            self._race = None
-        for reader in won.overdue:
+            self._hedged_call = None
+        for reader in result.overdue:
             self._overdue(reader)
-        self._note_reader(won.whom, won.error)
-        return won.answer()
+        self._note_reader(result.target, result.error)
+        return result.answer()
 
-    def _pace_of(
+    def _hedge_timing(
         self, first: choices.Reader, offset: int | None, wait_s: float
-    ) -> races.Pace:
+    ) -> hedged_call.HedgeTiming:
         """Returns when others are asked beside the first one.
 
         Everything is asked of one after the other: at a start of all many ask
         for it, and the link to the store carries it once.
         """
         if offset is None or not self._hurried:
-            return races.Pace(math.inf, math.inf)
+            return hedged_call.HedgeTiming(math.inf, math.inf)
         if first is None:
             overdue_s = self._store_wait_s(wait_s) + _OVERDUE_S
         else:
             late_s = _FRESH_OVERDUE_S if self._fresh else _OVERDUE_S
             overdue_s = self._peer_wait_s(offset) + late_s
-        return races.Pace(overdue_s, _STEP_S)
+        return hedged_call.HedgeTiming(overdue_s, _STEP_S)
 
     def _store_wait_s(self, wait_s: float) -> float:
         """Returns for how long the store may hold a question."""
@@ -406,8 +408,8 @@
 
     def _begin_to_read(self) -> None:
         # From the store, so that nobody waits for somebody who waits for him.
-        if self._race is not None and not self._choice.is_aside(None):
-            self._race.ask_only(None)
+        if self._hedged_call is not None and not self._choice.is_aside(None):
+            self._hedged_call.switch_to(None)
 
     def _answers(self, question: questions.Question, started: float) -> bool:
         end = self._newest.end
