--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -172,7 +172,7 @@
                 self._take_declared(
                     declared.model,
                     declared.version,
-                    self._operators.unread_s,
+                    self._operators.lag_s,
                     declarations.Source.STORE,
                 )
 
@@ -286,7 +286,7 @@
             self._around.beside = self._platform.beside(
                 self._backend, self._around.model
             )
-        if self._around.origin is not None and self._listing.known:
+        if self._around.origin is not None and self._listing.has_snapshot:
             self._known.set()
 
     def _agent_at(self, host: str, place: places.Place) -> places.Instance:
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -179,7 +179,7 @@
         return (
             not self._leaving
             and self._knowledge.catalog is not None
-            and self._listing.known
+            and self._listing.has_snapshot
             and self._operators.age_s < keys_s * _READY_SHARE
         )
 
@@ -234,7 +234,7 @@
     async def _keep_house(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(_HOUSEKEEPING_S)
-            self._fleet.settle(self._listing.settled_s, self._clock())
+            self._fleet.settle(self._listing.available_s, self._clock())
             self._fleet.prune()
             self._fleet.count_entries()
             self._counters.gauge("direct.servers.limited", self._fleet.limited)
@@ -295,7 +295,7 @@
                 self._take_declared(record.value)
 
     def _take_declared(self, declared: types.Declared) -> None:
-        unread_s = self._operators.unread_s
+        unread_s = self._operators.lag_s
         change = self._versions.declare(declared, unread_s)
         self._note_declared([change] if change else [])
 
@@ -334,8 +334,8 @@
         self._fleet.apply(
             batch,
             whole,
-            self._listing.settled_s,
-            self._listing.away_s,
+            self._listing.available_s,
+            self._listing.outage_s,
             self._clock(),
         )
         self._subscriptions.ask_new()
--- a/src/clementinegw/direct/follow.py
+++ b/src/clementinegw/direct/follow.py
@@ -16,7 +16,7 @@
 
 from clementinegw import exceptions
 from clementinegw.direct import _events
-from clementinegw.direct import proofs
+from clementinegw.direct import freshness as freshness_lib
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
@@ -29,7 +29,7 @@
 # behind news. More would be asked for as quickly as the platform answers.
 _MOST_IN_VAIN = 4
 # An answer that came sooner did not wait, in seconds.
-_AT_ONCE_S = 0.05
+_IMMEDIATE_S = 0.05
 
 
 class HistoryLost(exceptions.PlatformError):
@@ -56,13 +56,13 @@
     Attributes:
       records: In the order of the log.
       end: The offset to go on from.
-      proof: Its age; None when the time of the call says it.
+      freshness: Its age; None when the time of the call says it.
       paid: Whether the call is paid for, so that the next one should wait.
     """
 
     records: tuple[Record, ...]
     end: int
-    proof: proofs.Proof | None = None
+    freshness: freshness_lib.Freshness | None = None
     paid: bool = True
 
 
@@ -156,47 +156,47 @@
         self._counters = counters
         self._clock = clock
         self._offset: int | None = None
-        self._proved_at: float | None = None
-        self._heard_at: float | None = None
+        self._current_at: float | None = None
+        self._complete_until: float | None = None
         self._failing_since: float | None = None
         self._failing_by = ""
         self._unproved = False
-        self._unread_s = 0.0
+        self._lag_s = 0.0
         self._brought = False
         self._returned_at = clock()
-        self._away_s = 0.0
+        self._outage_s = 0.0
 
     @property
-    def known(self) -> bool:
+    def has_snapshot(self) -> bool:
         """Whether a whole reading has come."""
-        return self._proved_at is not None
+        return self._current_at is not None
 
     @property
     def age_s(self) -> float:
         """How old the knowledge may be, in seconds; infinite before any."""
-        if self._proved_at is None:
+        if self._current_at is None:
             return float("inf")
-        return self._clock() - self._proved_at
+        return self._clock() - self._current_at
 
     @property
-    def unread_s(self) -> float:
+    def lag_s(self) -> float:
         """How long the records of the last batch may have lain, in seconds.
 
         Infinite for the first reading of all.
         """
-        return self._unread_s
+        return self._lag_s
 
     @property
-    def settled_s(self) -> float:
+    def available_s(self) -> float:
         """How long the platform has answered without failure, in seconds."""
         if self._failing_since is not None:
             return 0.0
         return self._clock() - self._returned_at
 
     @property
-    def away_s(self) -> float:
+    def outage_s(self) -> float:
         """How long the last outage lasted, where the source tells; seconds."""
-        return self._away_s
+        return self._outage_s
 
     @mode.Service.task
     async def _run(self) -> None:
@@ -215,7 +215,7 @@
                 self._failed(error)
                 in_vain = _MOST_IN_VAIN
             else:
-                at_once = self._clock() - asked_at < _AT_ONCE_S
+                at_once = self._clock() - asked_at < _IMMEDIATE_S
                 vain = at_once and not self._brought
                 in_vain = in_vain + 1 if vain else 0
                 if news or not self._pace.wait_s:
@@ -238,9 +238,9 @@
             batch = await self._source.changes(self._offset, wait_s)
         self._offset = batch.end
         self._brought = bool(batch.records)
-        proof = batch.proof or self._proof(batch, whole, asked_at)
-        self._unread_s = proof.lain_s
-        self._succeeded(proof)
+        freshness = batch.freshness or self._freshness(batch, whole, asked_at)
+        self._lag_s = freshness.lag_s
+        self._succeeded(freshness)
         # An answer that waited and then brought news proves the time of its
         # question only. Asked again at once, the knowledge is as young as it
         # can be; else every change made the process look cut off for a while.
@@ -249,29 +249,31 @@
             self._on_batch(batch, whole)
         return bool(batch.records) and batch.paid
 
-    def _proof(
+    def _freshness(
         self, batch: Batch, whole: bool, asked_at: float
-    ) -> proofs.Proof:
+    ) -> freshness_lib.Freshness:
         now = self._clock()
         at_once = whole or self._unproved
         wait_s = 0.0 if at_once else self._pace.wait_s
-        lain = proofs.lain_s(asked_at, now, wait_s, self._heard_at)
-        self._heard_at = proofs.heard_at(
+        lain = freshness_lib.lag_s(asked_at, now, wait_s, self._complete_until)
+        self._complete_until = freshness_lib.complete_until(
             asked_at, now, wait_s, bool(batch.records)
         )
         if batch.records:
             wait_s = 0.0
-        return proofs.Proof(
-            proofs.proved_at(asked_at, now, wait_s),
+        return freshness_lib.Freshness(
+            freshness_lib.current_at(asked_at, now, wait_s),
             lain,
             math.inf,
         )
 
-    def _succeeded(self, proof: proofs.Proof) -> None:
-        self._proved_at = max(proof.at, self._proved_at or proof.at)
-        settled_at = self._clock() - proof.settled_s
+    def _succeeded(self, freshness: freshness_lib.Freshness) -> None:
+        self._current_at = max(
+            freshness.current_at, self._current_at or freshness.current_at
+        )
+        settled_at = self._clock() - freshness.available_s
         self._returned_at = max(self._returned_at, settled_at)
-        self._away_s = proof.away_s
+        self._outage_s = freshness.outage_s
         if self._failing_since is not None:
             lasted = self._clock() - self._failing_since
             self._failing_since = None
--- a/src/clementinegw/direct/proofs.py
+++ b/src/clementinegw/direct/freshness.py
@@ -5,30 +5,31 @@
 
 # The part of a wait that counts as served by the platform's clock; the two
 # clocks need not agree to the last percent.
-_WAIT_SHARE = 0.95
+_CREDITED_WAIT_SHARE = 0.95
 # An answer that took longer had waited for its records, in seconds.
-_AT_ONCE_S = 0.05
+_IMMEDIATE_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Proof:
+class Freshness:
     """What a source that reads for several says of an answer's age.
 
     Attributes:
-      at: Up to when it proves that nothing else is new, in boot seconds.
-      lain_s: How long its records may have lain unread, in seconds.
-      settled_s: How long the platform has answered without failure, in
+      current_at: Up to when it proves that nothing else is new, in boot
         seconds.
-      away_s: How long it had given no answer before that, in seconds.
+      lag_s: How long its records may have lain unread, in seconds.
+      available_s: How long the platform has answered without failure, in
+        seconds.
+      outage_s: How long it had given no answer before that, in seconds.
     """
 
-    at: float
-    lain_s: float
-    settled_s: float
-    away_s: float = 0.0
+    current_at: float
+    lag_s: float
+    available_s: float
+    outage_s: float = 0.0
 
 
-def proved_at(asked_at: float, now: float, wait_s: float) -> float:
+def current_at(asked_at: float, now: float, wait_s: float) -> float:
     """Returns up to when an answer proves that nothing else is new.
 
     An answer without records was kept back for the whole wait, so it speaks of
@@ -39,11 +40,11 @@
       now: When its answer was there.
       wait_s: For how long it may have been kept back; 0 for one with records.
     """
-    return asked_at + min(now - asked_at, wait_s) * _WAIT_SHARE
+    return asked_at + min(now - asked_at, wait_s) * _CREDITED_WAIT_SHARE
 
 
-def lain_s(
-    asked_at: float, now: float, wait_s: float, heard: float | None
+def lag_s(
+    asked_at: float, now: float, wait_s: float, last_complete: float | None
 ) -> float:
     """Returns how long the records of an answer may have lain unread.
 
@@ -56,20 +57,20 @@
       asked_at: When the question was asked, in seconds.
       now: When its answer was there.
       wait_s: For how long it may have been kept back; 0 for a whole reading.
-      heard: Up to when all was known before; None at the first reading.
+      last_complete: Up to when all was known before; None at the first reading.
 
     Returns:
       Seconds; infinite at the first reading.
     """
-    if heard is None:
+    if last_complete is None:
         return math.inf
-    if wait_s and now - asked_at > _AT_ONCE_S:
+    if wait_s and now - asked_at > _IMMEDIATE_S:
         return 0.0
-    return now - heard
+    return now - last_complete
 
 
-def heard_at(
-    asked_at: float, now: float, wait_s: float, records: bool
+def complete_until(
+    asked_at: float, now: float, wait_s: float, has_records: bool
 ) -> float:
     """Returns up to when an answer brings all that was added.
 
@@ -81,6 +82,6 @@
       asked_at: When the question was asked, in seconds.
       now: When its answer was there.
       wait_s: For how long it may have been kept back.
-      records: Whether it brought any.
+      has_records: Whether it brought any.
     """
-    return now if records else min(now, asked_at + wait_s)
+    return now if has_records else min(now, asked_at + wait_s)
--- a/src/clementinegw/direct/outage.py
+++ b/src/clementinegw/direct/outage.py
@@ -51,7 +51,7 @@
         self._gone: set[str] = set()
 
     def seems(
-        self, gone: set[str], known: set[str], left_s: float, away_s: float
+        self, gone: set[str], known: set[str], left_s: float, outage_s: float
     ) -> bool:
         """Returns whether servers are still to be believed in.
 
@@ -59,7 +59,7 @@
           gone: The ids that are no longer listed.
           known: All ids that were.
           left_s: How long listings may still be missing after an outage.
-          away_s: How long the platform gave no answer.
+          outage_s: How long the platform gave no answer.
         """
         if left_s <= 0.0:
             self._gone.clear()
@@ -67,7 +67,7 @@
         # A listing outlives more than one interval without news. What was gone
         # after a shorter silence, of one connection perhaps, was taken out by
         # its server; held all the same, it got requests after its last time.
-        if away_s < self.terms.listing_s:
+        if outage_s < self.terms.listing_s:
             return False
         self._gone |= gone & known
         return len(self._gone) >= _MANY * len(known | self._gone)
@@ -92,12 +92,12 @@
         self._since: float | None = None
         self._began_at = 0.0
         self._returned_at: float | None = None
-        self._away_s = 0.0
+        self._outage_s = 0.0
 
     @property
-    def away_s(self) -> float:
+    def outage_s(self) -> float:
         """How long the last outage may have lasted, in seconds."""
-        return self._away_s
+        return self._outage_s
 
     def failed(self, asked_at: float, wait_s: float) -> None:
         """Notes a call without an answer.
@@ -123,6 +123,6 @@
         if self._since is None:
             return
         now = self._clock()
-        self._away_s = now - self._since
+        self._outage_s = now - self._since
         self._since = None
         self._returned_at = now
--- a/src/clementinegw/direct/questions.py
+++ b/src/clementinegw/direct/questions.py
@@ -55,10 +55,10 @@
       proof: The number of the proof that nothing else is new.
       age_s: How old that proof is at the moment of the answer.
       held_s: How long the question was held.
-      lain_s: How long the oldest of the items may have lain in the store; None
+      lag_s: How long the oldest of the items may have lain in the store; None
         when that is not known.
-      settled_s: How long the store has answered without failure.
-      away_s: How long it had given no answer before that.
+      available_s: How long the store has answered without failure.
+      outage_s: How long it had given no answer before that.
       readers: Who reads for the failure domain.
     """
 
@@ -67,9 +67,9 @@
     proof: int
     age_s: float
     held_s: float
-    lain_s: float | None
-    settled_s: float
-    away_s: float = 0.0
+    lag_s: float | None
+    available_s: float
+    outage_s: float = 0.0
     readers: tuple[types.Address, ...] = ()
 
 
--- a/src/clementinegw/direct/shared.py
+++ b/src/clementinegw/direct/shared.py
@@ -15,10 +15,10 @@
 from clementinegw.direct import _events
 from clementinegw.direct import choice as choices
 from clementinegw.direct import follow
+from clementinegw.direct import freshness as freshness_lib
 from clementinegw.direct import hedged_call
 from clementinegw.direct import newest as newest_lib
 from clementinegw.direct import outage
-from clementinegw.direct import proofs
 from clementinegw.direct import questions
 from clementinegw.direct import raw
 from clementinegw.telemetry import counters as counters_lib
@@ -127,15 +127,15 @@
         self._counters = counters
         self._clock = clock
         self._newest = newest_lib.Newest()
-        self._proved_at: float | None = None
+        self._current_at: float | None = None
         self._proof = 0
         self._seen: dict[types.Address, int] = {}
         self._reader: choices.Reader = None
         self._direct = False
         self._failures = 0
-        self._heard_at: float | None = None
+        self._complete_until: float | None = None
         self._settled_at = clock()
-        self._away_s = 0.0
+        self._outage_s = 0.0
         self._watch = outage.Watch(clock)
         self._open = 0
         self._asked_until = 0.0
@@ -226,20 +226,24 @@
         self._watch.answered()
         if self._failures:
             self._settled_at = now
-            self._away_s = self._watch.away_s
+            self._outage_s = self._watch.outage_s
         self._failures = 0
         self._choice.worked(None)
         waited_s = 0.0 if call.offset is None else call.wait_s
-        lain_s = proofs.lain_s(asked_at, now, waited_s, self._heard_at)
+        lag_s = freshness_lib.lag_s(
+            asked_at, now, waited_s, self._complete_until
+        )
         news = bool(batch.items)
-        proved_at = -math.inf
+        current_at = -math.inf
         if not batch.more:
-            self._heard_at = proofs.heard_at(asked_at, now, waited_s, news)
+            self._complete_until = freshness_lib.complete_until(
+                asked_at, now, waited_s, news
+            )
             held_s = 0.0 if news else waited_s
-            proved_at = proofs.proved_at(asked_at, now, held_s)
+            current_at = freshness_lib.current_at(asked_at, now, held_s)
         self._direct = True
-        self._take(batch, call.offset is None, lain_s)
-        return self._told(batch, proved_at, lain_s, paid=True)
+        self._take(batch, call.offset is None, lag_s)
+        return self._told(batch, current_at, lag_s, paid=True)
 
     def _store_failed(
         self, error: exceptions.PlatformError, asked_at: float, wait_s: float
@@ -305,20 +309,20 @@
         self._direct = False
         self._choice.worked(reader)
         self._seen = {reader: news.proof}
-        if now - news.settled_s > self._settled_at:
-            self._settled_at = now - news.settled_s
-            self._away_s = news.away_s
-        held_s = proofs.proved_at(asked_at, now, news.held_s) - asked_at
+        if now - news.available_s > self._settled_at:
+            self._settled_at = now - news.available_s
+            self._outage_s = news.outage_s
+        held_s = freshness_lib.current_at(asked_at, now, news.held_s) - asked_at
         # By the other process's clock the answer left at `asked_at + held_s`
         # at the earliest; what is older than that cannot be ruled out.
-        proved_at = asked_at + held_s - news.age_s
-        lain_s = self._lain_s(news, now, now - asked_at - held_s)
-        self._heard_at = now if news.items else asked_at + held_s
+        current_at = asked_at + held_s - news.age_s
+        lag_s = self._lag_s(news, now, now - asked_at - held_s)
+        self._complete_until = now if news.items else asked_at + held_s
         batch = raw.Batch(news.items, news.end)
-        self._take(batch, call.offset is None, lain_s)
-        return self._told(batch, proved_at, lain_s, paid=False)
+        self._take(batch, call.offset is None, lag_s)
+        return self._told(batch, current_at, lag_s, paid=False)
 
-    def _lain_s(
+    def _lag_s(
         self, news: questions.News, now: float, on_the_way_s: float
     ) -> float:
         """Returns how long what another process told may have lain.
@@ -326,30 +330,36 @@
         It can't tell of what it found when it began to read itself; what was
         not there at this process's own last answer is no older than that.
         """
-        most_s = math.inf if self._heard_at is None else now - self._heard_at
-        if news.lain_s is None:
+        most_s = (
+            math.inf
+            if self._complete_until is None
+            else now - self._complete_until
+        )
+        if news.lag_s is None:
             return most_s
-        return min(news.lain_s + on_the_way_s, most_s)
+        return min(news.lag_s + on_the_way_s, most_s)
 
-    def _take(self, batch: raw.Batch, whole: bool, lain_s: float) -> None:
+    def _take(self, batch: raw.Batch, whole: bool, lag_s: float) -> None:
         now = self._clock()
         if whole:
             self._newest.replace(batch, now)
         else:
-            self._newest.add(batch, now - lain_s)
+            self._newest.add(batch, now - lag_s)
 
     def _told(
-        self, batch: raw.Batch, proved_at: float, lain_s: float, paid: bool
+        self, batch: raw.Batch, current_at: float, lag_s: float, paid: bool
     ) -> follow.Batch:
-        if self._proved_at is None or proved_at > self._proved_at:
-            self._proved_at = proved_at
+        if self._current_at is None or current_at > self._current_at:
+            self._current_at = current_at
             self._proof += 1
         self._wake()
-        settled_s = self._clock() - self._settled_at
+        available_s = self._clock() - self._settled_at
         return follow.Batch(
             self._topic.decoded(batch.items),
             batch.end,
-            proofs.Proof(self._proved_at, lain_s, settled_s, self._away_s),
+            freshness_lib.Freshness(
+                self._current_at, lag_s, available_s, self._outage_s
+            ),
             paid,
         )
 
@@ -413,7 +423,7 @@
 
     def _answers(self, question: questions.Question, started: float) -> bool:
         end = self._newest.end
-        if end is None or self._proved_at is None:
+        if end is None or self._current_at is None:
             return False
         if question.offset is not None and question.offset < end:
             # Whoever told it: what is here need not be read again, and its
@@ -422,7 +432,7 @@
         if not self._direct:
             return False
         now = self._clock()
-        young = now - self._proved_at < _YOUNG_S
+        young = now - self._current_at < _YOUNG_S
         if question.offset is None:
             # A process that was suspended would tell of what is gone since.
             return young
@@ -433,25 +443,25 @@
     def _news(
         self, question: questions.Question, started: float
     ) -> questions.News:
-        assert self._proved_at is not None
+        assert self._current_at is not None
         assert self._newest.end is not None
         now = self._clock()
         offset = question.offset
-        lain_s: float | None = None
+        lag_s: float | None = None
         if offset is None:
             items = self._newest.all()
         else:
             items = self._newest.since(offset)
-            lain_s = max(0.0, now - self._newest.added_after(offset))
+            lag_s = max(0.0, now - self._newest.added_after(offset))
         return questions.News(
             items=items,
             end=max(self._newest.end, offset or 0),
             proof=self._proof,
-            age_s=now - self._proved_at,
+            age_s=now - self._current_at,
             held_s=now - started,
-            lain_s=lain_s,
-            settled_s=now - self._settled_at,
-            away_s=self._away_s,
+            lag_s=lag_s,
+            available_s=now - self._settled_at,
+            outage_s=self._outage_s,
             readers=self._choice.candidates,
         )
 
--- a/tests/shared_domain.py
+++ b/tests/shared_domain.py
@@ -115,7 +115,7 @@
         self.gone = False
         self.frozen = False
         self.known = {}
-        self.unread_s = 0.0
+        self.lag_s = 0.0
         self.choice = choices.Choice(clock)
         self.choice.me = address(number)
         self.shared = shared.Shared(
@@ -140,7 +140,7 @@
         )
 
     def _take(self, batch, whole):
-        self.unread_s = self.follower.unread_s
+        self.lag_s = self.follower.lag_s
         if whole:
             self.known = {}
         for record in batch.records:
@@ -202,7 +202,7 @@
         """Checks that nobody claims to know what he does not know."""
         now = asyncio.get_running_loop().time()
         for process in self.processes:
-            if not process.follower.known:
+            if not process.follower.has_snapshot:
                 continue
             proved_at = now - process.follower.age_s
             state = {}
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -285,7 +285,7 @@
             "t",
             topic,
             follow.Pace(6.0, 0.0),
-            lambda batch, whole: found.append(follower.unread_s),
+            lambda batch, whole: found.append(follower.lag_s),
             logs.Log(),
             counters_lib.Counters(),
             asyncio.get_running_loop().time,
--- a/tests/test_direct_follow.py
+++ b/tests/test_direct_follow.py
@@ -92,10 +92,10 @@
         await asyncio.sleep(3.0)
         topic.down = True
         await asyncio.sleep(5.0)
-        old, settled = follower.age_s, follower.settled_s
+        old, settled = follower.age_s, follower.available_s
         topic.down = False
         await asyncio.sleep(2.0)
-        young, again = follower.age_s, follower.settled_s
+        young, again = follower.age_s, follower.available_s
         await follower.stop()
         return old, settled, young, again
 
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "away_s"),
+    ("fault", "outage_s"),
     [
         ("broke at once", 0.3),
         ("hung", 3.5),
@@ -135,7 +135,7 @@
     ],
 )
 def test_a_connection_that_broke_is_told_from_a_platform_that_was_away(
-    fault, away_s
+    fault, outage_s
 ):
     """A removal was not believed for seconds after one connection broke.
 
@@ -163,7 +163,7 @@
             watch.failed(asked_at, 2.0)
         await asyncio.sleep(0.3)
         watch.answered()
-        assert watch.away_s == pytest.approx(away_s, abs=0.01)
+        assert watch.outage_s == pytest.approx(outage_s, abs=0.01)
 
     clocks.run(play())
 
@@ -178,7 +178,7 @@
             else:
                 watch.answered()
             await asyncio.sleep(1.0)
-        assert watch.away_s == pytest.approx(3.0, abs=0.01)
+        assert watch.outage_s == pytest.approx(3.0, abs=0.01)
 
     clocks.run(play())
 
--- a/tests/test_direct_shared.py
+++ b/tests/test_direct_shared.py
@@ -84,13 +84,13 @@
             domain.store.put("a", b"1")
             await asyncio.sleep(0.1)
             known = [process.known for process in domain.processes]
-            unread = [process.unread_s for process in domain.processes]
-            return known, max(domain.ages()), max(unread)
+            lag = [process.lag_s for process in domain.processes]
+            return known, max(domain.ages()), max(lag)
 
-    known, oldest, unread = clocks.run(play())
+    known, oldest, lag = clocks.run(play())
     assert known == [{"a": b"1"}] * 4
     assert oldest < 0.2
-    assert unread < 0.2
+    assert lag < 0.2
 
 
 @pytest.mark.parametrize("harm", ["gone", "frozen", "refused", "silent"])
@@ -189,7 +189,7 @@
             domain.store.down = True
             await asyncio.sleep(8.0)
             young = min(domain.ages())
-            settled = max(p.follower.settled_s for p in domain.processes)
+            settled = max(p.follower.available_s for p in domain.processes)
             domain.store.down = False
             domain.store.put("a", b"1")
             await asyncio.sleep(1.6)
@@ -218,11 +218,11 @@
             domain.store.down = False
             await asyncio.sleep(1.0)
             followers = [process.follower for process in domain.processes]
-            return [(f.settled_s, f.away_s) for f in followers]
+            return [(f.available_s, f.outage_s) for f in followers]
 
-    for settled_s, away_s in clocks.run(play()):
-        assert settled_s < 1.3
-        assert 0.3 < away_s < 1.0
+    for available_s, outage_s in clocks.run(play()):
+        assert available_s < 1.3
+        assert 0.3 < outage_s < 1.0
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -98,7 +98,7 @@
         taken = []
         followers = [await following(store, taken) for _ in range(_READERS)]
         await asyncio.sleep(1.5 * _READERS * size / _LINK_BYTES_PER_S)
-        known = sum(follower.known for follower in followers)
+        known = sum(follower.has_snapshot for follower in followers)
         for follower in followers:
             await follower.stop()
         await store.stop()
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -218,10 +218,10 @@
     assert told.items == news.items
     assert (told.end, told.proof, told.readers) == (9, 7, ADDRESSES)
     assert 0 <= told.age_s - news.age_s <= 0.001
-    assert 0 <= told.lain_s - news.lain_s <= 0.001
-    assert 0 <= told.away_s - news.away_s <= 0.001
+    assert 0 <= told.lag_s - news.lag_s <= 0.001
+    assert 0 <= told.outage_s - news.outage_s <= 0.001
     assert 0 <= news.held_s - told.held_s <= 0.001
-    assert 0 <= news.settled_s - told.settled_s <= 0.001
+    assert 0 <= news.available_s - told.available_s <= 0.001
 
 
 @pytest.mark.parametrize(
