--- a/src/clementinegw/direct/questions.py
+++ b/src/clementinegw/direct/peer_queries.py
@@ -10,9 +10,9 @@
 
 # What a receiver may take beyond the wait of a question for proofs, in
 # seconds: the asker's knowledge grows old meanwhile.
-_FRESH_PATIENCE_S = 0.5
+_FRESHNESS_GRACE_S = 0.5
 # And of another question.
-_PATIENCE_S = 1.5
+_GRACE_S = 1.5
 
 
 class Unable(exceptions.PlatformUnavailable):
@@ -20,39 +20,39 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
+class Query:
     """What one process asks another one.
 
     Attributes:
       topic: The topic's name.
       offset: Where the asker is; None when it knows nothing yet.
-      proof: The newest proof of the receiver that the asker has; None when it
-        asks for news only.
+      freshness_id: The newest proof of the receiver that the asker has;
+        None when it asks for news only.
       wait_s: For how long the receiver may wait for something to say.
     """
 
     topic: str
     offset: int | None
-    proof: int | None
+    freshness_id: int | None
     wait_s: float
 
     @property
-    def patience_s(self) -> float:
+    def grace_s(self) -> float:
         """How long the receiver may say nothing beyond the wait."""
-        if self.proof is None or self.offset is None:
-            return _PATIENCE_S
-        return _FRESH_PATIENCE_S
+        if self.freshness_id is None or self.offset is None:
+            return _GRACE_S
+        return _FRESHNESS_GRACE_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class Update:
     """The answer.
 
     Attributes:
       items: The newest value of each key that changed; of all keys when the
-        question had no offset.
-      end: The offset to go on from.
-      proof: The number of the proof that nothing else is new.
+        query had no offset.
+      next_offset: The offset to go on from.
+      freshness_id: The number of the proof that nothing else is new.
       age_s: How old that proof is at the moment of the answer.
       held_s: How long the question was held.
       lag_s: How long the oldest of the items may have lain in the store; None
@@ -63,8 +63,8 @@
     """
 
     items: tuple[raw.Item, ...]
-    end: int
-    proof: int
+    next_offset: int
+    freshness_id: int
     age_s: float
     held_s: float
     lag_s: float | None
@@ -79,15 +79,15 @@
     async def ask(
         self,
         reader: types.Address,
-        question: Question,
-        on_bytes: Callable[[], None],
-    ) -> News:
+        query: Query,
+        on_progress: Callable[[], None],
+    ) -> Update:
         """Asks one.
 
         Args:
           reader: Whom.
-          question: What.
-          on_bytes: Is told from time to time that a large answer is coming.
+          query: What.
+          on_progress: Is told from time to time that a large answer is coming.
 
         Raises:
           follow.HistoryLost: It does not know any more what the asker lacks.
--- a/src/clementinegw/direct/readers.py
+++ b/src/clementinegw/direct/readers.py
@@ -6,8 +6,8 @@
 
 from clementinegw import exceptions
 from clementinegw.direct import _events
-from clementinegw.direct import choice as choices
 from clementinegw.direct import raw
+from clementinegw.direct import reader_selector
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
@@ -31,7 +31,7 @@
         self,
         readers: raw.Readers,
         joins: bool,
-        choice: choices.Choice,
+        selector: reader_selector.ReaderSelector,
         log: logs.Log,
         counters: counters_lib.Counters,
     ):
@@ -40,14 +40,14 @@
         Args:
           readers: The platform's list.
           joins: Whether others may ask this process.
-          choice: Is told of the readers.
+          selector: Is told of the readers.
           log: Where events go.
           counters: Counts failures.
         """
         super().__init__()
         self._readers = readers
         self._joins = joins
-        self._choice = choice
+        self._selector = selector
         self._log = log
         self._counters = counters
         self._generation = 0
@@ -95,7 +95,7 @@
 
     async def _ask(self) -> None:
         await self._look()
-        if not self._choice.candidates:
+        if not self._selector.candidates:
             await asyncio.sleep(self._look_s)
             self._look_s = min(2 * self._look_s, _LONGEST_LOOK_S)
             return
@@ -110,7 +110,7 @@
         self._take(await self._readers.candidates())
 
     def _take(self, candidates: tuple) -> None:
-        if self._choice.offer(candidates):
+        if self._selector.set_candidates(candidates):
             self._log.write(
                 _events.READERS_CHANGED, readers=[str(c) for c in candidates]
             )
--- a/src/clementinegw/direct/relay.py
+++ b/src/clementinegw/direct/relay.py
@@ -8,11 +8,11 @@
 
 from clementinegw import exceptions
 from clementinegw import types
-from clementinegw.direct import choice as choices
 from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
-from clementinegw.direct import questions
+from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
+from clementinegw.direct import reader_selector
 from clementinegw.direct import readers as readers_lib
 from clementinegw.direct import shared
 from clementinegw.telemetry import counters as counters_lib
@@ -27,27 +27,27 @@
 _KEY = b"clementinegw readers of one platform"
 # A frozen reader is noticed, and the next one asked, before an entry's
 # knowledge is so old that it takes no new callers: after 2.75 s.
-_SILENT_S = 2.1
+_SILENCE_TIMEOUT_S = 2.1
 # Nor may it take more than this part of the time in which a server that leaves
 # gets its last request: who asks is in touch with the platform and bound.
-_SILENT_SHARE = 0.5
-_PINGS = 3
-_CONNECT_S = 0.5
+_SILENCE_TIMEOUT_SHARE = 0.5
+_PINGS_PER_TIMEOUT = 3
+_CONNECT_TIMEOUT_S = 0.5
 # Larger answers are packed; smaller ones do not fill a packet.
-_PACKED_BYTES = 1_024
-_PACK_LEVEL = 1
-_MOST_BYTES = 32 << 20
+_MAX_UNCOMPRESSED_BYTES = 1_024
+_COMPRESSION_LEVEL = 1
+_MAX_DECOMPRESSED_BYTES = 32 << 20
 # Whether a large answer is coming is looked at this often, in seconds; signs of
 # life alone come at a tenth of this rate.
-_LOOK_S = 0.25
-_LEAST_BYTES_PER_S = 4_096
+_PROGRESS_INTERVAL_S = 0.25
+_MIN_PROGRESS_BYTES_PER_S = 4_096
 # Keys of other writers may be no text; their bytes come back as they were.
 _KEY_ERRORS = "surrogateescape"
 # Packed answers that are kept: of the two topics, for those who are one or two
 # changes behind.
-_KEPT_ANSWERS = 6
+_MAX_CACHED_ANSWERS = 6
 # The topic with the keys and routes, whose age entries answer by.
-_FRESH = "operators"
+_OPERATORS = "operators"
 
 
 class Relay(mode.Service):
@@ -77,24 +77,26 @@
         """
         super().__init__()
         self._instance = instance
-        self._answers = role is types.Role.ENTRY
+        self._serves_peers = role is types.Role.ENTRY
         self._platform = platform
         self._log = log
         self._counters = counters
-        bound_s = instance.bounds.drain_ms / 1e3
+        drain_s = instance.bounds.drain_ms / 1e3
         self._endpoint = connections.Endpoint(
             connections.Identity(instance.name, role, instance.place),
             auth.single(_KEY),
             log,
             counters,
-            _timing(bound_s),
+            _timing(drain_s),
         )
-        self._endpoint.on_call(connections.Kind.TOPIC_ASK, self._on_ask)
-        self._choice = choices.Choice(clock)
+        self._endpoint.on_call(connections.Kind.TOPIC_ASK, self._on_query)
+        self._selector = reader_selector.ReaderSelector(clock)
         self._keeper: readers_lib.Keeper | None = None
-        self._packed: dict[tuple[str, int | None, int], tuple[bool, bytes]] = {}
+        self._compressed: dict[
+            tuple[str, int | None, int], tuple[bool, bytes]
+        ] = {}
         topics = {
-            _FRESH: (platform.operators(), paces.operators),
+            _OPERATORS: (platform.operators(), paces.operators),
             "servers": (platform.servers(), paces.servers),
         }
         self._topics = {
@@ -102,22 +104,22 @@
                 name,
                 topic,
                 self,
-                self._choice,
+                self._selector,
                 pace,
                 # Nothing that an entry does hangs on the age of the list.
-                self._answers and name == _FRESH,
+                self._serves_peers and name == _OPERATORS,
                 log,
                 counters,
                 clock,
-                bound_s,
-                hurried=self._answers,
+                drain_s,
+                hedged=self._serves_peers,
             )
             for name, (topic, pace) in topics.items()
         }
 
     def operators(self) -> follow.Source:
         """See `follow.Platform`."""
-        return self._topics[_FRESH]
+        return self._topics[_OPERATORS]
 
     def servers(self) -> follow.Source:
         """See `follow.Platform`."""
@@ -125,17 +127,17 @@
 
     async def on_start(self) -> None:
         """Listens for those who ask, and begins to look for readers."""
-        me = None
-        if self._answers:
+        address = None
+        if self._serves_peers:
             port = self._instance.peer_ports[0]
-            me = await self._endpoint.listen(
+            address = await self._endpoint.listen(
                 types.Address(self._instance.host, port)
             )
-        self._choice.me = me
+        self._selector.own_address = address
         self._keeper = readers_lib.Keeper(
-            self._platform.readers(me),
-            self._answers,
-            self._choice,
+            self._platform.readers(address),
+            self._serves_peers,
+            self._selector,
             self._log,
             self._counters,
         )
@@ -151,61 +153,67 @@
     async def ask(
         self,
         reader: types.Address,
-        question: questions.Question,
-        on_bytes: Callable[[], None],
-    ) -> questions.News:
-        """See `questions.Peers`."""
+        query: peer_queries.Query,
+        on_progress: Callable[[], None],
+    ) -> peer_queries.Update:
+        """See `peer_queries.Peers`."""
         assert self._keeper is not None
         try:
-            news = await self._ask(reader, question, on_bytes)
+            update = await self._ask(reader, query, on_progress)
         except exceptions.PlatformUnavailable:
             self._keeper.look_again()
             raise
         except (exceptions.ConnectionLost, exceptions.DecodeError) as error:
             self._keeper.look_again()
-            raise questions.Unable(error.message, "broken") from error
+            raise peer_queries.Unable(error.message, "broken") from error
         except TimeoutError as error:
             self._keeper.look_again()
-            raise questions.Unable(f"{reader}: no answer", "timeout") from error
-        self._keeper.offer(news.readers)
-        return news
+            raise peer_queries.Unable(
+                f"{reader}: no answer", "timeout"
+            ) from error
+        self._keeper.offer(update.readers)
+        return update
 
     async def _ask(
         self,
         reader: types.Address,
-        question: questions.Question,
-        on_bytes: Callable[[], None],
-    ) -> questions.News:
+        query: peer_queries.Query,
+        on_progress: Callable[[], None],
+    ) -> peer_queries.Update:
         connection = await self._endpoint.connect(reader)
         exchange = connection.open()
         try:
-            await exchange.send(connections.Kind.TOPIC_ASK, _asked(question))
-            patience_s = question.patience_s
-            frame = await _heard(
-                connection, exchange, question.wait_s + patience_s, on_bytes
+            await exchange.send(
+                connections.Kind.TOPIC_ASK, _encode_query(query)
+            )
+            grace_s = query.grace_s
+            frame = await _receive(
+                connection, exchange, query.wait_s + grace_s, on_progress
             )
             while frame.kind is connections.Kind.TOPIC_HELD:
-                frame = await _heard(connection, exchange, patience_s, on_bytes)
+                frame = await _receive(
+                    connection, exchange, grace_s, on_progress
+                )
         finally:
             exchange.close()
         if frame.kind is connections.Kind.TOPIC_NEWS:
-            return _news(codec.decode(ttypes.TopicNews, frame.body))
+            return _update_from_wire(codec.decode(ttypes.TopicNews, frame.body))
         refused = codec.decode(ttypes.TopicRefused, frame.body)
         if refused.lost:
             raise follow.HistoryLost(f"{reader}: {refused.reason}")
-        raise questions.Unable(f"{reader}: {refused.reason}", "unable")
+        raise peer_queries.Unable(f"{reader}: {refused.reason}", "unable")
 
     # Answering.
 
-    async def _on_ask(
+    async def _on_query(
         self,
         connection: connections.Connection,
         exchange: connections.Exchange,
         frame: connections.Frame,
     ) -> None:
-        question = _question(codec.decode(ttypes.TopicAsk, frame.body))
+        query = _query_from_wire(codec.decode(ttypes.TopicAsk, frame.body))
         try:
-            news = await self._answer(question, exchange)
+            update = await self._answer(query, exchange)
         except exceptions.PlatformError as error:
             lost = isinstance(error, follow.HistoryLost)
             refused = ttypes.TopicRefused(reason=error.message, lost=lost)
@@ -213,66 +221,70 @@
                 connections.Kind.TOPIC_REFUSED, codec.encode(refused)
             )
             return
-        body = codec.encode(self._told(question, news))
+        body = codec.encode(self._to_wire(query, update))
         await exchange.send(connections.Kind.TOPIC_NEWS, body)
 
     async def _answer(
-        self, question: questions.Question, exchange: connections.Exchange
-    ) -> questions.News:
-        topic = self._topics.get(question.topic)
+        self, query: peer_queries.Query, exchange: connections.Exchange
+    ) -> peer_queries.Update:
+        topic = self._topics.get(query.topic)
         if topic is None:
-            raise questions.Unable(f"no topic {question.topic}")
+            raise peer_queries.Unable(f"no topic {query.topic}")
 
-        async def say() -> None:
+        async def send_held() -> None:
             await exchange.send(connections.Kind.TOPIC_HELD)
 
-        return await topic.answer(question, say)
+        return await topic.answer(query, send_held)
 
-    def _told(
-        self, question: questions.Question, news: questions.News
+    def _to_wire(
+        self, query: peer_queries.Query, update: peer_queries.Update
     ) -> ttypes.TopicNews:
-        packed, items = self._packed_items(question, news)
+        packed, items = self._compressed_items(query, update)
         return ttypes.TopicNews(
-            end=news.end,
-            age_ms=_ms_up(news.age_s),
-            held_ms=int(news.held_s * 1e3),
-            lain_ms=None if news.lag_s is None else _ms_up(news.lag_s),
-            settled_ms=int(news.available_s * 1e3),
-            away_ms=_ms_up(news.outage_s),
-            proof=news.proof,
+            end=update.next_offset,
+            age_ms=_round_up_ms(update.age_s),
+            held_ms=int(update.held_s * 1e3),
+            lain_ms=None
+            if update.lag_s is None
+            else _round_up_ms(update.lag_s),
+            settled_ms=int(update.available_s * 1e3),
+            away_ms=_round_up_ms(update.outage_s),
+            proof=update.freshness_id,
             packed=packed,
             items=items,
-            readers=[str(address) for address in news.readers],
+            readers=[str(address) for address in update.readers],
         )
 
-    def _packed_items(
-        self, question: questions.Question, news: questions.News
+    def _compressed_items(
+        self, query: peer_queries.Query, update: peer_queries.Update
     ) -> tuple[bool, bytes]:
         """Returns whether the items are packed, and their bytes.
 
         All who ask for the same are told the same: packed once, a large
         configuration costs 2 ms a failure domain and not 2 ms an asker.
         """
-        if not news.items:
+        if not update.items:
             return False, b""
-        key = (question.topic, question.offset, news.end)
-        if key not in self._packed:
-            while len(self._packed) >= _KEPT_ANSWERS:
-                self._packed.pop(next(iter(self._packed)))
-            self._packed[key] = _pack(news.items)
-        return self._packed[key]
-
-
-def _timing(bound_s: float) -> connections.Timing:
-    silent_s = min(_SILENT_S, _SILENT_SHARE * bound_s)
-    return connections.Timing(_CONNECT_S, silent_s / _PINGS, silent_s)
+        key = (query.topic, query.offset, update.next_offset)
+        if key not in self._compressed:
+            while len(self._compressed) >= _MAX_CACHED_ANSWERS:
+                self._compressed.pop(next(iter(self._compressed)))
+            self._compressed[key] = _compress(update.items)
+        return self._compressed[key]
+
+
+def _timing(drain_s: float) -> connections.Timing:
+    silent_s = min(_SILENCE_TIMEOUT_S, _SILENCE_TIMEOUT_SHARE * drain_s)
+    return connections.Timing(
+        _CONNECT_TIMEOUT_S, silent_s / _PINGS_PER_TIMEOUT, silent_s
+    )
 
 
-async def _heard(
+async def _receive(
     connection: connections.Connection,
     exchange: connections.Exchange,
-    patience_s: float,
-    on_bytes: Callable[[], None],
+    grace_s: float,
+    on_progress: Callable[[], None],
 ) -> connections.Frame:
     """Returns the next frame of an answer, however long a large one takes.
 
@@ -283,48 +295,51 @@
       TimeoutError: The patience was over and nothing large was coming.
     """
     loop = asyncio.get_running_loop()
-    until = loop.time() + patience_s
+    until = loop.time() + grace_s
     while True:
-        had = connection.bytes_in
-        look_s = min(_LOOK_S, until - loop.time())
+        bytes_before = connection.bytes_in
+        interval_s = min(_PROGRESS_INTERVAL_S, until - loop.time())
         try:
-            return await exchange.receive(max(0.0, look_s))
+            return await exchange.receive(max(0.0, interval_s))
         except TimeoutError:
-            if connection.bytes_in - had > _LOOK_S * _LEAST_BYTES_PER_S:
-                until = max(until, loop.time() + patience_s)
-                on_bytes()
+            if (
+                connection.bytes_in - bytes_before
+                > _PROGRESS_INTERVAL_S * _MIN_PROGRESS_BYTES_PER_S
+            ):
+                until = max(until, loop.time() + grace_s)
+                on_progress()
                 # Else the sender hears nothing for as long, and gives up.
                 connection.notify(connections.Kind.PING)
             elif loop.time() >= until:
                 raise
 
 
-def _asked(question: questions.Question) -> bytes:
+def _encode_query(query: peer_queries.Query) -> bytes:
     return codec.encode(
         ttypes.TopicAsk(
-            topic=question.topic,
-            offset=question.offset,
-            proof=question.proof,
-            wait_ms=int(question.wait_s * 1e3),
+            topic=query.topic,
+            offset=query.offset,
+            proof=query.freshness_id,
+            wait_ms=int(query.wait_s * 1e3),
         )
     )
 
 
-def _question(wire: ttypes.TopicAsk) -> questions.Question:
-    return questions.Question(
+def _query_from_wire(wire: ttypes.TopicAsk) -> peer_queries.Query:
+    return peer_queries.Query(
         wire.topic, wire.offset, wire.proof, wire.wait_ms / 1e3
     )
 
 
-def _news(wire: ttypes.TopicNews) -> questions.News:
+def _update_from_wire(wire: ttypes.TopicNews) -> peer_queries.Update:
     try:
         readers = tuple(instances.address(text) for text in wire.readers)
     except ValueError as error:
         raise exceptions.DecodeError(f"TopicNews: {error}") from error
-    return questions.News(
-        items=_unpack(wire.packed, wire.items),
-        end=wire.end,
-        proof=wire.proof,
+    return peer_queries.Update(
+        items=_decompress(wire.packed, wire.items),
+        next_offset=wire.end,
+        freshness_id=wire.proof,
         age_s=wire.age_ms / 1e3,
         held_s=wire.held_ms / 1e3,
         lag_s=None if wire.lain_ms is None else wire.lain_ms / 1e3,
@@ -334,7 +349,7 @@
     )
 
 
-def _pack(items: tuple[raw.Item, ...]) -> tuple[bool, bytes]:
+def _compress(items: tuple[raw.Item, ...]) -> tuple[bool, bytes]:
     data = codec.encode(
         ttypes.TopicItems(
             items=[
@@ -347,21 +362,21 @@
             ]
         )
     )
-    if len(data) <= _PACKED_BYTES:
+    if len(data) <= _MAX_UNCOMPRESSED_BYTES:
         return False, data
-    return True, zlib.compress(data, _PACK_LEVEL)
+    return True, zlib.compress(data, _COMPRESSION_LEVEL)
 
 
-def _unpack(packed: bool, data: bytes) -> tuple[raw.Item, ...]:
+def _decompress(packed: bool, data: bytes) -> tuple[raw.Item, ...]:
     if not data:
         return ()
     if packed:
-        unpacking = zlib.decompressobj()
+        decompressor = zlib.decompressobj()
         try:
-            data = unpacking.decompress(data, _MOST_BYTES)
+            data = decompressor.decompress(data, _MAX_DECOMPRESSED_BYTES)
         except zlib.error as error:
             raise exceptions.DecodeError(f"TopicNews: {error}") from error
-        if not unpacking.eof:
+        if not decompressor.eof:
             raise exceptions.DecodeError("TopicNews: cut, or too large")
     wire = codec.decode(ttypes.TopicItems, data)
     return tuple(
@@ -370,5 +385,5 @@
     )
 
 
-def _ms_up(seconds: float) -> int:
+def _round_up_ms(seconds: float) -> int:
     return int(seconds * 1e3) + 1
--- a/src/clementinegw/direct/shared.py
+++ b/src/clementinegw/direct/shared.py
@@ -13,14 +13,14 @@
 from clementinegw import exceptions
 from clementinegw import types
 from clementinegw.direct import _events
-from clementinegw.direct import choice as choices
 from clementinegw.direct import follow
 from clementinegw.direct import freshness as freshness_lib
 from clementinegw.direct import hedged_call
 from clementinegw.direct import newest as newest_lib
 from clementinegw.direct import outage
-from clementinegw.direct import questions
+from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
+from clementinegw.direct import reader_selector
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
@@ -33,33 +33,33 @@
 # How long a question for proofs may be held, in seconds. A reader that says
 # nothing for this long and half a second more has stopped, and the next one is
 # asked while the knowledge is young enough.
-_FRESH_WAIT_S = 1.4
+_FRESHNESS_WAIT_S = 1.4
 # And both at most, as a part of the time in which a change must be known.
-_SERVING_SHARE, _FRESH_SHARE = 0.4, 0.45
+_SERVING_SHARE, _FRESHNESS_SHARE = 0.4, 0.45
 # The store is read for this long after the last question of another process.
-_KEEP_UP_S = 3.0
+_SERVING_LINGER_S = 3.0
 # How often an asker whose wait is over hears that it is not forgotten.
-_SAY_S = 0.3
+_KEEP_ALIVE_S = 0.3
 # A whole answer, and one without news, may rest on a proof of this age, in
 # seconds.
-_YOUNG_S = 3.0
+_MAX_AGE_S = 3.0
 # An answer that takes so long beyond its wait is overdue, in seconds: one with
 # a proof, which comes as soon as there is one; and any other, that of the store
 # too, which may be slow or send much.
-_FRESH_OVERDUE_S, _OVERDUE_S = 0.2, 0.5
+_FRESHNESS_OVERDUE_S, _OVERDUE_S = 0.2, 0.5
 # Each further one is asked so much later, in seconds: nearly as long as the
 # store takes to send one of them a large configuration, so that few send for
 # it over one link.
-_STEP_S = 0.25
+_HEDGE_INTERVAL_S = 0.25
 # How a question to another process fails where it gives no answer at all.
-_NO_ANSWER = frozenset({"broken", "timeout"})
+_NO_ANSWER_REASONS = frozenset({"broken", "timeout"})
 # Failures in a row after which the store counts as out of reach from here. The
 # first one may be a kept connection that had ended.
-_FAILURES = 2
+_MAX_FAILURES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Call:
+class _AnsweredCall:
     """One call that was answered.
 
     Attributes:
@@ -76,8 +76,8 @@
 
 
 # Takes an answer over; only the first one that came is.
-_Taking = Callable[[], follow.Batch]
-_HedgedCall = hedged_call.HedgedCall[choices.Reader, _Taking]
+_Accept = Callable[[], follow.Batch]
+_HedgedCall = hedged_call.HedgedCall[reader_selector.Reader, _Accept]
 
 
 class Shared:
@@ -87,15 +87,15 @@
         self,
         name: str,
         topic: raw.Topic,
-        peers: questions.Peers,
-        choice: choices.Choice,
-        pace: follow.Pace,
-        fresh: bool,
+        peers: peer_queries.Peers,
+        selector: reader_selector.ReaderSelector,
+        poll_timing: follow.Pace,
+        notify_freshness: bool,
         log: logs.Log,
         counters: counters_lib.Counters,
         clock: Callable[[], float],
-        bound_s: float = math.inf,
-        hurried: bool = True,
+        propagation_bound_s: float = math.inf,
+        hedged: bool = True,
     ):
         """Does nothing before it is asked.
 
@@ -103,49 +103,53 @@
           name: The topic's name between processes, in logs and counters.
           topic: Reads the store.
           peers: Asks other processes.
-          choice: Whom to ask; shared by all topics of a process.
-          pace: How long an answer may wait.
-          fresh: Whether a newer proof is worth an answer by itself.
+          selector: Whom to ask; shared by all topics of a process.
+          poll_timing: How long an answer may wait.
+          notify_freshness: Whether a newer proof is worth an answer by itself.
           log: Where events go.
           counters: Counts questions by where they went and how they ended.
           clock: Seconds that also count while the machine is suspended.
-          bound_s: Within which a change must be known everywhere, in seconds,
-            also where a reader falls out.
-          hurried: Whether others are asked beside a reader that is overdue.
+          propagation_bound_s: Within which a change must be known everywhere,
+            in seconds, also where a reader falls out.
+          hedged: Whether others are asked beside a reader that is overdue.
             One whose link is narrow hears late as a rule.
         """
-        self._serving_wait_s = min(_SERVING_WAIT_S, _SERVING_SHARE * bound_s)
-        self._fresh_wait_s = min(_FRESH_WAIT_S, _FRESH_SHARE * bound_s)
+        self._serving_wait_s = min(
+            _SERVING_WAIT_S, _SERVING_SHARE * propagation_bound_s
+        )
+        self._freshness_wait_s = min(
+            _FRESHNESS_WAIT_S, _FRESHNESS_SHARE * propagation_bound_s
+        )
         self._name = name
         self._topic = topic
         self._peers = peers
-        self._choice = choice
-        self._pace = pace
-        self._fresh = fresh
-        self._hurried = hurried
+        self._selector = selector
+        self._poll_timing = poll_timing
+        self._notify_freshness = notify_freshness
+        self._hedged = hedged
         self._log = log
         self._counters = counters
         self._clock = clock
         self._newest = newest_lib.Newest()
         self._current_at: float | None = None
-        self._proof = 0
-        self._seen: dict[types.Address, int] = {}
-        self._reader: choices.Reader = None
-        self._direct = False
+        self._freshness_id = 0
+        self._seen_freshness: dict[types.Address, int] = {}
+        self._reader: reader_selector.Reader = None
+        self._reads_store = False
         self._failures = 0
         self._complete_until: float | None = None
-        self._settled_at = clock()
+        self._available_since = clock()
         self._outage_s = 0.0
-        self._watch = outage.Watch(clock)
-        self._open = 0
-        self._asked_until = 0.0
+        self._outages = outage.Watch(clock)
+        self._open_queries = 0
+        self._serving_until = 0.0
         self._hedged_call: _HedgedCall | None = None
         self._changed = asyncio.Event()
 
     @property
     def serving(self) -> bool:
         """Whether others ask this process."""
-        return bool(self._open) or self._clock() < self._asked_until
+        return bool(self._open_queries) or self._clock() < self._serving_until
 
     # What the own process asks.
 
@@ -158,55 +162,57 @@
         return await self._read(offset, wait_s)
 
     async def _read(self, offset: int | None, wait_s: float) -> follow.Batch:
-        order = self._choice.order(self.serving, whole=offset is None)
+        order = self._selector.order(self.serving, is_snapshot=offset is None)
         if not order:
-            raise questions.Unable("the readers are starting", "starting")
+            raise peer_queries.Unable("the readers are starting", "starting")
 
-        async def ask(reader: choices.Reader) -> _Taking:
+        async def ask(reader: reader_selector.Reader) -> _Accept:
             if reader is None:
                 return await self._ask_store(offset, wait_s)
-            return await self._ask_peer(reader, offset, hedged.postpone)
+            return await self._ask_peer(reader, offset, call.postpone)
 
-        hedged = self._hedged_call = _HedgedCall(ask, follow.HistoryLost)
+        call = self._hedged_call = _HedgedCall(ask, follow.HistoryLost)
         try:
-            result = await hedged.run(
+            result = await call.run(
                 order, self._hedge_timing(order[0], offset, wait_s)
             )
         finally:
             self._hedged_call = None
         for reader in result.overdue:
-            self._overdue(reader)
-        self._note_reader(result.target, result.error)
+            self._mark_overdue(reader)
+        self._log_reader(result.target, result.error)
         return result.answer()
 
     def _hedge_timing(
-        self, first: choices.Reader, offset: int | None, wait_s: float
+        self, first: reader_selector.Reader, offset: int | None, wait_s: float
     ) -> hedged_call.HedgeTiming:
         """Returns when others are asked beside the first one.
 
         Everything is asked of one after the other: at a start of all many ask
         for it, and the link to the store carries it once.
         """
-        if offset is None or not self._hurried:
+        if offset is None or not self._hedged:
             return hedged_call.HedgeTiming(math.inf, math.inf)
         if first is None:
             overdue_s = self._store_wait_s(wait_s) + _OVERDUE_S
         else:
-            late_s = _FRESH_OVERDUE_S if self._fresh else _OVERDUE_S
-            overdue_s = self._peer_wait_s(offset) + late_s
-        return hedged_call.HedgeTiming(overdue_s, _STEP_S)
+            margin_s = (
+                _FRESHNESS_OVERDUE_S if self._notify_freshness else _OVERDUE_S
+            )
+            overdue_s = self._peer_wait_s(offset) + margin_s
+        return hedged_call.HedgeTiming(overdue_s, _HEDGE_INTERVAL_S)
 
     def _store_wait_s(self, wait_s: float) -> float:
         """Returns for how long the store may hold a question."""
-        if not self._direct:
+        if not self._reads_store:
             # The former reader's last proof is old by now, and whoever asks
             # here waits for a first one: it must not be held.
             return 0.0
-        if self.serving and self._fresh:
+        if self.serving and self._notify_freshness:
             return min(wait_s, self._serving_wait_s)
         return wait_s
 
-    async def _ask_store(self, offset: int | None, wait_s: float) -> _Taking:
+    async def _ask_store(self, offset: int | None, wait_s: float) -> _Accept:
         asked_at = self._clock()
         wait_s = self._store_wait_s(wait_s)
         self._count("store", "asked")
@@ -218,142 +224,161 @@
         except exceptions.PlatformError as error:
             self._store_failed(error, asked_at, wait_s)
             raise
-        call = _Call(offset, wait_s, asked_at, self._clock())
-        return lambda: self._take_store(call, batch)
+        call = _AnsweredCall(offset, wait_s, asked_at, self._clock())
+        return lambda: self._accept_from_store(call, batch)
 
-    def _take_store(self, call: _Call, batch: raw.Batch) -> follow.Batch:
+    def _accept_from_store(
+        self, call: _AnsweredCall, batch: raw.Batch
+    ) -> follow.Batch:
         asked_at, now = call.asked_at, call.now
-        self._watch.answered()
+        self._outages.answered()
         if self._failures:
-            self._settled_at = now
-            self._outage_s = self._watch.outage_s
+            self._available_since = now
+            self._outage_s = self._outages.outage_s
         self._failures = 0
-        self._choice.worked(None)
+        self._selector.record_success(None)
         waited_s = 0.0 if call.offset is None else call.wait_s
         lag_s = freshness_lib.lag_s(
             asked_at, now, waited_s, self._complete_until
         )
-        news = bool(batch.items)
+        has_items = bool(batch.items)
         current_at = -math.inf
         if not batch.more:
             self._complete_until = freshness_lib.complete_until(
-                asked_at, now, waited_s, news
+                asked_at, now, waited_s, has_items
             )
-            held_s = 0.0 if news else waited_s
+            held_s = 0.0 if has_items else waited_s
             current_at = freshness_lib.current_at(asked_at, now, held_s)
-        self._direct = True
-        self._take(batch, call.offset is None, lag_s)
-        return self._told(batch, current_at, lag_s, paid=True)
+        self._reads_store = True
+        self._store_batch(batch, call.offset is None, lag_s)
+        return self._publish(batch, current_at, lag_s, paid=True)
 
     def _store_failed(
         self, error: exceptions.PlatformError, asked_at: float, wait_s: float
     ) -> None:
         self._count("store", "failed")
         if isinstance(error, follow.HistoryLost):
-            self._watch.answered()
+            self._outages.answered()
             return
-        self._watch.failed(asked_at, wait_s)
+        self._outages.failed(asked_at, wait_s)
         self._failures += 1
         slow = getattr(error, "reason", "") == "timeout"
-        if slow or self._failures >= _FAILURES:
-            self._lost_store()
+        if slow or self._failures >= _MAX_FAILURES:
+            self._mark_store_failed()
 
-    def _lost_store(self) -> None:
-        self._direct = False
-        self._choice.failed(None)
-        self._wake()
+    def _mark_store_failed(self) -> None:
+        self._reads_store = False
+        self._selector.record_failure(None)
+        self._wake_waiters()
 
-    def _overdue(self, reader: choices.Reader) -> None:
+    def _mark_overdue(self, reader: reader_selector.Reader) -> None:
         """Notes one that another one was asked beside, and was slower."""
         if reader is None:
             self._count("store", "overdue")
-            self._lost_store()
+            self._mark_store_failed()
         else:
             self._count("peer", "overdue")
-            self._choice.failed(reader)
+            self._selector.record_failure(reader)
 
     def _peer_wait_s(self, offset: int | None) -> float:
         """Returns for how long another process may hold a question."""
         if offset is None:
             return 0.0
-        return self._fresh_wait_s if self._fresh else self._pace.wait_s
+        return (
+            self._freshness_wait_s
+            if self._notify_freshness
+            else self._poll_timing.wait_s
+        )
 
     async def _ask_peer(
         self,
         reader: types.Address,
         offset: int | None,
-        on_bytes: Callable[[], None],
-    ) -> _Taking:
+        on_progress: Callable[[], None],
+    ) -> _Accept:
         asked_at = self._clock()
-        proof = self._seen.get(reader, 0) if self._fresh else None
+        freshness_id = (
+            self._seen_freshness.get(reader, 0)
+            if self._notify_freshness
+            else None
+        )
         wait_s = self._peer_wait_s(offset)
-        question = questions.Question(self._name, offset, proof, wait_s)
+        query = peer_queries.Query(self._name, offset, freshness_id, wait_s)
         self._count("peer", "asked")
         try:
-            news = await self._peers.ask(reader, question, on_bytes)
+            update = await self._peers.ask(reader, query, on_progress)
         except follow.HistoryLost:
             self._count("peer", "lost")
             raise
         except exceptions.PlatformUnavailable as error:
             self._count("peer", error.reason or "failed")
-            self._choice.failed(reader, gone=error.reason in _NO_ANSWER)
-            self._seen.pop(reader, None)
+            self._selector.record_failure(
+                reader, unreachable=error.reason in _NO_ANSWER_REASONS
+            )
+            self._seen_freshness.pop(reader, None)
             raise
-        call = _Call(offset, wait_s, asked_at, self._clock())
-        return lambda: self._take_peer(reader, call, news)
+        call = _AnsweredCall(offset, wait_s, asked_at, self._clock())
+        return lambda: self._accept_from_peer(reader, call, update)
 
-    def _take_peer(
-        self, reader: types.Address, call: _Call, news: questions.News
+    def _accept_from_peer(
+        self,
+        reader: types.Address,
+        call: _AnsweredCall,
+        update: peer_queries.Update,
     ) -> follow.Batch:
         asked_at, now = call.asked_at, call.now
-        self._direct = False
-        self._choice.worked(reader)
-        self._seen = {reader: news.proof}
-        if now - news.available_s > self._settled_at:
-            self._settled_at = now - news.available_s
-            self._outage_s = news.outage_s
-        held_s = freshness_lib.current_at(asked_at, now, news.held_s) - asked_at
+        self._reads_store = False
+        self._selector.record_success(reader)
+        self._seen_freshness = {reader: update.freshness_id}
+        if now - update.available_s > self._available_since:
+            self._available_since = now - update.available_s
+            self._outage_s = update.outage_s
+        held_s = (
+            freshness_lib.current_at(asked_at, now, update.held_s) - asked_at
+        )
         # By the other process's clock the answer left at `asked_at + held_s`
         # at the earliest; what is older than that cannot be ruled out.
-        current_at = asked_at + held_s - news.age_s
-        lag_s = self._lag_s(news, now, now - asked_at - held_s)
-        self._complete_until = now if news.items else asked_at + held_s
-        batch = raw.Batch(news.items, news.end)
-        self._take(batch, call.offset is None, lag_s)
-        return self._told(batch, current_at, lag_s, paid=False)
+        current_at = asked_at + held_s - update.age_s
+        lag_s = self._lag_s(update, now, now - asked_at - held_s)
+        self._complete_until = now if update.items else asked_at + held_s
+        batch = raw.Batch(update.items, update.next_offset)
+        self._store_batch(batch, call.offset is None, lag_s)
+        return self._publish(batch, current_at, lag_s, paid=False)
 
     def _lag_s(
-        self, news: questions.News, now: float, on_the_way_s: float
+        self, update: peer_queries.Update, now: float, transit_s: float
     ) -> float:
         """Returns how long what another process told may have lain.
 
         It can't tell of what it found when it began to read itself; what was
         not there at this process's own last answer is no older than that.
         """
-        most_s = (
+        max_s = (
             math.inf
             if self._complete_until is None
             else now - self._complete_until
         )
-        if news.lag_s is None:
-            return most_s
-        return min(news.lag_s + on_the_way_s, most_s)
+        if update.lag_s is None:
+            return max_s
+        return min(update.lag_s + transit_s, max_s)
 
-    def _take(self, batch: raw.Batch, whole: bool, lag_s: float) -> None:
+    def _store_batch(
+        self, batch: raw.Batch, is_snapshot: bool, lag_s: float
+    ) -> None:
         now = self._clock()
-        if whole:
+        if is_snapshot:
             self._newest.replace(batch, now)
         else:
             self._newest.add(batch, now - lag_s)
 
-    def _told(
+    def _publish(
         self, batch: raw.Batch, current_at: float, lag_s: float, paid: bool
     ) -> follow.Batch:
         if self._current_at is None or current_at > self._current_at:
             self._current_at = current_at
-            self._proof += 1
-        self._wake()
-        available_s = self._clock() - self._settled_at
+            self._freshness_id += 1
+        self._wake_waiters()
+        available_s = self._clock() - self._available_since
         return follow.Batch(
             self._topic.decoded(batch.items),
             batch.end,
@@ -363,8 +388,10 @@
             paid,
         )
 
-    def _note_reader(
-        self, reader: choices.Reader, error: exceptions.PlatformError | None
+    def _log_reader(
+        self,
+        reader: reader_selector.Reader,
+        error: exceptions.PlatformError | None,
     ) -> None:
         if reader == self._reader:
             return
@@ -383,97 +410,101 @@
     # What others ask.
 
     async def answer(
-        self, question: questions.Question, say: Callable[[], Awaitable[None]]
-    ) -> questions.News:
+        self,
+        query: peer_queries.Query,
+        send_keep_alive: Callable[[], Awaitable[None]],
+    ) -> peer_queries.Update:
         """Answers another process once there is something to say.
 
         Args:
-          question: What it asks.
-          say: Tells it from time to time that it is not forgotten.
+          query: What it asks.
+          send_keep_alive: Tells it from time to time that it is not forgotten.
 
         Raises:
           follow.HistoryLost: What it lacks is not known here any more.
-          questions.Unable: The store is out of reach from here.
+          peer_queries.Unable: The store is out of reach from here.
         """
         started = self._clock()
         self._count("served", "asked")
-        self._open += 1
+        self._open_queries += 1
         try:
-            self._begin_to_read()
-            while not self._answers(question, started):
-                if self._choice.is_aside(None):
+            self._switch_to_store()
+            while not self._can_answer(query, started):
+                if self._selector.is_backed_off(None):
                     self._count("served", "unable")
-                    raise questions.Unable(
+                    raise peer_queries.Unable(
                         "the store does not answer here", "unable"
                     )
-                await self._next_change()
-                if self._clock() >= started + question.wait_s:
-                    await say()
+                await self._wait_for_change()
+                if self._clock() >= started + query.wait_s:
+                    await send_keep_alive()
             # Not for one that got no answer: while the store is away all ask
             # each other, and all would read it for others when it returns.
-            self._asked_until = self._clock() + _KEEP_UP_S
-            return self._news(question, started)
+            self._serving_until = self._clock() + _SERVING_LINGER_S
+            return self._make_update(query, started)
         finally:
-            self._open -= 1
+            self._open_queries -= 1
 
-    def _begin_to_read(self) -> None:
+    def _switch_to_store(self) -> None:
         # From the store, so that nobody waits for somebody who waits for him.
-        if self._hedged_call is not None and not self._choice.is_aside(None):
+        if self._hedged_call is not None and not self._selector.is_backed_off(
+            None
+        ):
             self._hedged_call.switch_to(None)
 
-    def _answers(self, question: questions.Question, started: float) -> bool:
+    def _can_answer(self, query: peer_queries.Query, started: float) -> bool:
         end = self._newest.end
         if end is None or self._current_at is None:
             return False
-        if question.offset is not None and question.offset < end:
+        if query.offset is not None and query.offset < end:
             # Whoever told it: what is here need not be read again, and its
             # age goes with it.
             return True
-        if not self._direct:
+        if not self._reads_store:
             return False
         now = self._clock()
-        young = now - self._current_at < _YOUNG_S
-        if question.offset is None:
+        is_fresh = now - self._current_at < _MAX_AGE_S
+        if query.offset is None:
             # A process that was suspended would tell of what is gone since.
-            return young
-        if question.proof is not None:
-            return question.proof != self._proof
-        return young and now >= started + question.wait_s
-
-    def _news(
-        self, question: questions.Question, started: float
-    ) -> questions.News:
+            return is_fresh
+        if query.freshness_id is not None:
+            return query.freshness_id != self._freshness_id
+        return is_fresh and now >= started + query.wait_s
+
+    def _make_update(
+        self, query: peer_queries.Query, started: float
+    ) -> peer_queries.Update:
         assert self._current_at is not None
         assert self._newest.end is not None
         now = self._clock()
-        offset = question.offset
+        offset = query.offset
         lag_s: float | None = None
         if offset is None:
             items = self._newest.all()
         else:
             items = self._newest.since(offset)
             lag_s = max(0.0, now - self._newest.added_after(offset))
-        return questions.News(
+        return peer_queries.Update(
             items=items,
-            end=max(self._newest.end, offset or 0),
-            proof=self._proof,
+            next_offset=max(self._newest.end, offset or 0),
+            freshness_id=self._freshness_id,
             age_s=now - self._current_at,
             held_s=now - started,
             lag_s=lag_s,
-            available_s=now - self._settled_at,
+            available_s=now - self._available_since,
             outage_s=self._outage_s,
-            readers=self._choice.candidates,
+            readers=self._selector.candidates,
         )
 
-    async def _next_change(self) -> None:
+    async def _wait_for_change(self) -> None:
         changed = self._changed
         try:
-            async with asyncio.timeout(_SAY_S):
+            async with asyncio.timeout(_KEEP_ALIVE_S):
                 await changed.wait()
         except TimeoutError:
             # Nothing changed; the asker is told so.
             return
 
-    def _wake(self) -> None:
+    def _wake_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/tests/shared_domain.py
+++ b/tests/shared_domain.py
@@ -5,10 +5,10 @@
 
 from clementinegw import exceptions
 from clementinegw import types as places
-from clementinegw.direct import choice as choices
 from clementinegw.direct import follow
-from clementinegw.direct import questions
+from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
+from clementinegw.direct import reader_selector
 from clementinegw.direct import shared
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
@@ -81,7 +81,7 @@
             self._check()
         self._check()
         if self.silent:
-            # Its question had reached the store; the answer is lost.
+            # Its query had reached the store; the answer is lost.
             await asyncio.sleep(max(0.0, until + 1.2 - loop.time()))
             raise exceptions.PlatformUnavailable("silent", "timeout")
         found = self._store.log[offset:]
@@ -116,13 +116,13 @@
         self.frozen = False
         self.known = {}
         self.lag_s = 0.0
-        self.choice = choices.Choice(clock)
-        self.choice.me = address(number)
+        self.selector = reader_selector.ReaderSelector(clock)
+        self.selector.own_address = address(number)
         self.shared = shared.Shared(
             "t",
             self.topic,
             domain,
-            self.choice,
+            self.selector,
             _PACE,
             True,
             logs.Log(),
@@ -169,28 +169,30 @@
 
     def elect(self, order):
         for process in self.processes:
-            process.choice.offer(tuple(address(n) for n in order))
+            process.selector.set_candidates(tuple(address(n) for n in order))
 
-    async def ask(self, reader, question, on_bytes):
+    async def ask(self, reader, query, on_progress):
         process = self.processes[reader.port - 7_000]
         await asyncio.sleep(_LATENCY_S)
         if process.gone:
-            raise questions.Unable("gone", "broken")
+            raise peer_queries.Unable("gone", "broken")
 
         clock = asyncio.get_running_loop().time
-        patient_until = clock() + question.wait_s + question.patience_s
+        patient_until = clock() + query.wait_s + query.grace_s
 
-        async def say():
+        async def send_keep_alive():
             nonlocal patient_until
             if not process.frozen:
-                patient_until = clock() + question.patience_s
+                patient_until = clock() + query.grace_s
 
-        answering = asyncio.ensure_future(process.shared.answer(question, say))
+        answering = asyncio.ensure_future(
+            process.shared.answer(query, send_keep_alive)
+        )
         try:
             while not answering.done() or process.frozen:
                 await asyncio.sleep(0.01)
                 if process.gone or clock() > patient_until:
-                    raise questions.Unable("silent", "broken")
+                    raise peer_queries.Unable("silent", "broken")
             return answering.result()
         finally:
             answering.cancel()
--- a/tests/test_direct_readers.py
+++ b/tests/test_direct_readers.py
@@ -3,10 +3,10 @@
 import pytest
 
 from clementinegw import types as places
-from clementinegw.direct import choice as choices
 from clementinegw.direct import follow
 from clementinegw.direct import newest as newest_lib
 from clementinegw.direct import raw
+from clementinegw.direct import reader_selector
 
 
 def address(number):
@@ -46,50 +46,50 @@
 
 def test_few_are_asked_before_the_store_and_none_that_failed_just_now():
     now = [0.0]
-    choice = choices.Choice(lambda: now[0])
+    selector = reader_selector.ReaderSelector(lambda: now[0])
     now[0] = 2.0
-    assert choice.order(serving=False) == [None]
-    choice.offer(tuple(address(n) for n in range(6)))
-    choice.me = address(4)
+    assert selector.order(serving=False) == [None]
+    selector.set_candidates(tuple(address(n) for n in range(6)))
+    selector.own_address = address(4)
     first = [address(0), address(1), address(2), None]
-    assert choice.order(serving=False) == first
-    assert choice.order(serving=True) == [None, *first[:3]]
-    choice.failed(address(0))
-    choice.failed(None)
-    assert choice.order(serving=True) == first[1:3]
-    assert choice.is_aside(None)
+    assert selector.order(serving=False) == first
+    assert selector.order(serving=True) == [None, *first[:3]]
+    selector.record_failure(address(0))
+    selector.record_failure(None)
+    assert selector.order(serving=True) == first[1:3]
+    assert selector.is_backed_off(None)
     now[0] = 4.5
-    assert choice.order(serving=False) == first
-    choice.failed(address(0))
+    assert selector.order(serving=False) == first
+    selector.record_failure(address(0))
     now[0] = 7.0
-    assert address(0) not in choice.order(serving=False)
-    choice.worked(address(0))
-    assert choice.order(serving=False) == first
+    assert address(0) not in selector.order(serving=False)
+    selector.record_success(address(0))
+    assert selector.order(serving=False) == first
 
 
-def orders_while_the_store_is_away(gone):
+def orders_while_the_store_is_away(unreachable):
     """Returns whom the third reader asks at first, and a moment later."""
     now = [10.0]
-    choice = choices.Choice(lambda: now[0])
+    selector = reader_selector.ReaderSelector(lambda: now[0])
     now[0] = 20.0
-    choice.offer(tuple(address(n) for n in range(4)))
-    choice.me = address(2)
+    selector.set_candidates(tuple(address(n) for n in range(4)))
+    selector.own_address = address(2)
     for number in (0, 1):
-        choice.failed(address(number), gone=gone)
-    choice.failed(address(3))
-    choice.failed(None)
-    first = choice.order(serving=False)
+        selector.record_failure(address(number), unreachable=unreachable)
+    selector.record_failure(address(3))
+    selector.record_failure(None)
+    first = selector.order(serving=False)
     now[0] = 20.5
-    return first, choice.order(serving=False)
+    return first, selector.order(serving=False)
 
 
 def test_a_store_that_is_back_is_found_though_the_first_readers_are_dead():
     """Recovery took seconds: only two dead readers were to go on trying it."""
     asked = [None, address(3)]
-    assert orders_while_the_store_is_away(gone=True) == (asked, asked)
+    assert orders_while_the_store_is_away(unreachable=True) == (asked, asked)
 
 
 def test_the_first_readers_alone_try_a_store_that_is_away():
     others = [address(0), address(1)]
-    found = orders_while_the_store_is_away(gone=False)
+    found = orders_while_the_store_is_away(unreachable=False)
     assert found == ([None, *others], others)
--- a/tests/test_direct_shared.py
+++ b/tests/test_direct_shared.py
@@ -6,7 +6,7 @@
 import pytest
 import shared_domain
 
-from clementinegw.direct import questions
+from clementinegw.direct import peer_queries
 from clementinegw.testing import clock as clocks
 
 
@@ -169,8 +169,12 @@
 
     async def play():
         async with shared_domain.Domain(2) as domain:
-            domain.processes[0].choice.offer((shared_domain.address(1),))
-            domain.processes[1].choice.offer((shared_domain.address(0),))
+            domain.processes[0].selector.set_candidates(
+                (shared_domain.address(1),)
+            )
+            domain.processes[1].selector.set_candidates(
+                (shared_domain.address(0),)
+            )
             await asyncio.sleep(6.0)
             oldest = await oldest_of(domain, 6.0)
             domain.store.put("a", b"1")
@@ -306,7 +310,7 @@
             await reader.follower.stop()
             domain.store.put("a", b"")
             await asyncio.sleep(10.0)
-            question = questions.Question("t", None, None, 0.0)
+            question = peer_queries.Query("t", None, None, 0.0)
 
             async def say():
                 """Says nothing: the asker waits."""
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -11,7 +11,7 @@
 from clementinegw import types as places
 from clementinegw.direct import entry as entries
 from clementinegw.direct import instance as instances
-from clementinegw.direct import questions
+from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
 from clementinegw.direct import relay
 from clementinegw.telemetry import counters as counters_lib
@@ -195,28 +195,32 @@
 
 @pytest.mark.parametrize("count", [0, 1, 5, 3_000])
 def test_an_answer_comes_out_as_it_went_in(count):
-    news = questions.News(
+    news = peer_queries.Update(
         items(count), 2**40 + count, 7, 1.25, 0.5, 0.75, 1e6, 2.5, ADDRESSES
     )
-    packed, data = relay._pack(news.items) if news.items else (False, b"")
+    packed, data = relay._compress(news.items) if news.items else (False, b"")
     assert packed == (count > 5)
     assert len(data) < 40_000
-    assert relay._unpack(packed, data) == news.items
+    assert relay._decompress(packed, data) == news.items
 
 
 def test_ages_are_told_no_smaller_than_they_are():
     relayed = relay.Relay.__new__(relay.Relay)
-    relayed._packed = {}
-    question = questions.Question("operators", 3, 2, 1.4)
-    news = questions.News(
+    relayed._compressed = {}
+    question = peer_queries.Query("operators", 3, 2, 1.4)
+    news = peer_queries.Update(
         items(2), 9, 7, 1.2345, 0.5678, 0.3456, 9.8765, 1.2345, ADDRESSES
     )
     wire = codec.decode(
-        ttypes.TopicNews, codec.encode(relayed._told(question, news))
+        ttypes.TopicNews, codec.encode(relayed._to_wire(question, news))
     )
-    told = relay._news(wire)
+    told = relay._update_from_wire(wire)
     assert told.items == news.items
-    assert (told.end, told.proof, told.readers) == (9, 7, ADDRESSES)
+    assert (told.next_offset, told.freshness_id, told.readers) == (
+        9,
+        7,
+        ADDRESSES,
+    )
     assert 0 <= told.age_s - news.age_s <= 0.001
     assert 0 <= told.lag_s - news.lag_s <= 0.001
     assert 0 <= told.outage_s - news.outage_s <= 0.001
@@ -236,4 +240,4 @@
 )
 def test_items_that_cannot_be_read_are_an_error_of_the_peer(packed, data):
     with pytest.raises(exceptions.DecodeError):
-        relay._unpack(packed, data)
+        relay._decompress(packed, data)
