--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -204,7 +204,7 @@
         bounds = instance.bounds
         self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
         self._versions.due_s = bounds.weights_ms / 1e3
-        self._fleet.ran_out.terms = _fleet_terms(bounds)
+        self._fleet.ran_out.times = _fleet_terms(bounds)
         self._forwarder.set_terms(_terms(bounds))
 
     async def drain(self) -> None:
@@ -345,8 +345,8 @@
         return known.max_connections if known else 32
 
 
-def _fleet_terms(bounds: instances.Bounds) -> outage.Terms:
-    return outage.Terms(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
+def _fleet_terms(bounds: instances.Bounds) -> outage.ListingTimes:
+    return outage.ListingTimes(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
 def _terms(bounds: instances.Bounds) -> budget.Terms:
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -36,7 +36,7 @@
         log: logs.Log,
         max_connections: Callable[[str], int],
         rng: random.Random,
-        terms: outage.Terms | None = None,
+        terms: outage.ListingTimes | None = None,
         *,
         entry: str = "",
         wall_clock: Callable[[], float] = time.time,
@@ -62,7 +62,7 @@
             log,
             counters or counters_lib.Counters(),
         )
-        self.ran_out = outage.RanOut(terms or outage.Terms())
+        self.ran_out = outage.ListingExpiry(terms or outage.ListingTimes())
         self._log = log
         self._rng = rng
         self._max_connections = max_connections
@@ -134,8 +134,10 @@
         gone = {key for key, value in last.items() if value is None}
         if whole:
             gone |= set(self._backends) - set(last)
-        left_s = self.ran_out.terms.back_s - settled_s
-        if not self.ran_out.seems(gone, set(self._backends), left_s, away_s):
+        left_s = self.ran_out.times.relist_s - settled_s
+        if not self.ran_out.likely_expired(
+            gone, set(self._backends), left_s, away_s
+        ):
             left_s = 0.0
         for record in batch.records:
             if isinstance(record.value, types.Server):
@@ -176,7 +178,7 @@
           settled_s: How long the platform has answered without failure.
           now: Monotonic seconds.
         """
-        settled = settled_s >= self.ran_out.terms.back_s
+        settled = settled_s >= self.ran_out.times.relist_s
         for key, backend in list(self._backends.items()):
             if backend.missing and (settled or now >= backend.missing_until):
                 self._drop(key)
--- a/src/clementinegw/direct/follow.py
+++ b/src/clementinegw/direct/follow.py
@@ -69,7 +69,7 @@
 class Source(Protocol):
     """One topic of the platform's store."""
 
-    async def newest(self) -> Batch:
+    async def snapshot(self) -> Batch:
         """Returns the newest record of each key.
 
         Raises:
@@ -232,7 +232,7 @@
         whole = self._offset is None
         self._counters.add(f"platform.{self._name}.calls")
         if self._offset is None:
-            batch = await self._source.newest()
+            batch = await self._source.snapshot()
         else:
             wait_s = 0.0 if self._unproved else self._pace.wait_s
             batch = await self._source.changes(self._offset, wait_s)
--- a/src/clementinegw/direct/raw.py
+++ b/src/clementinegw/direct/raw.py
@@ -30,20 +30,20 @@
 
     Attributes:
       items: In the order of the log.
-      end: The offset to go on from.
-      more: Whether more was there than one answer holds. Then it proves
+      next_offset: The offset to go on from.
+      has_more: Whether more was there than one answer holds. Then it proves
         nothing of what it leaves out.
     """
 
     items: tuple[Item, ...]
-    end: int
-    more: bool = False
+    next_offset: int
+    has_more: bool = False
 
 
 class Topic(Protocol):
     """One topic of the platform's store."""
 
-    async def newest(self) -> Batch:
+    async def snapshot(self) -> Batch:
         """Returns the newest value of each key.
 
         Raises:
@@ -66,7 +66,7 @@
         """Returns the records that can be read."""
 
 
-class Readers(Protocol):
+class ReaderGroup(Protocol):
     """Who reads the store for the processes of a failure domain."""
 
     async def join(self) -> int:
@@ -96,9 +96,10 @@
     def servers(self) -> Topic:
         """Returns the list of backend servers."""
 
-    def readers(self, me: types.Address | None) -> Readers:
+    def reader_group(self, own_address: types.Address | None) -> ReaderGroup:
         """Returns the readers of this process's failure domain.
 
         Args:
-          me: Where this process answers others; None when it only asks.
+          own_address: Where this process answers others; None when it only
+            asks.
         """
--- a/src/clementinegw/direct/relay.py
+++ b/src/clementinegw/direct/relay.py
@@ -12,8 +12,8 @@
 from clementinegw.direct import instance as instances
 from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
+from clementinegw.direct import reader_directory
 from clementinegw.direct import reader_selector
-from clementinegw.direct import readers as readers_lib
 from clementinegw.direct import shared
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
@@ -91,7 +91,7 @@
         )
         self._endpoint.on_call(connections.Kind.TOPIC_ASK, self._on_query)
         self._selector = reader_selector.ReaderSelector(clock)
-        self._keeper: readers_lib.Keeper | None = None
+        self._directory: reader_directory.ReaderDirectory | None = None
         self._compressed: dict[
             tuple[str, int | None, int], tuple[bool, bytes]
         ] = {}
@@ -134,15 +134,15 @@
                 types.Address(self._instance.host, port)
             )
         self._selector.own_address = address
-        self._keeper = readers_lib.Keeper(
-            self._platform.readers(address),
+        self._directory = reader_directory.ReaderDirectory(
+            self._platform.reader_group(address),
             self._serves_peers,
             self._selector,
             self._log,
             self._counters,
         )
-        await self.add_runtime_dependency(self._keeper)
-        await self._keeper.looked()
+        await self.add_runtime_dependency(self._directory)
+        await self._directory.wait_ready()
 
     async def on_shutdown(self) -> None:
         """Ends all connections: those who ask turn to the next one."""
@@ -157,21 +157,21 @@
         on_progress: Callable[[], None],
     ) -> peer_queries.Update:
         """See `peer_queries.Peers`."""
-        assert self._keeper is not None
+        assert self._directory is not None
         try:
             update = await self._ask(reader, query, on_progress)
         except exceptions.PlatformUnavailable:
-            self._keeper.look_again()
+            self._directory.mark_stale()
             raise
         except (exceptions.ConnectionLost, exceptions.DecodeError) as error:
-            self._keeper.look_again()
+            self._directory.mark_stale()
             raise peer_queries.Unable(error.message, "broken") from error
         except TimeoutError as error:
-            self._keeper.look_again()
+            self._directory.mark_stale()
             raise peer_queries.Unable(
                 f"{reader}: no answer", "timeout"
             ) from error
-        self._keeper.offer(update.readers)
+        self._directory.set_candidates(update.readers)
         return update
 
     async def _ask(
--- a/src/clementinegw/direct/shared.py
+++ b/src/clementinegw/direct/shared.py
@@ -13,10 +13,10 @@
 from clementinegw import exceptions
 from clementinegw import types
 from clementinegw.direct import _events
+from clementinegw.direct import compacted_log
 from clementinegw.direct import follow
 from clementinegw.direct import freshness as freshness_lib
 from clementinegw.direct import hedged_call
-from clementinegw.direct import newest as newest_lib
 from clementinegw.direct import outage
 from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
@@ -130,7 +130,7 @@
         self._log = log
         self._counters = counters
         self._clock = clock
-        self._newest = newest_lib.Newest()
+        self._compacted = compacted_log.CompactedLog()
         self._current_at: float | None = None
         self._freshness_id = 0
         self._seen_freshness: dict[types.Address, int] = {}
@@ -140,7 +140,7 @@
         self._complete_until: float | None = None
         self._available_since = clock()
         self._outage_s = 0.0
-        self._outages = outage.Watch(clock)
+        self._outages = outage.OutageTracker(clock)
         self._open_queries = 0
         self._serving_until = 0.0
         self._hedged_call: _HedgedCall | None = None
@@ -153,7 +153,7 @@
 
     # What the own process asks.
 
-    async def newest(self) -> follow.Batch:
+    async def snapshot(self) -> follow.Batch:
         """See `follow.Source`."""
         return await self._read(None, 0.0)
 
@@ -218,7 +218,7 @@
         self._count("store", "asked")
         try:
             if offset is None:
-                batch = await self._topic.newest()
+                batch = await self._topic.snapshot()
             else:
                 batch = await self._topic.changes(offset, wait_s)
         except exceptions.PlatformError as error:
@@ -231,7 +231,7 @@
         self, call: _AnsweredCall, batch: raw.Batch
     ) -> follow.Batch:
         asked_at, now = call.asked_at, call.now
-        self._outages.answered()
+        self._outages.record_answer()
         if self._failures:
             self._available_since = now
             self._outage_s = self._outages.outage_s
@@ -243,7 +243,7 @@
         )
         has_items = bool(batch.items)
         current_at = -math.inf
-        if not batch.more:
+        if not batch.has_more:
             self._complete_until = freshness_lib.complete_until(
                 asked_at, now, waited_s, has_items
             )
@@ -258,9 +258,9 @@
     ) -> None:
         self._count("store", "failed")
         if isinstance(error, follow.HistoryLost):
-            self._outages.answered()
+            self._outages.record_answer()
             return
-        self._outages.failed(asked_at, wait_s)
+        self._outages.record_failure(asked_at, wait_s)
         self._failures += 1
         slow = getattr(error, "reason", "") == "timeout"
         if slow or self._failures >= _MAX_FAILURES:
@@ -367,9 +367,9 @@
     ) -> None:
         now = self._clock()
         if is_snapshot:
-            self._newest.replace(batch, now)
+            self._compacted.replace(batch, now)
         else:
-            self._newest.add(batch, now - lag_s)
+            self._compacted.add(batch, now - lag_s)
 
     def _publish(
         self, batch: raw.Batch, current_at: float, lag_s: float, paid: bool
@@ -381,7 +381,7 @@
         available_s = self._clock() - self._available_since
         return follow.Batch(
             self._topic.decoded(batch.items),
-            batch.end,
+            batch.next_offset,
             freshness_lib.Freshness(
                 self._current_at, lag_s, available_s, self._outage_s
             ),
@@ -453,7 +453,7 @@
             self._hedged_call.switch_to(None)
 
     def _can_answer(self, query: peer_queries.Query, started: float) -> bool:
-        end = self._newest.end
+        end = self._compacted.next_offset
         if end is None or self._current_at is None:
             return False
         if query.offset is not None and query.offset < end:
@@ -475,18 +475,18 @@
         self, query: peer_queries.Query, started: float
     ) -> peer_queries.Update:
         assert self._current_at is not None
-        assert self._newest.end is not None
+        assert self._compacted.next_offset is not None
         now = self._clock()
         offset = query.offset
         lag_s: float | None = None
         if offset is None:
-            items = self._newest.all()
+            items = self._compacted.all()
         else:
-            items = self._newest.since(offset)
-            lag_s = max(0.0, now - self._newest.added_after(offset))
+            items = self._compacted.since(offset)
+            lag_s = max(0.0, now - self._compacted.added_after(offset))
         return peer_queries.Update(
             items=items,
-            next_offset=max(self._newest.end, offset or 0),
+            next_offset=max(self._compacted.next_offset, offset or 0),
             freshness_id=self._freshness_id,
             age_s=now - self._current_at,
             held_s=now - started,
--- a/tests/shared_domain.py
+++ b/tests/shared_domain.py
@@ -63,7 +63,7 @@
         self.refused = False
         self.silent = False
 
-    async def newest(self):
+    async def snapshot(self):
         self._store.wholes += 1
         await self._reach(0.0)
         newest = dict(self._store.log)
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -139,7 +139,7 @@
     def __init__(self):
         self.records = []
 
-    async def newest(self):
+    async def snapshot(self):
         newest = {record.key: n for n, record in enumerate(self.records)}
         return raw.Batch(_items(newest.values()), len(self.records))
 
@@ -276,7 +276,7 @@
     def __init__(self, site):
         self.operators = site.operators
         self.servers = site.servers
-        self.readers = lambda me: NoReaders()
+        self.reader_group = lambda me: NoReaders()
         self.beside = site.beside
         self.origin = site.origin_at
 
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -255,7 +255,7 @@
         self.down = False
         self.takes_s = 0.004
 
-    async def newest(self):
+    async def snapshot(self):
         return follow.Batch(tuple(self.records), len(self.records))
 
     async def changes(self, offset, wait_s):
--- a/tests/test_direct_follow.py
+++ b/tests/test_direct_follow.py
@@ -21,7 +21,7 @@
         self.down = False
         self.wholes = 0
 
-    async def newest(self):
+    async def snapshot(self):
         self._check()
         self.wholes += 1
         return follow.Batch(tuple(self.records[-1:]), len(self.records))
@@ -153,17 +153,17 @@
 
     async def play():
         clock = asyncio.get_running_loop().time
-        watch = outage.Watch(clock)
-        watch.answered()
+        tracker = outage.OutageTracker(clock)
+        tracker.record_answer()
         asked_at = clock()
         await asyncio.sleep(lasts_s)
         if lost_history:
-            watch.answered()
+            tracker.record_answer()
         else:
-            watch.failed(asked_at, 2.0)
+            tracker.record_failure(asked_at, 2.0)
         await asyncio.sleep(0.3)
-        watch.answered()
-        assert watch.outage_s == pytest.approx(outage_s, abs=0.01)
+        tracker.record_answer()
+        assert tracker.outage_s == pytest.approx(outage_s, abs=0.01)
 
     clocks.run(play())
 
@@ -171,14 +171,14 @@
 def test_an_outage_that_ends_in_fits_is_one():
     async def play():
         clock = asyncio.get_running_loop().time
-        watch = outage.Watch(clock)
+        tracker = outage.OutageTracker(clock)
         for down in (True, False, True, False):
             if down:
-                watch.failed(clock(), 0.0)
+                tracker.record_failure(clock(), 0.0)
             else:
-                watch.answered()
+                tracker.record_answer()
             await asyncio.sleep(1.0)
-        assert watch.outage_s == pytest.approx(3.0, abs=0.01)
+        assert tracker.outage_s == pytest.approx(3.0, abs=0.01)
 
     clocks.run(play())
 
@@ -194,7 +194,7 @@
     calls = []
 
     class Source:
-        async def newest(self):
+        async def snapshot(self):
             calls.append("newest")
             await asyncio.sleep(0.002)
             return follow.Batch((), 5)
@@ -224,7 +224,7 @@
     """
 
     class Reader:
-        async def newest(self):
+        async def snapshot(self):
             return follow.Batch((), 0)
 
         async def changes(self, offset, wait_s):
--- a/tests/test_direct_readers.py
+++ b/tests/test_direct_readers.py
@@ -3,8 +3,8 @@
 import pytest
 
 from clementinegw import types as places
+from clementinegw.direct import compacted_log
 from clementinegw.direct import follow
-from clementinegw.direct import newest as newest_lib
 from clementinegw.direct import raw
 from clementinegw.direct import reader_selector
 
@@ -19,29 +19,29 @@
 
 
 def test_a_storm_of_changes_is_told_as_the_newest_of_each_key():
-    kept = newest_lib.Newest()
-    kept.replace(batch(0, ("a", b"0")), 0.0)
+    compacted = compacted_log.CompactedLog()
+    compacted.replace(batch(0, ("a", b"0")), 0.0)
     for number in range(1, 50):
-        kept.add(batch(number, ("c", b"%d" % number)), 1.0)
-    kept.add(batch(50, ("a", b"")), 2.0)
-    found = [(i.key, i.value, i.offset) for i in kept.since(1)]
+        compacted.add(batch(number, ("c", b"%d" % number)), 1.0)
+    compacted.add(batch(50, ("a", b"")), 2.0)
+    found = [(i.key, i.value, i.offset) for i in compacted.since(1)]
     assert found == [("c", b"49", 49), ("a", b"", 50)]
-    assert kept.since(51) == ()
-    assert [i.key for i in kept.all()] == ["c"]
-    assert (kept.added_after(1), kept.added_after(50)) == (1.0, 2.0)
+    assert compacted.since(51) == ()
+    assert [i.key for i in compacted.all()] == ["c"]
+    assert (compacted.added_after(1), compacted.added_after(50)) == (1.0, 2.0)
 
 
 def test_who_is_too_far_behind_takes_everything():
-    kept = newest_lib.Newest()
-    kept.replace(batch(7, ("a", b"0")), 0.0)
+    compacted = compacted_log.CompactedLog()
+    compacted.replace(batch(7, ("a", b"0")), 0.0)
     with pytest.raises(follow.HistoryLost):
-        kept.since(7)
+        compacted.since(7)
     for number in range(8, 5_008):
-        kept.add(batch(number, (f"k{number}", b"")), 1.0)
+        compacted.add(batch(number, (f"k{number}", b"")), 1.0)
     with pytest.raises(follow.HistoryLost):
-        kept.since(8)
-    assert len(kept.since(5_000)) == 8
-    assert len(kept._kept) < 2_100
+        compacted.since(8)
+    assert len(compacted.since(5_000)) == 8
+    assert len(compacted._log) < 2_100
 
 
 def test_few_are_asked_before_the_store_and_none_that_failed_just_now():
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -192,10 +192,10 @@
                 store.put_raw(TOPIC, b"i-1", value or b"")
                 batch = await topic.changes(offset, 0.0)
                 topic.decoded(batch.items)
-                offset = batch.end
+                offset = batch.next_offset
         for _ in range(3):
             store.put_raw(TOPIC, b"i-2", b"7")
-            found = topic.decoded((await topic.newest()).items)
+            found = topic.decoded((await topic.snapshot()).items)
         await store.stop()
         assert [record.key for record in found] == ["i-2"]
         assert isinstance(found[0].value, types.Unreadable)
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -58,13 +58,13 @@
     def __init__(self, topic):
         self._topic = topic
 
-    async def newest(self):
-        batch = await self._topic.newest()
-        return follow.Batch(self._topic.decoded(batch.items), batch.end)
+    async def snapshot(self):
+        batch = await self._topic.snapshot()
+        return follow.Batch(self._topic.decoded(batch.items), batch.next_offset)
 
     async def changes(self, offset, wait_s):
         batch = await self._topic.changes(offset, wait_s)
-        return follow.Batch(self._topic.decoded(batch.items), batch.end)
+        return follow.Batch(self._topic.decoded(batch.items), batch.next_offset)
 
 
 async def following(store, taken):
