--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -14,7 +14,6 @@
 from clementinegw.direct import backing
 from clementinegw.direct import bring
 from clementinegw.direct import declarations
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import keep
 from clementinegw.direct import raw
@@ -22,6 +21,7 @@
 from clementinegw.direct import reports
 from clementinegw.direct import starts
 from clementinegw.direct import suspects
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import events
@@ -30,9 +30,9 @@
 
 # Entries pass a new declaration on within a second, so a connection to the
 # platform that went silent may go unnoticed for a while.
-_PACES = follow.Paces(
-    operators=follow.Pace(wait_s=6.0, pause_s=0.0),
-    servers=follow.Pace(wait_s=10.0, pause_s=3.0),
+_PACES = topic_watch.PollTimings(
+    operators=topic_watch.PollTiming(wait_s=6.0, pause_s=0.0),
+    servers=topic_watch.PollTiming(wait_s=10.0, pause_s=3.0),
 )
 # How often the server beside is asked, and a step is taken towards the wanted
 # version, in seconds. A question costs nothing there and bounds the age of what
@@ -65,7 +65,7 @@
         counters: counters_lib.Counters,
         rng: random.Random | None = None,
         clock: clocks.Clock | None = None,
-        boot_clock: Callable[[], float] = follow.boot_time,
+        boot_clock: Callable[[], float] = topic_watch.boot_time,
     ):
         """Prepares the daemon; see `entry.Entry`."""
         super().__init__()
@@ -85,7 +85,7 @@
             counters,
             boot_clock,
         )
-        topics = follow.Topics(
+        topics = topic_watch.TopicWatchers(
             self._relay,
             _PACES,
             self._on_operators,
@@ -160,7 +160,7 @@
 
     # What the platform says.
 
-    def _on_operators(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
@@ -248,7 +248,7 @@
         self._accused_at = now
         return self._suspects.proved(now)
 
-    def _on_servers(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
         if whole:
             listed = {record.key for record in batch.records}
             for key in set(self._around.servers) - listed:
@@ -269,7 +269,7 @@
         self._bringer.set_fleet(list(others.values()))
         self._tell_known()
 
-    def _take_server(self, record: follow.Record) -> None:
+    def _take_server(self, record: topic_watch.Record) -> None:
         if not isinstance(record.value, types.Server):
             self._around.servers.pop(record.key, None)
             return
--- a/src/clementinegw/direct/compacted_log.py
+++ b/src/clementinegw/direct/compacted_log.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
-from clementinegw.direct import follow
 from clementinegw.direct import raw
+from clementinegw.direct import topic_watch
 
 # Keys that are deleted and still told to those who are behind. Each is some ten
 # bytes; whoever is further behind takes everything anew.
@@ -67,10 +67,10 @@
         """Returns the newest value of each key that changed from an offset on.
 
         Raises:
-          follow.HistoryLost: It is not known any more which ones did.
+          topic_watch.HistoryLost: It is not known any more which ones did.
         """
         if offset < self._first_offset:
-            raise follow.HistoryLost("too far behind")
+            raise topic_watch.HistoryLost("too far behind")
         return tuple(
             logged.item for logged in reversed(self._changed_since(offset))
         )
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -17,7 +17,6 @@
 from clementinegw.direct import declarations
 from clementinegw.direct import dialect as dialects
 from clementinegw.direct import fleet as fleets
-from clementinegw.direct import follow
 from clementinegw.direct import forward
 from clementinegw.direct import instance as instances
 from clementinegw.direct import outage
@@ -26,6 +25,7 @@
 from clementinegw.direct import reports
 from clementinegw.direct import server as servers
 from clementinegw.direct import subscriptions
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import versions as versions_lib
 from clementinegw.telemetry import counters as counters_lib
@@ -36,9 +36,9 @@
 # How topics are read. The platform answers as soon as something changes, so
 # the wait only bounds how long a connection that went silent goes unnoticed,
 # and how old a key's proof grows; each call is paid for.
-_PACES = follow.Paces(
-    operators=follow.Pace(wait_s=2.0, pause_s=0.0),
-    servers=follow.Pace(wait_s=2.0, pause_s=0.9),
+_PACES = topic_watch.PollTimings(
+    operators=topic_watch.PollTiming(wait_s=2.0, pause_s=0.0),
+    servers=topic_watch.PollTiming(wait_s=2.0, pause_s=0.9),
 )
 # The part of the time in which a key that was taken away must stop that its
 # last proof may be old, and the part after which the process takes no new
@@ -74,7 +74,7 @@
         log: logs.Log,
         counters: counters_lib.Counters,
         rng: random.Random | None = None,
-        boot_clock: Callable[[], float] = follow.boot_time,
+        boot_clock: Callable[[], float] = topic_watch.boot_time,
         wall_clock: Callable[[], float] = time.time,
     ):
         """Prepares the daemon.
@@ -107,7 +107,7 @@
             counters,
             boot_clock,
         )
-        topics = follow.Topics(
+        topics = topic_watch.TopicWatchers(
             self._relay,
             _PACES,
             self._on_operators,
@@ -286,7 +286,7 @@
         del request
         await responder.answer(200 if self.ready else 503, [], b"")
 
-    def _on_operators(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
@@ -330,7 +330,7 @@
             was=catalog.version if catalog else None,
         )
 
-    def _on_servers(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
         self._fleet.apply(
             batch,
             whole,
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -8,12 +8,12 @@
 from clementinegw.direct import _events
 from clementinegw.direct import backend as backend_lib
 from clementinegw.direct import client
-from clementinegw.direct import follow
 from clementinegw.direct import outage
 from clementinegw.direct import rate_limit
 from clementinegw.direct import reports
 from clementinegw.direct import signals as signals_lib
 from clementinegw.direct import starts
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
@@ -114,7 +114,7 @@
 
     def apply(
         self,
-        batch: follow.Batch,
+        batch: topic_watch.Batch,
         whole: bool,
         settled_s: float,
         away_s: float = math.inf,
--- a/src/clementinegw/direct/peer_queries.py
+++ b/src/clementinegw/direct/peer_queries.py
@@ -90,6 +90,6 @@
           on_progress: Is told from time to time that a large answer is coming.
 
         Raises:
-          follow.HistoryLost: It does not know any more what the asker lacks.
+          topic_watch.HistoryLost: It no longer knows what the asker lacks.
           exceptions.PlatformUnavailable: It cannot answer, or did not.
         """
--- a/src/clementinegw/direct/raw.py
+++ b/src/clementinegw/direct/raw.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from clementinegw import types
-from clementinegw.direct import follow
+from clementinegw.direct import topic_watch
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -58,11 +58,11 @@
           wait_s: How long the platform may wait for a first record, in seconds.
 
         Raises:
-          follow.HistoryLost: Those records are deleted.
+          topic_watch.HistoryLost: Those records are deleted.
           exceptions.PlatformError: No whole answer came.
         """
 
-    def decoded(self, items: Iterable[Item]) -> tuple[follow.Record, ...]:
+    def decoded(self, items: Iterable[Item]) -> tuple[topic_watch.Record, ...]:
         """Returns the records that can be read."""
 
 
--- a/src/clementinegw/direct/relay.py
+++ b/src/clementinegw/direct/relay.py
@@ -8,13 +8,13 @@
 
 from clementinegw import exceptions
 from clementinegw import types
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
 from clementinegw.direct import reader_directory
 from clementinegw.direct import reader_selector
-from clementinegw.direct import shared
+from clementinegw.direct import shared_topic
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 from clementinegw.wire import auth
@@ -58,10 +58,10 @@
         instance: instances.Instance,
         role: types.Role,
         platform: raw.Platform,
-        paces: follow.Paces,
+        timings: topic_watch.PollTimings,
         log: logs.Log,
         counters: counters_lib.Counters,
-        clock: Callable[[], float] = follow.boot_time,
+        clock: Callable[[], float] = topic_watch.boot_time,
     ):
         """Does nothing before `start`.
 
@@ -70,7 +70,7 @@
           role: An entry answers others; an agent, whose link is narrow, only
             asks.
           platform: Has the topics.
-          paces: How often each is read.
+          timings: How often each is read.
           log: Where events go.
           counters: Counts questions by where they went and how they ended.
           clock: Seconds that also count while the machine is suspended.
@@ -96,16 +96,16 @@
             tuple[str, int | None, int], tuple[bool, bytes]
         ] = {}
         topics = {
-            _OPERATORS: (platform.operators(), paces.operators),
-            "servers": (platform.servers(), paces.servers),
+            _OPERATORS: (platform.operators(), timings.operators),
+            "servers": (platform.servers(), timings.servers),
         }
         self._topics = {
-            name: shared.Shared(
+            name: shared_topic.SharedTopic(
                 name,
                 topic,
                 self,
                 self._selector,
-                pace,
+                timing,
                 # Nothing that an entry does hangs on the age of the list.
                 self._serves_peers and name == _OPERATORS,
                 log,
@@ -114,15 +114,15 @@
                 drain_s,
                 hedged=self._serves_peers,
             )
-            for name, (topic, pace) in topics.items()
+            for name, (topic, timing) in topics.items()
         }
 
-    def operators(self) -> follow.Source:
-        """See `follow.Platform`."""
+    def operators(self) -> topic_watch.Source:
+        """See `topic_watch.Platform`."""
         return self._topics[_OPERATORS]
 
-    def servers(self) -> follow.Source:
-        """See `follow.Platform`."""
+    def servers(self) -> topic_watch.Source:
+        """See `topic_watch.Platform`."""
         return self._topics["servers"]
 
     async def on_start(self) -> None:
@@ -200,7 +200,7 @@
             return _update_from_wire(codec.decode(ttypes.TopicNews, frame.body))
         refused = codec.decode(ttypes.TopicRefused, frame.body)
         if refused.lost:
-            raise follow.HistoryLost(f"{reader}: {refused.reason}")
+            raise topic_watch.HistoryLost(f"{reader}: {refused.reason}")
         raise peer_queries.Unable(f"{reader}: {refused.reason}", "unable")
 
     # Answering.
@@ -215,7 +215,7 @@
         try:
             update = await self._answer(query, exchange)
         except exceptions.PlatformError as error:
-            lost = isinstance(error, follow.HistoryLost)
+            lost = isinstance(error, topic_watch.HistoryLost)
             refused = ttypes.TopicRefused(reason=error.message, lost=lost)
             await exchange.send(
                 connections.Kind.TOPIC_REFUSED, codec.encode(refused)
--- a/src/clementinegw/direct/shared.py
+++ b/src/clementinegw/direct/shared_topic.py
@@ -14,13 +14,13 @@
 from clementinegw import types
 from clementinegw.direct import _events
 from clementinegw.direct import compacted_log
-from clementinegw.direct import follow
 from clementinegw.direct import freshness as freshness_lib
 from clementinegw.direct import hedged_call
 from clementinegw.direct import outage
 from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
 from clementinegw.direct import reader_selector
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
@@ -76,12 +76,12 @@
 
 
 # Takes an answer over; only the first one that came is.
-_Accept = Callable[[], follow.Batch]
+_Accept = Callable[[], topic_watch.Batch]
 _HedgedCall = hedged_call.HedgedCall[reader_selector.Reader, _Accept]
 
 
-class Shared:
-    """Reads one topic as a `follow.Source`, and answers others about it."""
+class SharedTopic:
+    """Reads a topic as a `topic_watch.Source`, and answers others about it."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         topic: raw.Topic,
         peers: peer_queries.Peers,
         selector: reader_selector.ReaderSelector,
-        poll_timing: follow.Pace,
+        poll_timing: topic_watch.PollTiming,
         notify_freshness: bool,
         log: logs.Log,
         counters: counters_lib.Counters,
@@ -153,15 +153,17 @@
 
     # What the own process asks.
 
-    async def snapshot(self) -> follow.Batch:
-        """See `follow.Source`."""
+    async def snapshot(self) -> topic_watch.Batch:
+        """See `topic_watch.Source`."""
         return await self._read(None, 0.0)
 
-    async def changes(self, offset: int, wait_s: float) -> follow.Batch:
-        """See `follow.Source`."""
+    async def changes(self, offset: int, wait_s: float) -> topic_watch.Batch:
+        """See `topic_watch.Source`."""
         return await self._read(offset, wait_s)
 
-    async def _read(self, offset: int | None, wait_s: float) -> follow.Batch:
+    async def _read(
+        self, offset: int | None, wait_s: float
+    ) -> topic_watch.Batch:
         order = self._selector.order(self.serving, is_snapshot=offset is None)
         if not order:
             raise peer_queries.Unable("the readers are starting", "starting")
@@ -171,7 +173,7 @@
                 return await self._ask_store(offset, wait_s)
             return await self._ask_peer(reader, offset, call.postpone)
 
-        call = self._hedged_call = _HedgedCall(ask, follow.HistoryLost)
+        call = self._hedged_call = _HedgedCall(ask, topic_watch.HistoryLost)
         try:
             result = await call.run(
                 order, self._hedge_timing(order[0], offset, wait_s)
@@ -229,7 +231,7 @@
 
     def _accept_from_store(
         self, call: _AnsweredCall, batch: raw.Batch
-    ) -> follow.Batch:
+    ) -> topic_watch.Batch:
         asked_at, now = call.asked_at, call.now
         self._outages.record_answer()
         if self._failures:
@@ -251,13 +253,13 @@
             current_at = freshness_lib.current_at(asked_at, now, held_s)
         self._reads_store = True
         self._store_batch(batch, call.offset is None, lag_s)
-        return self._publish(batch, current_at, lag_s, paid=True)
+        return self._publish(batch, current_at, lag_s, billed=True)
 
     def _store_failed(
         self, error: exceptions.PlatformError, asked_at: float, wait_s: float
     ) -> None:
         self._count("store", "failed")
-        if isinstance(error, follow.HistoryLost):
+        if isinstance(error, topic_watch.HistoryLost):
             self._outages.record_answer()
             return
         self._outages.record_failure(asked_at, wait_s)
@@ -307,7 +309,7 @@
         self._count("peer", "asked")
         try:
             update = await self._peers.ask(reader, query, on_progress)
-        except follow.HistoryLost:
+        except topic_watch.HistoryLost:
             self._count("peer", "lost")
             raise
         except exceptions.PlatformUnavailable as error:
@@ -325,7 +327,7 @@
         reader: types.Address,
         call: _AnsweredCall,
         update: peer_queries.Update,
-    ) -> follow.Batch:
+    ) -> topic_watch.Batch:
         asked_at, now = call.asked_at, call.now
         self._reads_store = False
         self._selector.record_success(reader)
@@ -343,7 +345,7 @@
         self._complete_until = now if update.items else asked_at + held_s
         batch = raw.Batch(update.items, update.next_offset)
         self._store_batch(batch, call.offset is None, lag_s)
-        return self._publish(batch, current_at, lag_s, paid=False)
+        return self._publish(batch, current_at, lag_s, billed=False)
 
     def _lag_s(
         self, update: peer_queries.Update, now: float, transit_s: float
@@ -372,20 +374,20 @@
             self._compacted.add(batch, now - lag_s)
 
     def _publish(
-        self, batch: raw.Batch, current_at: float, lag_s: float, paid: bool
-    ) -> follow.Batch:
+        self, batch: raw.Batch, current_at: float, lag_s: float, billed: bool
+    ) -> topic_watch.Batch:
         if self._current_at is None or current_at > self._current_at:
             self._current_at = current_at
             self._freshness_id += 1
         self._wake_waiters()
         available_s = self._clock() - self._available_since
-        return follow.Batch(
+        return topic_watch.Batch(
             self._topic.decoded(batch.items),
             batch.next_offset,
             freshness_lib.Freshness(
                 self._current_at, lag_s, available_s, self._outage_s
             ),
-            paid,
+            billed,
         )
 
     def _log_reader(
@@ -421,7 +423,7 @@
           send_keep_alive: Tells it from time to time that it is not forgotten.
 
         Raises:
-          follow.HistoryLost: What it lacks is not known here any more.
+          topic_watch.HistoryLost: What it lacks is not known here any more.
           peer_queries.Unable: The store is out of reach from here.
         """
         started = self._clock()
--- a/src/clementinegw/direct/follow.py
+++ b/src/clementinegw/direct/topic_watch.py
@@ -22,12 +22,12 @@
 
 # The first pause after a failed call and the longest one, in seconds. Short
 # beside the two seconds in which a change must be in force.
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 0.8
+_MIN_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 0.8
 # Answers in a row that bring nothing and come at once, though the platform may
 # wait, or say that history is lost. So many are usual: a whole reading, a proof
 # behind news. More would be asked for as quickly as the platform answers.
-_MOST_IN_VAIN = 4
+_MAX_EMPTY_ANSWERS = 4
 # An answer that came sooner did not wait, in seconds.
 _IMMEDIATE_S = 0.05
 
@@ -55,15 +55,15 @@
 
     Attributes:
       records: In the order of the log.
-      end: The offset to go on from.
+      next_offset: The offset to go on from.
       freshness: Its age; None when the time of the call says it.
-      paid: Whether the call is paid for, so that the next one should wait.
+      billed: Whether the call is paid for, so that the next one should wait.
     """
 
     records: tuple[Record, ...]
-    end: int
+    next_offset: int
     freshness: freshness_lib.Freshness | None = None
-    paid: bool = True
+    billed: bool = True
 
 
 class Source(Protocol):
@@ -109,7 +109,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pace:
+class PollTiming:
     """How a topic is read.
 
     Attributes:
@@ -122,14 +122,14 @@
     pause_s: float
 
 
-class Follower(mode.Service):
+class TopicWatcher(mode.Service):
     """Keeps up with one topic."""
 
     def __init__(
         self,
         name: str,
         source: Source,
-        pace: Pace,
+        timing: PollTiming,
         on_batch: Callable[[Batch, bool], None],
         log: logs.Log,
         counters: counters_lib.Counters,
@@ -140,7 +140,7 @@
         Args:
           name: The topic's name in logs and counters.
           source: Reads it.
-          pace: How often.
+          timing: How often.
           on_batch: Takes each batch, and whether it is a whole reading: keys
             that a whole reading leaves out are gone.
           log: Where events go.
@@ -150,7 +150,7 @@
         super().__init__()
         self._name = name
         self._source = source
-        self._pace = pace
+        self._timing = timing
         self._on_batch = on_batch
         self._log = log
         self._counters = counters
@@ -159,11 +159,11 @@
         self._current_at: float | None = None
         self._complete_until: float | None = None
         self._failing_since: float | None = None
-        self._failing_by = ""
-        self._unproved = False
+        self._failure_reason = ""
+        self._poll_at_once = False
         self._lag_s = 0.0
-        self._brought = False
-        self._returned_at = clock()
+        self._had_records = False
+        self._available_since = clock()
         self._outage_s = 0.0
 
     @property
@@ -191,7 +191,7 @@
         """How long the platform has answered without failure, in seconds."""
         if self._failing_since is not None:
             return 0.0
-        return self._clock() - self._returned_at
+        return self._clock() - self._available_since
 
     @property
     def outage_s(self) -> float:
@@ -200,62 +200,64 @@
 
     @mode.Service.task
     async def _run(self) -> None:
-        pause_s = _FIRST_PAUSE_S
-        in_vain = 0
+        pause_s = _MIN_BACKOFF_S
+        empty_answers = 0
         while not self.should_stop:
             asked_at = self._clock()
             try:
-                news = await self._read()
+                has_news = await self._read()
             except HistoryLost:
                 self._counters.add(f"platform.{self._name}.history_lost")
                 self._log.write(_events.HISTORY_LOST, topic=self._name)
                 self._offset = None
-                in_vain += 1
+                empty_answers += 1
             except exceptions.ClementineError as error:
-                self._failed(error)
-                in_vain = _MOST_IN_VAIN
+                self._on_failure(error)
+                empty_answers = _MAX_EMPTY_ANSWERS
             else:
                 at_once = self._clock() - asked_at < _IMMEDIATE_S
-                vain = at_once and not self._brought
-                in_vain = in_vain + 1 if vain else 0
-                if news or not self._pace.wait_s:
-                    await asyncio.sleep(self._pace.pause_s)
-            if in_vain < _MOST_IN_VAIN:
-                pause_s = _FIRST_PAUSE_S
+                is_empty = at_once and not self._had_records
+                empty_answers = empty_answers + 1 if is_empty else 0
+                if has_news or not self._timing.wait_s:
+                    await asyncio.sleep(self._timing.pause_s)
+            if empty_answers < _MAX_EMPTY_ANSWERS:
+                pause_s = _MIN_BACKOFF_S
                 continue
             await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, _LONGEST_PAUSE_S)
+            pause_s = min(2 * pause_s, _MAX_BACKOFF_S)
 
     async def _read(self) -> bool:
         """Makes one call; returns whether there was anything new."""
         asked_at = self._clock()
-        whole = self._offset is None
+        is_snapshot = self._offset is None
         self._counters.add(f"platform.{self._name}.calls")
         if self._offset is None:
             batch = await self._source.snapshot()
         else:
-            wait_s = 0.0 if self._unproved else self._pace.wait_s
+            wait_s = 0.0 if self._poll_at_once else self._timing.wait_s
             batch = await self._source.changes(self._offset, wait_s)
-        self._offset = batch.end
-        self._brought = bool(batch.records)
-        freshness = batch.freshness or self._freshness(batch, whole, asked_at)
+        self._offset = batch.next_offset
+        self._had_records = bool(batch.records)
+        freshness = batch.freshness or self._freshness(
+            batch, is_snapshot, asked_at
+        )
         self._lag_s = freshness.lag_s
-        self._succeeded(freshness)
+        self._on_success(freshness)
         # An answer that waited and then brought news proves the time of its
         # question only. Asked again at once, the knowledge is as young as it
         # can be; else every change made the process look cut off for a while.
-        self._unproved = bool(batch.records) and not self._pace.pause_s
-        if whole or batch.records:
-            self._on_batch(batch, whole)
-        return bool(batch.records) and batch.paid
+        self._poll_at_once = bool(batch.records) and not self._timing.pause_s
+        if is_snapshot or batch.records:
+            self._on_batch(batch, is_snapshot)
+        return bool(batch.records) and batch.billed
 
     def _freshness(
-        self, batch: Batch, whole: bool, asked_at: float
+        self, batch: Batch, is_snapshot: bool, asked_at: float
     ) -> freshness_lib.Freshness:
         now = self._clock()
-        at_once = whole or self._unproved
-        wait_s = 0.0 if at_once else self._pace.wait_s
-        lain = freshness_lib.lag_s(asked_at, now, wait_s, self._complete_until)
+        at_once = is_snapshot or self._poll_at_once
+        wait_s = 0.0 if at_once else self._timing.wait_s
+        lag_s = freshness_lib.lag_s(asked_at, now, wait_s, self._complete_until)
         self._complete_until = freshness_lib.complete_until(
             asked_at, now, wait_s, bool(batch.records)
         )
@@ -263,38 +265,38 @@
             wait_s = 0.0
         return freshness_lib.Freshness(
             freshness_lib.current_at(asked_at, now, wait_s),
-            lain,
+            lag_s,
             math.inf,
         )
 
-    def _succeeded(self, freshness: freshness_lib.Freshness) -> None:
+    def _on_success(self, freshness: freshness_lib.Freshness) -> None:
         self._current_at = max(
             freshness.current_at, self._current_at or freshness.current_at
         )
-        settled_at = self._clock() - freshness.available_s
-        self._returned_at = max(self._returned_at, settled_at)
+        available_since = self._clock() - freshness.available_s
+        self._available_since = max(self._available_since, available_since)
         self._outage_s = freshness.outage_s
         if self._failing_since is not None:
-            lasted = self._clock() - self._failing_since
+            lasted_s = self._clock() - self._failing_since
             self._failing_since = None
-            self._returned_at = self._clock()
+            self._available_since = self._clock()
             self._log.write(
                 _events.TOPIC_REGAINED,
                 topic=self._name,
-                lasted_s=round(lasted, 3),
+                lasted_s=round(lasted_s, 3),
             )
 
-    def _failed(self, error: exceptions.ClementineError) -> None:
+    def _on_failure(self, error: exceptions.ClementineError) -> None:
         self._counters.add(f"platform.{self._name}.failed")
         # The first answer after an outage must not wait for news: until it
         # comes the process refuses what it could serve.
-        self._unproved = True
+        self._poll_at_once = True
         now = self._clock()
         since = now if self._failing_since is None else self._failing_since
         # Another reason may tell what the first one does not, as a reader that
         # is gone before a store that is silent.
-        by = getattr(error, "reason", "")
-        if self._failing_since is None or by != self._failing_by:
+        reason = getattr(error, "reason", "")
+        if self._failing_since is None or reason != self._failure_reason:
             self._log.write(
                 _events.TOPIC_LOST,
                 topic=self._name,
@@ -302,24 +304,24 @@
                 for_s=round(now - since, 3),
             )
         self._failing_since = since
-        self._failing_by = by
+        self._failure_reason = reason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Paces:
+class PollTimings:
     """How the topics of a platform are read."""
 
-    operators: Pace
-    servers: Pace
+    operators: PollTiming
+    servers: PollTiming
 
 
-class Topics:
+class TopicWatchers:
     """Keeps up with all topics of a platform."""
 
     def __init__(
         self,
         platform: Platform,
-        paces: Paces,
+        timings: PollTimings,
         on_operators: Callable[[Batch, bool], None],
         on_servers: Callable[[Batch, bool], None],
         log: logs.Log,
@@ -330,26 +332,26 @@
 
         Args:
           platform: Has the topics.
-          paces: How often each is read.
-          on_operators: Takes what operators declared; see `Follower`.
+          timings: How often each is read.
+          on_operators: Takes what operators declared; see `TopicWatcher`.
           on_servers: Takes changes of the list of servers.
           log: Where events go.
           counters: Counts calls and failures.
           clock: Seconds that also count while the machine is suspended.
         """
-        self.operators = Follower(
+        self.operators = TopicWatcher(
             "operators",
             platform.operators(),
-            paces.operators,
+            timings.operators,
             on_operators,
             log,
             counters,
             clock,
         )
-        self.servers = Follower(
+        self.servers = TopicWatcher(
             "servers",
             platform.servers(),
-            paces.servers,
+            timings.servers,
             on_servers,
             log,
             counters,
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -20,11 +20,11 @@
 from clementinegw.direct import balance
 from clementinegw.direct import catalog
 from clementinegw.direct import fleet as fleets
-from clementinegw.direct import follow
 from clementinegw.direct import following
 from clementinegw.direct import placing
 from clementinegw.direct import queue
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import versions
 from clementinegw.telemetry import logs
@@ -123,8 +123,10 @@
             clock,
             **more,
         )
-        records = [follow.Record(f"s{n}", site.server(n)) for n in site.engines]
-        batch = follow.Batch(tuple(records), len(records))
+        records = [
+            topic_watch.Record(f"s{n}", site.server(n)) for n in site.engines
+        ]
+        batch = topic_watch.Batch(tuple(records), len(records))
         self.fleet.apply(batch, True, 10.0)
 
     def follow(self):
--- a/tests/shared_domain.py
+++ b/tests/shared_domain.py
@@ -5,15 +5,15 @@
 
 from clementinegw import exceptions
 from clementinegw import types as places
-from clementinegw.direct import follow
 from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
 from clementinegw.direct import reader_selector
-from clementinegw.direct import shared
+from clementinegw.direct import shared_topic
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
-_PACE = follow.Pace(2.0, 0.0)
+_TIMING = topic_watch.PollTiming(2.0, 0.0)
 _LATENCY_S = 0.004
 _TURN_BYTES = 8_192
 
@@ -91,7 +91,7 @@
         return raw.Batch(tuple(items), offset + len(items))
 
     def decoded(self, items):
-        return tuple(follow.Record(i.key, i.value or None) for i in items)
+        return tuple(topic_watch.Record(i.key, i.value or None) for i in items)
 
     async def _reach(self, wait_s):
         self._store.reads += 1
@@ -118,21 +118,21 @@
         self.lag_s = 0.0
         self.selector = reader_selector.ReaderSelector(clock)
         self.selector.own_address = address(number)
-        self.shared = shared.Shared(
+        self.shared = shared_topic.SharedTopic(
             "t",
             self.topic,
             domain,
             self.selector,
-            _PACE,
+            _TIMING,
             True,
             logs.Log(),
             counters_lib.Counters(),
             clock,
         )
-        self.follower = follow.Follower(
+        self.follower = topic_watch.TopicWatcher(
             "t",
             self.shared,
-            _PACE,
+            _TIMING,
             self._take,
             logs.Log(),
             counters_lib.Counters(),
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -14,10 +14,10 @@
 from clementinegw.direct import backing
 from clementinegw.direct import declarations
 from clementinegw.direct import descriptions
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import keep
 from clementinegw.direct import raw
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import histograms
@@ -191,7 +191,7 @@
         return self.origin
 
     def declare(self, version):
-        record = follow.Record("v", types.Declared(MODEL, version))
+        record = topic_watch.Record("v", types.Declared(MODEL, version))
         self.topics[0].records.append(record)
 
     async def __aenter__(self):
@@ -204,7 +204,7 @@
             "origin": types.Service("origin", 8, None, origin),
         }
         configuration = types.Configuration(1, (), services, {})
-        self.topics[0].records.append(follow.Record("c", configuration))
+        self.topics[0].records.append(topic_watch.Record("c", configuration))
         hosts = [f"{NETWORK}.{11 + n}" for n in range(len(self.besides))]
         for number, host in enumerate(hosts):
             server = types.Server(
@@ -214,7 +214,9 @@
                 f"d{number}",
                 16,
             )
-            self.topics[1].records.append(follow.Record(f"i-{number}", server))
+            self.topics[1].records.append(
+                topic_watch.Record(f"i-{number}", server)
+            )
         for number, host in enumerate(hosts):
             await self.start(number, host)
         return self
--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -11,10 +11,10 @@
 from clementinegw.direct import admit
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import placing
 from clementinegw.direct import queue
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import versions
 from clementinegw.telemetry import logs
@@ -39,7 +39,7 @@
 def new_fleet():
     backends = fleet.Fleet(logs.Log(), lambda service: 640, random.Random(1))
     records = tuple(
-        follow.Record(
+        topic_watch.Record(
             f"s{number}",
             types.Server(
                 server_id=f"s{number}",
@@ -51,7 +51,7 @@
         )
         for number in range(SERVERS)
     )
-    backends.apply(follow.Batch(records, len(records)), True, 60.0)
+    backends.apply(topic_watch.Batch(records, len(records)), True, 60.0)
     return backends
 
 
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -10,9 +10,9 @@
 from clementinegw.direct import catalog
 from clementinegw.direct import events
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import plan
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import turns
 from clementinegw.direct import types
 from clementinegw.direct import versions
@@ -50,8 +50,8 @@
 
 
 def batch(*records):
-    found = tuple(follow.Record(key, value) for key, value in records)
-    return follow.Batch(found, len(found))
+    found = tuple(topic_watch.Record(key, value) for key, value in records)
+    return topic_watch.Batch(found, len(found))
 
 
 # Which version to bring.
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -9,8 +9,8 @@
 from clementinegw import exceptions
 from clementinegw.direct import client
 from clementinegw.direct import declarations
-from clementinegw.direct import follow
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import versions
 from clementinegw.telemetry import counters as counters_lib
@@ -256,7 +256,7 @@
         self.takes_s = 0.004
 
     async def snapshot(self):
-        return follow.Batch(tuple(self.records), len(self.records))
+        return topic_watch.Batch(tuple(self.records), len(self.records))
 
     async def changes(self, offset, wait_s):
         loop = asyncio.get_running_loop()
@@ -267,10 +267,10 @@
         self._check()
         found = tuple(self.records[offset:])
         await asyncio.sleep(self.takes_s)
-        return follow.Batch(found, offset + len(found))
+        return topic_watch.Batch(found, offset + len(found))
 
     def put(self, key):
-        self.records.append(follow.Record(key, key))
+        self.records.append(topic_watch.Record(key, key))
 
     def _check(self):
         if self.down:
@@ -281,10 +281,10 @@
     async def play():
         topic, found = Topic(), []
         topic.put("first")
-        follower = follow.Follower(
+        follower = topic_watch.TopicWatcher(
             "t",
             topic,
-            follow.Pace(6.0, 0.0),
+            topic_watch.PollTiming(6.0, 0.0),
             lambda batch, whole: found.append(follower.lag_s),
             logs.Log(),
             counters_lib.Counters(),
--- a/tests/test_direct_follow.py
+++ b/tests/test_direct_follow.py
@@ -5,8 +5,8 @@
 import pytest
 
 from clementinegw import exceptions
-from clementinegw.direct import follow
 from clementinegw.direct import outage
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
@@ -24,7 +24,7 @@
     async def snapshot(self):
         self._check()
         self.wholes += 1
-        return follow.Batch(tuple(self.records[-1:]), len(self.records))
+        return topic_watch.Batch(tuple(self.records[-1:]), len(self.records))
 
     async def changes(self, offset, wait_s):
         loop = asyncio.get_running_loop()
@@ -35,11 +35,13 @@
         self._check()
         await asyncio.sleep(0.004)
         if offset < self.first:
-            raise follow.HistoryLost("gone")
-        return follow.Batch(tuple(self.records[offset:]), len(self.records))
+            raise topic_watch.HistoryLost("gone")
+        return topic_watch.Batch(
+            tuple(self.records[offset:]), len(self.records)
+        )
 
     def put(self, key):
-        self.records.append(follow.Record(key, key))
+        self.records.append(topic_watch.Record(key, key))
 
     def _check(self):
         if self.down:
@@ -47,7 +49,7 @@
 
 
 async def following(topic, pace, taken):
-    follower = follow.Follower(
+    follower = topic_watch.TopicWatcher(
         "t",
         topic,
         pace,
@@ -72,7 +74,7 @@
     async def play():
         topic = Topic()
         topic.put("a")
-        follower = await following(topic, follow.Pace(2.0, 0.0), [])
+        follower = await following(topic, topic_watch.PollTiming(2.0, 0.0), [])
         await asyncio.sleep(4.0 + news_at)
         topic.put("b")
         oldest = 0.0
@@ -88,7 +90,7 @@
 def test_the_age_grows_while_the_platform_is_away():
     async def play():
         topic = Topic()
-        follower = await following(topic, follow.Pace(2.0, 0.0), [])
+        follower = await following(topic, topic_watch.PollTiming(2.0, 0.0), [])
         await asyncio.sleep(3.0)
         topic.down = True
         await asyncio.sleep(5.0)
@@ -110,7 +112,9 @@
     async def play():
         topic, taken = Topic(), []
         topic.put("a")
-        follower = await following(topic, follow.Pace(0.5, 0.0), taken)
+        follower = await following(
+            topic, topic_watch.PollTiming(0.5, 0.0), taken
+        )
         await asyncio.sleep(1.2)
         topic.put("b")
         topic.put("c")
@@ -197,17 +201,19 @@
         async def snapshot(self):
             calls.append("newest")
             await asyncio.sleep(0.002)
-            return follow.Batch((), 5)
+            return topic_watch.Batch((), 5)
 
         async def changes(self, offset, wait_s):
             calls.append("changes")
             await asyncio.sleep(0.002)
             if fault == "history is lost":
-                raise follow.HistoryLost("gone")
-            return follow.Batch((), offset)
+                raise topic_watch.HistoryLost("gone")
+            return topic_watch.Batch((), offset)
 
     async def play():
-        follower = await following(Source(), follow.Pace(2.0, 0.0), [])
+        follower = await following(
+            Source(), topic_watch.PollTiming(2.0, 0.0), []
+        )
         await asyncio.sleep(10.0)
         await follower.stop()
 
@@ -225,16 +231,18 @@
 
     class Reader:
         async def snapshot(self):
-            return follow.Batch((), 0)
+            return topic_watch.Batch((), 0)
 
         async def changes(self, offset, wait_s):
             await asyncio.sleep(0.01)
-            record = follow.Record(str(offset), offset)
-            return follow.Batch((record,), offset + 1, paid=False)
+            record = topic_watch.Record(str(offset), offset)
+            return topic_watch.Batch((record,), offset + 1, billed=False)
 
     async def play():
         taken = []
-        follower = await following(Reader(), follow.Pace(2.0, 0.0), taken)
+        follower = await following(
+            Reader(), topic_watch.PollTiming(2.0, 0.0), taken
+        )
         await asyncio.sleep(1.0)
         await follower.stop()
         return len(taken)
--- a/tests/test_direct_readers.py
+++ b/tests/test_direct_readers.py
@@ -4,9 +4,9 @@
 
 from clementinegw import types as places
 from clementinegw.direct import compacted_log
-from clementinegw.direct import follow
 from clementinegw.direct import raw
 from clementinegw.direct import reader_selector
+from clementinegw.direct import topic_watch
 
 
 def address(number):
@@ -34,11 +34,11 @@
 def test_who_is_too_far_behind_takes_everything():
     compacted = compacted_log.CompactedLog()
     compacted.replace(batch(7, ("a", b"0")), 0.0)
-    with pytest.raises(follow.HistoryLost):
+    with pytest.raises(topic_watch.HistoryLost):
         compacted.since(7)
     for number in range(8, 5_008):
         compacted.add(batch(number, (f"k{number}", b"")), 1.0)
-    with pytest.raises(follow.HistoryLost):
+    with pytest.raises(topic_watch.HistoryLost):
         compacted.since(8)
     assert len(compacted.since(5_000)) == 8
     assert len(compacted._log) < 2_100
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -8,8 +8,8 @@
 from clementinegw import types as places
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
@@ -22,7 +22,7 @@
 def new_fleet(*names):
     backends = fleet.Fleet(logs.Log(), lambda service: 64, random.Random(1))
     records = tuple(
-        follow.Record(
+        topic_watch.Record(
             name,
             types.Server(
                 server_id=name,
@@ -34,7 +34,7 @@
         )
         for name in names
     )
-    backends.apply(follow.Batch(records, len(records)), True, 60.0)
+    backends.apply(topic_watch.Batch(records, len(records)), True, 60.0)
     return backends
 
 
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -13,11 +13,11 @@
 from clementinegw.direct import client
 from clementinegw.direct import declarations
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import keep
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.telemetry import counters
 from clementinegw.telemetry import histograms
@@ -42,8 +42,8 @@
 
 
 def listed(backends, *servers):
-    records = tuple(follow.Record(s.server_id, s) for s in servers)
-    backends.apply(follow.Batch(records, len(records)), False, 60.0)
+    records = tuple(topic_watch.Record(s.server_id, s) for s in servers)
+    backends.apply(topic_watch.Batch(records, len(records)), False, 60.0)
     return backends.find(servers[-1].server_id)
 
 
@@ -190,7 +190,7 @@
 def test_a_start_that_is_listed_anew_still_leaves():
     backends = new_fleet()
     listed(backends, server(2, leaving=True, sequence=4))
-    gone = follow.Batch((follow.Record("a", None),), 1)
+    gone = topic_watch.Batch((topic_watch.Record("a", None),), 1)
     backends.apply(gone, False, 60.0)
     assert listed(backends, server(2, sequence=9)).left
     assert not listed(backends, server(3, sequence=1)).left
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -8,9 +8,9 @@
 
 from clementinegw import types as places
 from clementinegw.direct import client
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import patience as patience_lib
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
@@ -60,19 +60,23 @@
 
     async def snapshot(self):
         batch = await self._topic.snapshot()
-        return follow.Batch(self._topic.decoded(batch.items), batch.next_offset)
+        return topic_watch.Batch(
+            self._topic.decoded(batch.items), batch.next_offset
+        )
 
     async def changes(self, offset, wait_s):
         batch = await self._topic.changes(offset, wait_s)
-        return follow.Batch(self._topic.decoded(batch.items), batch.next_offset)
+        return topic_watch.Batch(
+            self._topic.decoded(batch.items), batch.next_offset
+        )
 
 
 async def following(store, taken):
     """Starts a process's follower of what operators declare."""
-    follower = follow.Follower(
+    follower = topic_watch.TopicWatcher(
         "operators",
         Alone(platform_at(store).operators()),
-        follow.Pace(2.0, 0.0),
+        topic_watch.PollTiming(2.0, 0.0),
         lambda batch, whole: taken.append(batch),
         logs.Log(),
         counters_lib.Counters(),
