--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -189,7 +189,7 @@
                 self._bringer.set_origin_rate(service.origin.link_bytes_per_s)
         self._tell_known()
 
-    def _on_declared(self, declared: reports.Declared) -> None:
+    def _on_declared(self, declared: reports.DeclaredVersions) -> None:
         """Takes in what an entry knows."""
         entry = declarations.Source.ENTRY
         for model, ages_s in declared.ages_s.items():
@@ -225,7 +225,7 @@
                     change.declaration.at + self._declared.due_s,
                 )
         if news:
-            self._reporter.news()
+            self._reporter.send_ages_now()
 
     def _ages(self) -> reports.Report | None:
         """Returns a report of ages only; None while none is known."""
@@ -335,10 +335,10 @@
         start = self._around.start
         held = [h for h in state.held if h.model == self._around.model]
         best = max(held, key=lambda h: h.version, default=None)
-        self._reporter.tell(
+        self._reporter.send(
             reports.Report(
                 server_id=start.server_id,
-                born=start.born,
+                started_ms=start.born,
                 running=state.running,
                 waiting=state.waiting,
                 slots=self._around.engine.slots if self._around.engine else 1,
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -108,7 +108,7 @@
             return backend
         # The agent asks the server itself, and so knows before the list that a
         # start is over. What is late, of a start before, says nothing.
-        if report.born > backend.server.born:
+        if report.started_ms > backend.server.born:
             backend.gone = True
         return None
 
--- a/src/clementinegw/direct/reports.py
+++ b/src/clementinegw/direct/reports.py
@@ -21,30 +21,30 @@
 
 # A subscription that is not renewed ends after this, in seconds; entries
 # renew it more often by some times.
-KEEP_S = 4.0
+SUBSCRIPTION_S = 4.0
 # The same for an entry that is told of changes only, and renews it a third as
 # often: with a hundred entries these were most of what an agent was sent.
-_KEEP_CHANGES_S = 12.0
-_MOST_SUBSCRIBERS = 512
+_CHANGES_SUBSCRIPTION_S = 12.0
+_MAX_SUBSCRIBERS = 512
 # Of so many reports an entry in another region gets one, unless the server's
 # weights have changed. Bytes between regions are paid for, and with 43 entries
 # reports took a tenth of a machine's link; servers far away get few requests.
-_FAR_EVERY = 4
+_FAR_INTERVAL = 4
 # So many entries of the own region get every report; with more of them each
 # gets every second one, and so on. A report takes 58 bytes and its headers,
 # and taking them in was a third of what an entry before 31 agents ran.
-_NEAR_EACH_TIME = 8
+_MAX_NEAR_PER_REPORT = 8
 # How long the end of a rate limit is reported, in seconds: some lost datagrams.
-_REPORT_END_S = 10.0
+_LIMIT_END_S = 10.0
 # The largest age in a report, in milliseconds: what a field holds.
-_MOST_AGE_MS = 2**31 - 1
+_MAX_AGE_MS = 2**31 - 1
 # Entries renew their subscriptions within this, in seconds, after an agent has
 # started. Before that it knows of the first ones only, and each would take too
 # large a share of a server's rate limit.
-_RANKS_AFTER_S = 2.0
+_RANKS_DELAY_S = 2.0
 # How often an entry is told of the ages of declared versions, in seconds: one
 # that was cut off hears of them so long after. They take six bytes and more.
-_AGES_S = 1.0
+_AGES_INTERVAL_S = 1.0
 
 
 OnSuspicions = Callable[[tuple[suspects.Suspicion, ...]], None]
@@ -71,7 +71,7 @@
         not known.
       ready_in_s: About when it serves again, in seconds; negative when that is
         not known.
-      born: Which start of the server it is of; see `direct.types.Start`.
+      started_ms: Which start of the server it is of; see `direct.types.Start`.
       ages_s: By version of the model, how long ago it was declared, in
         seconds; those that are known.
       rank: The place among `entries` of the entry that it goes to, by name;
@@ -93,7 +93,7 @@
     entries: int = 0
     followers: int = 0
     ready_in_s: float = -1.0
-    born: int = 0
+    started_ms: int = 0
     ages_s: Mapping[int, float] = dataclasses.field(default_factory=dict)
     rank: int = -1
     follower_rank: int = -1
@@ -102,11 +102,11 @@
     @property
     def start(self) -> servers.Start:
         """Which start of the server it is of."""
-        return servers.Start(self.server_id, self.born)
+        return servers.Start(self.server_id, self.started_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Declared:
+class DeclaredVersions:
     """What an entry knows of declared versions.
 
     Attributes:
@@ -120,7 +120,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asking:
+class Subscription:
     """What an entry asks an agent for.
 
     Attributes:
@@ -137,26 +137,34 @@
 
 @dataclasses.dataclass(slots=True)
 class _Subscriber:
-    asking: Asking
-    until: float
+    subscription: Subscription
+    expires_at: float
     name: str = ""
-    ages_at: float = -math.inf
+    ages_sent_at: float = -math.inf
     # Its first report does not wait for its turn: it sends nothing until then.
     new: bool = True
 
     @property
-    def ages_every_s(self) -> float:
+    def ages_interval_s(self) -> float:
         """How often it is told of ages where no report does, in seconds.
 
         Who is told of changes only hears of ages from the agents it follows.
         """
-        return _KEEP_CHANGES_S if self.asking.changes_only else 2 * _AGES_S
+        return (
+            _CHANGES_SUBSCRIPTION_S
+            if self.subscription.changes_only
+            else 2 * _AGES_INTERVAL_S
+        )
 
-    def renew(self, asking: Asking, now: float) -> None:
-        self.new = self.new or asking != self.asking
-        self.asking = asking
-        keep_s = _KEEP_CHANGES_S if asking.changes_only else KEEP_S
-        self.until = now + keep_s
+    def renew(self, subscription: Subscription, now: float) -> None:
+        self.new = self.new or subscription != self.subscription
+        self.subscription = subscription
+        lifetime_s = (
+            _CHANGES_SUBSCRIPTION_S
+            if subscription.changes_only
+            else SUBSCRIPTION_S
+        )
+        self.expires_at = now + lifetime_s
 
 
 class Reporter(asyncio.DatagramProtocol):
@@ -164,7 +172,7 @@
 
     def __init__(
         self,
-        on_declared: Callable[[Declared], None],
+        on_declared: Callable[[DeclaredVersions], None],
         ages: Callable[[], Report | None] = lambda: None,
         on_suspicions: OnSuspicions = lambda suspicions: None,
     ):
@@ -176,15 +184,15 @@
           on_suspicions: Takes what an entry saw of requests that crash servers.
         """
         self._on_declared = on_declared
-        self._ages = ages
+        self._ages_report = ages
         self._on_suspicions = on_suspicions
         self._transport: asyncio.DatagramTransport | None = None
         self._subscribers: dict[tuple, _Subscriber] = {}
-        self._told = 0
-        self._former: tuple = ()
+        self._report_count = 0
+        self._last_state: tuple = ()
         self._limit: rate_limit.Observation | None = None
         self._ranks: dict[tuple, tuple[int, int]] | None = None
-        self._ranks_from = math.inf
+        self._ranks_valid_at = math.inf
 
     def connection_made(self, transport) -> None:
         """Called by asyncio."""
@@ -196,28 +204,34 @@
             message = codec.decode(ttypes.Subscribe, data)
         except exceptions.DecodeError:
             return
-        asking = Asking(bool(message.far), bool(message.changes_only))
+        subscription = Subscription(
+            bool(message.far), bool(message.changes_only)
+        )
         now = asyncio.get_running_loop().time()
-        self._ranks_from = min(self._ranks_from, now + _RANKS_AFTER_S)
+        self._ranks_valid_at = min(self._ranks_valid_at, now + _RANKS_DELAY_S)
         known = self._subscribers.get(addr)
-        if known is None and len(self._subscribers) < _MOST_SUBSCRIBERS:
-            known = _Subscriber(asking, 0.0, message.instance_id or "")
+        if known is None and len(self._subscribers) < _MAX_SUBSCRIBERS:
+            known = _Subscriber(subscription, 0.0, message.instance_id or "")
             self._subscribers[addr] = known
             self._ranks = None
         if known is not None:
-            if known.asking != asking:
+            if known.subscription != subscription:
                 self._ranks = None
-            known.renew(asking, now)
-        limit = _observation(message.limit, now)
+            known.renew(subscription, now)
+        limit = _limit_from_wire(message.limit, now)
         if limit is not None:
-            self._take_limit(limit)
-        self._on_declared(Declared(message.declared, _ages_s(message.ages_ms)))
+            self._update_limit(limit)
+        self._on_declared(
+            DeclaredVersions(
+                message.declared, _all_ages_from_ms(message.ages_ms)
+            )
+        )
         if message.suspicions:
             self._on_suspicions(suspicions_lib.from_wire(message.suspicions))
         # An entry that starts must not wait for what it alone can't know.
-        self.tell_ages()
+        self.send_due_ages()
 
-    def _take_limit(self, limit: rate_limit.Observation) -> None:
+    def _update_limit(self, limit: rate_limit.Observation) -> None:
         """Takes in an observation of an entry; the newest of a start counts."""
         known = self._limit
         if known is None or not known.start.same(limit.start):
@@ -227,7 +241,7 @@
         if newer:
             self._limit = limit
 
-    def _limit_of(
+    def _current_limit(
         self, start: servers.Start, now: float
     ) -> rate_limit.Observation | None:
         """Returns what is reported of a start's rate limit."""
@@ -235,7 +249,7 @@
         if limit is None or not limit.start.same(start):
             return None
         ended = limit.per_s is None
-        return None if ended and now - limit.at > _REPORT_END_S else limit
+        return None if ended and now - limit.at > _LIMIT_END_S else limit
 
     @property
     def entries(self) -> int:
@@ -246,10 +260,10 @@
     def followers(self) -> int:
         """How many of them send requests to the server beside."""
         return sum(
-            not s.asking.changes_only for s in self._subscribers.values()
+            not s.subscription.changes_only for s in self._subscribers.values()
         )
 
-    def tell(
+    def send(
         self,
         report: Report,
         suspicions: tuple[suspects.Suspicion, ...] = (),
@@ -263,25 +277,29 @@
         if self._transport is None:
             return
         now = asyncio.get_running_loop().time()
-        self._forget(now)
-        limit = self._limit_of(report.start, now)
+        self._drop_expired(now)
+        limit = self._current_limit(report.start, now)
         if limit is not None:
             report = dataclasses.replace(report, limit=limit)
-        news = self._is_news(report) or bool(suspicions)
-        told = self._whose_turn(news)
+        is_change = self._is_change(report) or bool(suspicions)
+        told = self._recipients(is_change)
         if not told:
             return
-        short = _encode(dataclasses.replace(report, ages_s={}), suspicions)
+        short = _encode_report(
+            dataclasses.replace(report, ages_s={}), suspicions
+        )
         for addr, subscriber in told:
             data = short
-            if subscriber.ages_at + _AGES_S <= now:
-                subscriber.ages_at = now
-                data = _encode(self._ranked(report, addr, now), suspicions)
+            if subscriber.ages_sent_at + _AGES_INTERVAL_S <= now:
+                subscriber.ages_sent_at = now
+                data = _encode_report(
+                    self._with_ranks(report, addr, now), suspicions
+                )
             self._transport.sendto(data, addr)
 
-    def _ranked(self, report: Report, addr: tuple, now: float) -> Report:
+    def _with_ranks(self, report: Report, addr: tuple, now: float) -> Report:
         """Returns a report with a subscriber's place among all."""
-        if now < self._ranks_from:
+        if now < self._ranks_valid_at:
             return report
         if self._ranks is None:
             self._ranks = self._rank_all()
@@ -298,44 +316,46 @@
             self._subscribers.items(), key=lambda item: (item[1].name, item[0])
         )
         for rank, (addr, subscriber) in enumerate(by_name):
-            follows = not subscriber.asking.changes_only
+            follows = not subscriber.subscription.changes_only
             ranks[addr] = (rank, followers if follows else -1)
             followers += follows
         return ranks
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Drops who has not renewed a subscription."""
-        over = [a for a, s in self._subscribers.items() if s.until < now]
-        for addr in over:
+        expired = [
+            a for a, s in self._subscribers.items() if s.expires_at < now
+        ]
+        for addr in expired:
             del self._subscribers[addr]
             self._ranks = None
 
-    def _whose_turn(self, news: bool) -> list[tuple[tuple, _Subscriber]]:
+    def _recipients(self, is_change: bool) -> list[tuple[tuple, _Subscriber]]:
         """Returns who is told this time.
 
         Args:
-          news: Whether all are.
+          is_change: Whether all are.
         """
-        self._told += 1
-        near = not self._told % self._near_every
-        far = not self._told % _FAR_EVERY
+        self._report_count += 1
+        near = not self._report_count % self._near_interval
+        far = not self._report_count % _FAR_INTERVAL
         found = []
         for addr, subscriber in self._subscribers.items():
-            asking = subscriber.asking
-            turn = far if asking.far else near
-            due = subscriber.new or (turn and not asking.changes_only)
-            if news or due:
+            subscription = subscriber.subscription
+            turn = far if subscription.far else near
+            due = subscriber.new or (turn and not subscription.changes_only)
+            if is_change or due:
                 subscriber.new = False
                 found.append((addr, subscriber))
         return found
 
-    def news(self) -> None:
+    def send_ages_now(self) -> None:
         """Tells of ages at once; a version or its age is new."""
         for subscriber in self._subscribers.values():
-            subscriber.ages_at = -math.inf
-        self.tell_ages()
+            subscriber.ages_sent_at = -math.inf
+        self.send_due_ages()
 
-    def tell_ages(self) -> None:
+    def send_due_ages(self) -> None:
         """Tells of ages whoever has not been told for a while.
 
         Also while the server beside is silent, and no reports go out.
@@ -344,27 +364,27 @@
         late = {
             addr: subscriber
             for addr, subscriber in self._subscribers.items()
-            if subscriber.ages_at + subscriber.ages_every_s
+            if subscriber.ages_sent_at + subscriber.ages_interval_s
             <= now
-            <= subscriber.until
+            <= subscriber.expires_at
         }
-        report = self._ages() if late else None
+        report = self._ages_report() if late else None
         if self._transport is None or report is None:
             return
-        data = _encode(report)
+        data = _encode_report(report)
         for addr, subscriber in late.items():
-            subscriber.ages_at = now
+            subscriber.ages_sent_at = now
             self._transport.sendto(data, addr)
 
     @property
-    def _near_every(self) -> int:
+    def _near_interval(self) -> int:
         near = sum(
-            not s.asking.far and not s.asking.changes_only
+            not s.subscription.far and not s.subscription.changes_only
             for s in self._subscribers.values()
         )
-        return min(_FAR_EVERY, 1 + near // (_NEAR_EACH_TIME + 1))
+        return min(_FAR_INTERVAL, 1 + near // (_MAX_NEAR_PER_REPORT + 1))
 
-    def _is_news(self, report: Report) -> bool:
+    def _is_change(self, report: Report) -> bool:
         """Returns whether every entry is told of a report at once."""
         told = (
             report.start,
@@ -374,8 +394,8 @@
             report.yielding,
             report.limit and report.limit.per_s,
         )
-        changed = told != self._former
-        self._former = told
+        changed = told != self._last_state
+        self._last_state = told
         return changed
 
     def close(self) -> None:
@@ -418,12 +438,12 @@
             return
         if message.suspicions:
             self._on_suspicions(suspicions_lib.from_wire(message.suspicions))
-        self._on_report(addr[0], _report(message))
+        self._on_report(addr[0], _report_from_wire(message))
 
     def subscribe(
         self,
-        agents: Mapping[types.Address, Asking],
-        declared: Declared,
+        agents: Mapping[types.Address, Subscription],
+        declared: DeclaredVersions,
         suspicions: tuple[suspects.Suspicion, ...] = (),
     ) -> None:
         """Asks agents for reports.
@@ -435,24 +455,24 @@
         """
         if self._transport is None:
             return
-        ages_ms = {m: _milliseconds(a) for m, a in declared.ages_s.items()}
+        ages_ms = {m: _ages_to_ms(a) for m, a in declared.ages_s.items()}
         newest = dict(declared.newest)
         data = {
-            asking: codec.encode(
+            subscription: codec.encode(
                 ttypes.Subscribe(
                     self._name,
                     newest,
-                    asking.far,
-                    asking.changes_only or None,
-                    _limit(asking.limit),
+                    subscription.far,
+                    subscription.changes_only or None,
+                    _limit_to_wire(subscription.limit),
                     ages_ms=ages_ms or None,
                     suspicions=suspicions_lib.to_wire(suspicions),
                 )
             )
-            for asking in set(agents.values())
+            for subscription in set(agents.values())
         }
-        for agent, asking in agents.items():
-            self._transport.sendto(data[asking], (agent.host, agent.port))
+        for agent, subscription in agents.items():
+            self._transport.sendto(data[subscription], (agent.host, agent.port))
 
     def close(self) -> None:
         """Ends it."""
@@ -460,10 +480,10 @@
             self._transport.close()
 
 
-def _encode(
+def _encode_report(
     report: Report, suspicions: tuple[suspects.Suspicion, ...] = ()
 ) -> bytes:
-    ages_ms = _milliseconds(report.ages_s)
+    ages_ms = _ages_to_ms(report.ages_s)
     return codec.encode(
         ttypes.BackendReport(
             report.server_id,
@@ -481,15 +501,15 @@
             report.followers or None,
             None if report.rank < 0 else report.rank,
             None if report.follower_rank < 0 else report.follower_rank,
-            _limit(report.limit),
-            born=report.born,
+            _limit_to_wire(report.limit),
+            born=report.started_ms,
             ages_ms=ages_ms or None,
             suspicions=suspicions_lib.to_wire(suspicions),
         )
     )
 
 
-def _report(message: ttypes.BackendReport) -> Report:
+def _report_from_wire(message: ttypes.BackendReport) -> Report:
     return Report(
         message.server_id,
         message.running,
@@ -505,26 +525,28 @@
         message.followers or 0,
         message.ready_in_s,
         message.born or 0,
-        _seconds(message.ages_ms),
+        _ages_from_ms(message.ages_ms),
         -1 if message.rank is None else message.rank,
         -1 if message.follower_rank is None else message.follower_rank,
-        _observation(message.limit, asyncio.get_running_loop().time()),
+        _limit_from_wire(message.limit, asyncio.get_running_loop().time()),
     )
 
 
-def _limit(observed: rate_limit.Observation | None) -> ttypes.Limit | None:
+def _limit_to_wire(
+    observed: rate_limit.Observation | None,
+) -> ttypes.Limit | None:
     if observed is None:
         return None
     age_s = asyncio.get_running_loop().time() - observed.at
     return ttypes.Limit(
         observed.start.server_id,
         observed.start.born,
-        min(int(1e3 * age_s), _MOST_AGE_MS),
+        min(int(1e3 * age_s), _MAX_AGE_MS),
         observed.per_s,
     )
 
 
-def _observation(
+def _limit_from_wire(
     message: ttypes.Limit | None, now: float
 ) -> rate_limit.Observation | None:
     """Returns what a datagram says of a rate limit; None for nothing."""
@@ -543,7 +565,7 @@
     )
 
 
-def _milliseconds(ages_s: Mapping[int, float]) -> dict[int, int]:
+def _ages_to_ms(ages_s: Mapping[int, float]) -> dict[int, int]:
     """Returns ages as they are told.
 
     Rounded down: what is told over and over must not grow older on its way.
@@ -551,11 +573,13 @@
     return {version: int(1e3 * age_s) for version, age_s in ages_s.items()}
 
 
-def _seconds(ages_ms: Mapping[int, int] | None) -> dict[int, float]:
+def _ages_from_ms(ages_ms: Mapping[int, int] | None) -> dict[int, float]:
     return {v: age_ms / 1e3 for v, age_ms in (ages_ms or {}).items()}
 
 
-def _ages_s(
+def _all_ages_from_ms(
     ages_ms: Mapping[str, Mapping[int, int]] | None,
 ) -> dict[str, dict[int, float]]:
-    return {model: _seconds(ages) for model, ages in (ages_ms or {}).items()}
+    return {
+        model: _ages_from_ms(ages) for model, ages in (ages_ms or {}).items()
+    }
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -60,7 +60,7 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._asked: dict[places.Address, reports.Asking] = {}
+        self._asked: dict[places.Address, reports.Subscription] = {}
         self._followed: set[str] = set()
         self._standing: dict[str, bool] = {}
         self._relayed_limits: dict[str, rate_limit.Observation] = {}
@@ -107,8 +107,10 @@
         ) != _values(self._relayed_limits):
             self.ask_new()
 
-    def _declared(self) -> reports.Declared:
-        return reports.Declared(self._versions.all(), self._versions.ages_s())
+    def _declared(self) -> reports.DeclaredVersions:
+        return reports.DeclaredVersions(
+            self._versions.all(), self._versions.ages_s()
+        )
 
     def _follow(self) -> None:
         """Chooses the servers that the entry sends to."""
@@ -163,12 +165,14 @@
                 )
         return found
 
-    def _agents(self) -> dict[places.Address, reports.Asking]:
+    def _agents(self) -> dict[places.Address, reports.Subscription]:
         """Returns where agents listen, and what each is asked for."""
         port = self._instance.peer_ports[0]
         self._relayed_limits = limits = self._limits()
         return {
-            places.Address(backend.server.address.host, port): reports.Asking(
+            places.Address(
+                backend.server.address.host, port
+            ): reports.Subscription(
                 self._is_far(backend.server),
                 not backend.followed,
                 limits.get(backend.server.server_id),
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -160,9 +160,9 @@
         report = reports.Report("a", 1, 0, 16, "m", ages_s=ages_s)
         for _ in range(30):
             await asyncio.sleep(0.1)
-            reporter.tell(report)
+            reporter.send(report)
         regular = [ages for ages in sent.ages() if ages]
-        reporter.news()
+        reporter.send_ages_now()
         news = sent.ages()
         await asyncio.sleep(2.5)
         reporter.datagram_received(subscription("e1"), ("e1",))
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -155,9 +155,9 @@
             reporter.datagram_received(codec.encode(asks), name)
         report = reports.Report("s1", 1, 0, 8, "m", 1, True)
         for _ in range(8):
-            reporter.tell(report)
+            reporter.send(report)
         calm = {name: len(told) for name, told in wire.sent.items()}
-        reporter.tell(reports.Report("s1", 1, 0, 8, "m", 2, True))
+        reporter.send(reports.Report("s1", 1, 0, 8, "m", 2, True))
         newest = [told[-1].version for told in wire.sent.values()]
         return calm, newest, (reporter.entries, reporter.followers)
 
@@ -285,10 +285,10 @@
         for name, changes_only in (("b", False), ("a", True), ("c", False)):
             asks = ttypes.Subscribe(name, {}, False, changes_only)
             reporter.datagram_received(codec.encode(asks), name)
-        reporter.tell(reports.Report("s1", 1, 0, 8, "m", 1, True))
+        reporter.send(reports.Report("s1", 1, 0, 8, "m", 1, True))
         early = ranks(wire)
         await asyncio.sleep(2.5)
-        reporter.tell(reports.Report("s1", 1, 0, 8, "m", 2, True))
+        reporter.send(reports.Report("s1", 1, 0, 8, "m", 2, True))
         return early, ranks(wire)
 
     early, late = clocks.run(play())
@@ -298,5 +298,8 @@
 
 def ranks(wire):
     """Returns the places in the last report that went to each entry."""
-    last = {name: reports._report(told[-1]) for name, told in wire.sent.items()}
+    last = {
+        name: reports._report_from_wire(told[-1])
+        for name, told in wire.sent.items()
+    }
     return {name: (r.rank, r.follower_rank) for name, r in last.items()}
--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -46,9 +46,9 @@
     def tell(self, start=START):
         """Returns the limit that each entry is told with a report."""
         report = reports.Report(
-            start.server_id, 1, 0, 8, "m", 1, True, born=start.born
+            start.server_id, 1, 0, 8, "m", 1, True, started_ms=start.born
         )
-        self.reporter.tell(report)
+        self.reporter.send(report)
         return {name: told[-1].limit for name, told in self.told.items()}
 
 
@@ -64,9 +64,10 @@
 
 
 def subscribe(listener, limit=None):
-    asking = reports.Asking(False, False, limit)
+    asking = reports.Subscription(False, False, limit)
     listener.subscribe(
-        {places.Address("10.0.0.1", 1): asking}, reports.Declared({}, {})
+        {places.Address("10.0.0.1", 1): asking},
+        reports.DeclaredVersions({}, {}),
     )
 
 
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -123,7 +123,7 @@
             message = ttypes.Subscribe(f"e{number}", {}, number >= near)
             reporter.datagram_received(codec.encode(message), (number,))
         for _ in range(41):
-            reporter.tell(reports.Report("a", 1, 0, 16))
+            reporter.send(reports.Report("a", 1, 0, 16))
         # The first one is news to all.
         return len(transport.to) - near - far
 
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -146,7 +146,7 @@
     """
     backends = new_fleet()
     backend = listed(backends, server(2))
-    told = report(born=born, version=2, whole=True)
+    told = report(started_ms=born, version=2, whole=True)
     assert backends.reported(told, "127.0.0.2") is None
     assert (backends.reported(told, HOST) is backend) == taken
     assert backend.left == over
@@ -168,11 +168,11 @@
         asks = codec.encode(ttypes.Subscribe("e", {}, False))
         reporter.datagram_received(asks, (HOST, 1))
         for born in (0, 1_780_000_000_123, 1_780_000_000_124):
-            reporter.tell(report(born=born))
+            reporter.send(report(started_ms=born))
 
     clocks.run(play())
     assert [told.server_id for told in heard] == ["a", "a", "a"]
-    assert [told.born for told in heard] == [
+    assert [told.started_ms for told in heard] == [
         0,
         1_780_000_000_123,
         1_780_000_000_124,
@@ -182,7 +182,9 @@
 def test_a_server_that_leaves_goes_on_leaving_whatever_its_agent_tells():
     backends = new_fleet()
     backend = listed(backends, server(2, leaving=True))
-    backends.reported(report(born=2), HOST).take_report(report(born=2), 1.0)
+    backends.reported(report(started_ms=2), HOST).take_report(
+        report(started_ms=2), 1.0
+    )
     assert backend.server.leaving
     assert backend.left
 
--- a/tests/test_direct_suspicions.py
+++ b/tests/test_direct_suspicions.py
@@ -19,8 +19,8 @@
     listener = reports.Listener(f"e{number}", lambda host, report: None)
     listener.connection_made(wire)
     listener.subscribe(
-        {ADDRESS: reports.Asking(far)},
-        reports.Declared({}, {}),
+        {ADDRESS: reports.Subscription(far)},
+        reports.DeclaredVersions({}, {}),
         entry.told(1.0),
     )
     return wire.sent[0][1]
@@ -74,10 +74,10 @@
             reporter.datagram_received(data, (number,))
         report = reports.Report("i-9", 1, 0, 16)
         for _ in range(2):
-            reporter.tell(report)
+            reporter.send(report)
         plain = len(agent.sent[0][1])
         agent.sent.clear()
-        reporter.tell(report, hub.proved(1.1))
+        reporter.send(report, hub.proved(1.1))
         for (number,), data in agent.sent:
             heard(entries[number], data)
         bad = [entry.refused(b"bad", 1.3) for entry in entries]
