--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -14,13 +14,13 @@
 from clementinegw.direct import agent_interfaces
 from clementinegw.direct import declarations
 from clementinegw.direct import fetcher as fetcher_lib
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import raw
 from clementinegw.direct import relay
 from clementinegw.direct import reports
 from clementinegw.direct import server_records
 from clementinegw.direct import suspects
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import updater
 from clementinegw.telemetry import counters as counters_lib
@@ -30,9 +30,9 @@
 
 # Entries pass a new declaration on within a second, so a connection to the
 # platform that went silent may go unnoticed for a while.
-_POLL_PACES = follow.Paces(
-    operators=follow.Pace(wait_s=6.0, pause_s=0.0),
-    servers=follow.Pace(wait_s=10.0, pause_s=3.0),
+_POLL_PACES = topic_watch.PollTimings(
+    operators=topic_watch.PollTiming(wait_s=6.0, pause_s=0.0),
+    servers=topic_watch.PollTiming(wait_s=10.0, pause_s=3.0),
 )
 # How often the server beside is asked, and a step is taken towards the wanted
 # version, in seconds. A question costs nothing there and bounds the age of what
@@ -67,7 +67,7 @@
         counters: counters_lib.Counters,
         rng: random.Random | None = None,
         clock: clocks.Clock | None = None,
-        boot_clock: Callable[[], float] = follow.boot_time,
+        boot_clock: Callable[[], float] = topic_watch.boot_time,
     ):
         """Prepares the daemon; see `entry.Entry`."""
         super().__init__()
@@ -87,7 +87,7 @@
             counters,
             boot_clock,
         )
-        topics = follow.Topics(
+        topics = topic_watch.TopicWatchers(
             self._relay,
             _POLL_PACES,
             self._on_operators,
@@ -162,7 +162,7 @@
 
     # What the platform says.
 
-    def _on_operators(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
@@ -174,7 +174,7 @@
                 self._apply_declared(
                     declared.model,
                     declared.version,
-                    self._operators.unread_s,
+                    self._operators.lag_s,
                     declarations.Source.STORE,
                 )
 
@@ -191,7 +191,7 @@
                 self._fetcher.set_origin_rate(service.origin.link_bytes_per_s)
         self._update_initialized()
 
-    def _on_declared(self, declared: reports.Declared) -> None:
+    def _on_declared(self, declared: reports.DeclaredVersions) -> None:
         """Takes in what an entry knows."""
         entry = declarations.Source.ENTRY
         for model, ages_s in declared.ages_s.items():
@@ -227,7 +227,7 @@
                     change.declaration.declared_at + self._declared.due_s,
                 )
         if significant:
-            self._reporter.news()
+            self._reporter.send_ages_now()
 
     def _ages_report(self) -> reports.Report | None:
         """Returns a report of ages only; None while none is known."""
@@ -250,7 +250,7 @@
         self._suspicions_sent_at = now
         return self._suspects.confirmed_suspicions(now)
 
-    def _on_servers(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
         if whole:
             listed = {record.key for record in batch.records}
             for key in set(self._context.servers) - listed:
@@ -271,7 +271,7 @@
         self._fetcher.set_fleet(list(others.values()))
         self._update_initialized()
 
-    def _apply_server(self, record: follow.Record) -> None:
+    def _apply_server(self, record: topic_watch.Record) -> None:
         if not isinstance(record.value, types.Server):
             self._context.servers.pop(record.key, None)
             return
@@ -288,7 +288,7 @@
             self._context.local_server = self._platform.local_server(
                 self._backend, self._context.model
             )
-        if self._context.origin is not None and self._server_list.known:
+        if self._context.origin is not None and self._server_list.has_snapshot:
             self._initialized.set()
 
     def _agent_instance(
@@ -344,10 +344,10 @@
         start = self._context.start
         held = [h for h in state.held if h.model == self._context.model]
         best = max(held, key=lambda h: h.version, default=None)
-        self._reporter.tell(
+        self._reporter.send(
             reports.Report(
                 server_id=start.server_id,
-                born=start.born,
+                started_ms=start.born,
                 running=state.running,
                 waiting=state.waiting,
                 slots=self._context.engine.slots if self._context.engine else 1,
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -16,7 +16,6 @@
 from clementinegw.direct import catalog as catalogs
 from clementinegw.direct import declarations
 from clementinegw.direct import fleet as fleets
-from clementinegw.direct import follow
 from clementinegw.direct import forward
 from clementinegw.direct import header_codec as header_codec_lib
 from clementinegw.direct import instance as instances
@@ -26,6 +25,7 @@
 from clementinegw.direct import reports
 from clementinegw.direct import server as servers
 from clementinegw.direct import subscriptions
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
@@ -36,9 +36,9 @@
 # How topics are read. The platform answers as soon as something changes, so
 # the wait only bounds how long a connection that went silent goes unnoticed,
 # and how old a key's proof grows; each call is paid for.
-_PACES = follow.Paces(
-    operators=follow.Pace(wait_s=2.0, pause_s=0.0),
-    servers=follow.Pace(wait_s=2.0, pause_s=0.9),
+_PACES = topic_watch.PollTimings(
+    operators=topic_watch.PollTiming(wait_s=2.0, pause_s=0.0),
+    servers=topic_watch.PollTiming(wait_s=2.0, pause_s=0.9),
 )
 # The part of the time in which a key that was taken away must stop that its
 # last proof may be old, and the part after which the process takes no new
@@ -74,7 +74,7 @@
         log: logs.Log,
         counters: counters_lib.Counters,
         rng: random.Random | None = None,
-        boot_clock: Callable[[], float] = follow.boot_time,
+        boot_clock: Callable[[], float] = topic_watch.boot_time,
         wall_clock: Callable[[], float] = time.time,
     ):
         """Prepares the daemon.
@@ -107,7 +107,7 @@
             counters,
             boot_clock,
         )
-        topics = follow.Topics(
+        topics = topic_watch.TopicWatchers(
             self._relay,
             _PACES,
             self._on_operators,
@@ -179,7 +179,7 @@
         return (
             not self._leaving
             and self._config_view.catalog is not None
-            and self._listing.known
+            and self._listing.has_snapshot
             and self._operators.age_s < keys_s * _READY_SHARE
         )
 
@@ -204,7 +204,7 @@
         bounds = instance.bounds
         self._config_view.max_key_age_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
         self._versions.due_s = bounds.weights_ms / 1e3
-        self._fleet.listing_expiry.terms = _fleet_terms(bounds)
+        self._fleet.listing_expiry.times = _fleet_terms(bounds)
         self._forwarder.set_retry_limits(_terms(bounds))
 
     async def drain(self) -> None:
@@ -236,7 +236,7 @@
     async def _keep_house(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(_HOUSEKEEPING_S)
-            self._fleet.drop_missing(self._listing.settled_s, self._clock())
+            self._fleet.drop_missing(self._listing.available_s, self._clock())
             self._fleet.prune()
             self._fleet.update_position()
             self._counters.gauge("direct.servers.limited", self._fleet.limited)
@@ -288,7 +288,7 @@
         del request
         await responder.answer(200 if self.ready else 503, [], b"")
 
-    def _on_operators(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
@@ -297,7 +297,7 @@
                 self._take_declared(record.value)
 
     def _take_declared(self, declared: types.Declared) -> None:
-        unread_s = self._operators.unread_s
+        unread_s = self._operators.lag_s
         change = self._versions.record_declared(declared, unread_s)
         self._note_declared([change] if change else [])
 
@@ -332,12 +332,12 @@
             was=catalog.version if catalog else None,
         )
 
-    def _on_servers(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
         self._fleet.apply(
             batch,
             whole,
-            self._listing.settled_s,
-            self._listing.away_s,
+            self._listing.available_s,
+            self._listing.outage_s,
             self._clock(),
         )
         self._subscriptions.subscribe_changed()
@@ -347,8 +347,8 @@
         return known.max_connections if known else 32
 
 
-def _fleet_terms(bounds: instances.Bounds) -> outage.Terms:
-    return outage.Terms(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
+def _fleet_terms(bounds: instances.Bounds) -> outage.ListingTimes:
+    return outage.ListingTimes(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
 def _terms(bounds: instances.Bounds) -> budget.Limits:
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -8,12 +8,12 @@
 from clementinegw.direct import _events
 from clementinegw.direct import backend as backend_lib
 from clementinegw.direct import client
-from clementinegw.direct import follow
 from clementinegw.direct import outage
 from clementinegw.direct import rate_limit
 from clementinegw.direct import reports
 from clementinegw.direct import server_records
 from clementinegw.direct import signals as signals_lib
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
@@ -36,7 +36,7 @@
         log: logs.Log,
         max_connections: Callable[[str], int],
         rng: random.Random,
-        terms: outage.Terms | None = None,
+        terms: outage.ListingTimes | None = None,
         *,
         entry: str = "",
         wall_clock: Callable[[], float] = time.time,
@@ -62,7 +62,7 @@
             log,
             counters or counters_lib.Counters(),
         )
-        self.listing_expiry = outage.RanOut(terms or outage.Terms())
+        self.listing_expiry = outage.ListingExpiry(terms or outage.ListingTimes())
         self._log = log
         self._rng = rng
         self._max_connections = max_connections
@@ -108,13 +108,13 @@
             return backend
         # The agent asks the server itself, and so knows before the list that a
         # start is over. What is late, of a start before, says nothing.
-        if report.born > backend.server.born:
+        if report.started_ms > backend.server.born:
             backend.gone = True
         return None
 
     def apply(
         self,
-        batch: follow.Batch,
+        batch: topic_watch.Batch,
         whole: bool,
         settled_s: float,
         away_s: float = math.inf,
@@ -134,8 +134,8 @@
         gone = {key for key, value in last.items() if value is None}
         if whole:
             gone |= set(self._backends) - set(last)
-        left_s = self.listing_expiry.terms.back_s - settled_s
-        if not self.listing_expiry.seems(
+        left_s = self.listing_expiry.times.relist_s - settled_s
+        if not self.listing_expiry.likely_expired(
             gone, set(self._backends), left_s, away_s
         ):
             left_s = 0.0
@@ -178,7 +178,7 @@
           settled_s: How long the platform has answered without failure.
           now: Monotonic seconds.
         """
-        settled = settled_s >= self.listing_expiry.terms.back_s
+        settled = settled_s >= self.listing_expiry.times.relist_s
         for key, backend in list(self._backends.items()):
             if backend.missing and (settled or now >= backend.missing_until):
                 self._drop(key)
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -60,7 +60,7 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._subscribed: dict[places.Address, reports.Asking] = {}
+        self._subscribed: dict[places.Address, reports.Subscription] = {}
         self._followed: set[str] = set()
         self._serving: dict[str, bool] = {}
         self._relayed_limits: dict[str, rate_limit.Observation] = {}
@@ -107,8 +107,8 @@
         ) != _rates(self._relayed_limits):
             self.subscribe_changed()
 
-    def _declared(self) -> reports.Declared:
-        return reports.Declared(
+    def _declared(self) -> reports.DeclaredVersions:
+        return reports.DeclaredVersions(
             self._versions.newest_by_model(), self._versions.ages_s()
         )
 
@@ -165,12 +165,14 @@
                 )
         return found
 
-    def _agents(self) -> dict[places.Address, reports.Asking]:
+    def _agents(self) -> dict[places.Address, reports.Subscription]:
         """Returns where agents listen, and what each is asked for."""
         port = self._instance.peer_ports[0]
         self._relayed_limits = limits = self._observed_limits()
         return {
-            places.Address(backend.server.address.host, port): reports.Asking(
+            places.Address(
+                backend.server.address.host, port
+            ): reports.Subscription(
                 self._is_far(backend.server),
                 not backend.followed,
                 limits.get(backend.server.server_id),
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -13,10 +13,10 @@
 from clementinegw.direct import agent as agents
 from clementinegw.direct import agent_interfaces
 from clementinegw.direct import declarations
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import manifest_cache
 from clementinegw.direct import raw
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import updater
 from clementinegw.telemetry import counters as counters_lib
@@ -143,7 +143,7 @@
     def __init__(self):
         self.records = []
 
-    async def newest(self):
+    async def snapshot(self):
         newest = {record.key: n for n, record in enumerate(self.records)}
         return raw.Batch(_items(newest.values()), len(self.records))
 
@@ -195,7 +195,7 @@
         return self.origin
 
     def declare(self, version):
-        record = follow.Record("v", types.Declared(MODEL, version))
+        record = topic_watch.Record("v", types.Declared(MODEL, version))
         self.topics[0].records.append(record)
 
     async def __aenter__(self):
@@ -208,7 +208,7 @@
             "origin": types.Service("origin", 8, None, origin),
         }
         configuration = types.Configuration(1, (), services, {})
-        self.topics[0].records.append(follow.Record("c", configuration))
+        self.topics[0].records.append(topic_watch.Record("c", configuration))
         hosts = [f"{NETWORK}.{11 + n}" for n in range(len(self.local_servers))]
         for number, host in enumerate(hosts):
             server = types.Server(
@@ -218,7 +218,9 @@
                 f"d{number}",
                 16,
             )
-            self.topics[1].records.append(follow.Record(f"i-{number}", server))
+            self.topics[1].records.append(
+                topic_watch.Record(f"i-{number}", server)
+            )
         for number, host in enumerate(hosts):
             await self.start(number, host)
         return self
@@ -283,7 +285,7 @@
     def __init__(self, site):
         self.operators = site.operators
         self.servers = site.servers
-        self.readers = lambda me: NoReaders()
+        self.reader_group = lambda me: NoReaders()
         self.local_server = site.local_server
         self.origin = site.origin_at
 
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -9,8 +9,8 @@
 from clementinegw import exceptions
 from clementinegw.direct import client
 from clementinegw.direct import declarations
-from clementinegw.direct import follow
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
@@ -164,9 +164,9 @@
         report = reports.Report("a", 1, 0, 16, "m", ages_s=ages_s)
         for _ in range(30):
             await asyncio.sleep(0.1)
-            reporter.tell(report)
+            reporter.send(report)
         regular = [ages for ages in sent.ages() if ages]
-        reporter.news()
+        reporter.send_ages_now()
         news = sent.ages()
         await asyncio.sleep(2.5)
         reporter.datagram_received(subscription("e1"), ("e1",))
@@ -259,8 +259,8 @@
         self.down = False
         self.takes_s = 0.004
 
-    async def newest(self):
-        return follow.Batch(tuple(self.records), len(self.records))
+    async def snapshot(self):
+        return topic_watch.Batch(tuple(self.records), len(self.records))
 
     async def changes(self, offset, wait_s):
         loop = asyncio.get_running_loop()
@@ -271,10 +271,10 @@
         self._check()
         found = tuple(self.records[offset:])
         await asyncio.sleep(self.takes_s)
-        return follow.Batch(found, offset + len(found))
+        return topic_watch.Batch(found, offset + len(found))
 
     def put(self, key):
-        self.records.append(follow.Record(key, key))
+        self.records.append(topic_watch.Record(key, key))
 
     def _check(self):
         if self.down:
@@ -285,11 +285,11 @@
     async def play():
         topic, found = Topic(), []
         topic.put("first")
-        follower = follow.Follower(
+        follower = topic_watch.TopicWatcher(
             "t",
             topic,
-            follow.Pace(6.0, 0.0),
-            lambda batch, whole: found.append(follower.unread_s),
+            topic_watch.PollTiming(6.0, 0.0),
+            lambda batch, whole: found.append(follower.lag_s),
             logs.Log(),
             counters_lib.Counters(),
             asyncio.get_running_loop().time,
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -8,8 +8,8 @@
 from clementinegw import types as places
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
@@ -22,7 +22,7 @@
 def new_fleet(*names):
     backends = fleet.Fleet(logs.Log(), lambda service: 64, random.Random(1))
     records = tuple(
-        follow.Record(
+        topic_watch.Record(
             name,
             types.Server(
                 server_id=name,
@@ -34,7 +34,7 @@
         )
         for name in names
     )
-    backends.apply(follow.Batch(records, len(records)), True, 60.0)
+    backends.apply(topic_watch.Batch(records, len(records)), True, 60.0)
     return backends
 
 
@@ -123,7 +123,7 @@
             message = ttypes.Subscribe(f"e{number}", {}, number >= near)
             reporter.datagram_received(codec.encode(message), (number,))
         for _ in range(41):
-            reporter.tell(reports.Report("a", 1, 0, 16))
+            reporter.send(reports.Report("a", 1, 0, 16))
         # The first one is news to all.
         return len(transport.to) - near - far
 
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -13,10 +13,10 @@
 from clementinegw.direct import client
 from clementinegw.direct import declarations
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import updater
 from clementinegw.telemetry import counters
@@ -42,8 +42,8 @@
 
 
 def listed(backends, *servers):
-    records = tuple(follow.Record(s.server_id, s) for s in servers)
-    backends.apply(follow.Batch(records, len(records)), False, 60.0)
+    records = tuple(topic_watch.Record(s.server_id, s) for s in servers)
+    backends.apply(topic_watch.Batch(records, len(records)), False, 60.0)
     return backends.find(servers[-1].server_id)
 
 
@@ -146,7 +146,7 @@
     """
     backends = new_fleet()
     backend = listed(backends, server(2))
-    told = report(born=born, version=2, whole=True)
+    told = report(started_ms=born, version=2, whole=True)
     assert backends.match_report(told, "127.0.0.2") is None
     assert (backends.match_report(told, HOST) is backend) == taken
     assert backend.retired == over
@@ -168,11 +168,11 @@
         asks = codec.encode(ttypes.Subscribe("e", {}, False))
         reporter.datagram_received(asks, (HOST, 1))
         for born in (0, 1_780_000_000_123, 1_780_000_000_124):
-            reporter.tell(report(born=born))
+            reporter.send(report(started_ms=born))
 
     clocks.run(play())
     assert [told.server_id for told in heard] == ["a", "a", "a"]
-    assert [told.born for told in heard] == [
+    assert [told.started_ms for told in heard] == [
         0,
         1_780_000_000_123,
         1_780_000_000_124,
@@ -182,8 +182,8 @@
 def test_a_server_that_leaves_goes_on_leaving_whatever_its_agent_tells():
     backends = new_fleet()
     backend = listed(backends, server(2, leaving=True))
-    backends.match_report(report(born=2), HOST).apply_report(
-        report(born=2), 1.0
+    backends.match_report(report(started_ms=2), HOST).apply_report(
+        report(started_ms=2), 1.0
     )
     assert backend.server.leaving
     assert backend.retired
@@ -192,7 +192,7 @@
 def test_a_start_that_is_listed_anew_still_leaves():
     backends = new_fleet()
     listed(backends, server(2, leaving=True, sequence=4))
-    gone = follow.Batch((follow.Record("a", None),), 1)
+    gone = topic_watch.Batch((topic_watch.Record("a", None),), 1)
     backends.apply(gone, False, 60.0)
     assert listed(backends, server(2, sequence=9)).retired
     assert not listed(backends, server(3, sequence=1)).retired
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -3,16 +3,16 @@
 import asyncio
 
 from adapter import roles
-import platform_site
-import pytest
-
 from clementinegw import types as places
 from clementinegw.direct import client
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import timeouts as timeouts_lib
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
+import platform_site
+import pytest
+
 
 _READERS = 8
 # Eight readings of the configuration take five seconds of it.
@@ -56,21 +56,25 @@
     def __init__(self, topic):
         self._topic = topic
 
-    async def newest(self):
-        batch = await self._topic.newest()
-        return follow.Batch(self._topic.decoded(batch.items), batch.end)
+    async def snapshot(self):
+        batch = await self._topic.snapshot()
+        return topic_watch.Batch(
+            self._topic.decoded(batch.items), batch.next_offset
+        )
 
     async def changes(self, offset, wait_s):
         batch = await self._topic.changes(offset, wait_s)
-        return follow.Batch(self._topic.decoded(batch.items), batch.end)
+        return topic_watch.Batch(
+            self._topic.decoded(batch.items), batch.next_offset
+        )
 
 
 async def following(store, taken):
     """Starts a process's follower of what operators declare."""
-    follower = follow.Follower(
+    follower = topic_watch.TopicWatcher(
         "operators",
         Alone(platform_at(store).operators()),
-        follow.Pace(2.0, 0.0),
+        topic_watch.PollTiming(2.0, 0.0),
         lambda batch, whole: taken.append(batch),
         logs.Log(),
         counters_lib.Counters(),
@@ -96,7 +100,7 @@
         taken = []
         followers = [await following(store, taken) for _ in range(_READERS)]
         await asyncio.sleep(1.5 * _READERS * size / _LINK_BYTES_PER_S)
-        known = sum(follower.known for follower in followers)
+        known = sum(follower.has_snapshot for follower in followers)
         for follower in followers:
             await follower.stop()
         await store.stop()
