--- a/src/clementinegw/direct/admit.py
+++ b/src/clementinegw/direct/admit.py
@@ -46,7 +46,7 @@
 
 
 def match(
-    knowledge: Knowledge, request: servers.Request, facts: types.RequestFacts
+    knowledge: Knowledge, request: servers.Request, facts: types.RequestMetadata
 ) -> catalogs.Match | outcomes.Refusal:
     """Returns a request's route and customer, or why it is refused."""
     catalog = knowledge.catalog
--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -167,7 +167,7 @@
                 self._take_configuration(record.value)
         # Only now: the configuration says which model this server is for.
         for record in batch.records:
-            if isinstance(record.value, types.Declared):
+            if isinstance(record.value, types.DeclaredVersion):
                 declared = record.value
                 self._take_declared(
                     declared.model,
@@ -338,7 +338,7 @@
         self._reporter.tell(
             reports.Report(
                 server_id=start.server_id,
-                born=start.born,
+                born=start.started_ms,
                 running=state.running,
                 waiting=state.waiting,
                 slots=self._around.engine.slots if self._around.engine else 1,
--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -60,7 +60,7 @@
     """
 
     request: servers.Request
-    facts: types.RequestFacts
+    facts: types.RequestMetadata
     match: catalog.Match
     service: str
     responder: servers.Responder
@@ -77,7 +77,7 @@
     unreached_s: float = 0.0
     busy: float = 0.0
     server_id: str = ""
-    tried: set[types.Start] = dataclasses.field(default_factory=set)
+    tried: set[types.ServerStart] = dataclasses.field(default_factory=set)
 
     @property
     def caller(self) -> str:
@@ -87,7 +87,7 @@
     @property
     def streaming(self) -> bool:
         """Whether its answer is a stream."""
-        return self.match.route.repeat is types.Repeat.STREAM
+        return self.match.route.repeat_policy is types.RepeatPolicy.STREAM
 
 
 class Attempts:
@@ -114,7 +114,7 @@
         self,
         job: Job,
         backend: backend_lib.Backend,
-        sending: types.Sending,
+        sending: types.ForwardMetadata,
         elsewhere: Callable[[], bool],
         recall: recalls.Recall,
     ) -> outcomes.Attempt:
@@ -154,7 +154,7 @@
         self,
         job: Job,
         hearing: "_Hearing",
-        sending: types.Sending,
+        sending: types.ForwardMetadata,
         unread: "_Unread",
     ) -> outcomes.Attempt:
         backend = hearing.backend
@@ -214,7 +214,7 @@
         self,
         job: Job,
         hearing: "_Hearing",
-        sending: types.Sending,
+        sending: types.ForwardMetadata,
         connection: client.Connection,
         unread: "_Unread",
     ) -> outcomes.Attempt:
@@ -233,7 +233,7 @@
         patience = silence_s if route.idempotent else None
         head = await hearing.head(connection, patience)
         facts = self._dialect.answer_facts(head)
-        connection.keep_s = facts.keep_s
+        connection.keep_s = facts.keep_alive_s
         now = self._clock()
         if facts.load is not None:
             backend.take_load(facts.load, now)
--- a/src/clementinegw/direct/backing.py
+++ b/src/clementinegw/direct/backing.py
@@ -20,7 +20,7 @@
       born: When it started, in Unix milliseconds; 0 where that is not said.
     """
 
-    held: tuple[types.Held, ...]
+    held: tuple[types.HeldWeights, ...]
     busy: bool
     sequence: int
     running: int
--- a/src/clementinegw/direct/balance.py
+++ b/src/clementinegw/direct/balance.py
@@ -104,7 +104,7 @@
         ]
 
     def choose(
-        self, wanted: Wanted, tried: Collection[types.Start] = ()
+        self, wanted: Wanted, tried: Collection[types.ServerStart] = ()
     ) -> backend_lib.Backend | None:
         """Returns the server to send to; None when none has room.
 
--- a/src/clementinegw/direct/catalog.py
+++ b/src/clementinegw/direct/catalog.py
@@ -58,4 +58,4 @@
     @property
     def keyed(self) -> bool:
         """Whether requests need a key at all."""
-        return self.configuration.keyed
+        return self.configuration.requires_key
--- a/src/clementinegw/direct/dialect.py
+++ b/src/clementinegw/direct/dialect.py
@@ -12,18 +12,18 @@
 class Dialect(Protocol):
     """Translates between headers and facts; decides nothing."""
 
-    def request_facts(self, headers: RawHeaders) -> types.RequestFacts:
+    def request_facts(self, headers: RawHeaders) -> types.RequestMetadata:
         """Returns what a caller's headers say.
 
         Raises:
           ValueError: A header cannot be read.
         """
 
-    def answer_facts(self, head: client.Head) -> types.AnswerFacts:
+    def answer_facts(self, head: client.Head) -> types.AnswerMetadata:
         """Returns what a server's headers say; unreadable ones say nothing."""
 
     def sent_on(
-        self, headers: RawHeaders, sending: types.Sending
+        self, headers: RawHeaders, sending: types.ForwardMetadata
     ) -> client.Headers:
         """Returns a caller's headers as a server is sent them."""
 
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -267,7 +267,7 @@
         engine = self._knowledge.engine(service)
         if engine is None or not engine.prefill_tokens_per_s:
             return 0.0
-        return engine.usual_prompt / engine.prefill_tokens_per_s
+        return engine.typical_prompt_tokens / engine.prefill_tokens_per_s
 
     def _tell_ready(self) -> None:
         if self.ready == self._ready:
@@ -291,10 +291,10 @@
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
                 self._take_configuration(record.value)
-            elif isinstance(record.value, types.Declared):
+            elif isinstance(record.value, types.DeclaredVersion):
                 self._take_declared(record.value)
 
-    def _take_declared(self, declared: types.Declared) -> None:
+    def _take_declared(self, declared: types.DeclaredVersion) -> None:
         unread_s = self._operators.unread_s
         change = self._versions.declare(declared, unread_s)
         self._note_declared([change] if change else [])
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -104,11 +104,11 @@
         # An address may belong to another server by now: the id decides.
         if backend is None or backend.server.address.host != host:
             return None
-        if backend.server.start.same(report.start):
+        if backend.server.start.matches(report.start):
             return backend
         # The agent asks the server itself, and so knows before the list that a
         # start is over. What is late, of a start before, says nothing.
-        if report.born > backend.server.born:
+        if report.born > backend.server.started_ms:
             backend.gone = True
         return None
 
@@ -193,7 +193,9 @@
             return
         signals = self._signals.of(server.start)
         backend = self._backends.get(key)
-        if backend is not None and not backend.server.start.same(server.start):
+        if backend is not None and not backend.server.start.matches(
+            server.start
+        ):
             # What was seen of one start says nothing of the next; requests
             # under way keep to the start that they were sent to.
             self._drop(key)
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -197,7 +197,7 @@
         now = self._clock()
         model = self._placing.model(job)
         held = backend.held(self._placing.layers(job.service))
-        sending = types.Sending(
+        sending = types.ForwardMetadata(
             backend.server.server_id,
             max(0.001, job.deadline - now - _WAY_BACK_S),
             job.caller,
--- a/src/clementinegw/direct/keep.py
+++ b/src/clementinegw/direct/keep.py
@@ -76,7 +76,7 @@
         return self.engine.models[0]
 
     @property
-    def start(self) -> types.Start:
+    def start(self) -> types.ServerStart:
         """The present start of the server beside; its id empty when unlisted.
 
         A start that crashed stays listed for seconds beside the next one, with
@@ -92,13 +92,17 @@
         # one that was heard of last.
         newest = max(
             enumerate(here),
-            key=lambda found: (found[1].born == born, found[1].born, found[0]),
+            key=lambda found: (
+                found[1].started_ms == born,
+                found[1].started_ms,
+                found[0],
+            ),
             default=None,
         )
         if newest is None:
-            return types.Start("")
+            return types.ServerStart("")
         listed = newest[1].start
-        return types.Start(listed.server_id, born or listed.born)
+        return types.ServerStart(listed.server_id, born or listed.started_ms)
 
     @property
     def server_id(self) -> str:
@@ -204,7 +208,7 @@
         ]
         return [plan.Declaration(max(held, default=1), -math.inf)]
 
-    def whole(self, held: types.Held) -> bool:
+    def whole(self, held: types.HeldWeights) -> bool:
         """Returns whether all layers of a model are there."""
         return (
             self._around.engine is not None
--- a/src/clementinegw/direct/queue.py
+++ b/src/clementinegw/direct/queue.py
@@ -19,11 +19,11 @@
 # or a report comes, in seconds.
 _LOOK_S = 0.02
 
-_NOBODY: frozenset[types.Start] = frozenset()
+_NOBODY: frozenset[types.ServerStart] = frozenset()
 
 # Needs that no server could meet a moment ago: what is wanted, whether too late
 # to be on time, and who is left out.
-_Unmet = set[tuple[balance.Wanted, bool, frozenset[types.Start]]]
+_Unmet = set[tuple[balance.Wanted, bool, frozenset[types.ServerStart]]]
 # How many requests that need the same go first; see `Queue._is_hopeless`.
 _Ahead = dict[balance.Wanted, int | None]
 
@@ -60,7 +60,7 @@
     """
 
     wanted: Callable[[], balance.Wanted]
-    tried: frozenset[types.Start]
+    tried: frozenset[types.ServerStart]
     on_time_until: float
     until: float
     place: asyncio.Future["Place | None"]
@@ -120,7 +120,7 @@
     async def place(
         self,
         wanted: Callable[[], balance.Wanted],
-        tried: frozenset[types.Start],
+        tried: frozenset[types.ServerStart],
         on_time_until: float,
         until: float,
     ) -> Place | None:
--- a/src/clementinegw/direct/rate_limit.py
+++ b/src/clementinegw/direct/rate_limit.py
@@ -62,7 +62,7 @@
       at: When the answer came, in monotonic seconds.
     """
 
-    start: types.Start
+    start: types.ServerStart
     per_s: float | None
     at: float
 
--- a/src/clementinegw/direct/reports.py
+++ b/src/clementinegw/direct/reports.py
@@ -71,7 +71,7 @@
         not known.
       ready_in_s: About when it serves again, in seconds; negative when that is
         not known.
-      born: Which start of the server it is of; see `direct.types.Start`.
+      born: Which start of the server it is of; see `direct.types.ServerStart`.
       ages_s: By version of the model, how long ago it was declared, in
         seconds; those that are known.
       rank: The place among `entries` of the entry that it goes to, by name;
@@ -100,9 +100,9 @@
     limit: rate_limit.Observation | None = None
 
     @property
-    def start(self) -> servers.Start:
+    def start(self) -> servers.ServerStart:
         """Which start of the server it is of."""
-        return servers.Start(self.server_id, self.born)
+        return servers.ServerStart(self.server_id, self.born)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -220,19 +220,22 @@
     def _take_limit(self, limit: rate_limit.Observation) -> None:
         """Takes in an observation of an entry; the newest of a start counts."""
         known = self._limit
-        if known is None or not known.start.same(limit.start):
-            newer = known is None or limit.start.born >= known.start.born
+        if known is None or not known.start.matches(limit.start):
+            newer = (
+                known is None
+                or limit.start.started_ms >= known.start.started_ms
+            )
         else:
             newer = limit.at > known.at
         if newer:
             self._limit = limit
 
     def _limit_of(
-        self, start: servers.Start, now: float
+        self, start: servers.ServerStart, now: float
     ) -> rate_limit.Observation | None:
         """Returns what is reported of a start's rate limit."""
         limit = self._limit
-        if limit is None or not limit.start.same(start):
+        if limit is None or not limit.start.matches(start):
             return None
         ended = limit.per_s is None
         return None if ended and now - limit.at > _REPORT_END_S else limit
@@ -518,7 +521,7 @@
     age_s = asyncio.get_running_loop().time() - observed.at
     return ttypes.Limit(
         observed.start.server_id,
-        observed.start.born,
+        observed.start.started_ms,
         min(int(1e3 * age_s), _MOST_AGE_MS),
         observed.per_s,
     )
@@ -537,7 +540,7 @@
     if message.per_s is not None and not 0.0 <= message.per_s < math.inf:
         return None
     return rate_limit.Observation(
-        servers.Start(message.server_id, message.born),
+        servers.ServerStart(message.server_id, message.born),
         message.per_s,
         now - message.age_ms / 1e3,
     )
--- a/src/clementinegw/direct/signals.py
+++ b/src/clementinegw/direct/signals.py
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        start: types.Start,
+        start: types.ServerStart,
         fleet_position: Callable[[], rate_limit.Position],
         wall_clock: Callable[[], float],
         log: logs.Log,
@@ -75,7 +75,7 @@
         return self._observed
 
     def take(
-        self, facts: types.AnswerFacts, sent_at: float, now: float
+        self, facts: types.AnswerMetadata, sent_at: float, now: float
     ) -> None:
         """Takes in what an answer reports.
 
@@ -100,7 +100,7 @@
         self._log.write(
             _events.SERVER_LEAVING,
             server=self.start.server_id,
-            born=self.start.born,
+            born=self.start.started_ms,
         )
 
     def _take_backoff(self, backoff_s: float, now: float) -> None:
@@ -109,7 +109,7 @@
             self._log.write(
                 _events.SERVER_BACKOFF,
                 server=self.start.server_id,
-                born=self.start.born,
+                born=self.start.started_ms,
                 pause_s=round(backoff_s, 3),
             )
         # Each answer asks for a pause of its own: a shorter one that comes
@@ -130,7 +130,7 @@
 
     def take_relayed(self, observation: rate_limit.Observation) -> None:
         """Takes in an observation of another entry, relayed by the agent."""
-        same = self.start.same(observation.start)
+        same = self.start.matches(observation.start)
         if same and observation.at > self._limit_at:
             self._set_limit(observation, "agent")
 
@@ -146,7 +146,7 @@
             self._log.write(
                 _events.SERVER_LIMIT_CHANGED,
                 server=self.start.server_id,
-                born=self.start.born,
+                born=self.start.started_ms,
                 per_s=self.limiter.per_s,
                 was=was,
                 position=str(self.limiter.position),
@@ -159,7 +159,7 @@
             self._log.write(
                 _events.SERVER_SIGNAL_MALFORMED,
                 server=self.start.server_id,
-                born=self.start.born,
+                born=self.start.started_ms,
                 field=field,
             )
         for field in fields:
@@ -192,10 +192,10 @@
         self._kept: collections.OrderedDict[str, Signals]
         self._kept = collections.OrderedDict()
 
-    def of(self, start: types.Start) -> Signals:
+    def of(self, start: types.ServerStart) -> Signals:
         """Returns the signals of a start; new ones for one not seen before."""
         found = self._kept.get(start.server_id)
-        if found is None or not found.start.same(start):
+        if found is None or not found.start.matches(start):
             found = Signals(
                 start,
                 self._fleet_position,
@@ -204,7 +204,7 @@
                 self._counters,
             )
             self._kept[start.server_id] = found
-        elif start.born:
+        elif start.started_ms:
             # The platform's list may name a start before its birth is known.
             found.start = start
         self._kept.move_to_end(start.server_id)
--- a/src/clementinegw/direct/starts.py
+++ b/src/clementinegw/direct/starts.py
@@ -46,7 +46,7 @@
             self._log.write(
                 _events.SERVER_RECORD_OLD,
                 server=server.server_id,
-                born=server.born,
+                born=server.started_ms,
                 sequence=server.sequence,
                 known=dataclasses.astuple(mark),
             )
@@ -55,10 +55,10 @@
             server = dataclasses.replace(
                 server,
                 leaving=server.leaving or mark.leaving,
-                born=server.born or mark.born,
+                started_ms=server.started_ms or mark.born,
             )
         self._marks[server.server_id] = _Mark(
-            server.born, server.sequence, server.leaving
+            server.started_ms, server.sequence, server.leaving
         )
         self._marks.move_to_end(server.server_id)
         while len(self._marks) > _MOST_KEPT:
@@ -71,10 +71,12 @@
 
     Without a time of birth the id alone names the start.
     """
-    return not server.born or not mark.born or server.born == mark.born
+    return (
+        not server.started_ms or not mark.born or server.started_ms == mark.born
+    )
 
 
 def _is_older(server: types.Server, mark: _Mark) -> bool:
     if _one_start(server, mark):
         return server.sequence < mark.sequence
-    return server.born < mark.born
+    return server.started_ms < mark.born
--- a/src/clementinegw/direct/types.py
+++ b/src/clementinegw/direct/types.py
@@ -11,7 +11,7 @@
 from clementinegw import types
 
 
-class Repeat(enum.StrEnum):
+class RepeatPolicy(enum.StrEnum):
     """How often a request of a route may run."""
 
     SAFE = "safe"
@@ -40,12 +40,12 @@
       name: The route's name.
       host: The host that requests name, in lower case.
       prefix: The beginning of their path; ends with a slash.
-      repeat: How often a request may run.
+      repeat_policy: How often a request may run.
       targets: The services that serve it.
       timeout_s: The longest time an answer may take, in seconds.
       objective_s: Within this an answer (a stream: its first event) is on
         time, in seconds.
-      rank: The urgency; 0 goes first.
+      priority: The urgency; 0 goes first.
       max_attempts: The most backend servers that one request is sent to.
       anonymous: Whether it is served without an API key.
       resumable: Whether a broken stream may go on at another server.
@@ -56,11 +56,11 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat_policy: RepeatPolicy
     targets: tuple[Target, ...]
     timeout_s: float
     objective_s: float
-    rank: int
+    priority: int
     max_attempts: int
     anonymous: bool = False
     resumable: bool = False
@@ -69,9 +69,9 @@
     @property
     def idempotent(self) -> bool:
         """Whether a request may run again after it may have run."""
-        if self.repeat is Repeat.STREAM:
+        if self.repeat_policy is RepeatPolicy.STREAM:
             return self.resumable
-        return self.repeat is Repeat.SAFE
+        return self.repeat_policy is RepeatPolicy.SAFE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -88,9 +88,9 @@
       layers: Layers of a model.
       chunks: Pieces that a version's weights come in.
       chunk_bytes: The size of a piece.
-      usual_prompt: Tokens in a usual prompt.
-      usual_answer: Tokens in a usual answer.
-      warm_s: How long all layers take to load, in seconds.
+      typical_prompt_tokens: Tokens in a usual prompt.
+      typical_answer_tokens: Tokens in a usual answer.
+      load_s: How long all layers take to load, in seconds.
     """
 
     models: tuple[str, ...]
@@ -102,9 +102,9 @@
     layers: int
     chunks: int
     chunk_bytes: int
-    usual_prompt: float = 0.0
-    usual_answer: float = 0.0
-    warm_s: float = 0.0
+    typical_prompt_tokens: float = 0.0
+    typical_answer_tokens: float = 0.0
+    load_s: float = 0.0
 
     @property
     def pass_s(self) -> float:
@@ -168,11 +168,11 @@
 
     Attributes:
       name: The customer's name.
-      rank: The urgency of its requests; None leaves it to the route.
+      priority: The urgency of its requests; None leaves it to the route.
     """
 
     name: str
-    rank: int | None = None
+    priority: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -185,8 +185,8 @@
       services: Every service by name.
       customers: Every customer by API key.
       limits: What bounds callers.
-      keyed: Whether callers need a key: there are customers, if none of them
-        has a key any more.
+      requires_key: Whether callers need a key: there are customers, even if
+        none of them has a key any more.
     """
 
     version: int
@@ -194,11 +194,11 @@
     services: Mapping[str, Service]
     customers: Mapping[str, Customer]
     limits: Limits = Limits()
-    keyed: bool = False
+    requires_key: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Declared:
+class DeclaredVersion:
     """The version of a model's weights that operators want served.
 
     Attributes:
@@ -211,7 +211,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class HeldWeights:
     """The weights that a server has loaded.
 
     Attributes:
@@ -226,34 +226,42 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Start:
+class ServerStart:
     """One start of a server: what is learned of it speaks of no other.
 
     Attributes:
       server_id: The server's id; it may come again.
-      born: When it started, in Unix milliseconds; 0 where nobody says so, and
-        then the id alone names the start.
+      started_ms: When it started, in Unix milliseconds; 0 where that is not
+        known, and then the id alone names the start.
     """
 
     server_id: str
-    born: int = 0
+    started_ms: int = 0
 
     @property
     def text(self) -> str:
         """One word, or two with the birth; ids have no space in them."""
-        return f"{self.server_id} {self.born}" if self.born else self.server_id
+        return (
+            f"{self.server_id} {self.started_ms}"
+            if self.started_ms
+            else self.server_id
+        )
 
     @classmethod
-    def read(cls, text: str) -> "Start":
+    def parse(cls, text: str) -> "ServerStart":
         """Returns the start that a text names."""
-        server_id, _, born = text.partition(" ")
-        return cls(server_id, int(born) if born.isdecimal() else 0)
+        server_id, _, started_ms = text.partition(" ")
+        return cls(server_id, int(started_ms) if started_ms.isdecimal() else 0)
 
-    def same(self, other: "Start") -> bool:
+    def matches(self, other: "ServerStart") -> bool:
         """Returns whether two names may be of one start."""
         if self.server_id != other.server_id:
             return False
-        return not self.born or not other.born or self.born == other.born
+        return (
+            not self.started_ms
+            or not other.started_ms
+            or self.started_ms == other.started_ms
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -268,7 +276,8 @@
       slots: Requests that it runs at once.
       leaving: Whether it takes no new requests.
       held: The weights it has loaded; empty for a plain service.
-      born: When it started, in Unix milliseconds; 0 where that is not said.
+      started_ms: When it started, in Unix milliseconds; 0 where that is not
+        known.
       sequence: Grows with each record of one start; says nothing more.
     """
 
@@ -278,14 +287,14 @@
     failure_domain: str
     slots: int
     leaving: bool = False
-    held: tuple[Held, ...] = ()
-    born: int = 0
+    held: tuple[HeldWeights, ...] = ()
+    started_ms: int = 0
     sequence: int = dataclasses.field(default=0, compare=False)
 
     @property
-    def start(self) -> Start:
+    def start(self) -> ServerStart:
         """Which start of the server it is."""
-        return Start(self.server_id, self.born)
+        return ServerStart(self.server_id, self.started_ms)
 
     def version(self, layers: int) -> int:
         """Returns the newest version of which it has all layers; 0 for none.
@@ -324,7 +333,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RequestFacts:
+class RequestMetadata:
     """What a caller's head says beyond method, path and body.
 
     Attributes:
@@ -335,7 +344,8 @@
       prompt_tokens: Tokens to read.
       output_tokens: The most tokens to produce.
       session: The last shared part of the prompt; empty when there is none.
-      last_event: The last event that the caller has; None for a new stream.
+      last_event_id: The last event that the caller has; None for a new
+        stream.
     """
 
     attempt_id: str = ""
@@ -345,11 +355,11 @@
     prompt_tokens: int = 0
     output_tokens: int = 0
     session: str = ""
-    last_event: str | None = None
+    last_event_id: str | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class AnswerMetadata:
     """What a server's head says beyond status and body.
 
     Attributes:
@@ -358,7 +368,8 @@
       not_run: Whether the server says that it did not run the request.
       load: What it says of its load; None when it says nothing.
       version: The version of the weights that answer; None when unsaid.
-      keep_s: How long it keeps the connection when idle; None when unsaid.
+      keep_alive_s: How long it keeps the connection when idle; None when
+        unsaid.
       server_id: Which start of a server answers; empty when it does not say.
       limit_per_s: The requests a second that the server takes from all entries
         together; None when it reports no limit.
@@ -374,7 +385,7 @@
     not_run: bool
     load: Load | None = None
     version: int | None = None
-    keep_s: float | None = None
+    keep_alive_s: float | None = None
     server_id: str = ""
     limit_per_s: float | None = None
     leaving: bool = False
@@ -383,7 +394,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sending:
+class ForwardMetadata:
     """What the entry adds to a request that it sends on.
 
     Attributes:
@@ -391,13 +402,13 @@
       timeout_s: The time that is left, in seconds.
       customer: Whose request it is; empty when it came without a key.
       version: The version that the weights must have, exactly; None for any.
-      urgency: 0 to 9 where 0 goes first; None leaves it to the server.
-      last_event: Where a stream goes on; None as the caller asked.
+      priority: 0 to 9 where 0 goes first; None leaves it to the server.
+      last_event_id: Where a stream goes on; None as the caller asked.
     """
 
     server_id: str
     timeout_s: float
     customer: str = ""
     version: int | None = None
-    urgency: int | None = None
-    last_event: str | None = None
+    priority: int | None = None
+    last_event_id: str | None = None
--- a/src/clementinegw/direct/versions.py
+++ b/src/clementinegw/direct/versions.py
@@ -58,7 +58,7 @@
         return self._clock()
 
     def declare(
-        self, declared: types.Declared, unread_s: float = 0.0
+        self, declared: types.DeclaredVersion, unread_s: float = 0.0
     ) -> declarations.Change | None:
         """Takes a declaration in; returns what is new; None for nothing.
 
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -215,7 +215,7 @@
             places.Address(f"10.0.{number // 250}.{number % 250}", 1_000),
             self.place(number).failure_domain,
             self.figures.slots,
-            held=(types.Held("m", 1, 1),),
+            held=(types.HeldWeights("m", 1, 1),),
         )
 
     async def play(self, seconds, strength: Callable[[float], float]):
@@ -288,7 +288,7 @@
     async def _ask(self, caller, entry, left_s):
         """Returns when to come back; None when that is no question."""
         now = self._clock()
-        facts = types.RequestFacts(
+        facts = types.RequestMetadata(
             timeout_s=left_s, prompt_tokens=caller.prompt
         )
         route = _route(caller.kind)
@@ -329,7 +329,7 @@
                 backend.unread_tokens -= caller.prompt
                 job.first_answer_at = self._clock()
                 entry.placing.began(job)
-                facts = types.AnswerFacts(
+                facts = types.AnswerMetadata(
                     "a", True, False, limit_per_s=self.limits.get(number)
                 )
                 backend.signals.take(facts, sent_at, self._clock())
@@ -437,11 +437,11 @@
         name=kind.name,
         host="h",
         prefix=f"/{kind.name}/",
-        repeat=types.Repeat.STREAM,
+        repeat_policy=types.RepeatPolicy.STREAM,
         targets=(types.Target(SERVICE, 1.0),),
         timeout_s=DEADLINE_S,
         objective_s=kind.objective_s,
-        rank=1,
+        priority=1,
         max_attempts=2,
         resumable=True,
         max_gap_s=LARGEST_GAP_S,
@@ -459,8 +459,8 @@
         1,
         96,
         24_576,
-        usual_prompt=980.0,
-        usual_answer=95.0,
+        typical_prompt_tokens=980.0,
+        typical_answer_tokens=95.0,
     )
     service = types.Service(SERVICE, 274, engine)
     return types.Configuration(
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -50,7 +50,7 @@
     ),
     "retry_of_all": (
         "src/clementinegw/direct/types.py",
-        "return self.repeat is Repeat.SAFE",
+        "return self.repeat_policy is RepeatPolicy.SAFE",
         "return True",
     ),
     "budget": (
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -95,7 +95,7 @@
         found = [self.staged_pieces.get(n) for n in range(PIECES)]
         self.whole.append(expected == found)
         self.busy_until = asyncio.get_running_loop().time() + 0.3
-        self.held = (types.Held(model, version, 4),)
+        self.held = (types.HeldWeights(model, version, 4),)
         if self.lose_answer:
             self.lose_answer = False
             raise exceptions.BackendLost("the answer was lost")
@@ -191,7 +191,7 @@
         return self.origin
 
     def declare(self, version):
-        record = follow.Record("v", types.Declared(MODEL, version))
+        record = follow.Record("v", types.DeclaredVersion(MODEL, version))
         self.topics[0].records.append(record)
 
     async def __aenter__(self):
@@ -673,6 +673,6 @@
             assert len(beside.loads) == loads + 1
             assert all(beside.whole)
             told = site.agents[0]._around.start
-            assert told == types.Start("i-0", 7)
+            assert told == types.ServerStart("i-0", 7)
 
     run(play())
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -25,11 +25,11 @@
 def route(prefix, name="r", **fields):
     values = {
         "host": "h",
-        "repeat": types.Repeat.SAFE,
+        "repeat_policy": types.RepeatPolicy.SAFE,
         "targets": (types.Target("plain", 1.0),),
         "timeout_s": 6.0,
         "objective_s": 0.4,
-        "rank": 0,
+        "priority": 0,
         "max_attempts": 2,
     }
     return types.Route(name=name, prefix=prefix, **{**values, **fields})
@@ -264,7 +264,7 @@
 def test_a_version_is_demanded_shortly_before_it_is_due():
     now = [100.0]
     known = versions.Versions(8.0, lambda: now[0])
-    assert known.declare(types.Declared("m", 2))
+    assert known.declare(types.DeclaredVersion("m", 2))
     assert known.preferred("m", 107.3) == 0
     assert known.preferred("m", 107.6) == 2
     assert known.demanded("m", 107.6) is None
@@ -278,7 +278,7 @@
     version, waits there for 1.1 s and begins. Cause: nobody took it back.
     """
     known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2))
+    known.declare(types.DeclaredVersion("m", 2))
     assert 8.0 - 0.2 < known.take_back_at("m", held=1) < 8.0 - 0.1
     assert known.take_back_at("m", held=2) == math.inf
     assert known.take_back_at("other", held=1) == math.inf
@@ -291,7 +291,7 @@
     version a second after the others. Cause: the time counted from there.
     """
     known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2), unread_s=1.0)
+    known.declare(types.DeclaredVersion("m", 2), unread_s=1.0)
     assert known.demanded("m", 8.0 - 1.2) == 2
 
 
@@ -302,7 +302,7 @@
     every process reads of it afterwards, and holds it to be overdue.
     """
     known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2), unread_s=8.0)
+    known.declare(types.DeclaredVersion("m", 2), unread_s=8.0)
     assert known.demanded("m", 6.0) is None
 
 
@@ -314,7 +314,7 @@
     a new request, and its attempts were used up.
     """
     known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2))
+    known.declare(types.DeclaredVersion("m", 2))
     assert known.lasting("m", 5.0) == 0
     assert known.lasting("m", 6.6) == 2
     assert known.demanded("m", 6.6) is None
@@ -322,9 +322,9 @@
 
 def test_a_repeated_or_older_declaration_changes_nothing():
     known = versions.Versions(8.0, lambda: 0.0)
-    assert known.declare(types.Declared("m", 3))
-    assert not known.declare(types.Declared("m", 3))
-    assert not known.declare(types.Declared("m", 2))
+    assert known.declare(types.DeclaredVersion("m", 3))
+    assert not known.declare(types.DeclaredVersion("m", 3))
+    assert not known.declare(types.DeclaredVersion("m", 2))
     assert known.declared("m") == 3
 
 
@@ -337,9 +337,9 @@
     """
     now = [0.0]
     known = versions.Versions(8.0, lambda: now[0])
-    known.declare(types.Declared("m", 2))
+    known.declare(types.DeclaredVersion("m", 2))
     now[0] = 4.0
-    known.declare(types.Declared("m", 3))
+    known.declare(types.DeclaredVersion("m", 3))
     assert known.expected("m", held=3, now=8.0) == 3
     assert known.expected("m", held=2, now=8.0) == 2
     assert known.expected("m", held=1, now=8.0) == 2
@@ -408,17 +408,17 @@
 def test_records_of_one_start_are_ordered_and_leaving_is_for_good():
     backends = new_fleet()
     listed = (
-        (server("a", born=5, sequence=3), False),
-        (server("a", born=5, sequence=7, leaving=True), True),
-        (server("a", born=5, sequence=6), True),
-        (server("a", born=5, sequence=8), True),
-        (server("a", born=4, sequence=90), True),
-        (server("a", born=6, sequence=1), False),
+        (server("a", started_ms=5, sequence=3), False),
+        (server("a", started_ms=5, sequence=7, leaving=True), True),
+        (server("a", started_ms=5, sequence=6), True),
+        (server("a", started_ms=5, sequence=8), True),
+        (server("a", started_ms=4, sequence=90), True),
+        (server("a", started_ms=6, sequence=1), False),
     )
     for record, leaving in listed:
         backends.apply(batch(("a", record)), False, 60.0)
         assert backends.find("a").server.leaving == leaving
-    assert backends.find("a").server.born == 6
+    assert backends.find("a").server.started_ms == 6
 
 
 def report(**fields):
@@ -493,7 +493,7 @@
 
 def test_a_server_without_layers_serves_nothing_whatever_the_list_says():
     backends = new_fleet()
-    held = (types.Held("m", 1, 16),)
+    held = (types.HeldWeights("m", 1, 16),)
     backends.apply(batch(("a", server("a", held=held))), True, 60.0)
     backend = backends.find("a")
     assert backend.serves(1, 16)
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -114,7 +114,7 @@
 def test_a_version_that_nobody_can_date_is_due_when_the_process_is_bound():
     now = [100.0]
     known = versions.Versions(8.0, lambda: now[0], settled_s=3.0)
-    known.declare(types.Declared("m", 2), unread_s=FIRST)
+    known.declare(types.DeclaredVersion("m", 2), unread_s=FIRST)
     assert known.demanded("m", 101.5) is None
     assert known.demanded("m", 103.0 - 0.5) == 2
 
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -259,7 +259,7 @@
         )
         asking.ask_all()
         left_out = next(b for b in entry.fleet.all() if not b.followed)
-        known.declare(direct_types.Declared("m", 2))
+        known.declare(direct_types.DeclaredVersion("m", 2))
         await asyncio.sleep(8.0)
         asking.look()
         before = left_out.followed
--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -17,10 +17,10 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
 
-START = types.Start("s1", 7)
-NEXT_START = types.Start("s1", 8)
-NONE = types.AnswerFacts("a", True, False)
-LIMITED = types.AnswerFacts("a", True, False, limit_per_s=2.0)
+START = types.ServerStart("s1", 7)
+NEXT_START = types.ServerStart("s1", 8)
+NONE = types.AnswerMetadata("a", True, False)
+LIMITED = types.AnswerMetadata("a", True, False, limit_per_s=2.0)
 
 
 class Wire:
@@ -46,7 +46,7 @@
     def tell(self, start=START):
         """Returns the limit that each entry is told with a report."""
         report = reports.Report(
-            start.server_id, 1, 0, 8, "m", 1, True, born=start.born
+            start.server_id, 1, 0, 8, "m", 1, True, born=start.started_ms
         )
         self.reporter.tell(report)
         return {name: told[-1].limit for name, told in self.told.items()}
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -138,14 +138,14 @@
         backends, places.Place("r", "d1"), {}, random.Random(1), lambda: now[0]
     )
     assert chooser.choose(WANTED) is backends.find("well")
-    found = chooser.choose(WANTED, {types.Start("well")})
+    found = chooser.choose(WANTED, {types.ServerStart("well")})
     assert found is backends.find("resting")
     chooser.sent(found)
-    assert chooser.choose(WANTED, {types.Start("well")}) is None
+    assert chooser.choose(WANTED, {types.ServerStart("well")}) is None
     now[0] = 10.3
-    assert chooser.choose(WANTED, {types.Start("well")}) is found
+    assert chooser.choose(WANTED, {types.ServerStart("well")}) is found
     waited_for = dataclasses.replace(WANTED, resting=False)
-    assert chooser.choose(waited_for, {types.Start("well")}) is None
+    assert chooser.choose(waited_for, {types.ServerStart("well")}) is None
     assert chooser.rested_in_s(WANTED) == 0.0
     backends.find("well").rest_until = 10.5
     assert chooser.rested_in_s(WANTED) == pytest.approx(0.2)
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -27,7 +27,7 @@
 from clementinegw.wire.gen.reports import ttypes
 
 HOST = "127.0.0.1"
-HELD = (types.Held("m", 2, 4),)
+HELD = (types.HeldWeights("m", 2, 4),)
 
 
 def server(born, **fields):
@@ -38,7 +38,7 @@
         "slots": 16,
         "sequence": 1,
     }
-    return types.Server(server_id="a", born=born, **{**values, **fields})
+    return types.Server(server_id="a", started_ms=born, **{**values, **fields})
 
 
 def listed(backends, *servers):
@@ -71,7 +71,7 @@
         follower_rank=1,
     )
     backend.take_report(told, 10.0)
-    facts = types.AnswerFacts(
+    facts = types.AnswerMetadata(
         "a", True, False, limit_per_s=2.0, leaving=True, backoff_s=9.0
     )
     backend.signals.take(facts, 9.0, 10.0)
@@ -218,7 +218,7 @@
     known = suspects.Suspects()
     for born in (1, 2):
         assert not known.refused(Request, "c", 1.0)
-        known.crashed(Request, "c", types.Start("a", born).text, 1.0)
+        known.crashed(Request, "c", types.ServerStart("a", born).text, 1.0)
     assert known.refused(Request, "c", 1.0)
 
 
@@ -286,20 +286,23 @@
 
 
 def named(server_id, born):
-    return types.Server(server_id, "engine", ADDRESS, "d1", 16, born=born)
+    return types.Server(server_id, "engine", ADDRESS, "d1", 16, started_ms=born)
 
 
 @pytest.mark.parametrize(
     ("found", "start"),
     [
-        (around(), types.Start("")),
-        (around(born=4), types.Start("", 0)),
-        (around(named("a", 0)), types.Start("a")),
-        (around(named("a", 0), named("b", 0)), types.Start("b")),
-        (around(named("a", 4), named("b", 3)), types.Start("a", 4)),
-        (around(named("a", 3), named("b", 4), born=3), types.Start("a", 3)),
-        (around(named("a", 3), born=4), types.Start("a", 4)),
-        (around(named("a", 0), born=4), types.Start("a", 4)),
+        (around(), types.ServerStart("")),
+        (around(born=4), types.ServerStart("", 0)),
+        (around(named("a", 0)), types.ServerStart("a")),
+        (around(named("a", 0), named("b", 0)), types.ServerStart("b")),
+        (around(named("a", 4), named("b", 3)), types.ServerStart("a", 4)),
+        (
+            around(named("a", 3), named("b", 4), born=3),
+            types.ServerStart("a", 3),
+        ),
+        (around(named("a", 3), born=4), types.ServerStart("a", 4)),
+        (around(named("a", 0), born=4), types.ServerStart("a", 4)),
     ],
 )
 def test_an_agent_names_the_present_start_of_its_server(found, start):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -93,7 +93,7 @@
             (b"Last-Event-Id", b"12"),
         ]
     )
-    assert found == types.RequestFacts(
+    assert found == types.RequestMetadata(
         "abc", 1.5, "secret", "", 1460, 80, "e4", "12"
     )
 
@@ -126,7 +126,7 @@
         (b"TE", b"trailers"),
         (b"X-Kept", b"2"),
     ]
-    sent = headers.Headers().sent_on(raw, types.Sending("i-1", 1.0))
+    sent = headers.Headers().sent_on(raw, types.ForwardMetadata("i-1", 1.0))
     names = {name.lower() for name, _ in sent}
     assert b"x-kept" in names
     assert not names & {b"connection", b"x-private", b"te"}
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -88,7 +88,11 @@
 
 def test_an_entry_may_say_more_than_we_know():
     found = records.server_record("i-1", changed(born=178, odd={"x": [1]}))
-    assert (found.service, found.born, found.sequence) == ("plain", 178, 1)
+    assert (found.service, found.started_ms, found.sequence) == (
+        "plain",
+        178,
+        1,
+    )
 
 
 class Log(logs.Log):
