--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -9,7 +9,7 @@
 
 from clementinegw import clock as clocks
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import backing
 from clementinegw.direct import bring
@@ -47,10 +47,12 @@
 class Platform(raw.Platform, Protocol):
     """What the daemon needs of the platform."""
 
-    def beside(self, address: places.Address, model: str) -> backing.Beside:
+    def beside(
+        self, address: shared_types.Address, model: str
+    ) -> backing.Beside:
         """Returns the server beside the agent."""
 
-    def origin(self, address: places.Address) -> backing.Origin:
+    def origin(self, address: shared_types.Address) -> backing.Origin:
         """Returns the origin of weights."""
 
 
@@ -69,16 +71,16 @@
     ):
         """Prepares the daemon; see `entry.Entry`."""
         super().__init__()
-        assert instance.backend is not None
+        assert instance.backend_address is not None
         self._instance = instance
         self._platform = platform
         self._log = log
         self._counters = counters
-        self._backend = instance.backend
+        self._backend = instance.backend_address
         self._clock = asyncio.get_running_loop().time
         self._relay = relay.Relay(
             instance,
-            places.Role.AGENT,
+            shared_types.Role.AGENT,
             platform,
             _PACES,
             log,
@@ -115,7 +117,7 @@
             self._on_declared, self._ages, self._on_suspicions
         )
         self.histograms = histograms.Histograms()
-        self._origin_address: places.Address | None = None
+        self._origin_address: shared_types.Address | None = None
         self._around = keep.Around(instance)
         self._weights = keep.Weights(
             self._around,
@@ -258,7 +260,7 @@
         others = {
             server.address.host: self._agent_at(
                 server.address.host,
-                places.Place(
+                shared_types.Place(
                     self._instance.regions.get(server.failure_domain, ""),
                     server.failure_domain,
                 ),
@@ -289,12 +291,14 @@
         if self._around.origin is not None and self._listing.known:
             self._known.set()
 
-    def _agent_at(self, host: str, place: places.Place) -> places.Instance:
-        return places.Instance(
+    def _agent_at(
+        self, host: str, place: shared_types.Place
+    ) -> shared_types.Instance:
+        return shared_types.Instance(
             f"agent-{host}",
-            places.Role.AGENT,
+            shared_types.Role.AGENT,
             place,
-            places.Address(host, self._instance.peer_ports[0]),
+            shared_types.Address(host, self._instance.peer_ports[0]),
         )
 
     # The server beside.
--- a/src/clementinegw/direct/balance.py
+++ b/src/clementinegw/direct/balance.py
@@ -4,7 +4,7 @@
 import dataclasses
 import random
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import backend as backend_lib
 from clementinegw.direct import fleet
 from clementinegw.direct import rests
@@ -57,7 +57,7 @@
     def __init__(
         self,
         servers: fleet.Fleet,
-        place: places.Place,
+        place: shared_types.Place,
         regions: dict[str, str],
         rng: random.Random,
         clock: Callable[[], float],
@@ -249,7 +249,9 @@
         return found
 
 
-def region_of(regions: dict[str, str], place: places.Place, domain: str) -> int:
+def region_of(
+    regions: dict[str, str], place: shared_types.Place, domain: str
+) -> int:
     """Returns 0 for the same failure domain, 1 the same region, 2 another."""
     if domain == place.failure_domain:
         return 0
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -8,7 +8,7 @@
 
 import mode
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import admit
 from clementinegw.direct import balance
@@ -89,18 +89,18 @@
           wall_clock: The time of day, in seconds.
         """
         super().__init__()
-        assert instance.callers is not None
+        assert instance.callers_address is not None
         rng = rng or random.Random()
         clock = asyncio.get_running_loop().time
         self._instance = instance
-        self._callers = instance.callers
+        self._callers = instance.callers_address
         self._log = log
         self._counters = counters
         self._clock = clock
         bounds = instance.bounds
         self._relay = relay.Relay(
             instance,
-            places.Role.ENTRY,
+            shared_types.Role.ENTRY,
             platform,
             _PACES,
             log,
@@ -186,8 +186,8 @@
     async def on_start(self) -> None:
         """Listens at once: a caller hears "not yet" rather than nothing."""
         await self._server.listen(self._callers)
-        if self._instance.ready is not None:
-            await self._health.listen(self._instance.ready)
+        if self._instance.ready_address is not None:
+            await self._health.listen(self._instance.ready_address)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self._reports,
--- a/src/clementinegw/direct/instance.py
+++ b/src/clementinegw/direct/instance.py
@@ -66,10 +66,10 @@
       regions: The region of each failure domain.
       host: Its IP address.
       peer_ports: The first and the last port for its peers.
-      store: The platform's store.
-      callers: Where an entry takes requests; None for an agent.
-      ready: Where an entry says whether it takes callers.
-      backend: The backend server beside an agent; None for an entry.
+      store_address: The platform's store.
+      callers_address: Where an entry takes requests; None for an agent.
+      ready_address: Where an entry says whether it takes callers.
+      backend_address: The backend server beside an agent; None for an entry.
       service: That server's service.
       link_bytes_per_s: The machine's link.
       bounds: What the operators of the platform hold the system to.
@@ -80,10 +80,10 @@
     regions: dict[str, str]
     host: str
     peer_ports: tuple[int, int]
-    store: types.Address
-    callers: types.Address | None
-    ready: types.Address | None
-    backend: types.Address | None
+    store_address: types.Address
+    callers_address: types.Address | None
+    ready_address: types.Address | None
+    backend_address: types.Address | None
     service: str
     link_bytes_per_s: float
     bounds: Bounds
@@ -97,12 +97,12 @@
     """
     try:
         file = msgspec.json.decode(path.read_bytes(), type=_File)
-        return _checked(file)
+        return _build_instance(file)
     except (OSError, ValueError) as error:
         raise exceptions.SettingsError(f"{path}: {error}") from error
 
 
-def _checked(file: _File) -> Instance:
+def _build_instance(file: _File) -> Instance:
     if len(file.peer_ports) != 2:
         raise ValueError("peer_ports: expected the first and the last port")
     return Instance(
@@ -111,17 +111,17 @@
         regions=file.regions,
         host=file.host,
         peer_ports=(file.peer_ports[0], file.peer_ports[1]),
-        store=address(file.store_address),
-        callers=_optional(file.callers_address),
-        ready=_optional(file.ready_address),
-        backend=_optional(file.backend_address),
+        store_address=parse_address(file.store_address),
+        callers_address=_parse_optional_address(file.callers_address),
+        ready_address=_parse_optional_address(file.ready_address),
+        backend_address=_parse_optional_address(file.backend_address),
         service=file.service or "",
         link_bytes_per_s=file.link_mbps * 125_000.0,
         bounds=file.bounds or Bounds(),
     )
 
 
-def address(text: str) -> types.Address:
+def parse_address(text: str) -> types.Address:
     """Returns an address from IP:PORT.
 
     Raises:
@@ -133,5 +133,5 @@
     return types.Address(host, int(port))
 
 
-def _optional(text: str | None) -> types.Address | None:
-    return address(text) if text else None
+def _parse_optional_address(text: str | None) -> types.Address | None:
+    return parse_address(text) if text else None
--- a/src/clementinegw/direct/keep.py
+++ b/src/clementinegw/direct/keep.py
@@ -85,7 +85,7 @@
         here = [
             server
             for server in self.servers.values()
-            if server.address == self.instance.backend
+            if server.address == self.instance.backend_address
         ]
         born = self.state.born if self.state is not None else 0
         # Of those that are born at the same time, or say nothing of it, the
--- a/src/clementinegw/direct/relay.py
+++ b/src/clementinegw/direct/relay.py
@@ -318,7 +318,7 @@
 
 def _news(wire: ttypes.TopicNews) -> questions.News:
     try:
-        readers = tuple(instances.address(text) for text in wire.readers)
+        readers = tuple(instances.parse_address(text) for text in wire.readers)
     except ValueError as error:
         raise exceptions.DecodeError(f"TopicNews: {error}") from error
     return questions.News(
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import admit
 from clementinegw.direct import backend as backend_lib
@@ -60,7 +60,7 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._asked: dict[places.Address, reports.Asking] = {}
+        self._asked: dict[shared_types.Address, reports.Asking] = {}
         self._followed: set[str] = set()
         self._standing: dict[str, bool] = {}
         self._relayed_limits: dict[str, rate_limit.Observation] = {}
@@ -163,12 +163,14 @@
                 )
         return found
 
-    def _agents(self) -> dict[places.Address, reports.Asking]:
+    def _agents(self) -> dict[shared_types.Address, reports.Asking]:
         """Returns where agents listen, and what each is asked for."""
         port = self._instance.peer_ports[0]
         self._relayed_limits = limits = self._limits()
         return {
-            places.Address(backend.server.address.host, port): reports.Asking(
+            shared_types.Address(
+                backend.server.address.host, port
+            ): reports.Asking(
                 self._is_far(backend.server),
                 not backend.followed,
                 limits.get(backend.server.server_id),
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -14,7 +14,7 @@
 import statistics
 import types as builtin_types
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import admit
 from clementinegw.direct import attempt as attempts
 from clementinegw.direct import balance
@@ -206,13 +206,13 @@
     def place(self, number):
         """Returns where the entry or engine of a number stands."""
         domain = number % self._domains
-        return places.Place(f"r{domain}", f"d{domain}")
+        return shared_types.Place(f"r{domain}", f"d{domain}")
 
     def server(self, number):
         return types.Server(
             f"s{number}",
             SERVICE,
-            places.Address(f"10.0.{number // 250}.{number % 250}", 1_000),
+            shared_types.Address(f"10.0.{number // 250}.{number % 250}", 1_000),
             self.place(number).failure_domain,
             self.figures.slots,
             held=(types.HeldWeights("m", 1, 1),),
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -9,7 +9,7 @@
 from adapter import roles
 import h11
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import client
 from clementinegw.direct import entry as entries
 from clementinegw.direct import instance as instances
@@ -196,9 +196,9 @@
 
 async def listen(server):
     """Listens on a free port of the loopback."""
-    await server.listen(places.Address("127.0.0.1", 0))
+    await server.listen(shared_types.Address("127.0.0.1", 0))
     host, port = server._server.sockets[0].getsockname()
-    return places.Address(host, port)
+    return shared_types.Address(host, port)
 
 
 def slow_connections(monkeypatch, by_s):
@@ -394,14 +394,14 @@
     async def start_entry(self):
         instance = instances.Instance(
             name="entry-1",
-            place=places.Place("r1", "d1"),
+            place=shared_types.Place("r1", "d1"),
             regions={"d1": "r1"},
             host="127.0.0.1",
             peer_ports=(0, 0),
-            store=self.store.address,
-            callers=places.Address("127.0.0.1", 0),
-            ready=places.Address("127.0.0.1", 0),
-            backend=None,
+            store_address=self.store.address,
+            callers_address=shared_types.Address("127.0.0.1", 0),
+            ready_address=shared_types.Address("127.0.0.1", 0),
+            backend_address=None,
             service="",
             link_bytes_per_s=1e6,
             bounds=instances.Bounds(),
--- a/tests/shared_domain.py
+++ b/tests/shared_domain.py
@@ -4,7 +4,7 @@
 import math
 
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import choice as choices
 from clementinegw.direct import follow
 from clementinegw.direct import questions
@@ -19,7 +19,7 @@
 
 
 def address(number):
-    return places.Address("10.0.0.1", 7_000 + number)
+    return shared_types.Address("10.0.0.1", 7_000 + number)
 
 
 class Store:
--- a/tests/soak/weights.py
+++ b/tests/soak/weights.py
@@ -11,7 +11,7 @@
 import process as processes
 import proxy as proxies
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import server as servers
 
 MODEL = "m"
@@ -64,7 +64,7 @@
             self._rotted_at[number] = asyncio.get_running_loop().time()
 
     async def start(self, host, port):
-        await self._server.listen(places.Address(host, port))
+        await self._server.listen(shared_types.Address(host, port))
 
     async def stop(self):
         await self._server.stop()
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -9,7 +9,7 @@
 import pytest
 
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import agent as agents
 from clementinegw.direct import backing
 from clementinegw.direct import declarations
@@ -198,7 +198,7 @@
         engine = types.Engine(
             (MODEL,), 16, 0.01, 0.0, 1e4, 6, 4, PIECES, PIECE_BYTES
         )
-        origin = types.Origin(places.Address("127.0.0.1", 1), 8, 1e6)
+        origin = types.Origin(shared_types.Address("127.0.0.1", 1), 8, 1e6)
         services = {
             "engine": types.Service("engine", 64, engine),
             "origin": types.Service("origin", 8, None, origin),
@@ -210,7 +210,7 @@
             server = types.Server(
                 f"i-{number}",
                 "engine",
-                places.Address(host, 1),
+                shared_types.Address(host, 1),
                 f"d{number}",
                 16,
             )
@@ -258,14 +258,14 @@
     """Returns the instance of an agent, one of as many as there are domains."""
     return instances.Instance(
         name=f"agent-{number}",
-        place=places.Place(f"r{number}", f"d{number}"),
+        place=shared_types.Place(f"r{number}", f"d{number}"),
         regions={f"d{n}": f"r{n}" for n in range(domains)},
         host=host,
         peer_ports=(PORT, PORT + 1),
-        store=places.Address("127.0.0.1", 1),
-        callers=None,
-        ready=None,
-        backend=places.Address(host, 1),
+        store_address=shared_types.Address("127.0.0.1", 1),
+        callers_address=None,
+        ready_address=None,
+        backend_address=shared_types.Address(host, 1),
         service="engine",
         link_bytes_per_s=link_bytes_per_s,
         bounds=instances.Bounds(),
--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import admit
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
@@ -44,7 +44,7 @@
             types.Server(
                 server_id=f"s{number}",
                 service="engine",
-                address=places.Address("127.0.0.1", 9),
+                address=shared_types.Address("127.0.0.1", 9),
                 failure_domain="d1",
                 slots=16,
             ),
@@ -81,7 +81,7 @@
     async def play():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
-        place = places.Place("r", "d1")
+        place = shared_types.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         line = queue.Queue("engine", chooser, TERMS, loop.time)
         tell(backends, 16, loop.time())
@@ -145,7 +145,7 @@
     async def play():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
-        place = places.Place("r", "d1")
+        place = shared_types.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         finder = placing.Placing(
             admit.Knowledge(None, lambda: 0.0, 1.0, 1.0),
@@ -177,7 +177,7 @@
     async def play():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
-        place = places.Place("r", "d1")
+        place = shared_types.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         line = queue.Queue("engine", chooser, TERMS, loop.time)
         tell(backends, 16, loop.time())
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import budget
 from clementinegw.direct import catalog
 from clementinegw.direct import events
@@ -38,7 +38,7 @@
 def server(name, **fields):
     values = {
         "service": "engine",
-        "address": places.Address("127.0.0.1", 9),
+        "address": shared_types.Address("127.0.0.1", 9),
         "failure_domain": "d1",
         "slots": 16,
     }
--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import backend as backends
 from clementinegw.direct import rate_limit
 from clementinegw.direct import reports
@@ -66,7 +66,7 @@
 def subscribe(listener, limit=None):
     asking = reports.Asking(False, False, limit)
     listener.subscribe(
-        {places.Address("10.0.0.1", 1): asking}, reports.Declared({}, {})
+        {shared_types.Address("10.0.0.1", 1): asking}, reports.Declared({}, {})
     )
 
 
--- a/tests/test_direct_readers.py
+++ b/tests/test_direct_readers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import choice as choices
 from clementinegw.direct import follow
 from clementinegw.direct import newest as newest_lib
@@ -10,7 +10,7 @@
 
 
 def address(number):
-    return places.Address("10.0.0.1", 7_000 + number)
+    return shared_types.Address("10.0.0.1", 7_000 + number)
 
 
 def batch(offset, *pairs):
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
 from clementinegw.direct import follow
@@ -27,7 +27,7 @@
             types.Server(
                 server_id=name,
                 service="engine",
-                address=places.Address("127.0.0.1", 9),
+                address=shared_types.Address("127.0.0.1", 9),
                 failure_domain="d1",
                 slots=16,
             ),
@@ -45,7 +45,7 @@
 
 
 def chosen(backends, now):
-    place = places.Place("r", "d1")
+    place = shared_types.Place("r", "d1")
     chooser = balance.Balancer(
         backends, place, {}, random.Random(1), lambda: now
     )
@@ -135,7 +135,11 @@
     backends.find("resting").rest_until = 11.0
     now = [10.0]
     chooser = balance.Balancer(
-        backends, places.Place("r", "d1"), {}, random.Random(1), lambda: now[0]
+        backends,
+        shared_types.Place("r", "d1"),
+        {},
+        random.Random(1),
+        lambda: now[0],
     )
     assert chooser.choose(WANTED) is backends.find("well")
     found = chooser.choose(WANTED, {types.ServerStart("well")})
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import backing
 from clementinegw.direct import balance
 from clementinegw.direct import channel
@@ -33,7 +33,7 @@
 def server(born, **fields):
     values = {
         "service": "engine",
-        "address": places.Address(HOST, 9),
+        "address": shared_types.Address(HOST, 9),
         "failure_domain": "d1",
         "slots": 16,
         "sequence": 1,
@@ -109,7 +109,7 @@
     listed(backends, server(1)).take_report(report(ready_in_s=told), 10.0)
     balancer = balance.Balancer(
         backends,
-        places.Place("r1", "d1"),
+        shared_types.Place("r1", "d1"),
         {},
         random.Random(1),
         lambda: asked_at,
@@ -262,20 +262,20 @@
 # The agent.
 
 
-ADDRESS = places.Address(HOST, 9)
+ADDRESS = shared_types.Address(HOST, 9)
 
 
 def around(*servers, born=0):
     instance = instances.Instance(
         name="agent",
-        place=places.Place("r1", "d1"),
+        place=shared_types.Place("r1", "d1"),
         regions={"d1": "r1"},
         host=HOST,
         peer_ports=(0, 0),
-        store=ADDRESS,
-        callers=None,
-        ready=None,
-        backend=ADDRESS,
+        store_address=ADDRESS,
+        callers_address=None,
+        ready_address=None,
+        backend_address=ADDRESS,
         service="engine",
         link_bytes_per_s=1e6,
         bounds=instances.Bounds(),
--- a/tests/test_direct_suspicions.py
+++ b/tests/test_direct_suspicions.py
@@ -2,7 +2,7 @@
 
 import suspects_entry
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
 from clementinegw.direct import suspicions
@@ -10,7 +10,7 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
 
-ADDRESS = places.Address("127.0.0.1", 9)
+ADDRESS = shared_types.Address("127.0.0.1", 9)
 
 
 def subscribed(entry, number, far):
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -10,7 +10,7 @@
 import pytest
 
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import types
 from clementinegw.telemetry import counters as counters_lib
@@ -234,7 +234,7 @@
         server = platform_site.Server("a", lambda call: call.answer(body))
         await server.start()
         host, port = server.address.split(":")
-        beside = weights.Beside(places.Address(host, int(port)), "m")
+        beside = weights.Beside(shared_types.Address(host, int(port)), "m")
         with pytest.raises(exceptions.BackendError):
             await beside.state()
         await server.stop()
@@ -248,7 +248,7 @@
         server = platform_site.Server("a", lambda call: call.answer(body))
         await server.start()
         host, port = server.address.split(":")
-        beside = weights.Beside(places.Address(host, int(port)), "m")
+        beside = weights.Beside(shared_types.Address(host, int(port)), "m")
         state = await beside.state()
         await server.stop()
         return state.sequence, state.born
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -6,7 +6,7 @@
 import platform_site
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import client
 from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
@@ -37,14 +37,14 @@
     """Returns a process's way to a store."""
     instance = instances.Instance(
         name="entry-1",
-        place=places.Place("r1", "d1"),
+        place=shared_types.Place("r1", "d1"),
         regions={"d1": "r1"},
         host="127.0.0.1",
         peer_ports=(0, 0),
-        store=store.address,
-        callers=None,
-        ready=None,
-        backend=None,
+        store_address=store.address,
+        callers_address=None,
+        ready_address=None,
+        backend_address=None,
         service="",
         link_bytes_per_s=1e6,
         bounds=instances.Bounds(),
@@ -128,7 +128,7 @@
 
     server = await asyncio.start_server(answer, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
-    return server, places.Address(host, port)
+    return server, shared_types.Address(host, port)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -8,7 +8,7 @@
 import pytest
 
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import entry as entries
 from clementinegw.direct import instance as instances
 from clementinegw.direct import questions
@@ -21,7 +21,10 @@
 
 # One reading of the large configuration takes six tenths of a second of it.
 _LINK_BYTES_PER_S = 700_000
-ADDRESSES = (places.Address("10.0.0.1", 7_000), places.Address("10.0.0.2", 9))
+ADDRESSES = (
+    shared_types.Address("10.0.0.1", 7_000),
+    shared_types.Address("10.0.0.2", 9),
+)
 
 
 class Domain:
@@ -47,14 +50,14 @@
     def _entry(self, number):
         instance = instances.Instance(
             name=f"entry-{number}",
-            place=places.Place("r1", "d1"),
+            place=shared_types.Place("r1", "d1"),
             regions={"d1": "r1"},
             host="127.0.0.1",
             peer_ports=(0, 0),
-            store=self.store.address,
-            callers=places.Address("127.0.0.1", 0),
-            ready=places.Address("127.0.0.1", 0),
-            backend=None,
+            store_address=self.store.address,
+            callers_address=shared_types.Address("127.0.0.1", 0),
+            ready_address=shared_types.Address("127.0.0.1", 0),
+            backend_address=None,
             service="",
             link_bytes_per_s=1e6,
             bounds=instances.Bounds(),
