--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -43,18 +43,18 @@
 # The part of the time in which a key that was taken away must stop that its
 # last proof may be old, and the part after which the process takes no new
 # callers: others may have heard from the platform since.
-_KEYS_SHARE = 0.9
-_READY_SHARE = 0.55
+_MAX_KEY_PROOF_SHARE = 0.9
+_MAX_READY_SHARE = 0.55
 # Unknown routes are refused for good while the last answer is younger, in
 # seconds.
-_ROUTES_S = 1.9
-_HOUSEKEEPING_S = 0.2
+_ROUTES_FRESH_S = 1.9
+_MAINTENANCE_INTERVAL_S = 0.2
 # How often agents are asked for reports, in seconds.
-_SUBSCRIBE_S = 1.0
+_SUBSCRIBE_INTERVAL_S = 1.0
 # After SIGTERM the process still takes connections until the balancer has
 # asked twice, in seconds; and the rest before it must end.
-_TAKE_ON_S = 2.4
-_LEAVE_EARLY_S = 0.4
+_ACCEPT_WHILE_LEAVING_S = 2.4
+_SHUTDOWN_MARGIN_S = 0.4
 
 
 class Platform(raw.Platform, Protocol):
@@ -93,7 +93,7 @@
         rng = rng or random.Random()
         clock = asyncio.get_running_loop().time
         self._instance = instance
-        self._callers = instance.callers_address
+        self._callers_address = instance.callers_address
         self._log = log
         self._counters = counters
         self._clock = clock
@@ -116,12 +116,12 @@
             counters,
             boot_clock,
         )
-        self._operators, self._listing = topics.operators, topics.servers
+        self._operators, self._server_list = topics.operators, topics.servers
         self._knowledge = admit.Knowledge(
             None,
             lambda: self._operators.age_s,
-            bounds.keys_ms / 1e3 * _KEYS_SHARE,
-            _ROUTES_S,
+            bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE,
+            _ROUTES_FRESH_S,
         )
         self._fleet = fleets.Fleet(
             log,
@@ -144,7 +144,7 @@
             self._knowledge,
             self._balancer,
             self._versions,
-            _terms(bounds),
+            _retry_budget_terms(bounds),
             rng,
             clock,
             log,
@@ -152,7 +152,7 @@
             self.histograms,
         )
         self._server = servers.Server(self._forwarder.handle)
-        self._health = servers.Server(self._answer_ready)
+        self._health = servers.Server(self._answer_readiness)
         self._reports = reports.Listener(
             instance.name,
             self._on_report,
@@ -179,13 +179,13 @@
         return (
             not self._leaving
             and self._knowledge.catalog is not None
-            and self._listing.known
-            and self._operators.age_s < keys_s * _READY_SHARE
+            and self._server_list.known
+            and self._operators.age_s < keys_s * _MAX_READY_SHARE
         )
 
     async def on_start(self) -> None:
         """Listens at once: a caller hears "not yet" rather than nothing."""
-        await self._server.listen(self._callers)
+        await self._server.listen(self._callers_address)
         if self._instance.ready_address is not None:
             await self._health.listen(self._instance.ready_address)
         loop = asyncio.get_running_loop()
@@ -195,27 +195,27 @@
         )
         await self.add_runtime_dependency(self._relay)
         await self.add_runtime_dependency(self._operators)
-        await self.add_runtime_dependency(self._listing)
+        await self.add_runtime_dependency(self._server_list)
         self._log.write(events.PROCESS_STARTED)
 
     def reload(self, instance: instances.Instance) -> None:
         """Takes over a changed instance file; addresses stay as they are."""
         self._instance = instance
         bounds = instance.bounds
-        self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
+        self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE
         self._versions.due_s = bounds.weights_ms / 1e3
         self._fleet.ran_out.terms = _fleet_terms(bounds)
-        self._forwarder.set_terms(_terms(bounds))
+        self._forwarder.set_terms(_retry_budget_terms(bounds))
 
     async def drain(self) -> None:
         """Takes no new callers and finishes what it has."""
         self._log.write(events.PROCESS_STOPPING, busy=self._server.busy)
         self._leaving = True
         started = self._clock()
-        end = started + self._instance.bounds.grace_s - _LEAVE_EARLY_S
+        end = started + self._instance.bounds.grace_s - _SHUTDOWN_MARGIN_S
         self._server.refuse_new()
         # The balancer goes on sending callers until it has asked twice.
-        await asyncio.sleep(_TAKE_ON_S)
+        await asyncio.sleep(_ACCEPT_WHILE_LEAVING_S)
         self._server.close_idle()
         try:
             async with asyncio.timeout_at(end):
@@ -231,45 +231,45 @@
         self._log.write(events.PROCESS_STOPPED)
 
     @mode.Service.task
-    async def _keep_house(self) -> None:
+    async def _run_maintenance(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(_HOUSEKEEPING_S)
-            self._fleet.settle(self._listing.settled_s, self._clock())
+            await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
+            self._fleet.settle(self._server_list.settled_s, self._clock())
             self._fleet.prune()
             self._fleet.count_entries()
             self._counters.gauge("direct.servers.limited", self._fleet.limited)
             self._forwarder.check_clock()
             self._subscriptions.look()
-            self._tell_ready()
+            self._log_readiness()
 
     @mode.Service.task
     async def _subscribe(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(_SUBSCRIBE_S)
+            await asyncio.sleep(_SUBSCRIBE_INTERVAL_S)
             self._subscriptions.ask_all()
 
     def _on_report(self, host: str, report: reports.Report) -> None:
         if report.ages_s:
             changes = self._versions.told(report.model, report.ages_s)
-            self._note_declared(changes)
+            self._log_declarations(changes)
         backend = self._fleet.reported(report, host)
         if backend is None:
             return
         backend.take_report(
             report,
             self._clock(),
-            self._reading_s(backend.server.service),
+            self._typical_prefill_s(backend.server.service),
         )
         self._forwarder.look_at(backend)
 
-    def _reading_s(self, service: str) -> float:
+    def _typical_prefill_s(self, service: str) -> float:
         """Returns how long a usual prompt is read; 0 when that is unknown."""
         engine = self._knowledge.engine(service)
         if engine is None or not engine.prefill_tokens_per_s:
             return 0.0
         return engine.typical_prompt_tokens / engine.prefill_tokens_per_s
 
-    def _tell_ready(self) -> None:
+    def _log_readiness(self) -> None:
         if self.ready == self._ready:
             return
         self._ready = self.ready
@@ -280,7 +280,7 @@
             age_s=round(min(self._operators.age_s, 9_999.0), 3),
         )
 
-    async def _answer_ready(
+    async def _answer_readiness(
         self, request: servers.Request, responder: servers.Responder
     ) -> None:
         del request
@@ -290,16 +290,16 @@
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
-                self._take_configuration(record.value)
+                self._apply_configuration(record.value)
             elif isinstance(record.value, types.DeclaredVersion):
-                self._take_declared(record.value)
+                self._apply_declared_version(record.value)
 
-    def _take_declared(self, declared: types.DeclaredVersion) -> None:
+    def _apply_declared_version(self, declared: types.DeclaredVersion) -> None:
         unread_s = self._operators.unread_s
         change = self._versions.declare(declared, unread_s)
-        self._note_declared([change] if change else [])
+        self._log_declarations([change] if change else [])
 
-    def _note_declared(self, changes: list[declarations.Change]) -> None:
+    def _log_declarations(self, changes: list[declarations.Change]) -> None:
         for change in changes:
             if not change.matters:
                 continue
@@ -308,7 +308,7 @@
         if changes:
             self._forwarder.redate()
 
-    def _take_configuration(self, configuration: types.Configuration) -> None:
+    def _apply_configuration(self, configuration: types.Configuration) -> None:
         catalog = self._knowledge.catalog
         if catalog is not None and configuration.version <= catalog.version:
             if configuration.version < catalog.version:
@@ -334,8 +334,8 @@
         self._fleet.apply(
             batch,
             whole,
-            self._listing.settled_s,
-            self._listing.away_s,
+            self._server_list.settled_s,
+            self._server_list.away_s,
             self._clock(),
         )
         self._subscriptions.ask_new()
@@ -349,7 +349,7 @@
     return outage.Terms(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
-def _terms(bounds: instances.Bounds) -> budget.Terms:
+def _retry_budget_terms(bounds: instances.Bounds) -> budget.Terms:
     return budget.Terms(
         bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
     )
--- a/src/clementinegw/direct/run.py
+++ b/src/clementinegw/direct/run.py
@@ -17,7 +17,7 @@
 from clementinegw.telemetry import output
 
 # How often the instance file is read again, in seconds.
-_LOOK_S = 3.0
+_RELOAD_INTERVAL_S = 3.0
 _METRICS_PATH = "/metrics"
 
 MakePlatform = Callable[
@@ -50,19 +50,23 @@
     counters = counters_lib.Counters()
     platform = make_platform(instance, log, counters)
     daemon = _ROLES[args[0]](instance, platform, log, counters)
-    pages = servers.Server(_Pages(counters, daemon.histograms, out).answer)
-    await pages.listen(_metrics_address(instance, args[0]))
-    watcher = _Watcher(path, instance, daemon, log)
+    metrics_server = servers.Server(
+        _MetricsHandler(counters, daemon.histograms, out).answer
+    )
+    await metrics_server.listen(_metrics_address(instance, args[0]))
+    watcher = _InstanceFileWatcher(path, instance, daemon, log)
     watching = asyncio.ensure_future(watcher.watch())
     try:
-        return await lifetime.run_until_signal(daemon, watcher.look)
+        return await lifetime.run_until_signal(
+            daemon, watcher.reload_if_changed
+        )
     finally:
         watching.cancel()
-        await pages.stop()
+        await metrics_server.stop()
         out.flush()
 
 
-class _Pages:
+class _MetricsHandler:
     """Answers with the process's metrics."""
 
     def __init__(
@@ -94,7 +98,7 @@
     return types.Address(instance.host, port)
 
 
-class _Watcher:
+class _InstanceFileWatcher:
     """Reads the instance file again, at SIGHUP and every few seconds.
 
     The platform may change the file without a signal. A malformed one leaves
@@ -112,21 +116,21 @@
         self._instance = instance
         self._daemon = daemon
         self._log = log
-        self._refused = ""
+        self._last_error = ""
 
     async def watch(self) -> None:
         """Looks again and again."""
         while True:
-            await asyncio.sleep(_LOOK_S)
-            self.look()
+            await asyncio.sleep(_RELOAD_INTERVAL_S)
+            self.reload_if_changed()
 
-    def look(self) -> None:
+    def reload_if_changed(self) -> None:
         """Reads the file; hands it on when it has changed."""
         try:
             found = instances.read(self._path)
         except exceptions.SettingsError as error:
-            if error.message != self._refused:
-                self._refused = error.message
+            if error.message != self._last_error:
+                self._last_error = error.message
                 self._log.write(_events.SETTINGS_REFUSED, reason=error.message)
             return
         if found != self._instance:
@@ -135,17 +139,20 @@
             self._log.write(_events.SETTINGS_RELOADED)
 
 
-def _entry(instance, platform, log, counters):
+def _make_entry(instance, platform, log, counters):
     from clementinegw.direct import entry
 
     return entry.Entry(instance, platform, log, counters)
 
 
-def _agent(instance, platform, log, counters):
+def _make_agent(instance, platform, log, counters):
     from clementinegw.direct import agent
 
     return agent.Agent(instance, platform, log, counters)
 
 
 # Imported by role: what the other one needs would only take memory.
-_ROLES: dict[str, Callable[..., Any]] = {"entry": _entry, "agent": _agent}
+_ROLES: dict[str, Callable[..., Any]] = {
+    "entry": _make_entry,
+    "agent": _make_agent,
+}
--- a/src/clementinegw/lifetime.py
+++ b/src/clementinegw/lifetime.py
@@ -36,11 +36,11 @@
       The exit code.
     """
     stopping = asyncio.Event()
-    urgent = asyncio.Event()
+    second_signal = asyncio.Event()
 
     def on_signal() -> None:
         if stopping.is_set():
-            urgent.set()
+            second_signal.set()
         stopping.set()
 
     loop = asyncio.get_running_loop()
@@ -50,7 +50,7 @@
     try:
         await daemon.start()
         await stopping.wait()
-        await _first(daemon.drain(), urgent.wait())
+        await _wait_for_first(daemon.drain(), second_signal.wait())
         await daemon.stop()
     finally:
         for number in _SIGNALS:
@@ -59,7 +59,7 @@
     return 0
 
 
-async def _first(*coroutines) -> None:
+async def _wait_for_first(*coroutines) -> None:
     tasks = [asyncio.ensure_future(c) for c in coroutines]
     done, pending = await asyncio.wait(
         tasks, return_when=asyncio.FIRST_COMPLETED
--- a/src/clementinegw/telemetry/catalogue.py
+++ b/src/clementinegw/telemetry/catalogue.py
@@ -11,7 +11,7 @@
 from clementinegw.telemetry import events
 
 _EVENT_MODULES = ("_events", "_claim_events", "_swarm_events")
-_HEAD = """# Events
+_PAGE_HEADER = """# Events
 
 Every line in the logs carries the number of its event. This page is written by
 `make pages` from the catalogue in the code; do not edit it.
@@ -37,7 +37,7 @@
         f"| {e.action or 'nothing'} |\n"
         for e in load_all()
     ]
-    return _HEAD + "".join(rows)
+    return _PAGE_HEADER + "".join(rows)
 
 
 if __name__ == "__main__":
--- a/src/clementinegw/telemetry/histograms.py
+++ b/src/clementinegw/telemetry/histograms.py
@@ -5,9 +5,9 @@
 from clementinegw.telemetry import counters as counters_lib
 
 # From a millisecond to ten minutes, to two digits. Milliseconds.
-_LEAST_MS = 1
-_MOST_MS = 600_000
-_DIGITS = 2
+_MIN_MS = 1
+_MAX_MS = 600_000
+_SIGNIFICANT_DIGITS = 2
 _QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -21,9 +21,11 @@
         """Records a duration in seconds."""
         found = self._by_name.get(name)
         if found is None:
-            found = histogram.HdrHistogram(_LEAST_MS, _MOST_MS, _DIGITS)
+            found = histogram.HdrHistogram(
+                _MIN_MS, _MAX_MS, _SIGNIFICANT_DIGITS
+            )
             self._by_name[name] = found
-        found.record_value(min(_MOST_MS, max(_LEAST_MS, int(seconds * 1e3))))
+        found.record_value(min(_MAX_MS, max(_MIN_MS, int(seconds * 1e3))))
 
     def lines(self) -> list[str]:
         """Returns a line for each quantile and count."""
@@ -32,19 +34,21 @@
             for quantile in _QUANTILES:
                 value = found.get_value_at_percentile(quantile)
                 lines.append(
-                    f'{_plain(name)}_ms{{quantile="{quantile / 100:g}"}} '
+                    f'{_metric_name(name)}_ms{{quantile="{quantile / 100:g}"}} '
                     f"{value}"
                 )
-            lines.append(f"{_plain(name)}_count {found.get_total_count()}")
+            lines.append(
+                f"{_metric_name(name)}_count {found.get_total_count()}"
+            )
         return lines
 
 
 def page(counters: counters_lib.Counters, histograms: Histograms) -> str:
     """Returns all metrics, one a line, as name and value."""
     values = sorted(counters.snapshot().items())
-    lines = [f"{_plain(name)} {value:g}" for name, value in values]
+    lines = [f"{_metric_name(name)} {value:g}" for name, value in values]
     return "\n".join([*lines, *histograms.lines()]) + "\n"
 
 
-def _plain(name: str) -> str:
+def _metric_name(name: str) -> str:
     return "clementinegw_" + name.replace(".", "_").replace("-", "_")
--- a/src/clementinegw/telemetry/output.py
+++ b/src/clementinegw/telemetry/output.py
@@ -12,11 +12,11 @@
 from clementinegw.telemetry import events
 
 # Lines that wait while standard output takes none, and the bytes of one write.
-_MOST_LINES = 2_000
-_WRITE_BYTES = 32 << 10
+_MAX_BUFFERED_LINES = 2_000
+_MAX_WRITE_BYTES = 32 << 10
 # Lines are written together after this pause: a write costs more than a line.
 # Seconds.
-_PAUSE_S = 0.1
+_FLUSH_DELAY_S = 0.1
 _LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
 
@@ -26,7 +26,7 @@
     def __init__(self, fd: int = 1):
         self._fd = fd
         self._lines: collections.deque[bytes] = collections.deque()
-        self._rest = b""
+        self._unwritten = b""
         self._timer: asyncio.TimerHandle | None = None
         self.dropped = 0
         flags = fcntl.fcntl(fd, fcntl.F_GETFL)
@@ -34,7 +34,7 @@
 
     def msg(self, line: str) -> None:
         """Takes one line."""
-        if len(self._lines) >= _MOST_LINES:
+        if len(self._lines) >= _MAX_BUFFERED_LINES:
             # A reader that stands still must not hold requests up, nor may
             # the lines fill the memory; the count tells of the gap.
             self._lines.popleft()
@@ -46,16 +46,16 @@
             except RuntimeError:
                 self.flush()
                 return
-            self._timer = loop.call_later(_PAUSE_S, self.flush)
+            self._timer = loop.call_later(_FLUSH_DELAY_S, self.flush)
 
     debug = info = warning = error = log = msg
 
     def flush(self) -> None:
         """Writes what standard output takes now."""
         self._timer = None
-        while self._lines or self._rest:
-            data = self._rest
-            while self._lines and len(data) < _WRITE_BYTES:
+        while self._lines or self._unwritten:
+            data = self._unwritten
+            while self._lines and len(data) < _MAX_WRITE_BYTES:
                 data += self._lines.popleft()
             try:
                 written = os.write(self._fd, data)
@@ -64,10 +64,10 @@
             except OSError:
                 # Nobody reads any more; there is no other place to say so.
                 self._lines.clear()
-                self._rest = b""
+                self._unwritten = b""
                 return
-            self._rest = data[written:]
-            if self._rest:
+            self._unwritten = data[written:]
+            if self._unwritten:
                 return
 
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -45,8 +45,8 @@
     ),
     "revoked_keys": (
         "src/clementinegw/direct/entry.py",
-        "_KEYS_SHARE = 0.9",
-        "_KEYS_SHARE = 900.0",
+        "_MAX_KEY_PROOF_SHARE = 0.9",
+        "_MAX_KEY_PROOF_SHARE = 900.0",
     ),
     "retry_of_all": (
         "src/clementinegw/direct/types.py",
