--- a/src/clementinegw/platform/_http.py
+++ b/src/clementinegw/platform/_http.py
@@ -41,11 +41,11 @@
 
 
 # After these the platform has certainly not acted on the call.
-_WITHOUT_EFFECT = frozenset(
+_NO_EFFECT_REASONS = frozenset(
     {Reason.NOT_REACHED, Reason.RATE_LIMITED, Reason.REJECTED}
 )
 # Another try cannot help with these.
-_FINAL = frozenset({Reason.REJECTED, Reason.TOO_LARGE})
+_NOT_RETRIED_REASONS = frozenset({Reason.REJECTED, Reason.TOO_LARGE})
 _STATUS_REASONS = {429: Reason.RATE_LIMITED}
 
 
@@ -72,7 +72,7 @@
     detail: str
 
 
-class Caller:
+class Client:
     """Calls one part of the platform."""
 
     def __init__(
@@ -137,13 +137,15 @@
         attempts = self._policy.attempts if idempotent else 1
         tried = 0
         while True:
-            result = await self._try(method, path, extra_s, max_bytes, options)
+            result = await self._attempt(
+                method, path, extra_s, max_bytes, options
+            )
             tried += 1
             if isinstance(result, Reply):
-                self._note_answer()
+                self._log_recovery()
                 return result
             self._count("failed", result.reason)
-            if tried >= attempts or result.reason in _FINAL:
+            if tried >= attempts or result.reason in _NOT_RETRIED_REASONS:
                 raise self._error(result)
             self._count("retry", result.reason)
             await asyncio.sleep(self._policy.pause_s(tried, self._rng))
@@ -167,7 +169,7 @@
                 Reason.MALFORMED,
             ) from error
 
-    def reject(self, reply: Reply) -> exceptions.PlatformUnavailable:
+    def unexpected_status(self, reply: Reply) -> exceptions.PlatformUnavailable:
         """Returns the error for a status that the interface does not know."""
         return self._error(
             _Failure(
@@ -177,7 +179,7 @@
             )
         )
 
-    async def _try(
+    async def _attempt(
         self,
         method: str,
         path: str,
@@ -203,7 +205,7 @@
     def _count(self, kind: str, reason: Reason) -> None:
         self._counters.add(f"platform.{self._part}.{kind}.{reason}")
 
-    def _note_answer(self) -> None:
+    def _log_recovery(self) -> None:
         if self._lost:
             self._lost = False
             self._log.write(_events.PLATFORM_BACK, part=self._part)
@@ -215,7 +217,7 @@
             self._log.write(
                 _events.PLATFORM_LOST, part=self._part, reason=failure.reason
             )
-        if failure.reason in _WITHOUT_EFFECT:
+        if failure.reason in _NO_EFFECT_REASONS:
             return exceptions.PlatformRefused(message, failure.reason)
         return exceptions.PlatformUnavailable(message, failure.reason)
 
--- a/src/clementinegw/platform/instances.py
+++ b/src/clementinegw/platform/instances.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Listed:
+class ListedInstance:
     """One line of the list.
 
     Attributes:
@@ -41,7 +41,7 @@
 class InstanceList(Protocol):
     """Reads the list and announces to it."""
 
-    async def fetch(self) -> list[Listed]:
+    async def fetch(self) -> list[ListedInstance]:
         """Returns the list.
 
         Raises:
@@ -59,7 +59,7 @@
         """
 
 
-class ListedModel(pydantic.BaseModel):
+class ListedInstanceModel(pydantic.BaseModel):
     """A line of the list as the platform writes it."""
 
     instance_id: str = pydantic.Field(min_length=1)
@@ -73,7 +73,7 @@
     state: State = State.LIVE
 
     @classmethod
-    def of(cls, listed: Listed) -> "ListedModel":
+    def from_listed(cls, listed: ListedInstance) -> "ListedInstanceModel":
         """Returns the form to send."""
         instance = listed.instance
         return cls.model_validate(
@@ -90,7 +90,7 @@
             }
         )
 
-    def listed(self) -> Listed:
+    def to_listed(self) -> ListedInstance:
         """Returns the form used inside."""
         instance = types.Instance(
             instance_id=self.instance_id,
@@ -100,13 +100,13 @@
             incarnation=self.incarnation,
             service=self.service,
         )
-        return Listed(instance, self.state)
+        return ListedInstance(instance, self.state)
 
 
 class _ListModel(pydantic.BaseModel):
     """The list as the platform writes it."""
 
-    instances: list[ListedModel]
+    instances: list[ListedInstanceModel]
 
 
 class HttpInstanceList:
@@ -131,23 +131,23 @@
           log: Takes the events of the list going and coming back.
           rng: The source of the pauses' jitter.
         """
-        self._caller = _http.Caller(
+        self._client = _http.Client(
             "instances", base_url, session, timeout_s, counters, log, rng=rng
         )
 
-    async def fetch(self) -> list[Listed]:
+    async def fetch(self) -> list[ListedInstance]:
         """Returns the list; see `InstanceList`."""
-        reply = await self._caller.call("GET", "/instances", idempotent=True)
+        reply = await self._client.call("GET", "/instances", idempotent=True)
         self._check(reply)
-        model = self._caller.parse(_ListModel, reply.body)
-        return [line.listed() for line in model.instances]
+        model = self._client.parse(_ListModel, reply.body)
+        return [line.to_listed() for line in model.instances]
 
     async def announce(
         self, instance: types.Instance, state: State = State.LIVE
     ) -> None:
         """Tells the platform of an instance; see `InstanceList`."""
-        model = ListedModel.of(Listed(instance, state))
-        reply = await self._caller.call(
+        model = ListedInstanceModel.from_listed(ListedInstance(instance, state))
+        reply = await self._client.call(
             "POST",
             "/instances",
             idempotent=True,
@@ -158,4 +158,4 @@
 
     def _check(self, reply: _http.Reply) -> None:
         if reply.status >= http.HTTPStatus.BAD_REQUEST:
-            raise self._caller.reject(reply)
+            raise self._client.unexpected_status(reply)
--- a/src/clementinegw/platform/log.py
+++ b/src/clementinegw/platform/log.py
@@ -141,7 +141,7 @@
           log: Takes the events of the log going and coming back.
           rng: The source of the pauses' jitter.
         """
-        self._caller = _http.Caller(
+        self._client = _http.Client(
             "log", base_url, session, timeout_s, counters, log, rng=rng
         )
 
@@ -154,7 +154,7 @@
         """
         # A lost answer shows as a timeout or a broken connection. Sent again,
         # the record would be in the log twice, so the caller has to read.
-        reply = await self._caller.call(
+        reply = await self._client.call(
             "POST", _path(stream), idempotent=False, data=value
         )
         return self._parse(_AppendedModel, reply).offset
@@ -172,7 +172,7 @@
         a link that stalls, each try takes the whole wait, and the caller,
         which could ask elsewhere meanwhile, would notice only after the last.
         """
-        reply = await self._caller.call(
+        reply = await self._client.call(
             "GET",
             _path(stream),
             idempotent=wait_s <= 0,
@@ -192,8 +192,8 @@
 
     def _parse(self, model: type[M], reply: _http.Reply) -> M:
         if reply.status != http.HTTPStatus.OK:
-            raise self._caller.reject(reply)
-        return self._caller.parse(model, reply.body)
+            raise self._client.unexpected_status(reply)
+        return self._client.parse(model, reply.body)
 
 
 def _path(stream: str) -> str:
--- a/src/clementinegw/platform/store.py
+++ b/src/clementinegw/platform/store.py
@@ -46,7 +46,7 @@
           rng: The source of the pauses' jitter.
         """
         self._part = part
-        self._caller = _http.Caller(
+        self._client = _http.Client(
             part, base_url, session, timeout_s, counters, log, policy, rng
         )
 
@@ -59,7 +59,7 @@
         end = "" if length is None else str(offset + length - 1)
         # A store that ignores the range sends the whole blob, so the bound
         # is the blob's, not the part's.
-        reply = await self._caller.call(
+        reply = await self._client.call(
             "GET",
             _path(name),
             idempotent=True,
@@ -76,14 +76,14 @@
 
     async def put(self, name: str, data: bytes) -> None:
         """Keeps a blob; see `BlobStore`."""
-        reply = await self._caller.call(
+        reply = await self._client.call(
             "PUT", _path(name), idempotent=True, data=data
         )
         self._check(reply, name)
 
     async def size(self, name: str) -> int:
         """Returns a blob's size in bytes; see `BlobStore`."""
-        reply = await self._caller.call("HEAD", _path(name), idempotent=True)
+        reply = await self._client.call("HEAD", _path(name), idempotent=True)
         self._check(reply, name)
         try:
             return int(reply.headers["Content-Length"])
--- a/src/clementinegw/testing/_records.py
+++ b/src/clementinegw/testing/_records.py
@@ -121,22 +121,24 @@
 
     def __init__(self, lag_s: float):
         self.lag_s = lag_s
-        self._changes: list[tuple[float, str, instances.Listed | None]] = []
+        self._changes: list[
+            tuple[float, str, instances.ListedInstance | None]
+        ] = []
 
     def announce(
         self, instance: types.Instance, state: instances.State, now: float
     ) -> None:
         """Enters an instance or changes its state."""
-        listed = instances.Listed(instance, state)
+        listed = instances.ListedInstance(instance, state)
         self._changes.append((now, instance.instance_id, listed))
 
     def remove(self, instance_id: str, now: float) -> None:
         """Takes an instance off the list."""
         self._changes.append((now, instance_id, None))
 
-    def listed(self, now: float) -> list[instances.Listed]:
+    def listed(self, now: float) -> list[instances.ListedInstance]:
         """Returns the list as it stood `lag_s` ago."""
-        seen: dict[str, instances.Listed] = {}
+        seen: dict[str, instances.ListedInstance] = {}
         for time, instance_id, listed in self._changes:
             if time + self.lag_s > now:
                 break
--- a/src/clementinegw/testing/memory.py
+++ b/src/clementinegw/testing/memory.py
@@ -179,7 +179,7 @@
         self._clock = clock
         self._lagging = _records.LaggingList(lag_s)
 
-    async def fetch(self) -> list[instances.Listed]:
+    async def fetch(self) -> list[instances.ListedInstance]:
         """Returns what was announced `lag_s` ago; see `InstanceList`."""
         await self._enter("instances")
         return self._lagging.listed(self._clock.now())
--- a/src/clementinegw/testing/platform.py
+++ b/src/clementinegw/testing/platform.py
@@ -134,7 +134,9 @@
 
     async def _fetch(self, request: web.Request) -> web.Response:
         lines = [
-            instances.ListedModel.of(listed).model_dump(mode="json")
+            instances.ListedInstanceModel.from_listed(listed).model_dump(
+                mode="json"
+            )
             for listed in self._list.listed(self._clock.now())
         ]
         return _json(
@@ -143,12 +145,12 @@
 
     async def _announce(self, request: web.Request) -> web.Response:
         try:
-            model = instances.ListedModel.model_validate_json(
+            model = instances.ListedInstanceModel.model_validate_json(
                 await request.read()
             )
         except pydantic.ValidationError as error:
             raise web.HTTPBadRequest(text=str(error)) from error
-        listed = model.listed()
+        listed = model.to_listed()
         self._list.announce(listed.instance, listed.state, self._clock.now())
         return web.json_response({})
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -247,7 +247,7 @@
     assert await rig.instances.fetch() == []
     await asyncio.sleep(31.0)
     assert await rig.instances.fetch() == [
-        instances.Listed(AGENT, instances.State.LIVE)
+        instances.ListedInstance(AGENT, instances.State.LIVE)
     ]
 
     await rig.instances.announce(AGENT, instances.State.LEAVING)
