--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -144,7 +144,7 @@
             self._knowledge,
             self._balancer,
             self._versions,
-            _retry_budget_terms(bounds),
+            _retry_limits(bounds),
             rng,
             clock,
             log,
@@ -205,7 +205,7 @@
         self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE
         self._versions.due_s = bounds.weights_ms / 1e3
         self._fleet.ran_out.terms = _fleet_terms(bounds)
-        self._forwarder.set_terms(_retry_budget_terms(bounds))
+        self._forwarder.set_terms(_retry_limits(bounds))
 
     async def drain(self) -> None:
         """Takes no new callers and finishes what it has."""
@@ -349,7 +349,7 @@
     return outage.Terms(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
-def _retry_budget_terms(bounds: instances.Bounds) -> budget.Terms:
+def _retry_limits(bounds: instances.Bounds) -> budget.Terms:
     return budget.Terms(
         bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
     )
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -157,7 +157,7 @@
         {"service": "b", "weight": 10},
     ]
     body = config(routes=[{**ROUTE, "backends": split, "unknown": 1}])
-    found = records.configuration(body).routes[0]
+    found = records.decode_configuration(body).routes[0]
     assert found.targets == (types.Target("a", 90), types.Target("b", 10))
     assert (found.host, found.timeout_s) == ("h.example", 6.0)
 
@@ -175,7 +175,7 @@
 )
 def test_a_malformed_configuration_is_refused(body):
     with pytest.raises(ValueError):
-        records.configuration(body)
+        records.decode_configuration(body)
 
 
 @pytest.mark.parametrize(
@@ -216,7 +216,7 @@
         "models": [{"name": "m", "version": 2, "adapters": []}],
         "layers": layers,
     }
-    server = records.server_record("i-1", json.dumps(entry).encode())
+    server = records.decode_server_record("i-1", json.dumps(entry).encode())
     assert server.version(16) == (2 if whole else 0)
 
 
@@ -224,7 +224,7 @@
 def test_a_log_answer_that_is_cut_is_refused(cut):
     content = b"\x01kvalue"
     body = bytes(16) + len(content).to_bytes(4, "big") + content
-    assert pages.log_records(body)[0] == [("k", b"value")]
+    assert pages.parse_log_records(body)[0] == [("k", b"value")]
     if cut < len(body) - 16 or len(body) - cut < 16:
         with pytest.raises(ValueError, match="log"):
-            pages.log_records(body[:-cut])
+            pages.parse_log_records(body[:-cut])
--- a/tests/test_platform_configurations.py
+++ b/tests/test_platform_configurations.py
@@ -31,9 +31,9 @@
     """
     decoder = configurations.Decoder()
     routes = some_routes(50)
-    former = decoder.configuration(config(1, routes)).routes
+    former = decoder.decode_configuration(config(1, routes)).routes
     routes[7]["timeout_ms"] = 1_000
-    found = decoder.configuration(config(2, routes)).routes
+    found = decoder.decode_configuration(config(2, routes)).routes
     anew = [n for n in range(50) if found[n] is not former[n]]
     assert anew == [7]
     assert found[7].timeout_s == 1.0
@@ -49,26 +49,26 @@
         routes[0]["timeout_ms"] = rng.choice([500, 1_000])
         routes[1]["service"] = rng.choice(["a", "b"])
         body = config(version, routes[: rng.randrange(21)])
-        found = decoder.record("config", body)
-        assert found == records.configuration(body)
+        found = decoder.decode_record("config", body)
+        assert found == records.decode_configuration(body)
         assert len(decoder._routes) <= 20
 
 
 def test_a_malformed_configuration_leaves_the_former_routes():
     decoder = configurations.Decoder()
     routes = some_routes(5)
-    former = decoder.configuration(config(1, routes)).routes
+    former = decoder.decode_configuration(config(1, routes)).routes
     with pytest.raises(ValueError, match="unknown kind"):
-        decoder.configuration(config(2, [{**routes[0], "kind": "odd"}]))
+        decoder.decode_configuration(config(2, [{**routes[0], "kind": "odd"}]))
     with pytest.raises(ValueError, match="truncated"):
-        decoder.configuration(config(2, routes)[:-9])
-    found = decoder.configuration(config(3, routes)).routes
+        decoder.decode_configuration(config(2, routes)[:-9])
+    found = decoder.decode_configuration(config(3, routes)).routes
     assert all(a is b for a, b in zip(former, found, strict=True))
 
 
 def test_other_records_are_read_as_ever():
     decoder = configurations.Decoder()
     body = b'{"model":"m","version":3}'
-    found = decoder.record("version/m", body)
-    assert found == records.operator_record("version/m", body)
-    assert decoder.record("other", b"{}") is None
+    found = decoder.decode_record("version/m", body)
+    assert found == records.decode_operator_record("version/m", body)
+    assert decoder.decode_record("other", b"{}") is None
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("name", UNREADABLE)
 def test_an_entry_that_cannot_be_read_is_refused_with_a_reason(name):
     with pytest.raises((ValueError, RecursionError)):
-        records.server_record("i-1", UNREADABLE[name])
+        records.decode_server_record("i-1", UNREADABLE[name])
 
 
 @pytest.mark.parametrize("key", ["", "a b", "a\r\nx: y", "ä", "a" * 300])
@@ -83,11 +83,13 @@
     The id of the server goes into a header of each request.
     """
     with pytest.raises(ValueError, match="id"):
-        records.server_record(key, changed())
+        records.decode_server_record(key, changed())
 
 
 def test_an_entry_may_say_more_than_we_know():
-    found = records.server_record("i-1", changed(born=178, odd={"x": [1]}))
+    found = records.decode_server_record(
+        "i-1", changed(born=178, odd={"x": [1]})
+    )
     assert (found.service, found.started_ms, found.sequence) == (
         "plain",
         178,
@@ -186,7 +188,7 @@
         topic = stores.Topic(
             stores.Store(store.address),
             TOPIC,
-            records.server_record,
+            records.decode_server_record,
             log,
             counters,
         )
@@ -234,7 +236,7 @@
         server = platform_site.Server("a", lambda call: call.answer(body))
         await server.start()
         host, port = server.address.split(":")
-        beside = weights.Beside(shared_types.Address(host, int(port)), "m")
+        beside = weights.LocalServer(shared_types.Address(host, int(port)), "m")
         with pytest.raises(exceptions.BackendError):
             await beside.state()
         await server.stop()
@@ -248,7 +250,7 @@
         server = platform_site.Server("a", lambda call: call.answer(body))
         await server.start()
         host, port = server.address.split(":")
-        beside = weights.Beside(shared_types.Address(host, int(port)), "m")
+        beside = weights.LocalServer(shared_types.Address(host, int(port)), "m")
         state = await beside.state()
         await server.stop()
         return state.sequence, state.born
