--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -220,7 +220,7 @@
         self.body = body
         self.writer = writer
         # Headers that every answer has besides.
-        self.more = ()
+        self.extra_headers = ()
         self.headers = {k.decode(): v.decode() for k, v in head.headers}
 
     @property
@@ -231,19 +231,21 @@
         if not self.writer.is_closing():
             self.writer.write(data)
 
-    def answer(self, body=b"whole", status=200, attempt_id=None, more=()):
+    def answer(
+        self, body=b"whole", status=200, attempt_id=None, extra_headers=()
+    ):
         head = [
             f"HTTP/1.1 {status} X",
             f"X-Clementinegw-Attempt-Id: {attempt_id or self.attempt_id}",
             f"X-Clementinegw-Response-Seal: seal-{self.attempt_id}",
             f"Content-Length: {len(body)}",
-            *self.more,
-            *more,
+            *self.extra_headers,
+            *extra_headers,
         ]
         self.send("\r\n".join(head).encode() + b"\r\n\r\n" + body)
 
-    def shed(self):
-        self.answer(b"", 503, more=("X-Clementinegw-Not-Executed: 1",))
+    def reject(self):
+        self.answer(b"", 503, extra_headers=("X-Clementinegw-Not-Executed: 1",))
 
     def begin_stream(self):
         head = [
@@ -252,7 +254,7 @@
             f"X-Clementinegw-Response-Seal: seal-{self.attempt_id}",
             "Content-Type: text/event-stream",
             "Transfer-Encoding: chunked",
-            *self.more,
+            *self.extra_headers,
         ]
         self.send("\r\n".join(head).encode() + b"\r\n\r\n")
 
@@ -270,9 +272,9 @@
 class Server:
     """A backend server that does with each call what a test says."""
 
-    def __init__(self, name, do=None):
+    def __init__(self, name, on_call=None):
         self.name = name
-        self.do = do or (lambda call: call.answer())
+        self.on_call = on_call or (lambda call: call.answer())
         self.calls = []
         self.ran = []
         self.closed = 0
@@ -288,7 +290,7 @@
     async def stop(self):
         self._server.close()
 
-    def entry(self, service="plain", **fields):
+    def record(self, service="plain", **fields):
         return {
             "service": service,
             "address": self.address,
@@ -331,9 +333,9 @@
         expected = call.headers.get("x-clementinegw-expect-instance")
         if expected not in (None, self.name):
             name = f"X-Clementinegw-Instance-Id: {self.name}"
-            call.answer(b"", 421, more=(name,))
+            call.answer(b"", 421, extra_headers=(name,))
             return
-        result = self.do(call)
+        result = self.on_call(call)
         if asyncio.iscoroutine(result):
             await result
 
@@ -372,24 +374,24 @@
 class Site:
     """An entry in front of servers."""
 
-    def __init__(self, *names, do=None):
+    def __init__(self, *names, on_call=None):
         self.store = Store()
-        self.servers = [Server(name, do) for name in names]
+        self.servers = [Server(name, on_call) for name in names]
         # How long the machine has been suspended, in seconds.
-        self.slept_s = 0.0
+        self.suspended_s = 0.0
 
     async def __aenter__(self):
         await self.store.start()
         for server in self.servers:
             await server.start()
-            self.store.put("keyed.servers", server.name, server.entry())
+            self.store.put("keyed.servers", server.name, server.record())
         self.store.put("keyed.op", "config", config())
         await self.start_entry()
         return self
 
     def boot_time(self):
         """Returns seconds that also count while the machine is suspended."""
-        return asyncio.get_running_loop().time() + self.slept_s
+        return asyncio.get_running_loop().time() + self.suspended_s
 
     async def start_entry(self):
         instance = instances.Instance(
@@ -428,12 +430,12 @@
             await server.stop()
         await self.store.stop()
 
-    def hold(self, server, version):
+    def list_version(self, server, version):
         """Lists a server with all layers of a version."""
         layers = {"from": 0, "target": 1, "version": version}
         model = {"name": "m", "version": version, "layers": layers}
         self.store.put(
-            "keyed.servers", server.name, server.entry(models=[model])
+            "keyed.servers", server.name, server.record(models=[model])
         )
 
     async def ask(self, path="/safe/1", **fields):
@@ -445,11 +447,11 @@
 class Answer:
     """What a caller got."""
 
-    def __init__(self, status, headers, body, whole):
+    def __init__(self, status, headers, body, complete):
         self.status = status
         self.headers = headers
         self.body = body
-        self.whole = whole
+        self.complete = complete
 
 
 class Caller:
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -136,7 +136,7 @@
 
     async def _add_server(self, name):
         server = sites.Server(name)
-        server.do = lambda call: self._serve(server, call)
+        server.on_call = lambda call: self._serve(server, call)
         await server.start()
         proxy = proxies.Proxy(int(server.address.rpartition(":")[2]))
         port = await proxy.start()
@@ -146,14 +146,14 @@
         self._list(server)
 
     def _list(self, server):
-        entry = server.entry(address=server.listed)
+        entry = server.record(address=server.listed)
         self.store.put("keyed.servers", server.name, entry)
 
     async def _serve(self, server, call):
         self.judge.arrived(call.attempt_id, self.now)
         chance = self._rng.random()
         if self._rng.random() < self._shed_share:
-            call.shed()
+            call.reject()
             return
         if not self._accepts(server, call):
             return
@@ -232,7 +232,7 @@
         except (OSError, TimeoutError):
             return False
         self.judge.answered(attempt_id, answer)
-        return answer.whole and answer.headers.get("connection") != "close"
+        return answer.complete and answer.headers.get("connection") != "close"
 
     # Faults.
 
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -64,8 +64,8 @@
     def answered(self, attempt_id, answer):
         """Takes what the caller got."""
         sent = self.sent[attempt_id]
-        sent.status = answer.status if answer.whole else 0
-        if answer.status != 200 or not answer.whole:
+        sent.status = answer.status if answer.complete else 0
+        if answer.status != 200 or not answer.complete:
             return
         if sent.kind == "stream":
             numbers = [
--- a/tests/soak/server_signals.py
+++ b/tests/soak/server_signals.py
@@ -52,17 +52,17 @@
         entry = self.asked_at.get(call.attempt_id)
         if sent is not None and entry is not None:
             self._judge(server.name, said, entry, sent.at, now)
-        call.more = said.headers()
+        call.extra_headers = said.headers()
         if now < said.pause_until:
             self.judge.arrived(call.attempt_id, now)
             pause_s = round(said.pause_until - now, 2)
-            call.more += (f"Retry-After: {pause_s}",)
-            call.shed()
+            call.extra_headers += (f"Retry-After: {pause_s}",)
+            call.reject()
             if entry is not None:
                 mark = (_incarnation(entry), now, now + pause_s, [])
                 said.pauses.append(mark)
             return
-        if entry is not None and call.more:
+        if entry is not None and call.extra_headers:
             self._tell(said, entry)
         await super()._serve(server, call)
 
--- a/tests/soak/versions.py
+++ b/tests/soak/versions.py
@@ -44,14 +44,14 @@
         server.version = getattr(server, "version", 1)
         layers = {"from": 0, "target": 1, "version": server.version}
         held = {"name": MODEL, "version": server.version, "layers": layers}
-        entry = server.entry("engine", address=server.listed, models=[held])
+        entry = server.record("engine", address=server.listed, models=[held])
         self.store.put("keyed.servers", server.name, entry)
 
     def _accepts(self, server, call):
         expected = call.headers.get("x-clementinegw-expect-version")
         if expected not in (None, str(server.version)):
             name = f"X-Clementinegw-Instance-Id: {server.name}"
-            call.answer(b"", 421, more=(name,))
+            call.answer(b"", 421, extra_headers=(name,))
             return False
         self._judge_version(server, call)
         return True
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -191,7 +191,7 @@
     service = {"name": "plain", "engine": engine}
     change = sites.config(2, services=[service])
     site.store.put("keyed.op", "config", change)
-    site.hold(site.servers[0], 1)
+    site.list_version(site.servers[0], 1)
     version = {"model": "m", "version": 2}
     site.store.put("keyed.op", "version/m", version)
 
@@ -211,7 +211,7 @@
             connect = client.connect
 
             async def slowly(address, timeout_s):
-                site.slept_s = 4.0
+                site.suspended_s = 4.0
                 return await connect(address, timeout_s)
 
             monkeypatch.setattr(client, "connect", slowly)
--- a/tests/test_direct_due.py
+++ b/tests/test_direct_due.py
@@ -20,7 +20,7 @@
         service = {"name": "plain", "engine": ENGINE}
         change = sites.config(2, services=[service])
         self.store.put("keyed.op", "config", change)
-        self.hold(self.servers[0], 1)
+        self.list_version(self.servers[0], 1)
         # Lists are read about once a second.
         await asyncio.sleep(1.5)
         return self
@@ -98,7 +98,7 @@
     async with Site("i-1") as site:
         site.name()
         await asyncio.sleep(0.5)
-        site.slept_s = 3.0
+        site.suspended_s = 3.0
         await asyncio.sleep(3.7)
         early = await site.serves()
         await asyncio.sleep(0.6)
@@ -112,7 +112,7 @@
         call.event(1)
         call.end_stream()
 
-    async with Site("i-1", do=slow) as site:
+    async with Site("i-1", on_call=slow) as site:
         await change(site, None)
         asking = asyncio.ensure_future(site.ask("/stream/1", headers=MODEL))
         await asyncio.sleep(0.2)
@@ -135,7 +135,7 @@
             site.name()
             await asyncio.sleep(4.0)
         else:
-            site.slept_s = 3.3
+            site.suspended_s = 3.3
 
     return await _waits_at_a_server(slept)
 
@@ -208,7 +208,7 @@
 async def agents_are_suspended(site):
     due_at = site.boot_time() + 8.0
     await asyncio.sleep(1.0)
-    site.slept_s = 3.0
+    site.suspended_s = 3.0
     return due_at
 
 
--- a/tests/test_direct_entry.py
+++ b/tests/test_direct_entry.py
@@ -81,7 +81,7 @@
         call.answer(b"again " + call.attempt_id.encode())
 
     async def play():
-        async with sites.Site("i-1", do=twice) as site:
+        async with sites.Site("i-1", on_call=twice) as site:
             bodies = []
             for name in ("x1", "x2", "x3"):
                 answer = await site.ask("/once/1", attempt_id=name)
@@ -98,7 +98,7 @@
         def crossed(call):
             call.answer(attempt_id="someone-elses")
 
-        async with sites.Site("i-1", do=crossed) as site:
+        async with sites.Site("i-1", on_call=crossed) as site:
             return await site.ask("/once/1")
 
     answer = sites.run(play())
@@ -118,7 +118,7 @@
         call.reset()
 
     async def play(path):
-        async with sites.Site("i-1", "i-2", do=broken) as site:
+        async with sites.Site("i-1", "i-2", on_call=broken) as site:
             answer = await site.ask(path)
             return answer.status, sum(len(s.calls) for s in site.servers)
 
@@ -139,7 +139,9 @@
             call.answer()
 
     async def play():
-        async with sites.Site("i-1", "i-2", "i-3", "i-4", do=crash) as site:
+        async with sites.Site(
+            "i-1", "i-2", "i-3", "i-4", on_call=crash
+        ) as site:
             told = [
                 (await site.ask("/safe/1", body=b"bad", attempt_id=f"b{n}"))
                 for n in range(5)
@@ -155,7 +157,9 @@
 
 def test_a_request_that_no_server_ran_is_told_so_with_a_time():
     async def play():
-        async with sites.Site("i-1", do=lambda call: call.shed()) as site:
+        async with sites.Site(
+            "i-1", on_call=lambda call: call.reject()
+        ) as site:
             return await site.ask("/once/1")
 
     answer = sites.run(play())
@@ -174,7 +178,7 @@
         def failing(call):
             call.answer(b"", 503)
 
-        async with sites.Site("i-1", do=failing) as site:
+        async with sites.Site("i-1", on_call=failing) as site:
             return await site.ask("/once/1")
 
     assert sites.run(play()).status == 502
@@ -185,7 +189,7 @@
         def unsealed(call):
             call.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
-        async with sites.Site("i-1", do=unsealed) as site:
+        async with sites.Site("i-1", on_call=unsealed) as site:
             return await site.ask("/once/1")
 
     assert sites.run(play()).status == 502
@@ -248,12 +252,12 @@
         call.end_stream()
 
     async def play():
-        async with sites.Site("i-1", "i-2", do=stream) as site:
+        async with sites.Site("i-1", "i-2", on_call=stream) as site:
             return await site.ask("/stream/1")
 
     answer = sites.run(play())
     expected = "".join(f"id: {n}\ndata: {n}\n\n" for n in range(1, 7))
-    assert (answer.whole, answer.body) == (True, expected.encode())
+    assert (answer.complete, answer.body) == (True, expected.encode())
     assert answer.headers["x-clementinegw-response-seal"] == "seal-a1"
 
 
@@ -264,7 +268,7 @@
         call.reset()
 
     async def play():
-        async with sites.Site("i-1", do=stream) as site:
+        async with sites.Site("i-1", on_call=stream) as site:
             site.store.put(
                 "keyed.op",
                 "config",
@@ -280,7 +284,7 @@
             return await site.ask("/stream/1")
 
     answer = sites.run(play())
-    assert (answer.status, answer.whole) == (200, False)
+    assert (answer.status, answer.complete) == (200, False)
 
 
 def test_a_stream_that_has_not_begun_is_taken_back_before_a_version_is_due():
@@ -305,14 +309,14 @@
         call.end_stream()
 
     async def play():
-        async with sites.Site("i-1", "i-2", do=slow) as site:
+        async with sites.Site("i-1", "i-2", on_call=slow) as site:
             engine = {"slots": 8, "step_ms": 7.0, "models": [{"name": "m"}]}
             service = {"name": "plain", "engine": engine}
             change = sites.config(2, services=[service])
             site.store.put("keyed.op", "config", change)
             old, new = site.servers
-            new.do = quick
-            site.hold(old, 1)
+            new.on_call = quick
+            site.list_version(old, 1)
             site.store.put("keyed.servers", new.name, None)
             version = {"model": "m", "version": 2}
             site.store.put("keyed.op", "version/m", version)
@@ -323,12 +327,12 @@
                 site.ask("/stream/1", headers=headers)
             )
             await asyncio.sleep(0.1)
-            site.hold(new, 2)
+            site.list_version(new, 2)
             answer = await asking
             return answer, len(old.calls), len(new.calls)
 
     answer, olds, news = sites.run(play())
-    assert (answer.status, answer.whole) == (200, True)
+    assert (answer.status, answer.complete) == (200, True)
     assert (olds, news, began) == (1, 1, [])
 
 
@@ -343,7 +347,7 @@
         async def slow(call):
             await asyncio.sleep(30.0)
 
-        async with sites.Site("i-1", do=slow) as site:
+        async with sites.Site("i-1", on_call=slow) as site:
             async with sites.Caller(site) as caller:
                 caller.send()
                 await asyncio.sleep(0.1)
@@ -360,7 +364,7 @@
         async def slow(call):
             await asyncio.sleep(30.0)
 
-        async with sites.Site("i-1", do=slow) as site:
+        async with sites.Site("i-1", on_call=slow) as site:
             began = asyncio.get_running_loop().time()
             answer = await site.ask("/once/1")
             return answer.status, asyncio.get_running_loop().time() - began
@@ -503,7 +507,7 @@
             call.answer()
 
         async with (
-            sites.Site("i-1", do=slow) as site,
+            sites.Site("i-1", on_call=slow) as site,
             sites.Caller(site) as first,
         ):
             first.send()
--- a/tests/test_direct_server_backoff.py
+++ b/tests/test_direct_server_backoff.py
@@ -22,7 +22,7 @@
             call.answer()
             return
         more = ("X-Clementinegw-Not-Executed: 1", f"Retry-After: {retry_after}")
-        call.answer(b"", 503, more=more)
+        call.answer(b"", 503, extra_headers=more)
 
     return do
 
@@ -48,7 +48,7 @@
     async def play():
         async with sites.Site("i-1", "i-2") as site:
             first, now = site.servers[0], asyncio.get_running_loop().time()
-            first.do = overloaded(3, now + 3.0)
+            first.on_call = overloaded(3, now + 3.0)
             answers = await keep_asking(site, 2.9)
             paused = within(first, first.arrived_at[0], now + 3.0)
             await keep_asking(site, 2.0)
@@ -65,7 +65,7 @@
         async with sites.Site("i-1", "i-2") as site:
             now = asyncio.get_running_loop().time()
             for server in site.servers:
-                server.do = overloaded(1.0, now + 1.0)
+                server.on_call = overloaded(1.0, now + 1.0)
             await keep_asking(site, 0.1)
             calls = sum(len(server.calls) for server in site.servers)
             began = asyncio.get_running_loop().time()
@@ -91,7 +91,7 @@
         async with sites.Site("i-1") as site:
             (server,) = site.servers
             now = asyncio.get_running_loop().time()
-            server.do = overloaded(0.2, now + 0.1)
+            server.on_call = overloaded(0.2, now + 0.1)
             return (await site.ask()).status, len(server.calls)
 
     assert sites.run(play()) == (200, 2)
@@ -104,18 +104,18 @@
         async with sites.Site("i-1", "i-2") as site:
             first, second = site.servers
             held = []
-            first.do = held.append
-            second.do = held.append
+            first.on_call = held.append
+            second.on_call = held.append
             slow = [
                 asyncio.ensure_future(site.ask(f"/once/{n}")) for n in range(6)
             ]
             await asyncio.sleep(0.1)
             at_first = [c for c in held if c in first.calls]
             more = ("X-Clementinegw-Not-Executed: 1", "Retry-After: 2")
-            at_first[0].answer(b"", 503, more=more)
+            at_first[0].answer(b"", 503, extra_headers=more)
             await asyncio.sleep(0.1)
             began = asyncio.get_running_loop().time()
-            second.do = first.do = lambda call: call.answer()
+            second.on_call = first.on_call = lambda call: call.answer()
             for call in held:
                 if call is not at_first[0]:
                     call.answer()
@@ -131,14 +131,14 @@
         async with sites.Site("i-1") as site:
             (server,) = site.servers
             held = []
-            server.do = held.append
+            server.on_call = held.append
             first = asyncio.ensure_future(site.ask("/once/1"))
             await asyncio.sleep(0.1)
             sites.slow_connections(monkeypatch, by_s=0.2)
             second = asyncio.ensure_future(site.ask("/once/2"))
             await asyncio.sleep(0.1)
             more = ("X-Clementinegw-Not-Executed: 1", "Retry-After: 9")
-            held[0].answer(b"", 503, more=more)
+            held[0].answer(b"", 503, extra_headers=more)
             answers = await asyncio.gather(first, second)
             return [a.status for a in answers], len(server.calls)
 
@@ -149,19 +149,19 @@
     async def play():
         async with sites.Site("i-1") as site:
             (server,) = site.servers
-            entry = server.entry(born=1)
+            entry = server.record(born=1)
             site.store.put("keyed.servers", server.name, entry)
             await asyncio.sleep(1.5)
             now = asyncio.get_running_loop().time()
-            server.do = overloaded(30, now + 0.1)
+            server.on_call = overloaded(30, now + 0.1)
             await site.ask()
             site.store.put("keyed.servers", server.name, None)
             await asyncio.sleep(4.0)
-            entry = server.entry(born=1, sequence=3)
+            entry = server.record(born=1, sequence=3)
             site.store.put("keyed.servers", server.name, entry)
             await asyncio.sleep(1.5)
             same = (await site.ask()).status
-            entry = server.entry(born=2)
+            entry = server.record(born=2)
             site.store.put("keyed.servers", server.name, entry)
             await asyncio.sleep(1.5)
             return same, (await site.ask()).status
@@ -199,7 +199,7 @@
         async with sites.Site("i-1") as site:
             (server,) = site.servers
             now = asyncio.get_running_loop().time()
-            server.do = overloaded(999_999_999, now + 0.1)
+            server.on_call = overloaded(999_999_999, now + 0.1)
             await site.ask()
             (backend,) = site.entry._fleet.all()
             return backend.signals.backoff_until - now
--- a/tests/test_direct_server_leaving.py
+++ b/tests/test_direct_server_leaving.py
@@ -14,7 +14,7 @@
 
 
 def leaving(call):
-    call.answer(more=(LEAVING,))
+    call.answer(extra_headers=(LEAVING,))
 
 
 async def keep_asking(site, until_s):
@@ -36,7 +36,7 @@
             await keep_asking(site, 1.0)
             site.store.silent = True
             site.store.cut()
-            first.do = leaving
+            first.on_call = leaving
             began = asyncio.get_running_loop().time()
             await keep_asking(site, 0.5)
             statuses = await keep_asking(site, 2.5)
@@ -56,11 +56,13 @@
 
 
 def rejects(call):
-    call.answer(b"", 503, more=(LEAVING, "X-Clementinegw-Not-Executed: 1"))
+    call.answer(
+        b"", 503, extra_headers=(LEAVING, "X-Clementinegw-Not-Executed: 1")
+    )
 
 
 def fails(call):
-    call.answer(b"", 500, more=(LEAVING,))
+    call.answer(b"", 500, extra_headers=(LEAVING,))
 
 
 def streams(call):
@@ -90,7 +92,7 @@
     async def play():
         async with sites.Site("i-1", "i-2") as site:
             first = site.servers[0]
-            first.do = answer
+            first.on_call = answer
             while not first.calls:
                 await site.ask(path)
             return await calls_after(site, first)
@@ -105,13 +107,13 @@
     async def play():
         async with sites.Site("i-1", "i-2") as site:
             first = site.servers[0]
-            first.do = leaving
+            first.on_call = leaving
             while not first.calls:
                 await site.ask()
             if gone:
                 site.store.put("keyed.servers", first.name, None)
                 await asyncio.sleep(4.0)
-            entry = first.entry(sequence=9)
+            entry = first.record(sequence=9)
             site.store.put("keyed.servers", first.name, entry)
             await asyncio.sleep(1.5)
             return await calls_after(site, first)
@@ -123,14 +125,14 @@
     async def play():
         async with sites.Site("i-1") as site:
             (server,) = site.servers
-            entry = server.entry(born=1)
+            entry = server.record(born=1)
             site.store.put("keyed.servers", server.name, entry)
             await asyncio.sleep(1.5)
-            server.do = leaving
+            server.on_call = leaving
             await site.ask()
-            server.do = lambda call: call.answer()
+            server.on_call = lambda call: call.answer()
             left = (await site.ask()).status
-            entry = server.entry(born=2)
+            entry = server.record(born=2)
             site.store.put("keyed.servers", server.name, entry)
             await asyncio.sleep(1.5)
             return left, (await site.ask()).status
@@ -145,7 +147,7 @@
         async with sites.Site("i-1") as site:
             (server,) = site.servers
             held = []
-            server.do = held.append
+            server.on_call = held.append
             first = asyncio.ensure_future(site.ask("/once/1"))
             await asyncio.sleep(0.1)
             sites.slow_connections(monkeypatch, by_s=0.2)
--- a/tests/test_direct_server_limit.py
+++ b/tests/test_direct_server_limit.py
@@ -22,7 +22,7 @@
 
 def limited(per_s):
     """Returns what a server does that reports a limit in each answer."""
-    return lambda call: call.answer(more=(f"Server-Limit: {per_s}",))
+    return lambda call: call.answer(extra_headers=(f"Server-Limit: {per_s}",))
 
 
 def arrivals(server, since):
@@ -57,7 +57,7 @@
     async def play():
         async with sites.Site("i-1", "i-2") as site:
             first = site.servers[0]
-            first.do = limited(1.5)
+            first.on_call = limited(1.5)
             began = asyncio.get_running_loop().time()
             statuses = await keep_asking(site, count=240, pause_s=0.05)
             times = arrivals(first, began + SETTLED_S)
@@ -77,7 +77,7 @@
     async def play():
         async with sites.Site("i-1") as site:
             alone(site)
-            site.servers[0].do = limited(2.0)
+            site.servers[0].on_call = limited(2.0)
             await site.ask()
             asking, clock = [], asyncio.get_running_loop().time
             for number in range(100):
@@ -114,7 +114,7 @@
         async with sites.Site("i-1") as site:
             alone(site)
             await site.ask()
-            site.servers[0].do = limited(0.5)
+            site.servers[0].on_call = limited(0.5)
             sites.slow_connections(monkeypatch, by_s=0.2)
             asking = [
                 asyncio.ensure_future(site.ask(f"/safe/{n}")) for n in range(8)
@@ -131,9 +131,9 @@
         async with sites.Site("i-1") as site:
             alone(site)
             (server,) = site.servers
-            server.do = limited(2.0)
+            server.on_call = limited(2.0)
             await keep_asking(site, count=20, pause_s=0.1)
-            server.do = lambda call: call.answer()
+            server.on_call = lambda call: call.answer()
             await asyncio.sleep(1.0)
             return await keep_asking(site, count=40, pause_s=0.02)
 
@@ -148,10 +148,10 @@
             alone(site)
             (server,) = site.servers
             held = []
-            server.do = held.append
+            server.on_call = held.append
             slow = asyncio.ensure_future(site.ask("/once/slow"))
             await asyncio.sleep(0.1)
-            server.do = limited(1.0)
+            server.on_call = limited(1.0)
             await site.ask()
             held[0].answer()
             await slow
@@ -165,13 +165,13 @@
         async with sites.Site("i-1", "i-2") as site:
             alone(site)
             (server, _) = site.servers
-            server.do = limited(1.0)
+            server.on_call = limited(1.0)
             await keep_asking(site, count=20, pause_s=0.02)
             before = site.entry._fleet.limited
             site.store.put("keyed.servers", server.name, None)
             await asyncio.sleep(4.0)
             gone = site.entry._fleet.limited
-            site.store.put("keyed.servers", server.name, server.entry())
+            site.store.put("keyed.servers", server.name, server.record())
             await asyncio.sleep(1.5)
             return before, gone, site.entry._fleet.limited
 
@@ -183,13 +183,13 @@
         async with sites.Site("i-1") as site:
             alone(site)
             (server,) = site.servers
-            entry = server.entry(born=1)
+            entry = server.record(born=1)
             site.store.put("keyed.servers", server.name, entry)
             await asyncio.sleep(1.5)
-            server.do = limited(1.0)
+            server.on_call = limited(1.0)
             await site.ask()
             before = site.entry._fleet.limited
-            entry = server.entry(born=2)
+            entry = server.record(born=2)
             site.store.put("keyed.servers", server.name, entry)
             await asyncio.sleep(1.5)
             return before, site.entry._fleet.limited
@@ -226,9 +226,9 @@
         async with sites.Site("i-1") as site:
             alone(site)
             (server,) = site.servers
-            server.do = limited(1.0)
+            server.on_call = limited(1.0)
             await site.ask()
-            server.do = limited("many")
+            server.on_call = limited("many")
             await site.ask()
             (backend,) = site.entry._fleet.all()
             return backend.signals.limiter.per_s
--- a/tests/test_platform_drain.py
+++ b/tests/test_platform_drain.py
@@ -26,7 +26,7 @@
 
 
 def put(site, server, **fields):
-    site.store.put(TOPIC, server.name, server.entry(**fields))
+    site.store.put(TOPIC, server.name, server.record(**fields))
 
 
 def test_an_older_write_that_is_executed_late_brings_no_server_back():
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -126,7 +126,7 @@
             site.store.put_raw(TOPIC, b"\xff\xfe", changed())
             site.store.put_raw(TOPIC, b"", changed())
             site.store.put_raw(TOPIC, spoilt.name.encode(), b"{")
-            site.store.put(TOPIC, well.name, well.entry(sequence=2))
+            site.store.put(TOPIC, well.name, well.record(sequence=2))
             await asyncio.sleep(3.0)
             before = len(spoilt.calls)
             for _ in range(20):
@@ -149,7 +149,7 @@
             found = {b.server.server_id for b in site.entry._fleet.all()}
             assert found == {"b"}
             assert not site.entry.crashed
-            site.store.put(TOPIC, spoilt.name, spoilt.entry(sequence=3))
+            site.store.put(TOPIC, spoilt.name, spoilt.record(sequence=3))
             await asyncio.sleep(3.0)
             found = {b.server.server_id for b in site.entry._fleet.all()}
             assert found == {"a", "b"}
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -72,7 +72,7 @@
         put("keyed.op", "config", platform_site.config())
         server = platform_site.Server("i-1")
         await server.start()
-        put("keyed.servers", "i-1", server.entry())
+        put("keyed.servers", "i-1", server.record())
         await domain.until(1, 5.0)
         paths = {entry: Path(entry) for entry in domain.entries}
         await asyncio.sleep(8.0 + phase_s)
@@ -83,7 +83,7 @@
         else:
             paths[reader].cut()
         put("keyed.op", "config", platform_site.config(version=2))
-        leaving = server.entry(state="draining", sequence=2)
+        leaving = server.record(state="draining", sequence=2)
         put("keyed.servers", "i-1", leaving)
         clock = asyncio.get_running_loop().time
         started = clock()
