--- a/src/clementinegw/direct/admit.py
+++ b/src/clementinegw/direct/admit.py
@@ -47,7 +47,9 @@
 
 
 def match(
-    config_view: ConfigView, request: servers.Request, facts: types.RequestFacts
+    config_view: ConfigView,
+    request: servers.Request,
+    facts: types.RequestMetadata,
 ) -> catalogs.RouteMatch | outcomes.Refusal:
     """Returns a request's route and customer, or why it is refused."""
     catalog = config_view.catalog
--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -9,7 +9,7 @@
 
 from clementinegw import clock as clocks
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import agent_interfaces
 from clementinegw.direct import declarations
@@ -48,11 +48,11 @@
     """What the daemon needs of the platform."""
 
     def local_server(
-        self, address: places.Address, model: str
+        self, address: shared_types.Address, model: str
     ) -> agent_interfaces.LocalServer:
         """Returns the server beside the agent."""
 
-    def origin(self, address: places.Address) -> agent_interfaces.Origin:
+    def origin(self, address: shared_types.Address) -> agent_interfaces.Origin:
         """Returns the origin of weights."""
 
 
@@ -71,16 +71,16 @@
     ):
         """Prepares the daemon; see `entry.Entry`."""
         super().__init__()
-        assert instance.backend is not None
+        assert instance.backend_address is not None
         self._instance = instance
         self._platform = platform
         self._log = log
         self._counters = counters
-        self._backend = instance.backend
+        self._backend = instance.backend_address
         self._clock = asyncio.get_running_loop().time
         self._relay = relay.Relay(
             instance,
-            places.Role.AGENT,
+            shared_types.Role.AGENT,
             platform,
             _POLL_PACES,
             log,
@@ -117,7 +117,7 @@
             self._on_declared, self._ages_report, self._on_suspicions
         )
         self.histograms = histograms.Histograms()
-        self._origin_address: places.Address | None = None
+        self._origin_address: shared_types.Address | None = None
         self._context = updater.Context(instance)
         self._updater = updater.WeightsUpdater(
             self._context,
@@ -169,7 +169,7 @@
                 self._apply_configuration(record.value)
         # Only now: the configuration says which model this server is for.
         for record in batch.records:
-            if isinstance(record.value, types.Declared):
+            if isinstance(record.value, types.DeclaredVersion):
                 declared = record.value
                 self._apply_declared(
                     declared.model,
@@ -260,7 +260,7 @@
         others = {
             server.address.host: self._agent_instance(
                 server.address.host,
-                places.Place(
+                shared_types.Place(
                     self._instance.regions.get(server.failure_domain, ""),
                     server.failure_domain,
                 ),
@@ -292,13 +292,13 @@
             self._initialized.set()
 
     def _agent_instance(
-        self, host: str, place: places.Place
-    ) -> places.Instance:
-        return places.Instance(
+        self, host: str, place: shared_types.Place
+    ) -> shared_types.Instance:
+        return shared_types.Instance(
             f"agent-{host}",
-            places.Role.AGENT,
+            shared_types.Role.AGENT,
             place,
-            places.Address(host, self._instance.peer_ports[0]),
+            shared_types.Address(host, self._instance.peer_ports[0]),
         )
 
     # The server beside.
@@ -347,7 +347,7 @@
         self._reporter.send(
             reports.Report(
                 server_id=start.server_id,
-                started_ms=start.born,
+                started_ms=start.started_ms,
                 running=state.running,
                 waiting=state.waiting,
                 slots=self._context.engine.slots if self._context.engine else 1,
--- a/src/clementinegw/direct/agent_interfaces.py
+++ b/src/clementinegw/direct/agent_interfaces.py
@@ -21,7 +21,7 @@
         said.
     """
 
-    held: tuple[types.Held, ...]
+    held: tuple[types.HeldWeights, ...]
     busy: bool
     sequence: int
     running: int
--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -60,7 +60,7 @@
     """
 
     request: servers.Request
-    metadata: types.RequestFacts
+    metadata: types.RequestMetadata
     match: catalog.RouteMatch
     service: str
     responder: servers.Responder
@@ -77,7 +77,7 @@
     failed_connect_s: float = 0.0
     utilization: float = 0.0
     server_id: str = ""
-    tried: set[types.Start] = dataclasses.field(default_factory=set)
+    tried: set[types.ServerStart] = dataclasses.field(default_factory=set)
 
     @property
     def customer_name(self) -> str:
@@ -87,7 +87,7 @@
     @property
     def streaming(self) -> bool:
         """Whether its answer is a stream."""
-        return self.match.route.repeat is types.Repeat.STREAM
+        return self.match.route.repeat_policy is types.RepeatPolicy.STREAM
 
 
 class AttemptRunner:
@@ -114,7 +114,7 @@
         self,
         job: Job,
         backend: backend_lib.Backend,
-        sending: types.Sending,
+        sending: types.ForwardMetadata,
         has_alternative: Callable[[], bool],
         version_timeout: version_timeouts.VersionTimeout,
     ) -> outcomes.AttemptOutcome:
@@ -156,7 +156,7 @@
         self,
         job: Job,
         receiver: "_AnswerReceiver",
-        sending: types.Sending,
+        sending: types.ForwardMetadata,
         unread: "_UnreadTokens",
     ) -> outcomes.AttemptOutcome:
         backend = receiver.backend
@@ -219,7 +219,7 @@
         self,
         job: Job,
         receiver: "_AnswerReceiver",
-        sending: types.Sending,
+        sending: types.ForwardMetadata,
         connection: client.Connection,
         unread: "_UnreadTokens",
     ) -> outcomes.AttemptOutcome:
@@ -238,7 +238,7 @@
         silence_limit_s = silence_s if route.idempotent else None
         head = await receiver.receive_head(connection, silence_limit_s)
         metadata = self._codec.answer_metadata(head)
-        connection.keep_alive_s = metadata.keep_s
+        connection.keep_alive_s = metadata.keep_alive_s
         now = self._clock()
         if metadata.load is not None:
             backend.update_load(metadata.load, now)
--- a/src/clementinegw/direct/balance.py
+++ b/src/clementinegw/direct/balance.py
@@ -4,7 +4,7 @@
 import dataclasses
 import random
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import backend as backend_lib
 from clementinegw.direct import cooldown
 from clementinegw.direct import fleet
@@ -59,7 +59,7 @@
     def __init__(
         self,
         servers: fleet.Fleet,
-        place: places.Place,
+        place: shared_types.Place,
         regions: dict[str, str],
         rng: random.Random,
         clock: Callable[[], float],
@@ -111,7 +111,9 @@
         ]
 
     def choose(
-        self, requirements: Requirements, tried: Collection[types.Start] = ()
+        self,
+        requirements: Requirements,
+        tried: Collection[types.ServerStart] = (),
     ) -> backend_lib.Backend | None:
         """Returns the server to send to; None when none has room.
 
@@ -262,7 +264,7 @@
 
 
 def distance_to(
-    regions: dict[str, str], place: places.Place, domain: str
+    regions: dict[str, str], place: shared_types.Place, domain: str
 ) -> int:
     """Returns 0 for the same failure domain, 1 the same region, 2 another."""
     if domain == place.failure_domain:
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -62,7 +62,9 @@
             log,
             counters or counters_lib.Counters(),
         )
-        self.listing_expiry = outage.ListingExpiry(terms or outage.ListingTimes())
+        self.listing_expiry = outage.ListingExpiry(
+            terms or outage.ListingTimes()
+        )
         self._log = log
         self._rng = rng
         self._max_connections = max_connections
@@ -104,11 +106,11 @@
         # An address may belong to another server by now: the id decides.
         if backend is None or backend.server.address.host != host:
             return None
-        if backend.server.start.same(report.start):
+        if backend.server.start.matches(report.start):
             return backend
         # The agent asks the server itself, and so knows before the list that a
         # start is over. What is late, of a start before, says nothing.
-        if report.started_ms > backend.server.born:
+        if report.started_ms > backend.server.started_ms:
             backend.gone = True
         return None
 
@@ -195,7 +197,9 @@
             return
         signals = self._signals.get(server.start)
         backend = self._backends.get(key)
-        if backend is not None and not backend.server.start.same(server.start):
+        if backend is not None and not backend.server.start.matches(
+            server.start
+        ):
             # What was seen of one start says nothing of the next; requests
             # under way keep to the start that they were sent to.
             self._drop(key)
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -208,7 +208,7 @@
         now = self._clock()
         model = self._placer.model(job)
         held = backend.held_version(self._placer.layers(job.service))
-        sending = types.Sending(
+        sending = types.ForwardMetadata(
             backend.server.server_id,
             max(0.001, job.deadline - now - _ANSWER_TRANSIT_S),
             job.customer_name,
--- a/src/clementinegw/direct/queue.py
+++ b/src/clementinegw/direct/queue.py
@@ -19,11 +19,11 @@
 # or a report comes, in seconds.
 _DISPATCH_INTERVAL_S = 0.02
 
-_NO_STARTS: frozenset[types.Start] = frozenset()
+_NO_STARTS: frozenset[types.ServerStart] = frozenset()
 
 # Needs that no server could meet a moment ago: what is wanted, whether too late
 # to be on time, and who is left out.
-_Unmet = set[tuple[balance.Requirements, bool, frozenset[types.Start]]]
+_Unmet = set[tuple[balance.Requirements, bool, frozenset[types.ServerStart]]]
 # How many requests that need the same go first; see `Queue._will_expire`.
 _Ahead = dict[balance.Requirements, int | None]
 
@@ -60,7 +60,7 @@
     """
 
     requirements: Callable[[], balance.Requirements]
-    tried: frozenset[types.Start]
+    tried: frozenset[types.ServerStart]
     latest_start: float
     give_up_at: float
     reservation: asyncio.Future["Reservation | None"]
@@ -124,7 +124,7 @@
     async def reserve(
         self,
         requirements: Callable[[], balance.Requirements],
-        tried: frozenset[types.Start],
+        tried: frozenset[types.ServerStart],
         latest_start: float,
         give_up_at: float,
     ) -> Reservation | None:
--- a/src/clementinegw/direct/relay.py
+++ b/src/clementinegw/direct/relay.py
@@ -333,7 +333,7 @@
 
 def _update_from_wire(wire: ttypes.TopicNews) -> peer_queries.Update:
     try:
-        readers = tuple(instances.address(text) for text in wire.readers)
+        readers = tuple(instances.parse_address(text) for text in wire.readers)
     except ValueError as error:
         raise exceptions.DecodeError(f"TopicNews: {error}") from error
     return peer_queries.Update(
--- a/src/clementinegw/direct/server_records.py
+++ b/src/clementinegw/direct/server_records.py
@@ -46,7 +46,7 @@
             self._log.write(
                 _events.SERVER_RECORD_OLD,
                 server=server.server_id,
-                born=server.born,
+                born=server.started_ms,
                 sequence=server.sequence,
                 known=dataclasses.astuple(newest),
             )
@@ -55,10 +55,10 @@
             server = dataclasses.replace(
                 server,
                 leaving=server.leaving or newest.leaving,
-                born=server.born or newest.started_ms,
+                started_ms=server.started_ms or newest.started_ms,
             )
         self._newest[server.server_id] = _Newest(
-            server.born, server.sequence, server.leaving
+            server.started_ms, server.sequence, server.leaving
         )
         self._newest.move_to_end(server.server_id)
         while len(self._newest) > _MAX_SERVERS:
@@ -72,13 +72,13 @@
     Without a time of birth the id alone names the start.
     """
     return (
-        not server.born
+        not server.started_ms
         or not newest.started_ms
-        or server.born == newest.started_ms
+        or server.started_ms == newest.started_ms
     )
 
 
 def _is_older(server: types.Server, newest: _Newest) -> bool:
     if _is_same_start(server, newest):
         return server.sequence < newest.sequence
-    return server.born < newest.started_ms
+    return server.started_ms < newest.started_ms
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import admit
 from clementinegw.direct import backend as backend_lib
@@ -60,7 +60,7 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._subscribed: dict[places.Address, reports.Subscription] = {}
+        self._subscribed: dict[shared_types.Address, reports.Subscription] = {}
         self._followed: set[str] = set()
         self._serving: dict[str, bool] = {}
         self._relayed_limits: dict[str, rate_limit.Observation] = {}
@@ -165,12 +165,12 @@
                 )
         return found
 
-    def _agents(self) -> dict[places.Address, reports.Subscription]:
+    def _agents(self) -> dict[shared_types.Address, reports.Subscription]:
         """Returns where agents listen, and what each is asked for."""
         port = self._instance.peer_ports[0]
         self._relayed_limits = limits = self._observed_limits()
         return {
-            places.Address(
+            shared_types.Address(
                 backend.server.address.host, port
             ): reports.Subscription(
                 self._is_far(backend.server),
--- a/src/clementinegw/direct/updater.py
+++ b/src/clementinegw/direct/updater.py
@@ -78,7 +78,7 @@
         return self.engine.models[0]
 
     @property
-    def start(self) -> types.Start:
+    def start(self) -> types.ServerStart:
         """The present start of the server beside; its id empty when unlisted.
 
         A start that crashed stays listed for seconds beside the next one, with
@@ -87,7 +87,7 @@
         here = [
             server
             for server in self.servers.values()
-            if server.address == self.instance.backend
+            if server.address == self.instance.backend_address
         ]
         started_ms = self.state.started_ms if self.state is not None else 0
         # Of those that are born at the same time, or say nothing of it, the
@@ -95,16 +95,18 @@
         newest = max(
             enumerate(here),
             key=lambda found: (
-                found[1].born == started_ms,
-                found[1].born,
+                found[1].started_ms == started_ms,
+                found[1].started_ms,
                 found[0],
             ),
             default=None,
         )
         if newest is None:
-            return types.Start("")
+            return types.ServerStart("")
         listed = newest[1].start
-        return types.Start(listed.server_id, started_ms or listed.born)
+        return types.ServerStart(
+            listed.server_id, started_ms or listed.started_ms
+        )
 
     @property
     def server_id(self) -> str:
@@ -210,7 +212,7 @@
         ]
         return [plan.Declaration(max(held, default=1), -math.inf)]
 
-    def is_complete(self, held: types.Held) -> bool:
+    def is_complete(self, held: types.HeldWeights) -> bool:
         """Returns whether all layers of a model are there."""
         return (
             self._context.engine is not None
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -14,7 +14,7 @@
 import statistics
 import types as builtin_types
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import admit
 from clementinegw.direct import attempt as attempts
 from clementinegw.direct import balance
@@ -210,16 +210,16 @@
     def place(self, number):
         """Returns where the entry or engine of a number stands."""
         domain = number % self._domains
-        return places.Place(f"r{domain}", f"d{domain}")
+        return shared_types.Place(f"r{domain}", f"d{domain}")
 
     def server(self, number):
         return types.Server(
             f"s{number}",
             SERVICE,
-            places.Address(f"10.0.{number // 250}.{number % 250}", 1_000),
+            shared_types.Address(f"10.0.{number // 250}.{number % 250}", 1_000),
             self.place(number).failure_domain,
             self.figures.slots,
-            held=(types.Held("m", 1, 1),),
+            held=(types.HeldWeights("m", 1, 1),),
         )
 
     async def play(self, seconds, strength: Callable[[float], float]):
@@ -292,7 +292,7 @@
     async def _ask(self, caller, entry, left_s):
         """Returns when to come back; None when that is no question."""
         now = self._clock()
-        facts = types.RequestFacts(
+        facts = types.RequestMetadata(
             timeout_s=left_s, prompt_tokens=caller.prompt
         )
         route = _route(caller.kind)
@@ -333,7 +333,7 @@
                 backend.unread_tokens -= caller.prompt
                 job.first_event_at = self._clock()
                 entry.placer.record_first_event(job)
-                facts = types.AnswerFacts(
+                facts = types.AnswerMetadata(
                     "a", True, False, limit_per_s=self.limits.get(number)
                 )
                 backend.signals.apply(facts, sent_at, self._clock())
@@ -441,11 +441,11 @@
         name=kind.name,
         host="h",
         prefix=f"/{kind.name}/",
-        repeat=types.Repeat.STREAM,
+        repeat_policy=types.RepeatPolicy.STREAM,
         targets=(types.Target(SERVICE, 1.0),),
         timeout_s=DEADLINE_S,
         objective_s=kind.objective_s,
-        rank=1,
+        priority=1,
         max_attempts=2,
         resumable=True,
         max_gap_s=LARGEST_GAP_S,
@@ -463,8 +463,8 @@
         1,
         96,
         24_576,
-        usual_prompt=980.0,
-        usual_answer=95.0,
+        typical_prompt_tokens=980.0,
+        typical_answer_tokens=95.0,
     )
     service = types.Service(SERVICE, 274, engine)
     return types.Configuration(
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -9,7 +9,7 @@
 import pytest
 
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import agent as agents
 from clementinegw.direct import agent_interfaces
 from clementinegw.direct import declarations
@@ -97,7 +97,7 @@
         found = [self.staged_pieces.get(n) for n in range(PIECES)]
         self.whole.append(expected == found)
         self.busy_until = asyncio.get_running_loop().time() + 0.3
-        self.held = (types.Held(model, version, 4),)
+        self.held = (types.HeldWeights(model, version, 4),)
         if self.lose_answer:
             self.lose_answer = False
             raise exceptions.BackendLost("the answer was lost")
@@ -195,14 +195,14 @@
         return self.origin
 
     def declare(self, version):
-        record = topic_watch.Record("v", types.Declared(MODEL, version))
+        record = topic_watch.Record("v", types.DeclaredVersion(MODEL, version))
         self.topics[0].records.append(record)
 
     async def __aenter__(self):
         engine = types.Engine(
             (MODEL,), 16, 0.01, 0.0, 1e4, 6, 4, PIECES, PIECE_BYTES
         )
-        origin = types.Origin(places.Address("127.0.0.1", 1), 8, 1e6)
+        origin = types.Origin(shared_types.Address("127.0.0.1", 1), 8, 1e6)
         services = {
             "engine": types.Service("engine", 64, engine),
             "origin": types.Service("origin", 8, None, origin),
@@ -214,7 +214,7 @@
             server = types.Server(
                 f"i-{number}",
                 "engine",
-                places.Address(host, 1),
+                shared_types.Address(host, 1),
                 f"d{number}",
                 16,
             )
@@ -267,14 +267,14 @@
     """Returns the instance of an agent, one of as many as there are domains."""
     return instances.Instance(
         name=f"agent-{number}",
-        place=places.Place(f"r{number}", f"d{number}"),
+        place=shared_types.Place(f"r{number}", f"d{number}"),
         regions={f"d{n}": f"r{n}" for n in range(domains)},
         host=host,
         peer_ports=(PORT, PORT + 1),
-        store=places.Address("127.0.0.1", 1),
-        callers=None,
-        ready=None,
-        backend=places.Address(host, 1),
+        store_address=shared_types.Address("127.0.0.1", 1),
+        callers_address=None,
+        ready_address=None,
+        backend_address=shared_types.Address(host, 1),
         service="engine",
         link_bytes_per_s=link_bytes_per_s,
         bounds=instances.Bounds(),
@@ -696,6 +696,6 @@
             assert len(local_server.loads) == loads + 1
             assert all(local_server.whole)
             told = site.agents[0]._context.start
-            assert told == types.Start("i-0", 7)
+            assert told == types.ServerStart("i-0", 7)
 
     run(play())
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -118,7 +118,7 @@
 def test_a_version_that_nobody_can_date_is_due_when_the_process_is_bound():
     now = [100.0]
     known = version_policy.VersionPolicy(8.0, lambda: now[0], settled_s=3.0)
-    known.record_declared(types.Declared("m", 2), unread_s=FIRST)
+    known.record_declared(types.DeclaredVersion("m", 2), unread_s=FIRST)
     assert known.required("m", 101.5) is None
     assert known.required("m", 103.0 - 0.5) == 2
 
@@ -195,7 +195,7 @@
     service = {"name": "plain", "engine": engine}
     change = sites.config(2, services=[service])
     site.store.put("keyed.op", "config", change)
-    site.hold(site.servers[0], 1)
+    site.list_version(site.servers[0], 1)
     version = {"model": "m", "version": 2}
     site.store.put("keyed.op", "version/m", version)
 
@@ -215,7 +215,7 @@
             connect = client.connect
 
             async def slowly(address, timeout_s):
-                site.slept_s = 4.0
+                site.suspended_s = 4.0
                 return await connect(address, timeout_s)
 
             monkeypatch.setattr(client, "connect", slowly)
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -261,7 +261,7 @@
         )
         asking.renew()
         left_out = next(b for b in entry.fleet.all() if not b.followed)
-        known.record_declared(direct_types.Declared("m", 2))
+        known.record_declared(direct_types.DeclaredVersion("m", 2))
         await asyncio.sleep(8.0)
         asking.refresh()
         before = left_out.followed
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
 from clementinegw.direct import reports
@@ -27,7 +27,7 @@
             types.Server(
                 server_id=name,
                 service="engine",
-                address=places.Address("127.0.0.1", 9),
+                address=shared_types.Address("127.0.0.1", 9),
                 failure_domain="d1",
                 slots=16,
             ),
@@ -45,7 +45,7 @@
 
 
 def chosen(backends, now):
-    place = places.Place("r", "d1")
+    place = shared_types.Place("r", "d1")
     chooser = balance.Balancer(
         backends, place, {}, random.Random(1), lambda: now
     )
@@ -135,17 +135,21 @@
     backends.find("resting").cooldown_until = 11.0
     now = [10.0]
     chooser = balance.Balancer(
-        backends, places.Place("r", "d1"), {}, random.Random(1), lambda: now[0]
+        backends,
+        shared_types.Place("r", "d1"),
+        {},
+        random.Random(1),
+        lambda: now[0],
     )
     assert chooser.choose(REQUIREMENTS) is backends.find("well")
-    found = chooser.choose(REQUIREMENTS, {types.Start("well")})
+    found = chooser.choose(REQUIREMENTS, {types.ServerStart("well")})
     assert found is backends.find("resting")
     chooser.record_sent(found)
-    assert chooser.choose(REQUIREMENTS, {types.Start("well")}) is None
+    assert chooser.choose(REQUIREMENTS, {types.ServerStart("well")}) is None
     now[0] = 10.3
-    assert chooser.choose(REQUIREMENTS, {types.Start("well")}) is found
+    assert chooser.choose(REQUIREMENTS, {types.ServerStart("well")}) is found
     waited_for = dataclasses.replace(REQUIREMENTS, allow_cooldown=False)
-    assert chooser.choose(waited_for, {types.Start("well")}) is None
+    assert chooser.choose(waited_for, {types.ServerStart("well")}) is None
     assert chooser.cooldown_ends_in_s(REQUIREMENTS) == 0.0
     backends.find("well").cooldown_until = 10.5
     assert chooser.cooldown_ends_in_s(REQUIREMENTS) == pytest.approx(0.2)
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import agent_interfaces
 from clementinegw.direct import balance
 from clementinegw.direct import channel
@@ -27,18 +27,18 @@
 from clementinegw.wire.gen.reports import ttypes
 
 HOST = "127.0.0.1"
-HELD = (types.Held("m", 2, 4),)
+HELD = (types.HeldWeights("m", 2, 4),)
 
 
 def server(born, **fields):
     values = {
         "service": "engine",
-        "address": places.Address(HOST, 9),
+        "address": shared_types.Address(HOST, 9),
         "failure_domain": "d1",
         "slots": 16,
         "sequence": 1,
     }
-    return types.Server(server_id="a", born=born, **{**values, **fields})
+    return types.Server(server_id="a", started_ms=born, **{**values, **fields})
 
 
 def listed(backends, *servers):
@@ -71,7 +71,7 @@
         follower_rank=1,
     )
     backend.apply_report(told, 10.0)
-    facts = types.AnswerFacts(
+    facts = types.AnswerMetadata(
         "a", True, False, limit_per_s=2.0, leaving=True, backoff_s=9.0
     )
     backend.signals.apply(facts, 9.0, 10.0)
@@ -109,7 +109,7 @@
     listed(backends, server(1)).apply_report(report(ready_in_s=told), 10.0)
     balancer = balance.Balancer(
         backends,
-        places.Place("r1", "d1"),
+        shared_types.Place("r1", "d1"),
         {},
         random.Random(1),
         lambda: asked_at,
@@ -220,7 +220,9 @@
     tracker = suspects.SuspectTracker()
     for born in (1, 2):
         assert not tracker.is_refused(Request, "c", 1.0)
-        tracker.record_crash(Request, "c", types.Start("a", born).text, 1.0)
+        tracker.record_crash(
+            Request, "c", types.ServerStart("a", born).text, 1.0
+        )
     assert tracker.is_refused(Request, "c", 1.0)
 
 
@@ -264,20 +266,20 @@
 # The agent.
 
 
-ADDRESS = places.Address(HOST, 9)
+ADDRESS = shared_types.Address(HOST, 9)
 
 
 def around(*servers, born=0):
     instance = instances.Instance(
         name="agent",
-        place=places.Place("r1", "d1"),
+        place=shared_types.Place("r1", "d1"),
         regions={"d1": "r1"},
         host=HOST,
         peer_ports=(0, 0),
-        store=ADDRESS,
-        callers=None,
-        ready=None,
-        backend=ADDRESS,
+        store_address=ADDRESS,
+        callers_address=None,
+        ready_address=None,
+        backend_address=ADDRESS,
         service="engine",
         link_bytes_per_s=1e6,
         bounds=instances.Bounds(),
@@ -288,20 +290,23 @@
 
 
 def named(server_id, born):
-    return types.Server(server_id, "engine", ADDRESS, "d1", 16, born=born)
+    return types.Server(server_id, "engine", ADDRESS, "d1", 16, started_ms=born)
 
 
 @pytest.mark.parametrize(
     ("found", "start"),
     [
-        (around(), types.Start("")),
-        (around(born=4), types.Start("", 0)),
-        (around(named("a", 0)), types.Start("a")),
-        (around(named("a", 0), named("b", 0)), types.Start("b")),
-        (around(named("a", 4), named("b", 3)), types.Start("a", 4)),
-        (around(named("a", 3), named("b", 4), born=3), types.Start("a", 3)),
-        (around(named("a", 3), born=4), types.Start("a", 4)),
-        (around(named("a", 0), born=4), types.Start("a", 4)),
+        (around(), types.ServerStart("")),
+        (around(born=4), types.ServerStart("", 0)),
+        (around(named("a", 0)), types.ServerStart("a")),
+        (around(named("a", 0), named("b", 0)), types.ServerStart("b")),
+        (around(named("a", 4), named("b", 3)), types.ServerStart("a", 4)),
+        (
+            around(named("a", 3), named("b", 4), born=3),
+            types.ServerStart("a", 3),
+        ),
+        (around(named("a", 3), born=4), types.ServerStart("a", 4)),
+        (around(named("a", 0), born=4), types.ServerStart("a", 4)),
     ],
 )
 def test_an_agent_names_the_present_start_of_its_server(found, start):
