--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -63,7 +63,7 @@
     """
 
     request: servers.Request
-    metadata: types.RequestFacts
+    metadata: types.RequestMetadata
     match: catalog.RouteMatch
     service: str
     responder: servers.Responder
@@ -80,7 +80,7 @@
     failed_connect_s: float = 0.0
     utilization: float = 0.0
     server_id: str = ""
-    tried: set[types.Start] = dataclasses.field(default_factory=set)
+    tried: set[types.ServerStart] = dataclasses.field(default_factory=set)
 
     @property
     def customer_name(self) -> str:
@@ -90,7 +90,7 @@
     @property
     def streaming(self) -> bool:
         """Whether the answer is a stream."""
-        return self.match.route.repeat is types.Repeat.STREAM
+        return self.match.route.repeat_policy is types.RepeatPolicy.STREAM
 
 
 class AttemptRunner:
@@ -117,7 +117,7 @@
         self,
         job: Job,
         backend: backend_lib.Backend,
-        sending: types.Sending,
+        sending: types.ForwardMetadata,
         has_alternative: Callable[[], bool],
         version_timeout: version_timeouts.VersionTimeout,
     ) -> outcomes.AttemptOutcome:
@@ -160,7 +160,7 @@
         self,
         job: Job,
         receiver: "_AnswerReceiver",
-        sending: types.Sending,
+        sending: types.ForwardMetadata,
         unread: "_UnreadTokens",
     ) -> outcomes.AttemptOutcome:
         backend = receiver.backend
@@ -184,7 +184,7 @@
             return outcome
         except client.AnswerBroken:
             if not backend.yielding:
-                backend.failed()
+                backend.record_failure()
             return outcomes.Lost(outcomes.LostReason.BROKEN)
         except _ServerSilent:
             receiver.record_unreachable()
@@ -210,8 +210,8 @@
         requests all the same.
         """
         checks = (
-            (backend.left, outcomes.NotRunReason.LEFT),
-            (backend.backs_off(self._clock()), outcomes.NotRunReason.BACKOFF),
+            (backend.retired, outcomes.NotRunReason.LEFT),
+            (backend.in_backoff(self._clock()), outcomes.NotRunReason.BACKOFF),
             (
                 backend.signals.limited and not job.permitted,
                 outcomes.NotRunReason.LIMITED,
@@ -224,7 +224,7 @@
         self,
         job: Job,
         receiver: "_AnswerReceiver",
-        sending: types.Sending,
+        sending: types.ForwardMetadata,
         connection: client.Connection,
         unread: "_UnreadTokens",
     ) -> outcomes.AttemptOutcome:
@@ -243,10 +243,10 @@
         silence_limit_s = silence_s if route.idempotent else None
         head = await receiver.receive_head(connection, silence_limit_s)
         metadata = self._codec.answer_metadata(head)
-        connection.keep_alive_s = metadata.keep_s
+        connection.keep_alive_s = metadata.keep_alive_s
         now = self._clock()
         if metadata.load is not None:
-            backend.take_load(metadata.load, now)
+            backend.update_load(metadata.load, now)
         if (
             metadata.attempt_id
             and metadata.attempt_id != job.metadata.attempt_id
@@ -254,13 +254,13 @@
             return outcomes.Lost(outcomes.LostReason.CROSSED)
         if head.status != _MISDIRECTED_REQUEST:
             # That status may come from another start of the server.
-            backend.signals.take(metadata, sent_at, now)
+            backend.signals.apply(metadata, sent_at, now)
         if metadata.not_run or head.status == _MISDIRECTED_REQUEST:
             if head.status == _MISDIRECTED_REQUEST and metadata.server_id:
-                backend.met(metadata.server_id)
+                backend.record_identity(metadata.server_id)
             return await self._read_not_run(connection, backend, head)
         if metadata.version is not None:
-            backend.take_version(metadata.version)
+            backend.set_version(metadata.version)
         if 200 <= head.status < 300:
             if not metadata.sealed:
                 return outcomes.Lost(outcomes.LostReason.UNSEALED)
@@ -270,7 +270,7 @@
                 )
             else:
                 await self._deliver_body(job, receiver, connection, head)
-            backend.answered(self._clock())
+            backend.record_success(self._clock())
             return outcomes.Delivered(head.status)
         if head.status in _NOT_RUN_STATUSES:
             # Relayed, it would promise that the request was not run, which
@@ -278,7 +278,7 @@
             return outcomes.Lost(outcomes.LostReason.FALSE_PROMISE)
         body = await connection.body(_MAX_BODY_BYTES)
         if head.status >= 500:
-            backend.failed()
+            backend.record_failure()
         return outcomes.Failed(head, body)
 
     async def _read_not_run(
@@ -367,7 +367,7 @@
         self.backend = backend
         self._has_alternative = has_alternative
         self._clock = clock
-        self._probing = backend.rest_until > clock()
+        self._probing = backend.cooldown_until > clock()
 
     async def receive_head(
         self, connection: client.Connection, silence_limit_s: float | None
@@ -385,7 +385,7 @@
         head = await self.receive(connection.head, silence_limit_s)
         if self._probing:
             now = self._clock()
-            self.backend.rest_until = min(self.backend.rest_until, now)
+            self.backend.cooldown_until = min(self.backend.cooldown_until, now)
         return head
 
     def record_unreachable(self) -> None:
@@ -396,10 +396,10 @@
         to its maximum.
         """
         now = self._clock()
-        if self._probing or self.backend.rest_until <= now:
-            self.backend.unreachable(now)
+        if self._probing or self.backend.cooldown_until <= now:
+            self.backend.record_unreachable(now)
         else:
-            self.backend.failed()
+            self.backend.record_failure()
 
     async def receive(self, read, silence_limit_s: float | None):
         """Returns the result of `read`, which reads from the server.
@@ -436,7 +436,7 @@
         now = self._clock()
         heard_at = max(since, self.backend.heard_at)
         late = silence_limit_s is not None and now - heard_at >= silence_limit_s
-        return late or self.backend.silent(now)
+        return late or self.backend.is_silent(now)
 
 
 class _UnreadTokens:
--- a/src/clementinegw/direct/catalog.py
+++ b/src/clementinegw/direct/catalog.py
@@ -64,4 +64,4 @@
     @property
     def keyed(self) -> bool:
         """Whether requests need an API key."""
-        return self.configuration.keyed
+        return self.configuration.requires_key
--- a/src/clementinegw/direct/client.py
+++ b/src/clementinegw/direct/client.py
@@ -14,7 +14,7 @@
 from clementinegw import exceptions
 from clementinegw import types
 from clementinegw.direct import channel as channels
-from clementinegw.direct import patience as patience_lib
+from clementinegw.direct import timeouts as timeouts_lib
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -279,7 +279,7 @@
         headers: Headers,
         body: bytes,
         limit: int,
-        patience: patience_lib.Patience,
+        timeouts: timeouts_lib.Timeouts,
     ) -> tuple[int, bytes]:
         """Makes one call and returns the status and the body.
 
@@ -289,15 +289,17 @@
           headers: The request's headers.
           body: The request's body.
           limit: The largest body of an answer that is accepted, in bytes.
-          patience: Bounds the time until the answer begins and its progress.
+          timeouts: Limit the time to the answer's head and between its bytes.
 
         Raises:
           ConnectFailed: No connection could be opened: nothing was sent.
           AnswerBroken: The answer is incomplete, or over `limit` bytes.
-          TimeoutError: One of the time limits was exceeded.
+          TimeoutError: A timeout expired.
         """
-        async with patience_lib.Watch(patience) as watch:
-            return await self._call(method, target, headers, body, limit, watch)
+        async with timeouts_lib.Watchdog(timeouts) as watchdog:
+            return await self._call(
+                method, target, headers, body, limit, watchdog
+            )
 
     async def _call(
         self,
@@ -306,15 +308,15 @@
         headers: Headers,
         body: bytes,
         limit: int,
-        watch: patience_lib.Watch,
+        watchdog: timeouts_lib.Watchdog,
     ) -> tuple[int, bytes]:
         connection, _ = await self.acquire()
         complete = False
         try:
             await connection.send(method, target, headers, body)
             head = await connection.head()
-            watch.begun()
-            data = await connection.body(limit, watch.heard)
+            watchdog.head_received()
+            data = await connection.body(limit, watchdog.body_progress)
             complete = True
             return head.status, data
         finally:
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -8,7 +8,7 @@
 
 import mode
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import admit
 from clementinegw.direct import balance
@@ -16,7 +16,6 @@
 from clementinegw.direct import catalog as catalogs
 from clementinegw.direct import declarations
 from clementinegw.direct import fleet as fleets
-from clementinegw.direct import follow
 from clementinegw.direct import forward
 from clementinegw.direct import header_codec as header_codec_lib
 from clementinegw.direct import instance as instances
@@ -26,8 +25,9 @@
 from clementinegw.direct import reports
 from clementinegw.direct import server as servers
 from clementinegw.direct import subscriptions
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import events
 from clementinegw.telemetry import histograms
@@ -36,25 +36,25 @@
 # How topics are read. The platform answers as soon as something changes, so
 # the wait only bounds how long a connection that went silent goes unnoticed,
 # and how old a key's proof grows; each call is paid for.
-_PACES = follow.Paces(
-    operators=follow.Pace(wait_s=2.0, pause_s=0.0),
-    servers=follow.Pace(wait_s=2.0, pause_s=0.9),
+_PACES = topic_watch.PollTimings(
+    operators=topic_watch.PollTiming(wait_s=2.0, pause_s=0.0),
+    servers=topic_watch.PollTiming(wait_s=2.0, pause_s=0.9),
 )
 # The part of the time in which a key that was taken away must stop that its
 # last proof may be old, and the part after which the process takes no new
 # callers: others may have heard from the platform since.
-_KEYS_SHARE = 0.9
-_READY_SHARE = 0.55
+_MAX_KEY_PROOF_SHARE = 0.9
+_MAX_READY_SHARE = 0.55
 # Unknown routes are refused for good while the last answer is younger, in
 # seconds.
-_ROUTES_S = 1.9
-_HOUSEKEEPING_S = 0.2
+_ROUTES_FRESH_S = 1.9
+_MAINTENANCE_INTERVAL_S = 0.2
 # How often agents are asked for reports, in seconds.
-_SUBSCRIBE_S = 1.0
+_SUBSCRIBE_INTERVAL_S = 1.0
 # After SIGTERM the process still takes connections until the balancer has
 # asked twice, in seconds; and the rest before it must end.
-_TAKE_ON_S = 2.4
-_LEAVE_EARLY_S = 0.4
+_ACCEPT_WHILE_LEAVING_S = 2.4
+_SHUTDOWN_MARGIN_S = 0.4
 
 
 class Platform(raw.Platform, Protocol):
@@ -74,7 +74,7 @@
         log: logs.Log,
         counters: counters_lib.Counters,
         rng: random.Random | None = None,
-        boot_clock: Callable[[], float] = follow.boot_time,
+        boot_clock: Callable[[], float] = topic_watch.boot_time,
         wall_clock: Callable[[], float] = time.time,
     ):
         """Prepares the daemon.
@@ -89,25 +89,25 @@
           wall_clock: The time of day, in seconds.
         """
         super().__init__()
-        assert instance.callers is not None
+        assert instance.callers_address is not None
         rng = rng or random.Random()
         clock = asyncio.get_running_loop().time
         self._instance = instance
-        self._callers = instance.callers
+        self._callers_address = instance.callers_address
         self._log = log
         self._counters = counters
         self._clock = clock
         bounds = instance.bounds
         self._relay = relay.Relay(
             instance,
-            places.Role.ENTRY,
+            shared_types.Role.ENTRY,
             platform,
             _PACES,
             log,
             counters,
             boot_clock,
         )
-        topics = follow.Topics(
+        topics = topic_watch.TopicWatchers(
             self._relay,
             _PACES,
             self._on_operators,
@@ -116,12 +116,12 @@
             counters,
             boot_clock,
         )
-        self._operators, self._listing = topics.operators, topics.servers
-        self._knowledge = admit.Knowledge(
+        self._operators, self._server_list = topics.operators, topics.servers
+        self._config_view = admit.ConfigView(
             None,
             lambda: self._operators.age_s,
-            bounds.keys_ms / 1e3 * _KEYS_SHARE,
-            _ROUTES_S,
+            bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE,
+            _ROUTES_FRESH_S,
         )
         self._fleet = fleets.Fleet(
             log,
@@ -132,7 +132,7 @@
             wall_clock=wall_clock,
             counters=counters,
         )
-        self._versions = versions_lib.Versions(
+        self._versions = version_policy.VersionPolicy(
             bounds.weights_ms / 1e3, boot_clock, bounds.settled_ms / 1e3
         )
         self._balancer = balance.Balancer(
@@ -141,10 +141,10 @@
         self.histograms = histograms.Histograms()
         self._forwarder = forward.Forwarder(
             platform.header_codec(),
-            self._knowledge,
+            self._config_view,
             self._balancer,
             self._versions,
-            _terms(bounds),
+            _retry_limits(bounds),
             rng,
             clock,
             log,
@@ -152,7 +152,7 @@
             self.histograms,
         )
         self._server = servers.Server(self._forwarder.handle)
-        self._health = servers.Server(self._answer_ready)
+        self._health = servers.Server(self._answer_readiness)
         self._reports = reports.Listener(
             instance.name,
             self._on_report,
@@ -160,7 +160,7 @@
         )
         self._subscriptions = subscriptions.Subscriptions(
             instance,
-            self._knowledge,
+            self._config_view,
             self._fleet,
             self._versions,
             self._reports,
@@ -178,16 +178,16 @@
         keys_s = self._instance.bounds.keys_ms / 1e3
         return (
             not self._leaving
-            and self._knowledge.catalog is not None
-            and self._listing.known
-            and self._operators.age_s < keys_s * _READY_SHARE
+            and self._config_view.catalog is not None
+            and self._server_list.has_snapshot
+            and self._operators.age_s < keys_s * _MAX_READY_SHARE
         )
 
     async def on_start(self) -> None:
         """Listens at once: a caller hears "not yet" rather than nothing."""
-        await self._server.listen(self._callers)
-        if self._instance.ready is not None:
-            await self._health.listen(self._instance.ready)
+        await self._server.listen(self._callers_address)
+        if self._instance.ready_address is not None:
+            await self._health.listen(self._instance.ready_address)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self._reports,
@@ -195,17 +195,19 @@
         )
         await self.add_runtime_dependency(self._relay)
         await self.add_runtime_dependency(self._operators)
-        await self.add_runtime_dependency(self._listing)
+        await self.add_runtime_dependency(self._server_list)
         self._log.write(events.PROCESS_STARTED)
 
     def reload(self, instance: instances.Instance) -> None:
         """Takes over a changed instance file; addresses stay as they are."""
         self._instance = instance
         bounds = instance.bounds
-        self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _KEYS_SHARE
+        self._config_view.max_key_age_s = (
+            bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE
+        )
         self._versions.due_s = bounds.weights_ms / 1e3
-        self._fleet.ran_out.terms = _fleet_terms(bounds)
-        self._forwarder.set_retry_limits(_terms(bounds))
+        self._fleet.listing_expiry.times = _fleet_terms(bounds)
+        self._forwarder.set_retry_limits(_retry_limits(bounds))
 
     async def drain(self) -> None:
         """Takes no new callers and finishes what it has."""
@@ -214,10 +216,10 @@
         )
         self._leaving = True
         started = self._clock()
-        end = started + self._instance.bounds.grace_s - _LEAVE_EARLY_S
+        end = started + self._instance.bounds.grace_s - _SHUTDOWN_MARGIN_S
         self._server.announce_close()
         # The balancer goes on sending callers until it has asked twice.
-        await asyncio.sleep(_TAKE_ON_S)
+        await asyncio.sleep(_ACCEPT_WHILE_LEAVING_S)
         self._server.close_idle()
         try:
             async with asyncio.timeout_at(end):
@@ -233,45 +235,47 @@
         self._log.write(events.PROCESS_STOPPED)
 
     @mode.Service.task
-    async def _keep_house(self) -> None:
+    async def _run_maintenance(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(_HOUSEKEEPING_S)
-            self._fleet.settle(self._listing.settled_s, self._clock())
+            await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
+            self._fleet.drop_missing(
+                self._server_list.available_s, self._clock()
+            )
             self._fleet.prune()
-            self._fleet.count_entries()
+            self._fleet.update_position()
             self._counters.gauge("direct.servers.limited", self._fleet.limited)
             self._forwarder.check_clock()
-            self._subscriptions.look()
-            self._tell_ready()
+            self._subscriptions.refresh()
+            self._log_readiness()
 
     @mode.Service.task
     async def _subscribe(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(_SUBSCRIBE_S)
-            self._subscriptions.ask_all()
+            await asyncio.sleep(_SUBSCRIBE_INTERVAL_S)
+            self._subscriptions.renew()
 
     def _on_report(self, host: str, report: reports.Report) -> None:
         if report.ages_s:
-            changes = self._versions.told(report.model, report.ages_s)
-            self._note_declared(changes)
-        backend = self._fleet.reported(report, host)
+            changes = self._versions.merge_ages(report.model, report.ages_s)
+            self._log_declarations(changes)
+        backend = self._fleet.match_report(report, host)
         if backend is None:
             return
-        backend.take_report(
+        backend.apply_report(
             report,
             self._clock(),
-            self._reading_s(backend.server.service),
+            self._typical_prefill_s(backend.server.service),
         )
         self._forwarder.dispatch_for(backend)
 
-    def _reading_s(self, service: str) -> float:
+    def _typical_prefill_s(self, service: str) -> float:
         """Returns how long a usual prompt is read; 0 when that is unknown."""
-        engine = self._knowledge.engine(service)
+        engine = self._config_view.engine(service)
         if engine is None or not engine.prefill_tokens_per_s:
             return 0.0
-        return engine.usual_prompt / engine.prefill_tokens_per_s
+        return engine.typical_prompt_tokens / engine.prefill_tokens_per_s
 
-    def _tell_ready(self) -> None:
+    def _log_readiness(self) -> None:
         if self.ready == self._ready:
             return
         self._ready = self.ready
@@ -282,36 +286,36 @@
             age_s=round(min(self._operators.age_s, 9_999.0), 3),
         )
 
-    async def _answer_ready(
+    async def _answer_readiness(
         self, request: servers.Request, responder: servers.Responder
     ) -> None:
         del request
         await responder.answer(200 if self.ready else 503, [], b"")
 
-    def _on_operators(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
-                self._take_configuration(record.value)
-            elif isinstance(record.value, types.Declared):
-                self._take_declared(record.value)
+                self._apply_configuration(record.value)
+            elif isinstance(record.value, types.DeclaredVersion):
+                self._apply_declared_version(record.value)
 
-    def _take_declared(self, declared: types.Declared) -> None:
-        unread_s = self._operators.unread_s
-        change = self._versions.declare(declared, unread_s)
-        self._note_declared([change] if change else [])
+    def _apply_declared_version(self, declared: types.DeclaredVersion) -> None:
+        unread_s = self._operators.lag_s
+        change = self._versions.record_declared(declared, unread_s)
+        self._log_declarations([change] if change else [])
 
-    def _note_declared(self, changes: list[declarations.Change]) -> None:
+    def _log_declarations(self, changes: list[declarations.Change]) -> None:
         for change in changes:
-            if not change.matters:
+            if not change.is_significant:
                 continue
-            at = self._versions.demanded_at(change.declaration)
-            declarations.note(self._log, change, self._versions.now, at)
+            at = self._versions.required_at(change.declaration)
+            declarations.log_change(self._log, change, self._versions.now, at)
         if changes:
             self._forwarder.on_versions_changed()
 
-    def _take_configuration(self, configuration: types.Configuration) -> None:
-        catalog = self._knowledge.catalog
+    def _apply_configuration(self, configuration: types.Configuration) -> None:
+        catalog = self._config_view.catalog
         if catalog is not None and configuration.version <= catalog.version:
             if configuration.version < catalog.version:
                 # Records may be read twice after the platform lost its
@@ -322,7 +326,7 @@
                     in_force=catalog.version,
                 )
             return
-        self._knowledge.catalog = catalogs.Catalog(configuration)
+        self._config_view.catalog = catalogs.Catalog(configuration)
         self._server.limits = configuration.limits
         self._log.write(
             _events.CONFIGURATION_TAKEN,
@@ -332,26 +336,26 @@
             was=catalog.version if catalog else None,
         )
 
-    def _on_servers(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
         self._fleet.apply(
             batch,
             whole,
-            self._listing.settled_s,
-            self._listing.away_s,
+            self._server_list.available_s,
+            self._server_list.outage_s,
             self._clock(),
         )
-        self._subscriptions.ask_new()
+        self._subscriptions.subscribe_changed()
 
     def _max_connections(self, service: str) -> int:
-        known = self._knowledge.service(service)
+        known = self._config_view.service(service)
         return known.max_connections if known else 32
 
 
-def _fleet_terms(bounds: instances.Bounds) -> outage.Terms:
-    return outage.Terms(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
+def _fleet_terms(bounds: instances.Bounds) -> outage.ListingTimes:
+    return outage.ListingTimes(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
-def _terms(bounds: instances.Bounds) -> budget.Terms:
-    return budget.Terms(
+def _retry_limits(bounds: instances.Bounds) -> budget.Limits:
+    return budget.Limits(
         bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
     )
--- a/src/clementinegw/direct/finisher.py
+++ b/src/clementinegw/direct/finisher.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         codec: header_codec.HeaderCodec,
-        knowledge: admit.Knowledge,
+        config_view: admit.ConfigView,
         clock: Callable[[], float],
         log: logs.Log,
         counters: counters_lib.Counters,
@@ -48,14 +48,14 @@
 
         Args:
           codec: Translates the platform's headers.
-          knowledge: Tells how old the process's configuration is.
+          config_view: Tells how old the process's configuration is.
           clock: Returns monotonic seconds.
           log: Takes the log events.
           counters: Count refusals by reason and answers by outcome.
           histograms: Take the times of answers.
         """
         self._codec = codec
-        self._knowledge = knowledge
+        self._config_view = config_view
         self._clock = clock
         self._log = log
         self._counters = counters
@@ -90,7 +90,7 @@
             sends=job.sends if job else 0,
             runs=job.runs if job else 0,
             spent_ms=round(job.spent_s * 1e3) if job else 0,
-            age_s=round(min(self._knowledge.age_s(), 9_999.0), 3),
+            age_s=round(min(self._config_view.age_s(), 9_999.0), 3),
             after_ms=round((self._clock() - request.arrived_at) * 1000, 1),
         )
         if responder.begun:
@@ -138,5 +138,5 @@
             waited_ms=round(job.waited_s * 1e3),
             first_ms=None if first is None else round((first - arrived) * 1e3),
             total_ms=round((now - arrived) * 1e3),
-            age_s=round(min(self._knowledge.age_s(), 9_999.0), 3),
+            age_s=round(min(self._config_view.age_s(), 9_999.0), 3),
         )
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -14,12 +14,12 @@
 from clementinegw.direct import finisher
 from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
-from clementinegw.direct import placing
+from clementinegw.direct import placement
 from clementinegw.direct import server as servers
 from clementinegw.direct import suspects as suspects_lib
 from clementinegw.direct import types
+from clementinegw.direct import version_policy
 from clementinegw.direct import version_timeouts
-from clementinegw.direct import versions as versions_lib
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import histograms as histograms_lib
 from clementinegw.telemetry import logs
@@ -58,10 +58,10 @@
     def __init__(
         self,
         codec: header_codec.HeaderCodec,
-        knowledge: admit.Knowledge,
+        config_view: admit.ConfigView,
         balancer: balance.Balancer,
-        versions: versions_lib.Versions,
-        retry_limits: budgets.Terms,
+        versions: version_policy.VersionPolicy,
+        retry_limits: budgets.Limits,
         rng: random.Random,
         clock: Callable[[], float],
         log: logs.Log,
@@ -72,7 +72,7 @@
 
         Args:
           codec: Translates the platform's headers.
-          knowledge: The configuration and its age.
+          config_view: The configuration and its age.
           balancer: Ranks the servers.
           versions: Say which versions of weights may serve.
           retry_limits: What the operators allow of retries.
@@ -83,7 +83,7 @@
           histograms: Take the times of answers.
         """
         self._codec = codec
-        self._knowledge = knowledge
+        self._config_view = config_view
         self._balancer = balancer
         self._versions = versions
         self._retry_limits = retry_limits
@@ -91,20 +91,20 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._placing = placing.Placing(
-            knowledge, balancer, versions, rng, clock
+        self._placer = placement.Placer(
+            config_view, balancer, versions, rng, clock
         )
         self._attempt_runner = attempts.AttemptRunner(
-            codec, clock, self._placing.began
+            codec, clock, self._placer.record_first_event
         )
         self._version_timeouts = version_timeouts.VersionTimeouts(
             versions, clock
         )
         self._finisher = finisher.RequestFinisher(
-            codec, knowledge, clock, log, counters, histograms
+            codec, config_view, clock, log, counters, histograms
         )
         self._budgets: dict[str, budgets.RetryBudget] = {}
-        self._callers_time = admit.CallersTime()
+        self._caller_timeouts = admit.CallerTimeouts()
         self._suspects = suspects_lib.SuspectTracker()
 
     async def handle(
@@ -155,16 +155,16 @@
             return outcomes.Refusal(400, Reason.MALFORMED)
         if not metadata.attempt_id:
             return outcomes.Refusal(400, Reason.MALFORMED)
-        matched = admit.match(self._knowledge, request, metadata)
+        matched = admit.match(self._config_view, request, metadata)
         if isinstance(matched, outcomes.Refusal):
             return matched
         route = matched.route
         timeout_s = route.timeout_s
         if metadata.timeout_s is not None:
             timeout_s = min(timeout_s, metadata.timeout_s)
-        spent_s = self._callers_time.spent_s(route.name, metadata.timeout_s)
+        spent_s = self._caller_timeouts.spent_s(route.name, metadata.timeout_s)
         service = balance.draw_service(route, self._rng)
-        self._budget(service).request(self._clock())
+        self._budget(service).record_request(self._clock())
         return attempts.Job(
             request,
             metadata,
@@ -207,24 +207,26 @@
         if self._suspects.is_refused(
             job.request, job.customer_name, self._clock()
         ):
-            return self._placing.unserved(job, Reason.CRASHES_SERVERS)
-        place = await self._placing.choose(job)
+            return self._placer.refuse(job, Reason.CRASHES_SERVERS)
+        place = await self._placer.reserve(job)
         if isinstance(place, outcomes.Refusal):
             return place
         try:
             return await self._send(job, place.backend)
         finally:
-            place.free()
+            place.release()
 
     async def _send(
         self, job: attempts.Job, backend: backend_lib.Backend
     ) -> outcomes.AttemptOutcome | outcomes.Refusal:
-        if job.sends and not self._budget(job.service).allow(self._clock()):
-            return self._placing.unserved(job, Reason.NO_BUDGET)
+        if job.sends and not self._budget(job.service).try_acquire(
+            self._clock()
+        ):
+            return self._placer.refuse(job, Reason.NO_BUDGET)
         now = self._clock()
-        model = self._placing.model(job)
-        held = backend.held(self._placing.layers(job.service))
-        sending = types.Sending(
+        model = self._placer.model(job)
+        held = backend.held_version(self._placer.layers(job.service))
+        sending = types.ForwardMetadata(
             backend.server.server_id,
             max(0.001, job.deadline - now - _ANSWER_TRANSIT_S),
             job.customer_name,
@@ -236,7 +238,7 @@
             job,
             backend,
             sending,
-            lambda: self._placing.elsewhere(job, backend),
+            lambda: self._placer.has_alternative(job, backend),
             self._version_timeouts.create(
                 model, held, job.match.route.idempotent
             ),
@@ -252,11 +254,11 @@
 
     def dispatch(self) -> None:
         """Sends waiting requests on after several servers reported load."""
-        self._placing.look()
+        self._placer.dispatch()
 
     def dispatch_for(self, backend: backend_lib.Backend) -> None:
         """Sends waiting requests on after one server reported its load."""
-        self._placing.look_at(backend)
+        self._placer.dispatch_for(backend)
 
     def on_versions_changed(self) -> None:
         """Reschedules withdrawals and sends waiting requests on."""
@@ -277,11 +279,11 @@
         """Merges what other entries observed of requests that crash servers."""
         self._suspects.merge(suspicions, self._clock())
 
-    def set_retry_limits(self, retry_limits: budgets.Terms) -> None:
+    def set_retry_limits(self, retry_limits: budgets.Limits) -> None:
         """Applies changed limits to all retry budgets."""
         self._retry_limits = retry_limits
         for budget in self._budgets.values():
-            budget.terms = retry_limits
+            budget.limits = retry_limits
 
     def _record_failure(
         self,
@@ -298,7 +300,7 @@
             if outcome.reason is outcomes.NotRunReason.WRONG_SERVER:
                 # The server or its weights were started anew: the list is out
                 # of date and catches up within a heartbeat.
-                backend.rest_until = now + _WRONG_SERVER_BACKOFF_S
+                backend.cooldown_until = now + _WRONG_SERVER_BACKOFF_S
         else:
             job.tried.add(backend.server.start)
         if not isinstance(outcome, outcomes.NotRun):
@@ -320,7 +322,7 @@
             outcome=type(outcome).__name__,
             reason=str(reason),
             sends=job.sends,
-            doubt=round(backend.doubt, 2),
+            doubt=round(backend.failure_rate, 2),
         )
 
     def _may_retry(
@@ -332,7 +334,7 @@
         if job.sends >= _MAX_SENDS:
             return False
         if _is_unreachable(outcome):
-            return self._placing.may_try(job)
+            return self._placer.may_reconnect(job)
         if isinstance(outcome, outcomes.NotRun):
             job.withdrawals += outcome.reason in _WITHDRAWN_REASONS
             return job.withdrawals < _MAX_SENDS
@@ -347,8 +349,8 @@
         if isinstance(outcome, outcomes.Failed):
             return outcome
         if _is_unreachable(outcome):
-            return self._placing.out_of_reach(job)
-        return self._placing.unserved(job, Reason.ATTEMPTS_USED)
+            return self._placer.refuse_unreachable(job)
+        return self._placer.refuse(job, Reason.ATTEMPTS_USED)
 
     def _budget(self, service: str) -> budgets.RetryBudget:
         budget = self._budgets.get(service)
--- a/src/clementinegw/direct/header_codec.py
+++ b/src/clementinegw/direct/header_codec.py
@@ -12,18 +12,18 @@
 class HeaderCodec(Protocol):
     """Translates between HTTP headers and metadata; makes no decisions."""
 
-    def request_metadata(self, headers: RawHeaders) -> types.RequestFacts:
+    def request_metadata(self, headers: RawHeaders) -> types.RequestMetadata:
         """Returns the metadata in a caller's headers.
 
         Raises:
           ValueError: A header is malformed.
         """
 
-    def answer_metadata(self, head: client.Head) -> types.AnswerFacts:
+    def answer_metadata(self, head: client.Head) -> types.AnswerMetadata:
         """Returns the metadata in a server's headers without malformed ones."""
 
     def to_server_headers(
-        self, headers: RawHeaders, sending: types.Sending
+        self, headers: RawHeaders, sending: types.ForwardMetadata
     ) -> client.Headers:
         """Returns the headers to send to a server for a caller's request."""
 
--- a/src/clementinegw/direct/version_timeouts.py
+++ b/src/clementinegw/direct/version_timeouts.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 import math
 
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 
 # How far the boot clock and the loop's clock may drift apart before all
 # timeouts are rescheduled, in seconds.
@@ -68,7 +68,7 @@
     """Schedules the timeouts of one entry's requests that have not begun."""
 
     def __init__(
-        self, versions: versions_lib.Versions, clock: Callable[[], float]
+        self, versions: version_policy.VersionPolicy, clock: Callable[[], float]
     ):
         """Starts without timeouts.
 
@@ -95,7 +95,7 @@
         """Returns whether a server's weights are too old by now."""
         now = self._versions.now
         return (
-            self._versions.demanded(version_timeout.model, now) or 0
+            self._versions.required(version_timeout.model, now) or 0
         ) > version_timeout.held
 
     def add(self, version_timeout: VersionTimeout) -> None:
@@ -125,7 +125,7 @@
         timeout = version_timeout.timeout
         if timeout is None or timeout.expired():
             return
-        at = self._versions.take_back_at(
+        at = self._versions.withdraw_at(
             version_timeout.model, version_timeout.held
         )
         when = None if math.isinf(at) else at - self._current_boot_offset_s()
--- a/tests/test_direct_entry.py
+++ b/tests/test_direct_entry.py
@@ -80,7 +80,7 @@
         call.answer(b"again " + call.attempt_id.encode())
 
     async def play():
-        async with sites.Site("i-1", do=answer_twice) as site:
+        async with sites.Site("i-1", on_call=answer_twice) as site:
             bodies = []
             for name in ("x1", "x2", "x3"):
                 answer = await site.ask("/once/1", attempt_id=name)
@@ -97,7 +97,7 @@
         def crossed(call):
             call.answer(attempt_id="someone-elses")
 
-        async with sites.Site("i-1", do=crossed) as site:
+        async with sites.Site("i-1", on_call=crossed) as site:
             return await site.ask("/once/1")
 
     answer = sites.run(play())
@@ -117,7 +117,7 @@
         call.reset()
 
     async def play(path):
-        async with sites.Site("i-1", "i-2", do=broken) as site:
+        async with sites.Site("i-1", "i-2", on_call=broken) as site:
             answer = await site.ask(path)
             return answer.status, sum(len(s.calls) for s in site.servers)
 
@@ -138,7 +138,9 @@
             call.answer()
 
     async def play():
-        async with sites.Site("i-1", "i-2", "i-3", "i-4", do=crash) as site:
+        async with sites.Site(
+            "i-1", "i-2", "i-3", "i-4", on_call=crash
+        ) as site:
             answers = [
                 (await site.ask("/safe/1", body=b"bad", attempt_id=f"b{n}"))
                 for n in range(5)
@@ -154,7 +156,9 @@
 
 def test_a_request_that_no_server_ran_gets_503_with_retry_after():
     async def play():
-        async with sites.Site("i-1", do=lambda call: call.shed()) as site:
+        async with sites.Site(
+            "i-1", on_call=lambda call: call.reject()
+        ) as site:
             return await site.ask("/once/1")
 
     answer = sites.run(play())
@@ -173,7 +177,7 @@
         def failing(call):
             call.answer(b"", 503)
 
-        async with sites.Site("i-1", do=failing) as site:
+        async with sites.Site("i-1", on_call=failing) as site:
             return await site.ask("/once/1")
 
     assert sites.run(play()).status == 502
@@ -184,7 +188,7 @@
         def unsealed(call):
             call.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
-        async with sites.Site("i-1", do=unsealed) as site:
+        async with sites.Site("i-1", on_call=unsealed) as site:
             return await site.ask("/once/1")
 
     assert sites.run(play()).status == 502
@@ -246,12 +250,12 @@
         call.end_stream()
 
     async def play():
-        async with sites.Site("i-1", "i-2", do=stream) as site:
+        async with sites.Site("i-1", "i-2", on_call=stream) as site:
             return await site.ask("/stream/1")
 
     answer = sites.run(play())
     expected = "".join(f"id: {n}\ndata: {n}\n\n" for n in range(1, 7))
-    assert (answer.whole, answer.body) == (True, expected.encode())
+    assert (answer.complete, answer.body) == (True, expected.encode())
     assert answer.headers["x-clementinegw-response-seal"] == "seal-a1"
 
 
@@ -262,7 +266,7 @@
         call.reset()
 
     async def play():
-        async with sites.Site("i-1", do=stream) as site:
+        async with sites.Site("i-1", on_call=stream) as site:
             site.store.put(
                 "keyed.op",
                 "config",
@@ -278,7 +282,7 @@
             return await site.ask("/stream/1")
 
     answer = sites.run(play())
-    assert (answer.status, answer.whole) == (200, False)
+    assert (answer.status, answer.complete) == (200, False)
 
 
 def test_a_stream_not_yet_begun_is_withdrawn_before_a_version_is_due():
@@ -303,14 +307,14 @@
         call.end_stream()
 
     async def play():
-        async with sites.Site("i-1", "i-2", do=slow) as site:
+        async with sites.Site("i-1", "i-2", on_call=slow) as site:
             engine = {"slots": 8, "step_ms": 7.0, "models": [{"name": "m"}]}
             service = {"name": "plain", "engine": engine}
             change = sites.config(2, services=[service])
             site.store.put("keyed.op", "config", change)
             old, new = site.servers
-            new.do = quick
-            site.hold(old, 1)
+            new.on_call = quick
+            site.list_version(old, 1)
             site.store.put("keyed.servers", new.name, None)
             version = {"model": "m", "version": 2}
             site.store.put("keyed.op", "version/m", version)
@@ -319,12 +323,12 @@
             headers = ["X-Clementinegw-Model: m"]
             task = asyncio.ensure_future(site.ask("/stream/1", headers=headers))
             await asyncio.sleep(0.1)
-            site.hold(new, 2)
+            site.list_version(new, 2)
             answer = await task
             return answer, len(old.calls), len(new.calls)
 
     answer, old_calls, new_calls = sites.run(play())
-    assert (answer.status, answer.whole) == (200, True)
+    assert (answer.status, answer.complete) == (200, True)
     assert (old_calls, new_calls, began) == (1, 1, [])
 
 
@@ -339,7 +343,7 @@
         async def slow(call):
             await asyncio.sleep(30.0)
 
-        async with sites.Site("i-1", do=slow) as site:
+        async with sites.Site("i-1", on_call=slow) as site:
             async with sites.Caller(site) as caller:
                 caller.send()
                 await asyncio.sleep(0.1)
@@ -356,7 +360,7 @@
         async def slow(call):
             await asyncio.sleep(30.0)
 
-        async with sites.Site("i-1", do=slow) as site:
+        async with sites.Site("i-1", on_call=slow) as site:
             began_at = asyncio.get_running_loop().time()
             answer = await site.ask("/once/1")
             return answer.status, asyncio.get_running_loop().time() - began_at
@@ -479,7 +483,7 @@
 def test_an_entry_without_a_configuration_answers_503():
     async def play():
         async with sites.Site("i-1") as site:
-            site.entry._knowledge.catalog = None
+            site.entry._config_view.catalog = None
             return (await site.ask()).status, site.entry.ready
 
     assert sites.run(play()) == (503, False)
@@ -499,7 +503,7 @@
             call.answer()
 
         async with (
-            sites.Site("i-1", do=slow) as site,
+            sites.Site("i-1", on_call=slow) as site,
             sites.Caller(site) as first,
         ):
             first.send()
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -10,11 +10,11 @@
 
 from clementinegw.direct import admit
 from clementinegw.direct import catalog
-from clementinegw.direct import following
 from clementinegw.direct import reports
 from clementinegw.direct import subscriptions
+from clementinegw.direct import subsetting
 from clementinegw.direct import types as direct_types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
@@ -27,7 +27,7 @@
 
 def servers_of(entry_domain, servers, serving=lambda n: True):
     return [
-        following.Candidate(f"s{n}", n % DOMAINS == entry_domain, serving(n))
+        subsetting.Candidate(f"s{n}", n % DOMAINS == entry_domain, serving(n))
         for n in range(servers)
     ]
 
@@ -37,13 +37,13 @@
     found = collections.Counter({f"s{n}": 0 for n in range(servers)})
     for number, entry in enumerate(entries):
         near = servers_of(number % DOMAINS, servers, serving)
-        found.update(following.followed(entry, near))
+        found.update(subsetting.select_followed(entry, near))
     return found
 
 
 def test_a_small_fleet_is_followed_whole():
     candidates = servers_of(0, 24)
-    assert len(following.followed("e", candidates)) == 24
+    assert len(subsetting.select_followed("e", candidates)) == 24
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
 )
 def test_servers_of_a_large_fleet_are_followed_about_alike(entries, servers):
     found = followers(servers, entries=ENTRIES[:entries])
-    each = len(following.followed("e", servers_of(0, servers)))
+    each = len(subsetting.select_followed("e", servers_of(0, servers)))
     assert each <= 32
     mean = statistics.fmean(found.values())
     # Chance spreads a few dozen followers by a fifth either way.
@@ -69,7 +69,7 @@
     for number, entry in enumerate(ENTRIES[:100]):
         if number % DOMAINS:
             near = servers_of(number % DOMAINS, 100)
-            found.update(following.followed(entry, near))
+            found.update(subsetting.select_followed(entry, near))
     assert min(found[f"s{n}"] for n in range(0, 100, DOMAINS)) >= 2
 
 
@@ -85,9 +85,11 @@
 
 def test_a_server_that_goes_changes_what_is_followed_by_one():
     candidates = servers_of(0, 100)
-    before = following.followed("e", candidates)
+    before = subsetting.select_followed("e", candidates)
     gone = next(c for c in candidates if c.server_id in before)
-    after = following.followed("e", [c for c in candidates if c != gone])
+    after = subsetting.select_followed(
+        "e", [c for c in candidates if c != gone]
+    )
     assert len(before - after) == 1
     assert len(after - before) <= 1
 
@@ -155,9 +157,9 @@
             reporter.datagram_received(codec.encode(asks), name)
         report = reports.Report("s1", 1, 0, 8, "m", 1, True)
         for _ in range(8):
-            reporter.tell(report)
+            reporter.send(report)
         calm = {name: len(told) for name, told in wire.sent.items()}
-        reporter.tell(reports.Report("s1", 1, 0, 8, "m", 2, True))
+        reporter.send(reports.Report("s1", 1, 0, 8, "m", 2, True))
         newest = [told[-1].version for told in wire.sent.values()]
         return calm, newest, (reporter.entries, reporter.followers)
 
@@ -175,10 +177,10 @@
         site = overload_site.Site(engines=1, entries=1)
         backend = site.entries[0].fleet.find("s0")
         told = reports.Report("s0", 0, 0, 8, entries=99, followers=4)
-        backend.take_report(told, 1.0)
+        backend.apply_report(told, 1.0)
         taken = 0
         while backend.has_share(1.0):
-            backend.take()
+            backend.begin_request()
             taken += 1
         site.stop()
         return taken, backend.entries
@@ -198,15 +200,15 @@
     async def run():
         site = overload_site.Site(engines=1, entries=1)
         backend = site.entries[0].fleet.find("s0")
-        backend.take_report(reports.Report("s0", 0, 0, 8, entries=9), 1.0)
-        backend.follow(False, 1.0)
+        backend.apply_report(reports.Report("s0", 0, 0, 8, entries=9), 1.0)
+        backend.set_followed(False, 1.0)
         shares = [backend.has_share(1.0)]
-        backend.follow(True, 2.0)
+        backend.set_followed(True, 2.0)
         shares.append(backend.has_share(2.1))
         # An agent that tells nothing must not keep a server from callers.
         shares.append(backend.has_share(2.6))
         told = reports.Report("s0", 0, 0, 8, entries=9, followers=2)
-        backend.take_report(told, 2.7)
+        backend.apply_report(told, 2.7)
         shares.append(backend.has_share(2.7))
         site.stop()
         return shares
@@ -238,7 +240,7 @@
         site = overload_site.Site(engines=60, entries=1, domains=DOMAINS)
         entry = site.entries[0]
         listener = Asked()
-        known = versions.Versions(8.0, loop.time)
+        known = version_policy.VersionPolicy(8.0, loop.time)
         asking = subscriptions.Subscriptions(
             types.SimpleNamespace(
                 name="e",
@@ -246,7 +248,7 @@
                 regions=overload_site.REGIONS,
                 peer_ports=(7_700, 7_715),
             ),
-            admit.Knowledge(
+            admit.ConfigView(
                 catalog.Catalog(site.configuration), lambda: 0.0, 5.0, 3.0
             ),
             entry.fleet,
@@ -257,16 +259,16 @@
             logs.Log(),
             counters.Counters(),
         )
-        asking.ask_all()
+        asking.renew()
         left_out = next(b for b in entry.fleet.all() if not b.followed)
-        known.declare(direct_types.Declared("m", 2))
+        known.record_declared(direct_types.DeclaredVersion("m", 2))
         await asyncio.sleep(8.0)
-        asking.look()
+        asking.refresh()
         before = left_out.followed
-        left_out.take_report(
+        left_out.apply_report(
             reports.Report("x", 0, 0, 8, "m", 2, True), loop.time()
         )
-        asking.look()
+        asking.refresh()
         site.stop()
         return before, left_out.followed, listener.rounds
 
@@ -285,10 +287,10 @@
         for name, changes_only in (("b", False), ("a", True), ("c", False)):
             asks = ttypes.Subscribe(name, {}, False, changes_only)
             reporter.datagram_received(codec.encode(asks), name)
-        reporter.tell(reports.Report("s1", 1, 0, 8, "m", 1, True))
+        reporter.send(reports.Report("s1", 1, 0, 8, "m", 1, True))
         early = ranks(wire)
         await asyncio.sleep(2.5)
-        reporter.tell(reports.Report("s1", 1, 0, 8, "m", 2, True))
+        reporter.send(reports.Report("s1", 1, 0, 8, "m", 2, True))
         return early, ranks(wire)
 
     early, late = clocks.run(play())
@@ -298,5 +300,8 @@
 
 def ranks(wire):
     """Returns the places in the last report that went to each entry."""
-    last = {name: reports._report(told[-1]) for name, told in wire.sent.items()}
+    last = {
+        name: reports._report_from_wire(told[-1])
+        for name, told in wire.sent.items()
+    }
     return {name: (r.rank, r.follower_rank) for name, r in last.items()}
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -5,37 +5,37 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
 
-WANTED = balance.Wanted("engine")
+REQUIREMENTS = balance.Requirements("engine")
 
 
 def new_fleet(*names):
     """Returns a fleet of listed servers."""
     backends = fleet.Fleet(logs.Log(), lambda service: 64, random.Random(1))
     records = tuple(
-        follow.Record(
+        topic_watch.Record(
             name,
             types.Server(
                 server_id=name,
                 service="engine",
-                address=places.Address("127.0.0.1", 9),
+                address=shared_types.Address("127.0.0.1", 9),
                 failure_domain="d1",
                 slots=16,
             ),
         )
         for name in names
     )
-    backends.apply(follow.Batch(records, len(records)), True, 60.0)
+    backends.apply(topic_watch.Batch(records, len(records)), True, 60.0)
     return backends
 
 
@@ -43,16 +43,16 @@
     """Delivers reports of the server's agent at the given times."""
     for now in times:
         message = reports.Report(backend.server.server_id, 1, 0, 16)
-        backend.take_report(message, now)
+        backend.apply_report(message, now)
 
 
 def chosen(backends, now):
     """Returns the ids of the servers that are chosen in 50 draws."""
-    place = places.Place("r", "d1")
+    place = shared_types.Place("r", "d1")
     chooser = balance.Balancer(
         backends, place, {}, random.Random(1), lambda: now
     )
-    found = {chooser.choose(WANTED) for _ in range(50)}
+    found = {chooser.choose(REQUIREMENTS) for _ in range(50)}
     return {backend.server.server_id for backend in found}
 
 
@@ -86,16 +86,16 @@
     backend = new_fleet("a").find("a")
     report(backend, 10.0)
     backend.heard_at = heard_at
-    assert backend.silent(now) == silent
+    assert backend.is_silent(now) == silent
 
 
 def test_an_agent_with_rare_reports_counts_as_silent_later():
     backend = new_fleet("a").find("a")
     report(backend, *[0.4 * number for number in range(20)])
-    assert not backend.silent(7.6 + 1.0)
-    assert backend.silent(7.6 + 1.3)
+    assert not backend.is_silent(7.6 + 1.0)
+    assert backend.is_silent(7.6 + 1.3)
     report(backend, *[9.0 + 0.1 * number for number in range(20)])
-    assert backend.silent(10.9 + 0.5)
+    assert backend.is_silent(10.9 + 0.5)
 
 
 class Transport:
@@ -128,7 +128,7 @@
             message = ttypes.Subscribe(f"e{number}", {}, number >= near)
             reporter.datagram_received(codec.encode(message), (number,))
         for _ in range(41):
-            reporter.tell(reports.Report("a", 1, 0, 16))
+            reporter.send(reports.Report("a", 1, 0, 16))
         # The first report is sent to all.
         return len(transport.receivers) - near - far
 
@@ -137,20 +137,26 @@
 
 def test_a_server_in_cooldown_is_tried_only_if_no_other_is_left():
     backends = new_fleet("cooling", "healthy")
-    backends.find("cooling").rest_until = 11.0
+    backends.find("cooling").cooldown_until = 11.0
     now = [10.0]
     chooser = balance.Balancer(
-        backends, places.Place("r", "d1"), {}, random.Random(1), lambda: now[0]
+        backends,
+        shared_types.Place("r", "d1"),
+        {},
+        random.Random(1),
+        lambda: now[0],
     )
-    assert chooser.choose(WANTED) is backends.find("healthy")
-    found = chooser.choose(WANTED, {types.Start("healthy")})
+    assert chooser.choose(REQUIREMENTS) is backends.find("healthy")
+    found = chooser.choose(REQUIREMENTS, {types.ServerStart("healthy")})
     assert found is backends.find("cooling")
-    chooser.sent(found)
-    assert chooser.choose(WANTED, {types.Start("healthy")}) is None
+    chooser.record_sent(found)
+    assert chooser.choose(REQUIREMENTS, {types.ServerStart("healthy")}) is None
     now[0] = 10.3
-    assert chooser.choose(WANTED, {types.Start("healthy")}) is found
-    without_cooling = dataclasses.replace(WANTED, resting=False)
-    assert chooser.choose(without_cooling, {types.Start("healthy")}) is None
-    assert chooser.rested_in_s(WANTED) == 0.0
-    backends.find("healthy").rest_until = 10.5
-    assert chooser.rested_in_s(WANTED) == pytest.approx(0.2)
+    assert chooser.choose(REQUIREMENTS, {types.ServerStart("healthy")}) is found
+    without_cooling = dataclasses.replace(REQUIREMENTS, allow_cooldown=False)
+    assert (
+        chooser.choose(without_cooling, {types.ServerStart("healthy")}) is None
+    )
+    assert chooser.cooldown_ends_in_s(REQUIREMENTS) == 0.0
+    backends.find("healthy").cooldown_until = 10.5
+    assert chooser.cooldown_ends_in_s(REQUIREMENTS) == pytest.approx(0.2)
--- a/tests/test_direct_suspicions.py
+++ b/tests/test_direct_suspicions.py
@@ -2,7 +2,7 @@
 
 import suspects_entry
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
 from clementinegw.direct import suspicion_codec
@@ -10,7 +10,7 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
 
-ADDRESS = places.Address("127.0.0.1", 9)
+ADDRESS = shared_types.Address("127.0.0.1", 9)
 
 
 def subscription(entry, number, far):
@@ -19,8 +19,8 @@
     listener = reports.Listener(f"e{number}", lambda host, report: None)
     listener.connection_made(transport)
     listener.subscribe(
-        {ADDRESS: reports.Asking(far)},
-        reports.Declared({}, {}),
+        {ADDRESS: reports.Subscription(far)},
+        reports.DeclaredVersions({}, {}),
         entry.local_suspicions(1.0),
     )
     return transport.sent[0][1]
@@ -74,10 +74,10 @@
             reporter.datagram_received(data, (number,))
         report = reports.Report("i-9", 1, 0, 16)
         for _ in range(2):
-            reporter.tell(report)
+            reporter.send(report)
         plain_bytes = len(transport.sent[0][1])
         transport.sent.clear()
-        reporter.tell(report, tracker.confirmed_suspicions(1.1))
+        reporter.send(report, tracker.confirmed_suspicions(1.1))
         for (number,), data in transport.sent:
             deliver(entries[number], data)
         bad = [entry.is_refused(b"bad", 1.3) for entry in entries]
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -93,7 +93,7 @@
             (b"Last-Event-Id", b"12"),
         ]
     )
-    assert found == types.RequestFacts(
+    assert found == types.RequestMetadata(
         "abc", 1.5, "secret", "", 1460, 80, "e4", "12"
     )
 
@@ -126,7 +126,9 @@
         (b"TE", b"trailers"),
         (b"X-Kept", b"2"),
     ]
-    sent = headers.Headers().to_server_headers(raw, types.Sending("i-1", 1.0))
+    sent = headers.Headers().to_server_headers(
+        raw, types.ForwardMetadata("i-1", 1.0)
+    )
     names = {name.lower() for name, _ in sent}
     assert b"x-kept" in names
     assert not names & {b"connection", b"x-private", b"te"}
@@ -157,7 +159,7 @@
         {"service": "b", "weight": 10},
     ]
     body = config(routes=[{**ROUTE, "backends": split, "unknown": 1}])
-    found = records.configuration(body).routes[0]
+    found = records.decode_configuration(body).routes[0]
     assert found.targets == (types.Target("a", 90), types.Target("b", 10))
     assert (found.host, found.timeout_s) == ("h.example", 6.0)
 
@@ -175,7 +177,7 @@
 )
 def test_a_malformed_configuration_is_refused(body):
     with pytest.raises(ValueError):
-        records.configuration(body)
+        records.decode_configuration(body)
 
 
 @pytest.mark.parametrize(
@@ -216,7 +218,7 @@
         "models": [{"name": "m", "version": 2, "adapters": []}],
         "layers": layers,
     }
-    server = records.server_record("i-1", json.dumps(entry).encode())
+    server = records.decode_server_record("i-1", json.dumps(entry).encode())
     assert server.version(16) == (2 if whole else 0)
 
 
@@ -224,7 +226,7 @@
 def test_a_log_answer_that_is_cut_is_refused(cut):
     content = b"\x01kvalue"
     body = bytes(16) + len(content).to_bytes(4, "big") + content
-    assert pages.log_records(body)[0] == [("k", b"value")]
+    assert pages.parse_log_records(body)[0] == [("k", b"value")]
     if cut < len(body) - 16 or len(body) - cut < 16:
         with pytest.raises(ValueError, match="log"):
-            pages.log_records(body[:-cut])
+            pages.parse_log_records(body[:-cut])
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -46,7 +46,7 @@
     async def call(self, *args):
         """Hangs once the path is cut, as long as the caller has patience."""
         clock = asyncio.get_running_loop().time
-        patient_until = clock() + args[-1].first_s
+        patient_until = clock() + args[-1].head_s
         call = asyncio.ensure_future(self._call(*args))
         cut = asyncio.ensure_future(self._cut.wait())
         try:
@@ -72,7 +72,7 @@
         put("keyed.op", "config", platform_site.config())
         server = platform_site.Server("i-1")
         await server.start()
-        put("keyed.servers", "i-1", server.entry())
+        put("keyed.servers", "i-1", server.record())
         await domain.until(1, 5.0)
         paths = {entry: Path(entry) for entry in domain.entries}
         await asyncio.sleep(8.0 + phase_s)
@@ -83,7 +83,7 @@
         else:
             paths[reader].cut()
         put("keyed.op", "config", platform_site.config(version=2))
-        leaving = server.entry(state="draining", sequence=2)
+        leaving = server.record(state="draining", sequence=2)
         put("keyed.servers", "i-1", leaving)
         clock = asyncio.get_running_loop().time
         started = clock()
@@ -93,7 +93,7 @@
             if set(domain.versions()) == {2}:
                 took.setdefault("change", clock() - started)
             found = [e._fleet.find("i-1") for e in domain.entries]
-            if all(backend.left for backend in found):
+            if all(backend.retired for backend in found):
                 took.setdefault("leaving", clock() - started)
         domain.entries.append(reader)
         await server.stop()
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -6,20 +6,18 @@
 import platform_site
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import client
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
-from clementinegw.direct import patience as patience_lib
+from clementinegw.direct import timeouts as timeouts_lib
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
 _READERS = 8
 # Eight readings of the configuration take five seconds of it.
 _LINK_BYTES_PER_S = 700_000
-_PATIENCE = patience_lib.Patience(
-    first_s=1.0, silent_s=0.5, least_bytes_per_s=1_000
-)
+_TIMEOUTS = timeouts_lib.Timeouts(head_s=1.0, idle_s=0.5, min_bytes_per_s=1_000)
 
 
 def large_config():
@@ -37,14 +35,14 @@
     """Returns a process's way to a store."""
     instance = instances.Instance(
         name="entry-1",
-        place=places.Place("r1", "d1"),
+        place=shared_types.Place("r1", "d1"),
         regions={"d1": "r1"},
         host="127.0.0.1",
         peer_ports=(0, 0),
-        store=store.address,
-        callers=None,
-        ready=None,
-        backend=None,
+        store_address=store.address,
+        callers_address=None,
+        ready_address=None,
+        backend_address=None,
         service="",
         link_bytes_per_s=1e6,
         bounds=instances.Bounds(),
@@ -58,21 +56,25 @@
     def __init__(self, topic):
         self._topic = topic
 
-    async def newest(self):
-        batch = await self._topic.newest()
-        return follow.Batch(self._topic.decoded(batch.items), batch.end)
+    async def snapshot(self):
+        batch = await self._topic.snapshot()
+        return topic_watch.Batch(
+            self._topic.decoded(batch.items), batch.next_offset
+        )
 
     async def changes(self, offset, wait_s):
         batch = await self._topic.changes(offset, wait_s)
-        return follow.Batch(self._topic.decoded(batch.items), batch.end)
+        return topic_watch.Batch(
+            self._topic.decoded(batch.items), batch.next_offset
+        )
 
 
 async def following(store, taken):
     """Starts a process's follower of what operators declare."""
-    follower = follow.Follower(
+    follower = topic_watch.TopicWatcher(
         "operators",
         Alone(platform_at(store).operators()),
-        follow.Pace(2.0, 0.0),
+        topic_watch.PollTiming(2.0, 0.0),
         lambda batch, whole: taken.append(batch),
         logs.Log(),
         counters_lib.Counters(),
@@ -98,7 +100,7 @@
         taken = []
         followers = [await following(store, taken) for _ in range(_READERS)]
         await asyncio.sleep(1.5 * _READERS * size / _LINK_BYTES_PER_S)
-        known = sum(follower.known for follower in followers)
+        known = sum(follower.has_snapshot for follower in followers)
         for follower in followers:
             await follower.stop()
         await store.stop()
@@ -128,7 +130,7 @@
 
     server = await asyncio.start_server(answer, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
-    return server, places.Address(host, port)
+    return server, shared_types.Address(host, port)
 
 
 @pytest.mark.parametrize(
@@ -154,7 +156,7 @@
         try:
             headers = [(b"host", b"h")]
             _, body = await pool.call(
-                "GET", "/", headers, b"", 1 << 20, _PATIENCE
+                "GET", "/", headers, b"", 1 << 20, _TIMEOUTS
             )
             return len(body), None, pool.open_connections
         except TimeoutError:
