--- a/src/clementinegw/direct/placement.py
+++ b/src/clementinegw/direct/placement.py
@@ -1,4 +1,4 @@
-"""Which server a request goes to, and what it waits for until then."""
+"""Selects a server for each request and queues the request until then."""
 
 from collections.abc import Callable
 import dataclasses
@@ -16,39 +16,42 @@
 
 Reason = outcomes.RefusalReason
 
-# What room a server must have, as a part of its slots. An engine runs as many
-# as it has slots, and what waits behind them is late soon; plain servers take
-# turns so quickly that a few may wait there. Late ones take what is left over.
+# Utilization limits as fractions of a server's slots. An engine runs as many
+# requests as it has slots, and requests queued behind those soon become late.
+# Plain servers answer so quickly that a few requests may queue there. Late
+# requests only use leftover capacity.
 _ENGINE_POLICY = queue.Policy(
     max_utilization=1.0, late_limit_high=0.9, late_limit_low=0.3
 )
 _PLAIN_POLICY = queue.Policy(
     max_utilization=3.0, late_limit_high=2.0, late_limit_low=1.0
 )
-# What is believed of the time to a first event before any has come, and the
-# longest that is believed, in passes of a full engine: the pass under way, its
-# own and what is read beside take that long at one that is half full, and at
-# one that is full.
+# Initial estimate of the time to the first event and its upper bound, in passes
+# of a full engine. The current pass, the request's own pass and the other
+# prompts read take about 4 passes at a half-full engine and 6 at a full one.
 _FIRST_EVENT_PASSES = 4.0
 _MAX_FIRST_EVENT_PASSES = 6.0
-# A new request counts as one that can be on time for at least this part of its
-# objective: a large prompt would else be late from the start whenever engines
-# are full, and be passed over for all smaller ones.
+# A new request counts as able to be on time for at least this fraction of its
+# objective. Otherwise a large prompt would be late on arrival whenever the
+# engines are full, and every smaller prompt would be preferred to it.
 _MIN_START_SHARE = 0.1
-# How long a request that came back waits for room, and any one for connections
-# that do not come up, as a part of its time.
+# Fraction of its time that a returning caller's request, or a request that was
+# already sent, waits for capacity; also the limit on the time spent on failed
+# connection attempts.
 _RETRIED_WAIT_SHARE = 0.3
-# A request whose server will serve within this part of its time waits for it.
+# A request waits for a server that becomes ready within this fraction of its
+# time.
 _READY_WAIT_SHARE = 0.4
-# The longest that one waits for such a server and for room there, as a part of
-# its time: beyond it the answer itself would not be whole in time.
+# Upper bound on the wait for such a server and for capacity there, as a
+# fraction of the request's time. After a longer wait the answer could not
+# complete in time.
 _MAX_WAIT_SHARE = 0.5
-# When to come back, as a part of the caller's time: when servers have no room,
-# and when none serves.
-# Callers wait for a third of their time at most; what is refused twice is lost.
+# When the caller should retry, as a fraction of its remaining time: if all
+# servers are full, and if no server is ready. Callers wait for at most a third
+# of their time, and a request that is refused twice is lost.
 _RETRY_FULL = (admit.MIN_RETRY_SHARE, 0.3)
 _RETRY_NOT_READY = (0.27, 0.33)
-# What crashes servers does so again: its caller gets no second chance.
+# A request that crashes servers would crash them again, so it is not retried.
 _RETRY_NEVER = (1.0, 1.0)
 _RETRY_SHARES = {
     Reason.BUSY: _RETRY_FULL,
@@ -61,7 +64,7 @@
 
 
 class Placer:
-    """Finds servers for requests."""
+    """Reserves servers for requests."""
 
     def __init__(
         self,
@@ -72,15 +75,15 @@
         clock: Callable[[], float],
         engine_policy: queue.Policy = _ENGINE_POLICY,
     ):
-        """Places nothing before a request comes.
+        """Initializes the placer without any queue.
 
         Args:
-          config_view: How engines work.
-          balancer: Ranks servers.
-          versions: Which weights may serve.
-          rng: Spreads the times to come back.
-          clock: Monotonic seconds.
-          engine_policy: How requests wait for engines.
+          config_view: Provides the engine parameters of each service.
+          balancer: Selects servers.
+          versions: Provides the model versions that may serve.
+          rng: Randomizes retry times.
+          clock: Returns monotonic seconds.
+          engine_policy: Queueing policy for engines.
         """
         self._engine_policy = engine_policy
         self._estimators: dict[str, latency_estimator.LatencyEstimator] = {}
@@ -94,12 +97,13 @@
     async def reserve(
         self, job: attempts.Job
     ) -> queue.Reservation | outcomes.Refusal:
-        """Returns a place at a server, or why there is none."""
+        """Returns a reservation of a server, or a refusal."""
         arrived = job.request.arrived_at
         time_s = job.deadline - arrived
         latest_start = self._latest_start(job)
-        # Who is late comes back in a while and costs nothing meanwhile; who
-        # has come back is not sent away again while there is hope.
+        # A new request that can no longer be on time is refused right away: it
+        # retries later and uses no capacity until then. A retried request waits
+        # longer, since it would be lost if it were refused again.
         give_up_at = max(arrived, latest_start)
         if job.spent_s or job.sends:
             give_up_at = arrived + _RETRIED_WAIT_SHARE * time_s
@@ -109,8 +113,9 @@
                 return self._refuse_until_ready(
                     job, Reason.NO_SERVER, ready_in_s
                 )
-            # Turned away, it would come back before the server does, and be
-            # lost; a server that is nearly there still serves it, if late.
+            # If refused, the caller would retry before the server is ready and
+            # be lost. A server that is nearly ready can still serve it, though
+            # late.
             give_up_at = self._clock() + ready_in_s + _READY_WAIT_SHARE * time_s
             give_up_at = min(give_up_at, arrived + _MAX_WAIT_SHARE * time_s)
         began = self._clock()
@@ -142,16 +147,16 @@
         return reservation
 
     def dispatch(self) -> None:
-        """Looks for room for those who wait; servers told of their load."""
+        """Dispatches all queues after the load of several servers changed."""
         for waiters in self._queues.values():
             waiters.dispatch()
 
     def dispatch_for(self, backend: backend_lib.Backend) -> None:
-        """Looks for room for those who wait; one server told of its load.
+        """Dispatches the queue of a server after its load report.
 
-        Full servers tell so some hundred times a second. A report that leaves
-        this entry no share makes room for nobody; what else it changes is seen
-        by the queue's own looks soon.
+        Full servers send some hundred reports per second. A report that leaves
+        this entry no share of free slots gives no request capacity. Other
+        changes are picked up by the next periodic dispatch of the queue.
         """
         if backend.has_share(self._clock()):
             self._queue(backend.server.service).dispatch()
@@ -159,7 +164,7 @@
     def has_alternative(
         self, job: attempts.Job, backend: backend_lib.Backend
     ) -> bool:
-        """Returns whether another server could take a request over now."""
+        """Returns whether another server could take over a request now."""
         if job.runs + 1 >= job.match.route.max_attempts:
             return False
         requirements = dataclasses.replace(
@@ -169,10 +174,10 @@
         return self._balancer.choose(requirements, tried) is not None
 
     def record_first_event(self, job: attempts.Job) -> None:
-        """Learns from the first event of a request's answer.
+        """Updates the latency estimate from the first event of an answer.
 
         Args:
-          job: The request; its place was found by `reserve`.
+          job: The request; its server was reserved with `reserve`.
         """
         engine = self._config_view.engine(job.service)
         if engine is None or job.first_answer_at is None:
@@ -182,16 +187,16 @@
         self._estimator(job.service, engine).record(latency_s)
 
     def layers(self, service: str) -> int:
-        """Returns the layers of a service's model; 0 for a plain one."""
+        """Returns the number of layers of a service's model; 0 if plain."""
         engine = self._config_view.engine(service)
         return engine.layers if engine else 0
 
     def model(self, job: attempts.Job) -> str:
-        """Returns the model whose versions a request is held to.
+        """Returns the model whose version requirements apply to a request.
 
-        Empty for a plain service, which holds none: a model that a caller names
-        there would make each of its servers too old for ever. A request that
-        names none is for the model of its service.
+        This is empty for a plain service, which holds no model versions: a
+        model named by a caller would make all its servers permanently too old.
+        A request that names no model uses the model of its service.
         """
         engine = self._config_view.engine(job.service)
         if engine is None or not engine.models:
@@ -199,13 +204,13 @@
         return job.facts.model or engine.models[0]
 
     def refuse(self, job: attempts.Job, reason: Reason) -> outcomes.Refusal:
-        """Returns the answer to a request without one."""
+        """Returns the refusal of a request that gets no server."""
         return self._refusal(
             job, reason, self._draw_share(_RETRY_SHARES[reason])
         )
 
     def refuse_unreachable(self, job: attempts.Job) -> outcomes.Refusal:
-        """Returns the answer where no connection to a server comes up."""
+        """Returns the refusal of a request when no server can be connected."""
         cooldown_ends_in_s = self._balancer.cooldown_ends_in_s(
             self._requirements(job)
         )
@@ -214,10 +219,11 @@
         )
 
     def may_reconnect(self, job: attempts.Job) -> bool:
-        """Returns whether another connection may be tried for a request.
+        """Returns whether another connection may be attempted for a request.
 
-        One that is refused costs no time, and its server rests; a request that
-        loses its time with connections that time out could not come back.
+        A refused connection takes no time, and its server enters cooldown. But
+        a request that spends its time on connection timeouts would have none
+        left for a retry.
         """
         time_s = job.deadline - job.request.arrived_at
         return job.unreached_s < _RETRIED_WAIT_SHARE * time_s
@@ -225,7 +231,7 @@
     def _refuse_until_ready(
         self, job: attempts.Job, reason: Reason, ready_in_s: float
     ) -> outcomes.Refusal:
-        """Returns the answer where a server serves in a while only."""
+        """Returns a refusal that asks to retry when a server is ready."""
         left_s = max(0.001, job.deadline - self._clock())
         most = self._draw_share(_RETRY_NOT_READY)
         share = min(most, max(_RETRY_FULL[0], ready_in_s / left_s))
@@ -236,12 +242,13 @@
     ) -> outcomes.Refusal:
         """Returns a refusal.
 
-        Only a request that no server may have begun is told "not run".
+        Only a request that cannot have been started by a server is reported as
+        not run.
 
         Args:
           job: The request.
-          reason: Why.
-          share: When to come back, as a part of the time that is left.
+          reason: Reason of the refusal.
+          share: When to retry, as a fraction of the remaining time.
         """
         if job.runs:
             return outcomes.Refusal(_BAD_GATEWAY, Reason.MAY_HAVE_RUN)
@@ -249,7 +256,10 @@
         return admit.unavailable(reason, share * left_s)
 
     def _latest_start(self, job: attempts.Job) -> float:
-        """Returns when a request must begin to be answered on time."""
+        """Returns the latest time at which a request can start and be on time.
+
+        In monotonic seconds.
+        """
         at = job.request.arrived_at - job.spent_s
         at += job.match.route.objective_s
         engine = self._config_view.engine(job.service)
@@ -275,7 +285,7 @@
         return found
 
     def _requirements(self, job: attempts.Job) -> balance.Requirements:
-        """Returns what a request needs of a server that it is sent to now."""
+        """Returns the current requirements of a request on its server."""
         now = self._versions.now
         model = self.model(job)
         least = self._versions.demanded(model, now) or 0
@@ -301,5 +311,5 @@
         return found
 
     def _draw_share(self, span: tuple[float, float]) -> float:
-        """Returns a part of the caller's time, spread over a span."""
+        """Returns a random fraction from a range."""
         return self._rng.uniform(*span)
--- a/src/clementinegw/direct/queue.py
+++ b/src/clementinegw/direct/queue.py
@@ -1,9 +1,9 @@
-"""Requests that wait in the entry for room at a server.
+"""Queue in the entry for requests that wait for server capacity.
 
-Who can still be on time goes first, the nearest time first; who is late takes
-what is left over. Waiting at the servers instead, everyone would be late as
-soon as more comes than they can take: with all in one line, each waits for all
-that came before.
+Requests that can still be on time go first, by earliest deadline; late requests
+use leftover capacity. If requests queued at the servers instead, all of them
+would be late as soon as the load exceeds the capacity, because a single FIFO
+queue makes each request wait for everything that arrived before it.
 """
 
 import asyncio
@@ -15,29 +15,33 @@
 from clementinegw.direct import late_limit
 from clementinegw.direct import types
 
-# How often waiting requests are looked through besides when a request ends
-# or a report comes, in seconds.
+# Period of dispatching in addition to the dispatches triggered by finished
+# requests and load reports, in seconds.
 _DISPATCH_INTERVAL_S = 0.02
 
 _NO_STARTS: frozenset[types.Start] = frozenset()
 
-# Needs that no server could meet a moment ago: what is wanted, whether too late
-# to be on time, and who is left out.
+# Requirements that no server could meet during this dispatch, with whether the
+# request was late and which servers were excluded.
 _Unmet = set[tuple[balance.Requirements, bool, frozenset[types.Start]]]
-# How many requests that need the same go first; see `Queue._will_expire`.
+# Number of requests with the same requirements that go first; see
+# `Queue._will_expire`.
 _Ahead = dict[balance.Requirements, int | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """How long requests of a service wait, and for what room.
+    """Limits on server utilization for the requests of a service.
+
+    Utilization is the number of requests at a server divided by its slots.
 
     Attributes:
-      max_utilization: The part of its slots that a server may have taken for
-        one more that can be on time.
-      late_limit_high: The same for one that is late, while those that can be
-        on time find room.
-      late_limit_low: The same where they find none.
+      max_utilization: Servers below this utilization accept a request that can
+        be on time.
+      late_limit_high: The limit for late requests while requests that can be
+        on time find capacity.
+      late_limit_low: The limit for late requests while requests that can be
+        on time find none.
     """
 
     max_utilization: float
@@ -47,16 +51,16 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Waiter:
-    """One request that waits.
+    """A queued request.
 
     Attributes:
-      requirements: Returns what it needs of a server now.
-      tried: Starts of servers that have had it.
-      latest_start: When it must begin to be on time, in monotonic seconds.
-      give_up_at: When it is given up, in monotonic seconds.
-      reservation: Its place at a server; None when it is given up.
-      queued_at: When it came, in monotonic seconds.
-      counted: Whether it has been counted as late.
+      requirements: Returns the current requirements on the server.
+      tried: Server starts that already received the request.
+      latest_start: When it must start to be on time, in monotonic seconds.
+      give_up_at: When it stops waiting, in monotonic seconds.
+      reservation: Resolves to the reserved server, or to None on giving up.
+      queued_at: When it was queued, in monotonic seconds.
+      counted: Whether it was already counted as late.
     """
 
     requirements: Callable[[], balance.Requirements]
@@ -69,11 +73,11 @@
 
 
 class Reservation:
-    """A request's place at a server, from the choice to the end.
+    """A reserved slot of a server, held until the request has ended.
 
     Attributes:
       backend: The server.
-      permitted: Whether it used up a slot of the server's rate limit.
+      permitted: Whether it used a slot of the server's rate limit.
     """
 
     def __init__(
@@ -86,7 +90,7 @@
         backend.begin_request()
 
     def release(self) -> None:
-        """Gives the place back."""
+        """Releases the slot; further calls have no effect."""
         if self._held:
             self._held = False
             self.backend.end_request()
@@ -94,7 +98,7 @@
 
 
 class Queue:
-    """The waiting requests of one service."""
+    """Queued requests of one service."""
 
     def __init__(
         self,
@@ -103,13 +107,13 @@
         policy: Policy,
         clock: Callable[[], float],
     ):
-        """Starts without anybody who waits.
+        """Initializes an empty queue.
 
         Args:
-          service: The service's name.
-          balancer: Ranks its servers.
-          policy: How long requests wait, and for what room.
-          clock: Monotonic seconds.
+          service: Name of the service.
+          balancer: Selects the server.
+          policy: Utilization limits.
+          clock: Returns monotonic seconds.
         """
         self._service = service
         self._balancer = balancer
@@ -128,18 +132,18 @@
         latest_start: float,
         give_up_at: float,
     ) -> Reservation | None:
-        """Returns a place at a server; None when there is none in time.
+        """Returns a reservation; None if no server has capacity in time.
 
         Args:
-          requirements: Returns what the request needs of a server now; a newer
-            version of weights may be demanded while it waits.
-          tried: Starts of servers that have had it.
-          latest_start: When it must begin to be on time.
-          give_up_at: When it is given up.
+          requirements: Returns the current requirements; a newer version of the
+            weights may become mandatory while the request waits.
+          tried: Server starts that already received the request.
+          latest_start: When it must start to be on time, in monotonic seconds.
+          give_up_at: When it stops waiting, in monotonic seconds.
         """
         future = asyncio.get_running_loop().create_future()
         now = self._clock()
-        # Who comes late has missed nothing here.
+        # A request that arrives late did not become late in this queue.
         late = latest_start < now
         waiter = Waiter(
             requirements,
@@ -165,7 +169,7 @@
                 self._waiters.remove(waiter)
 
     def dispatch(self) -> None:
-        """Gives places to those that can have one now."""
+        """Reserves servers for all queued requests that can have one now."""
         if not self._waiters:
             return
         now = self._clock()
@@ -173,8 +177,8 @@
         ahead: _Ahead = {}
         unmet: _Unmet = set()
         has_capacity = self._balancer.has_capacity(self._service)
-        # The order matters to nobody while nobody finds room, but where it is
-        # known how many will.
+        # The order only matters if some request can be placed, or if the
+        # number of requests that can be placed is limited.
         ordered = has_capacity or restricted
         for waiter in self._in_order(now) if ordered else [*self._waiters]:
             if waiter.reservation.done():
@@ -186,7 +190,8 @@
             )
             self._record_wait(waiter, late, backend is not None, now)
             if backend is not None:
-                # One that is full now may leave the choice to others.
+                # The chosen server may now be full, which can change the
+                # preferred servers for the other requests.
                 unmet.clear()
                 self._waiters.remove(waiter)
                 self._balancer.record_sent(backend)
@@ -206,24 +211,25 @@
     def _record_wait(
         self, waiter: Waiter, late: bool, found: bool, now: float
     ) -> None:
-        """Learns how much room those need that can be on time."""
+        """Updates the limit for late requests from the wait of a request."""
         if waiter.counted:
             return
         if late:
             waiter.counted = True
-            # Where no server may begin anything, no late one took its room.
+            # If no server may start the request, late requests did not take
+            # its capacity.
             if self._balancer.candidates(waiter.requirements()):
                 self._late_limit.record_miss()
         elif found:
             self._late_limit.record_placed(now - waiter.queued_at)
 
     def _will_expire(self, waiter: Waiter, ahead: _Ahead) -> bool:
-        """Returns whether a request's time ends before it finds a server.
+        """Returns whether a request will expire before it gets a server.
 
         Args:
           waiter: The request.
-          ahead: How many who need the same go first, where all servers for them
-            are restricted; None where one is not.
+          ahead: Number of requests with the same requirements that go first, if
+            all servers for them are restricted; None if one server is not.
         """
         requirements = waiter.requirements()
         if requirements not in ahead:
@@ -252,10 +258,11 @@
     def _choose(
         self, waiter: Waiter, late: bool, unmet: _Unmet
     ) -> backend_lib.Backend | None:
-        """Returns a server with room; notes what none has room for.
+        """Returns a server with capacity and records unmet requirements.
 
-        Most who wait need the same: with each looking through all servers, at
-        each of a hundred reports a second, an entry has no time left.
+        Most queued requests have the same requirements. Searching all servers
+        for each of them on each of a hundred reports per second would take all
+        of the entry's time.
         """
         base = waiter.requirements()
         for tried in (waiter.tried, _NO_STARTS):
