--- a/src/clementinegw/direct/admit.py
+++ b/src/clementinegw/direct/admit.py
@@ -1,4 +1,4 @@
-"""Whether a request may be served at all: its route, its key, its caller."""
+"""Admission of requests: route, API key and customer."""
 
 from collections.abc import Callable
 import dataclasses
@@ -10,25 +10,26 @@
 
 Reason = outcomes.RefusalReason
 
-# When to come back while the process learns what it needs, in seconds.
+# Retry delay while the process has no current configuration, in seconds.
 _RETRY_SOON_S = 0.3
-# The least part of its time after which a caller that was turned away comes
-# back. Callers of a route differ in patience by up to as much, so one whose
-# time is shorter by less is new.
+# Smallest fraction of its time after which a refused caller retries. The
+# timeouts of new callers of a route differ by up to this fraction, so a caller
+# whose timeout is shorter by less counts as new.
 MIN_RETRY_SHARE = 0.15
 _UNAVAILABLE = 503
 
 
 @dataclasses.dataclass(slots=True)
 class ConfigView:
-    """What the entry knows of its surroundings.
+    """The entry's current view of the configuration.
 
     Attributes:
-      catalog: The configuration in force; None before the first.
-      age_s: How old that knowledge may be, in seconds.
-      max_key_age_s: Keys are served while it is younger than this.
-      max_rejection_age_s: Unknown routes and keys are refused for good while
-        younger.
+      catalog: The configuration in force; None before the first one.
+      age_s: Returns the maximum age of this view, in seconds.
+      max_key_age_s: Keys are accepted while the view is younger than this, in
+        seconds.
+      max_rejection_age_s: Unknown routes and keys are rejected permanently
+        while the view is younger than this, in seconds.
     """
 
     catalog: catalogs.Catalog | None
@@ -37,11 +38,11 @@
     max_rejection_age_s: float
 
     def service(self, name: str) -> types.Service | None:
-        """Returns a service of the configuration; None while unknown."""
+        """Returns a service of the configuration; None if unknown."""
         return self.catalog.services.get(name) if self.catalog else None
 
     def engine(self, service: str) -> types.Engine | None:
-        """Returns how a service's engines work; None for a plain one."""
+        """Returns a service's engine parameters; None for a plain service."""
         known = self.service(service)
         return known.engine if known else None
 
@@ -49,12 +50,12 @@
 def match(
     config_view: ConfigView, request: servers.Request, facts: types.RequestFacts
 ) -> catalogs.Match | outcomes.Refusal:
-    """Returns a request's route and customer, or why it is refused."""
+    """Returns the route and customer of a request, or a refusal."""
     catalog = config_view.catalog
     if catalog is None:
         return unavailable(Reason.NO_CONFIGURATION, _RETRY_SOON_S)
-    # What is unknown here may be new: only a process that has heard from
-    # the platform just now may say that it does not exist.
+    # An unknown route or key may be new, so only a process that heard from the
+    # platform very recently may report that it does not exist.
     fresh = config_view.age_s() < config_view.max_rejection_age_s
     route = catalog.route(request.host, request.path)
     if route is None:
@@ -70,27 +71,34 @@
         if fresh:
             return outcomes.Refusal(401, Reason.NO_KEY)
         return unavailable(Reason.STALE_KEYS, _RETRY_SOON_S)
-    # The key may have been taken away since the platform last answered.
-    # Whoever is cut off shows nothing else, so the age alone decides.
+    # The key may have been revoked since the platform last answered. A process
+    # that is cut off notices nothing else, so only the age of the view decides.
     if config_view.age_s() >= config_view.max_key_age_s:
         return unavailable(Reason.STALE_KEYS, _RETRY_SOON_S)
     return catalogs.Match(route, customer)
 
 
 class CallerTimeouts:
-    """How long callers of each route wait at first.
+    """The full timeout of new callers, by route.
 
-    A caller that was refused comes back with less time. Taken for a new one,
-    it would be preferred to those that can still be on time, and late itself. A
-    new one that is less patient than others must not be taken for one that came
-    back: it would wait behind all others for a third of its time, and in vain.
+    A caller that retries after a refusal has less time left. If it counted as
+    new, it would be preferred to requests that can still be on time and be late
+    itself. Conversely, a new caller with a shorter timeout than others must not
+    count as retrying: it would queue behind all others for a third of its time
+    and still fail.
     """
 
     def __init__(self) -> None:
         self._usual_s: dict[str, float] = {}
 
     def spent_s(self, route: str, timeout_s: float | None) -> float:
-        """Returns how long a caller has been at it; 0 for a new request."""
+        """Returns the time a caller has already spent; 0 if it is new.
+
+        Args:
+          route: Name of the route.
+          timeout_s: Timeout sent by the caller, in seconds; None if it sent
+            none.
+        """
         if timeout_s is None:
             return 0.0
         usual_s = max(self._usual_s.get(route, 0.0), timeout_s)
@@ -100,5 +108,10 @@
 
 
 def unavailable(reason: Reason, retry_after_s: float) -> outcomes.Refusal:
-    """Returns the answer that a request was not run and may come back."""
+    """Returns a refusal with 503: the request was not run and may be retried.
+
+    Args:
+      reason: Reason of the refusal.
+      retry_after_s: When the caller may retry, in seconds.
+    """
     return outcomes.Refusal(_UNAVAILABLE, reason, retry_after_s)
--- a/src/clementinegw/direct/late_limit.py
+++ b/src/clementinegw/direct/late_limit.py
@@ -1,35 +1,34 @@
-"""What part of a server's slots requests may take that are late already.
+"""Adaptive limit on the server utilization that late requests may use.
 
-The load that this answers: a burst that is over, and a backlog that is not.
-What was turned away comes back, too late to be on time, and fills the engines;
-those who come new find no slot, are late in turn, and come back as well. So the
-part that late ones take gives way.
+It guards against a backlog that outlasts a burst: callers that were refused
+retry, are too late to be on time and fill the engines. New requests then find
+no slot, become late in turn and are retried as well. The limit for late
+requests therefore shrinks under load.
 
-How many slots those who come new will need is not known, so it is found out:
-the part shrinks while any of them finds no room in time, and grows while all
-find some.
+How many slots new requests will need is unknown, so the limit adapts: it
+shrinks whenever a request finds no capacity in time, and grows while all do.
 """
 
-# What is left of the part after a new request has found no room, and what each
-# one that found room at once adds: it halves within five misses, and ten
-# requests that come in time make one miss good.
+# Factor of the limit for each new request that found no capacity in time, and
+# increment for each one that found capacity immediately. Five misses halve the
+# limit, and ten immediate placements make up for one miss.
 _DECREASE_FACTOR = 0.85
 _INCREASE = 0.012
-# One that waited no longer than this found room at once, in seconds: a look or
-# two of the queue.
+# A request that waited no longer than this found capacity immediately, in
+# seconds: one or two dispatches of the queue.
 _MAX_IMMEDIATE_WAIT_S = 0.05
 
 
 class LateLimit:
-    """The part of the slots that late requests may take."""
+    """Utilization limit for late requests."""
 
     def __init__(self, low: float, high: float):
-        """Starts at `high`: nobody has missed anything yet.
+        """Starts at `high`, as no request has missed its objective yet.
 
         Args:
-          low: The part that they may always take. Who is late must not wait
-            for ever while others come.
-          high: The most that they may take.
+          low: Smallest limit, so that late requests never starve while others
+            arrive.
+          high: Largest limit.
         """
         self._low = low
         self._high = high
@@ -37,14 +36,14 @@
 
     @property
     def limit(self) -> float:
-        """Servers with less of their slots taken take a late request."""
+        """Servers below this utilization accept a late request."""
         return self._limit
 
     def record_placed(self, waited_s: float) -> None:
-        """Notes that a request which could be on time was sent."""
+        """Records that a request that can be on time was placed."""
         if waited_s <= _MAX_IMMEDIATE_WAIT_S:
             self._limit = min(self._high, self._limit + _INCREASE)
 
     def record_miss(self) -> None:
-        """Notes that one which could be on time found no room until then."""
+        """Records that a request found no capacity in time."""
         self._limit = max(self._low, self._limit * _DECREASE_FACTOR)
--- a/src/clementinegw/direct/latency_estimator.py
+++ b/src/clementinegw/direct/latency_estimator.py
@@ -1,46 +1,49 @@
-"""How long a service takes to begin an answer, learned from its answers.
+"""Estimates the time to the first event of an answer from past answers.
 
-The load that this answers: engines that are full. There a prompt waits for the
-pass under way and for the prompts before it, twice as long as at one that is
-half full. A constant holds for one kind of engine at one load; what is sent by
-one that is too short comes just too late, and by one that is too long is not
-sent at all.
+At a full engine a prompt waits for the current pass and for the prompts before
+it, twice as long as at a half-full one. A constant would only fit one kind of
+engine at one load: with a constant that is too short, requests are sent and
+miss their objective slightly; with one that is too long, they are not sent.
 """
 
-# Learned is what this part of the answers stays below: a request that is held
-# to be on time should be so as a rule.
+# The estimate converges to this quantile, so that most requests expected to be
+# on time are.
 _QUANTILE = 0.9
-# What an answer moves the estimate by, in seconds, times the part above when it
-# was longer and times the rest when it was shorter. Some ten long answers move
-# it to a full engine's time, a hundred short ones back.
+# Step in seconds, multiplied by the quantile after an answer slower than the
+# estimate and by its complement after a faster one. About ten slow answers
+# raise the estimate to the time of a full engine; a hundred fast ones lower it
+# again.
 _STEP_S = 0.01
 
 
 class LatencyEstimator:
-    """An upper estimate of the time to the first event."""
+    """Upper estimate of the time to the first event."""
 
     def __init__(self, initial_s: float, max_s: float):
-        """Believes in a time before the first answer.
+        """Initializes the estimate.
 
         Args:
-          initial_s: That time, in seconds.
-          max_s: The longest that is believed, in seconds. Beyond it, what is
-            learned from requests that should not have been sent would make
-            every request too late from the start.
+          initial_s: Estimate before the first answer, in seconds.
+          max_s: Upper bound, in seconds. Without it, answers to requests that
+            should not have been sent could raise the estimate until every
+            request is too late on arrival.
         """
         self._estimate_s = initial_s
         self._max_s = max_s
 
     @property
     def estimate_s(self) -> float:
-        """From the send to the first event beside reading the own prompt."""
+        """Time from sending to the first event, without the own prompt's read.
+
+        In seconds.
+        """
         return self._estimate_s
 
     def record(self, seconds: float) -> None:
-        """Learns from one answer."""
-        # Each answer moves the estimate up or down so that it rests where the
-        # wanted part of the answers is below it; how far off one is does not
-        # matter, so a server that hangs moves it no more than any other.
+        """Updates the estimate with the latency of one answer, in seconds."""
+        # Stochastic quantile estimation: the step depends on whether the answer
+        # was slower, not on by how much, so a hanging server has no more effect
+        # than any other slow answer.
         longer = seconds > self._estimate_s
         move_s = _QUANTILE if longer else _QUANTILE - 1.0
         self._estimate_s += _STEP_S * move_s
