--- a/src/clementinegw/direct/backend.py
+++ b/src/clementinegw/direct/backend.py
@@ -1,4 +1,4 @@
-"""One backend server as this entry knows it, and what it saw of it."""
+"""State of one backend server as known to this entry."""
 
 import math
 import random
@@ -9,32 +9,59 @@
 from clementinegw.direct import signals as signals_lib
 from clementinegw.direct import types
 
-# What a failure adds to the doubt about a server, what a good answer leaves
-# of it, and the pause that a server gets after each of two failed connects.
+# Weight of the newest answer in the failure rate, and bounds on the cooldown
+# after a failed connection, in seconds. The cooldown doubles with each failure.
 _FAILURE_GAIN = 0.2
 _MIN_COOLDOWN_S = 0.25
 _MAX_COOLDOWN_S = 4.0
-# Time in which what others had under way at a server has changed by 1/e.
+# Decay time constant of the last known number of requests from other entries,
+# in seconds.
 _LOAD_DECAY_S = 0.7
-# A report older than this says nothing of free slots, in seconds.
+# An older report says nothing about free slots, in seconds.
 _MAX_REPORT_AGE_S = 0.5
-# A server whose agent has told nothing for this long, and as many of its usual
-# intervals, and that has sent nothing itself since, is taken for frozen or cut
-# off. Found out from requests alone, each entry loses some of them to it. Lost
-# datagrams come one or two in a row. After a while only
-# requests tell: an agent may be gone for long beside a server that is well.
-# Seconds.
+# A server counts as frozen or cut off if its agent has been silent for this
+# time, in seconds, and for this many of its usual report intervals, and if the
+# server has sent nothing since. Without this check each entry would lose some
+# requests before it notices. Lost datagrams come one or two in a row. After
+# _MAX_SILENCE_S only requests decide, as an agent may stay away for long while
+# its server is well.
 _MIN_SILENCE_S = 0.4
 _MIN_SILENCE_INTERVALS = 3.0
 _MAX_SILENCE_S = 6.0
-# How much the newest interval counts for the usual one.
+# Weight of the newest report interval in the usual one.
 _INTERVAL_GAIN = 0.3
-# The longest time between two reports that counts, in seconds.
+# Longer report intervals count as this one, in seconds.
 _MAX_INTERVAL_S = 0.5
 
 
 class Backend:
-    """One start of one backend server."""
+    """One start of a backend server.
+
+    Attributes:
+      server: The server's record.
+      pool: Connections to the server.
+      signals: What this start reported about itself.
+      in_flight: Requests of this entry at the server.
+      unread_tokens: Prompt tokens of this entry that it has yet to read.
+      gone: Whether this start is no longer listed, or was succeeded by another.
+      missing: Whether it is no longer listed, but perhaps only because of an
+        outage of the platform.
+      missing_until: When a missing server is dropped, in monotonic seconds.
+      heard_at: When it last sent bytes, in monotonic seconds.
+      failure_rate: Moving average of failed answers, from 0 to 1.
+      cooldown_until: End of its cooldown, in monotonic seconds.
+      full_until: It reported to be full and is skipped until then, in monotonic
+        seconds.
+      version: Version of its weights; 0 if unknown or incomplete.
+      pace: How many times slower than usual it works.
+      loading: Whether it accepts no requests because it loads weights.
+      yielding: Whether it is about to load weights.
+      entries: Number of entries as reported by its agent; 0 if unknown.
+      followed: Whether this entry receives its load reports and may send to it.
+      ready_at: When it is predicted to be ready, in monotonic seconds.
+      weights_incomplete: Whether its agent reported that layers are missing.
+      replaced: Whether another start answers at its address.
+    """
 
     def __init__(
         self,
@@ -75,7 +102,7 @@
 
     @property
     def retired(self) -> bool:
-        """Whether this start gets nothing more: it leaves, or is over."""
+        """Whether this start gets no more requests: it is leaving or over."""
         return (
             self.gone
             or self.replaced
@@ -84,31 +111,31 @@
         )
 
     def in_backoff(self, now: float) -> bool:
-        """Returns whether it has asked this entry for a pause that lasts."""
+        """Returns whether a backoff that it asked this entry for is active."""
         return self.signals.backoff_until > now
 
     def accepts(self, now: float) -> bool:
-        """Returns whether what it reported allows this entry a request now."""
+        """Returns whether its signals allow this entry to send a request."""
         signals = self.signals
         if signals.backoff_until > now:
             return False
         return not signals.limited or signals.limiter.is_open()
 
     def available_at(self, now: float) -> float:
-        """Returns when it is available again; `now` where it is."""
+        """Returns when it is available again; `now` if it already is."""
         return max(now, self.cooldown_until, self.signals.backoff_until)
 
     def set_followed(self, followed: bool, now: float) -> None:
-        """Says whether this entry is told of its load, and may send to it."""
+        """Sets whether this entry receives its reports and may send to it."""
         if followed and not self.followed:
-            # What was heard while it was not followed says nothing of silence,
-            # and nothing of free slots.
+            # Reports received before are outdated: they say nothing about
+            # silence or about free slots.
             self._last_report_at = -math.inf
             self._first_report_due_at = now + _MAX_REPORT_AGE_S
         self.followed = followed
 
     def is_silent(self, now: float) -> bool:
-        """Returns whether the server and the agent beside it fell silent."""
+        """Returns whether both the server and its agent have gone silent."""
         if not self.followed:
             return False
         silence_s = max(
@@ -119,7 +146,7 @@
         return self.heard_at < self._last_report_at + silence_s / 2
 
     def update_load(self, load: types.Load, now: float) -> None:
-        """Takes in what the server says of its load."""
+        """Updates the load that the server reported in an answer."""
         total = load.running + load.waiting
         self._other_requests = max(0.0, total - self.in_flight)
         self._load_at = now
@@ -130,12 +157,13 @@
         now: float,
         reading_s: float = 0.0,
     ) -> None:
-        """Takes in what the agent beside the server tells of it.
+        """Applies a report from the server's agent.
 
         Args:
-          report: What it tells.
+          report: The report.
           now: Monotonic seconds.
-          reading_s: How long the engine reads a usual prompt; 0 when unknown.
+          reading_s: Time the engine takes to read a typical prompt, in seconds;
+            0 if unknown.
         """
         interval_s = min(now - self._last_report_at, _MAX_INTERVAL_S)
         self._last_report_at = now
@@ -151,8 +179,8 @@
         self.ready_at = math.inf
         if report.ready_in_s >= 0.0:
             self.ready_at = now + report.ready_in_s
-        reads = interval_s / reading_s if reading_s else math.inf
-        self._update_share(report, reads)
+        readable_prompts = interval_s / reading_s if reading_s else math.inf
+        self._update_share(report, readable_prompts)
         if report.limit is not None:
             self.signals.apply_relayed(report.limit)
         if 0 <= report.follower_rank < report.followers:
@@ -168,13 +196,13 @@
         self.weights_incomplete = not report.whole
 
     def has_share(self, now: float) -> bool:
-        """Returns whether this entry may take one more of the free slots.
+        """Returns whether this entry may use one more of the free slots.
 
-        While no agent tells, each entry has one prompt read there at a time:
-        nine servers that came back after a loss of power got 109 requests in a
-        quarter of a second, and all of them were late. From the moment at which
-        a server is followed its first report is awaited: many entries may have
-        begun with it at the same time.
+        While no agent reports, each entry lets the server read one prompt at a
+        time: after a power failure, nine servers once received 109 requests
+        within 250 ms, all of which were late. When a server becomes followed,
+        its first report is awaited, as many entries may start to follow it at
+        the same time.
         """
         if not self.followed:
             return False
@@ -188,69 +216,79 @@
         self._share -= 1.0
 
     def end_request(self) -> None:
-        """Counts a request that has left the server; its slot is ours again."""
+        """Counts a request that has ended; this entry may reuse its slot."""
         self.in_flight -= 1
         self._share += 1.0
 
-    def _update_share(self, report: reports.Report, reads: float) -> None:
-        """Takes this entry's part of the slots that a report shows free.
+    def _update_share(
+        self, report: reports.Report, readable_prompts: float
+    ) -> None:
+        """Computes this entry's share of the slots reported free.
+
+        All entries see the same free slots at the same time. If each used all
+        of them, a server with one free slot would get a request from every
+        entry, and all but one would be late. So free slots, bounded by what
+        the engine can read until the next report, are divided among entries:
+        under overload any further prompt would be read in vain, and late.
 
-        All entries see the same free slots at the same moment. With each
-        taking what it wants, a server that has one slot free gets a request
-        from every entry, and all but one of them are late. What is free, and
-        what the engine can read until the next report, is given out once: in an
-        overload a second one is read for nothing, and late.
+        Args:
+          report: The report of the server's agent.
+          readable_prompts: Prompts that the engine reads between two reports.
         """
         free = report.slots - report.running - report.waiting
-        # A server that has just loaded shows all its slots free; the last of 16
-        # requests would wait for the prompts of all others.
-        room = min(free, reads - report.waiting)
-        part = max(0.0, room / max(1, report.followers or report.entries))
-        whole = int(part)
-        more = self._rng.random() < part - whole
-        self._share = float(whole + more)
+        # A server that has just loaded reports all of its slots free; the last
+        # of 16 requests would wait until the prompts of all others are read.
+        capacity = min(free, readable_prompts - report.waiting)
+        share = max(0.0, capacity / max(1, report.followers or report.entries))
+        whole_slots = int(share)
+        extra_slot = self._rng.random() < share - whole_slots
+        self._share = float(whole_slots + extra_slot)
 
     def estimated_requests(self, now: float) -> float:
-        """Returns about how many requests are at the server."""
+        """Returns the estimated number of requests at the server."""
         age = now - self._load_at
         return self.in_flight + self._other_requests * math.exp(
             -age / _LOAD_DECAY_S
         )
 
     def record_identity(self, server_id: str) -> None:
-        """Takes in who answers at the server's address.
+        """Records which start answered at the server's address.
 
-        A start that is gone never comes back; the platform lists it until it
-        runs out, and every request would be sent to it once more.
+        A start that is over never returns. The platform still lists it until
+        its listing expires, so requests would be sent to it again.
         """
         self.replaced = server_id != self.server.server_id
 
     def record_success(self, now: float) -> None:
-        """Counts a whole answer."""
+        """Records a complete answer."""
         self.heard_at = now
         self._cooldown_s = _MIN_COOLDOWN_S
         self.failure_rate *= 1.0 - _FAILURE_GAIN
 
     def record_failure(self) -> None:
-        """Counts a failed or broken answer."""
+        """Records a failed or interrupted answer."""
         self.failure_rate += _FAILURE_GAIN * (1.0 - self.failure_rate)
 
     def record_unreachable(self, now: float) -> None:
-        """Counts a connection that did not come up, or was reset."""
+        """Records a failed or reset connection and starts a cooldown."""
         self.record_failure()
         self.cooldown_until = now + self._cooldown_s
         self._cooldown_s = min(2 * self._cooldown_s, _MAX_COOLDOWN_S)
 
     def set_version(self, version: int) -> None:
-        """Takes in which version's weights it answers with."""
+        """Sets the version of the weights that it answers with."""
         self.version = version
 
     def held_version(self, layers: int) -> int:
-        """Returns the version of which it has all layers; 0 for none."""
+        """Returns the version that it holds completely; 0 if none.
+
+        Args:
+          layers: Number of layers of the model.
+        """
         if self.weights_incomplete:
             return 0
         return self.version or self.server.version(layers)
 
     def serves(self, least_version: int, layers: int) -> bool:
-        """Returns whether it has all layers of at least a version."""
+        """Returns whether it holds all layers of at least a given version."""
         return self.held_version(layers) >= least_version
--- a/src/clementinegw/direct/balance.py
+++ b/src/clementinegw/direct/balance.py
@@ -1,4 +1,4 @@
-"""Chooses the backend server for a request."""
+"""Selects the backend server for each request."""
 
 from collections.abc import Callable, Collection
 import dataclasses
@@ -10,23 +10,24 @@
 from clementinegw.direct import fleet
 from clementinegw.direct import types
 
-# What a server's load, as a part of its slots, counts for in another failure
-# domain and in another region. Bytes between places are paid for, and what is
-# known of a server far away is four times as old; but a full server costs more.
+# Costs added to the load of servers in the same failure domain, another one of
+# the region and another region, as fractions of their slots. Traffic between
+# them is paid for, and load reports from another region are four times as old;
+# but a full server costs more than the distance.
 _DISTANCE_COSTS = (0.0, 0.15, 0.6)
-# How much a doubted server's load seems larger: one that fails half of its
-# requests gets a few only, and still enough to show that it is well again.
+# Weight of the failure rate in a server's load. A server that fails half of its
+# requests gets only a few, which still suffice to detect its recovery.
 _FAILURE_WEIGHT = 12.0
-# So many prompt tokens that are not read yet count as one more request: what
-# comes behind them waits for about 30 ms.
+# This many unread prompt tokens count as one more request: requests behind them
+# wait for about 30 ms.
 _TOKENS_PER_REQUEST = 1_000.0
-# A draw is added to each load, as a part of the slots. Without it all entries
-# send to the server that the last reports showed emptiest, until the next ones
-# come.
+# Range of the random number added to each load, as a fraction of the slots.
+# Without it all entries would send to the server with the lowest reported load
+# until the next reports arrive.
 _JITTER = 0.4
-# A server that serves this much later than its agent told is not waited for, in
-# seconds: the longest time between two reports and half as much. An agent that
-# froze would else promise its server for ever.
+# A server is not waited for if it is this much later than its agent predicted,
+# in seconds: 1.5 times the longest report interval. Otherwise the prediction of
+# a frozen agent would hold forever.
 _READY_GRACE_S = 0.6
 
 
@@ -35,14 +36,13 @@
     """What a request needs of a server.
 
     Attributes:
-      service: The service.
-      layers: The layers of its model; 0 for a plain service.
-      least_version: Of at least this version.
-      preferred_version: Servers with at least this version go first.
-      max_utilization: Servers with this part of their slots taken are passed
-        over.
-      allow_cooldown: Whether one in cooldown after a failure will do, where all
-        are.
+      service: Name of the service.
+      layers: Number of layers of its model; 0 for a plain service.
+      least_version: Minimum version of the weights.
+      preferred_version: Servers with at least this version are preferred.
+      max_utilization: Only servers below this utilization are eligible.
+      allow_cooldown: Whether a server in cooldown is eligible if all others
+        are in cooldown, too.
     """
 
     service: str
@@ -54,7 +54,7 @@
 
 
 class Balancer:
-    """Ranks the servers of a service by what this entry knows."""
+    """Selects servers by their load and state as known to this entry."""
 
     def __init__(
         self,
@@ -74,13 +74,14 @@
 
     @property
     def entries(self) -> int:
-        """How many entries there are, as agents tell; 0 when none does."""
+        """Number of entries as reported by agents; 0 if none reports it."""
         return max((b.entries for b in self._servers.all()), default=0)
 
     def ready_in_s(self, service: str) -> float:
-        """Returns about when a server of a service serves, in seconds.
+        """Returns the estimated time until a server is ready, in seconds.
 
-        Infinite where no agent tells, or what it told has not come true.
+        This is infinite if no agent predicts it, or if the predicted time has
+        passed.
         """
         now = self._clock()
         at = min(
@@ -113,11 +114,11 @@
     def choose(
         self, requirements: Requirements, tried: Collection[types.Start] = ()
     ) -> backend_lib.Backend | None:
-        """Returns the server to send to; None when none has room.
+        """Returns the server to send to; None if none has capacity.
 
         Args:
-          requirements: What the request needs.
-          tried: Starts of servers that have had it.
+          requirements: Requirements of the request.
+          tried: Server starts that already received it.
         """
         now = self._clock()
         fitting = self.candidates(requirements)
@@ -134,16 +135,16 @@
         ]
         for better in self._preferences(requirements, now):
             found = [b for b in found if better(b)] or found
-        # Only now: a request waits for the next report rather than go where
-        # it is broken off soon.
+        # Checked after the preferences: a request waits for the next report
+        # rather than go to a server that will soon interrupt it.
         sharing = [b for b in found if b.has_share(now)]
         return min(sharing, key=lambda b: self._score(b, now), default=None)
 
     def has_capacity(self, service: str) -> bool:
-        """Returns whether this entry has a share left at any server.
+        """Returns whether this entry may use a slot of any server.
 
-        Whoever chooses for many asks this first, since it looks at nothing else
-        of a server: in an overload almost every look ends here.
+        Call this before choosing servers for several requests. It is cheap, and
+        under overload almost every dispatch ends here.
         """
         now = self._clock()
         return any(
@@ -152,21 +153,23 @@
         )
 
     def record_sent(self, backend: backend_lib.Backend) -> None:
-        """Notes that a request goes to a server."""
+        """Records that a request is sent to a server."""
         self._cooldowns.record_sent(backend, self._clock())
 
     def cooldown_ends_in_s(self, requirements: Requirements) -> float:
-        """Returns when the first server that could run a request rests no more.
+        """Returns the time until the first cooldown ends, in seconds.
 
-        In seconds; 0 where one does not rest, or there is none at all.
+        This is 0 if a server that could run the request is not in cooldown, or
+        if there is none.
         """
         now = self._clock()
         return self._cooldowns.ends_in_s(self.candidates(requirements), now)
 
     def backoff_ends_in_s(self, requirements: Requirements) -> float:
-        """Returns when the first server's pause for a request ends.
+        """Returns the time until the first requested backoff ends, in seconds.
 
-        In seconds; 0 where one asked for none, or there is none at all.
+        This is 0 if a server that could run the request has not asked for a
+        backoff, or if there is none.
         """
         now = self._clock()
         ends = (b.signals.backoff_until for b in self.candidates(requirements))
@@ -178,7 +181,11 @@
         return bool(found) and all(b.signals.limited for b in found)
 
     def has_restricted(self, service: str) -> bool:
-        """Returns whether any server of a service rests or is limited."""
+        """Returns whether a server is unavailable or rate-limited.
+
+        Args:
+          service: Name of the service.
+        """
         now = self._clock()
         return any(
             b.cooldown_until > now
@@ -188,7 +195,7 @@
         )
 
     def is_restricted(self, requirements: Requirements) -> bool:
-        """Returns whether all servers for a request rest or are limited."""
+        """Returns whether all servers are unavailable or rate-limited."""
         now = self._clock()
         found = self.candidates(requirements)
         return bool(found) and all(
@@ -196,13 +203,13 @@
         )
 
     def capacity_until(self, requirements: Requirements, until: float) -> float:
-        """Returns the most requests that servers may get up to a moment.
+        """Returns the most requests that may be sent up to a given time.
 
-        Infinite where one takes them without a limit.
+        This is infinite if a server without a rate limit is available by then.
 
         Args:
-          requirements: What the requests need.
-          until: In monotonic seconds.
+          requirements: Requirements of the requests.
+          until: The time, in monotonic seconds.
         """
         now = self._clock()
         within_s = until - now
@@ -226,11 +233,10 @@
     def _preferences(
         self, requirements: Requirements, now: float
     ) -> tuple[Callable[[backend_lib.Backend], bool], ...]:
-        """Returns what a server should be, the most important first.
+        """Returns predicates for preferred servers, most important first.
 
-        Where no server is, one is chosen all the same: one that fell silent
-        may answer, and one that is about to load still serves where no other
-        has room.
+        They are preferences only: a silent server may still answer, and a
+        server that is about to load serves if no other has capacity.
         """
         return (
             lambda b: not b.is_silent(now),
@@ -241,7 +247,7 @@
         )
 
     def utilization(self, backend: backend_lib.Backend, now: float) -> float:
-        """Returns a server's requests as a part of its slots."""
+        """Returns a server's requests as a fraction of its slots."""
         return backend.estimated_requests(now) / max(1, backend.server.slots)
 
     def _score(self, backend: backend_lib.Backend, now: float) -> float:
@@ -253,7 +259,7 @@
         return load + self._rng.random() * _JITTER
 
     def _distance_cost(self, domain: str) -> float:
-        """Returns what a failure domain's distance counts for."""
+        """Returns the load added for the distance to a failure domain."""
         found = self._distances.get(domain)
         if found is None:
             distance = distance_to(self._regions, self._place, domain)
@@ -264,14 +270,20 @@
 def distance_to(
     regions: dict[str, str], place: places.Place, domain: str
 ) -> int:
-    """Returns 0 for the same failure domain, 1 the same region, 2 another."""
+    """Returns 0 for the same failure domain, 1 the same region, 2 another.
+
+    Args:
+      regions: Region of each failure domain.
+      place: Location of this process.
+      domain: The failure domain.
+    """
     if domain == place.failure_domain:
         return 0
     return 1 if regions.get(domain) == place.region else 2
 
 
 def draw_service(route: types.Route, rng: random.Random) -> str:
-    """Returns the service for one request of a route, by weight."""
+    """Returns a service of a route, drawn at random by weight."""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [target.weight for target in route.targets]
--- a/src/clementinegw/direct/cooldown.py
+++ b/src/clementinegw/direct/cooldown.py
@@ -1,8 +1,8 @@
-"""Servers that rest after a failure: which one is tried all the same.
+"""Cooldown of servers after failed connections, and probes during it.
 
-A server rests after a connection that did not come up, longer after each, and
-requests go to others meanwhile. Where all rest, somebody has to find out that
-one is back: each is tried by one request at a time.
+A server enters cooldown when a connection to it fails, longer each time, and
+requests go to other servers meanwhile. If all servers are in cooldown, requests
+probe them to detect recovery, one request per server at a time.
 """
 
 from collections.abc import Sequence
@@ -10,34 +10,34 @@
 
 from clementinegw.direct import backend as backend_lib
 
-# A server that rests is tried no more often than one whose connections time
-# out would be, also where it refuses them at once: a request would connect over
-# and over. Seconds, as long as a connection may take to come up.
+# Interval between probes of a server in cooldown, in seconds: the connection
+# timeout. It also applies if the server refuses connections immediately, as
+# requests would otherwise reconnect in a tight loop.
 _PROBE_INTERVAL_S = 0.25
 
 
 class Cooldowns:
-    """When each server was tried last."""
+    """Times of the last request to each server."""
 
     def __init__(self) -> None:
-        # Weak: a server that is gone is forgotten with its backend.
+        # Weak keys drop servers that are gone together with their backend.
         self._sent_at: weakref.WeakKeyDictionary[backend_lib.Backend, float]
         self._sent_at = weakref.WeakKeyDictionary()
 
     def record_sent(self, backend: backend_lib.Backend, now: float) -> None:
-        """Notes that a request goes to a server."""
+        """Records that a request is sent to a server."""
         self._sent_at[backend] = now
 
     def available(
         self, backends: Sequence[backend_lib.Backend], now: float
     ) -> list[backend_lib.Backend]:
-        """Returns the servers that do not rest."""
+        """Returns the servers that are not in cooldown."""
         return [b for b in backends if b.cooldown_until <= now]
 
     def probe_candidates(
         self, backends: Sequence[backend_lib.Backend], now: float
     ) -> list[backend_lib.Backend]:
-        """Returns the servers that are tried though they may rest."""
+        """Returns the servers that may be probed during their cooldown."""
         return [
             backend
             for backend in backends
@@ -48,6 +48,9 @@
     def ends_in_s(
         self, backends: Sequence[backend_lib.Backend], now: float
     ) -> float:
-        """Returns when the first rest is over, in seconds; 0 without one."""
+        """Returns the time until the first cooldown ends, in seconds.
+
+        This is 0 if a server is not in cooldown.
+        """
         at = min((b.cooldown_until for b in backends), default=now)
         return max(0.0, at - now)
