--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -1,4 +1,4 @@
-"""All backend servers that this entry knows."""
+"""Directory of all backend servers known to this entry."""
 
 from collections.abc import Callable, Collection, Iterable
 import math
@@ -18,18 +18,18 @@
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
-# How long a connection may take to come up, in seconds: some round trips
-# between regions, and less than the objective of the quickest requests.
+# Connection timeout in seconds: a few round trips between regions, and less
+# than the objective of the shortest requests.
 _CONNECT_TIMEOUT_S = 0.25
-# The longest that a connection stays idle, in seconds.
+# Idle connections are closed after this, in seconds.
 _MAX_IDLE_S = 8.0
-# The part of a server's connections that one entry takes.
+# Fraction of a server's connection limit that one entry may use.
 _CONNECTION_SHARE = 1 / 12
 _MIN_CONNECTIONS = 4
 
 
 class Fleet:
-    """All backend servers by service."""
+    """All backend servers, by service."""
 
     def __init__(
         self,
@@ -42,18 +42,18 @@
         wall_clock: Callable[[], float] = time.time,
         counters: counters_lib.Counters | None = None,
     ):
-        """Starts empty.
+        """Initializes an empty fleet.
 
         Args:
-          log: Where events go.
-          max_connections: Connections that a server of a service takes.
-          rng: Shares free slots out.
-          terms: How long a server that is no longer listed is believed in;
-            None for as long as an outage may need.
-          entry: This entry's name.
-          wall_clock: The time of day in seconds; entries share rate limits by
-            it.
-          counters: Counts what servers report of themselves.
+          log: Log for events.
+          max_connections: Returns the connection limit of a service's servers.
+          rng: Rounds shares of free slots randomly.
+          terms: How long servers are kept after they are no longer listed; None
+            for as long as an outage may need.
+          entry: Name of this entry.
+          wall_clock: Returns the time of day in seconds; entries share rate
+            limits based on it.
+          counters: Counters for what servers report about themselves.
         """
         self._position = rate_limit.Position.assumed(entry)
         self._signals = signals_lib.Registry(
@@ -84,30 +84,31 @@
 
     @property
     def limited(self) -> int:
-        """How many servers have reported a rate limit that is in force."""
+        """Number of servers with a rate limit in force."""
         return sum(b.signals.limited for b in self._backends.values())
 
     def find(self, server_id: str) -> backend_lib.Backend | None:
-        """Returns a backend server by its id."""
+        """Returns the backend server with an id; None if unknown."""
         return self._backends.get(server_id)
 
     def match_report(
         self, report: reports.Report, host: str
     ) -> backend_lib.Backend | None:
-        """Returns the start that a report is of; None for any other.
+        """Returns the backend that a report is about; None if not current.
 
         Args:
-          report: What an agent tells.
-          host: The IP address that it came from.
+          report: An agent's report.
+          host: IP address of its sender.
         """
         backend = self.find(report.server_id)
-        # An address may belong to another server by now: the id decides.
+        # The address may have been reassigned to another server, so the id
+        # decides.
         if backend is None or backend.server.address.host != host:
             return None
         if backend.server.start.same(report.start):
             return backend
-        # The agent asks the server itself, and so knows before the list that a
-        # start is over. What is late, of a start before, says nothing.
+        # The agent queries the server directly, so it learns of a new start
+        # before the list does. Late reports about a previous start are ignored.
         if report.born > backend.server.born:
             backend.gone = True
         return None
@@ -120,14 +121,16 @@
         away_s: float = math.inf,
         now: float = 0.0,
     ) -> None:
-        """Takes records in.
+        """Applies records of the platform's server list.
 
         Args:
-          batch: The records; a value of None says that a server is gone, one
-            that is unreadable names none.
-          whole: Whether servers that it leaves out are gone.
-          settled_s: How long the platform has answered without failure.
-          away_s: How long it gave no answer before that.
+          batch: The records. A record without a value means that the server is
+            gone; an unreadable one lists no server.
+          whole: Whether the batch is complete, so that servers missing from it
+            are gone.
+          settled_s: How long the platform has answered without failure, in
+            seconds.
+          away_s: How long it did not answer before, in seconds.
           now: Monotonic seconds.
         """
         last = {record.key: record.value for record in batch.records}
@@ -143,17 +146,18 @@
             if isinstance(record.value, types.Server):
                 self._apply_listed(record.key, record.value)
             elif record.value is not None and record.key in self._backends:
-                # What the platform lists there now is no server to send to.
+                # The record no longer lists a usable server.
                 self._drop(record.key)
         for key in gone & set(self._backends):
             self._apply_unlisted(key, now, left_s)
         self._rebuild_index()
 
     def update_position(self) -> None:
-        """Finds this entry's position among all entries.
+        """Updates this entry's position among all entries.
 
-        The agent that knows of most entries is believed: one that is cut off or
-        has just started knows of a few, and their shares would be too large.
+        The report with the most entries is used: an agent that is cut off or
+        has just started knows only a few entries, so shares computed from its
+        report would be too large.
         """
         positions = [
             position
@@ -167,15 +171,21 @@
         )
 
     def set_followed(self, server_ids: Collection[str], now: float) -> None:
-        """Says which servers this entry is told of, and may send to."""
+        """Sets which servers this entry gets reports of and may send to.
+
+        Args:
+          server_ids: Ids of these servers.
+          now: Monotonic seconds.
+        """
         for key, backend in self._backends.items():
             backend.set_followed(key in server_ids, now)
 
     def drop_missing(self, settled_s: float, now: float = 0.0) -> None:
-        """Drops what is still missing once the platform is back for good.
+        """Drops servers still missing after the platform has recovered.
 
         Args:
-          settled_s: How long the platform has answered without failure.
+          settled_s: How long the platform has answered without failure, in
+            seconds.
           now: Monotonic seconds.
         """
         settled = settled_s >= self.listing_expiry.terms.back_s
@@ -185,7 +195,7 @@
         self._rebuild_index()
 
     def prune(self) -> None:
-        """Closes connections that are over their time."""
+        """Closes idle connections that have expired."""
         for backend in self._backends.values():
             backend.pool.prune()
 
@@ -196,8 +206,8 @@
         signals = self._signals.get(server.start)
         backend = self._backends.get(key)
         if backend is not None and not backend.server.start.same(server.start):
-            # What was seen of one start says nothing of the next; requests
-            # under way keep to the start that they were sent to.
+            # Observations of one start do not apply to the next. Requests in
+            # flight stay with the start that they were sent to.
             self._drop(key)
             backend = None
         if backend is None:
@@ -226,13 +236,13 @@
 
     def _apply_unlisted(self, key: str, now: float, left_s: float) -> None:
         backend = self._backends[key]
-        # A listing that ran out while the platform was away says nothing of
-        # the server; without it all servers would be given up at once.
+        # A listing that expired while the platform was away says nothing about
+        # the server. Without this case all servers would be dropped at once.
         if left_s <= 0.0:
             self._drop(key)
         elif not backend.missing:
-            # Failures that follow do not put this off: a platform that comes
-            # and goes would keep a server that is gone for ever.
+            # Later failures do not extend this time. Otherwise an unstable
+            # platform would keep a server that is gone forever.
             backend.missing = True
             backend.missing_until = now + left_s
 
--- a/src/clementinegw/direct/rate_limit.py
+++ b/src/clementinegw/direct/rate_limit.py
@@ -1,11 +1,11 @@
-"""Keeps the requests of all entries within a limit that a server reported.
+"""Distributed rate limiting of requests to a backend server.
 
-An overloaded backend server reports how many requests a second it takes from
-all entries together. Time is divided into slots, one for each request that the
-limit allows, and the entries take turns by rank (time-division multiple
-access). So the sum over all entries keeps the limit without any message between
-them, however many they are. Each entry gets a slot in every round, and so finds
-out that the limit has changed or ended.
+An overloaded backend server reports how many requests per second it accepts
+from all entries together. Time is divided into slots, one for each request that
+the limit allows, and the entries take turns by rank (time-division multiple
+access). So all entries together keep the limit without exchanging messages,
+whatever their number. Each entry gets a slot in every round and thereby detects
+that the limit has changed or ended.
 
 An unused slot stays valid for a while. In any span of s seconds all entries
 together send at most `limit * (s + _VALID_S) + _VALID_SLOTS + 1` requests.
@@ -18,25 +18,25 @@
 
 from clementinegw.direct import types
 
-# How long an unused slot stays valid: so many seconds, and so many slots
-# besides. Requests arrive at any time, and most slots of a service with little
-# traffic would pass unused.
+# How long an unused slot stays valid: this many seconds plus this many slots.
+# Requests arrive at any time, so at low traffic most slots would otherwise
+# expire unused.
 _VALID_S = 1.5
 _VALID_SLOTS = 2.0
-# Lower limits count as this one, in requests a second. A server that reports
-# 0 gets a probe from time to time, which shows when the limit has ended.
+# Lower limits are raised to this, in requests per second. A server that reports
+# 0 thus gets occasional probes, which detect the end of the limit.
 _MIN_PER_S = 0.1
-# How many entries are assumed while no agent reports their number.
+# Number of entries assumed until an agent reports it.
 _ASSUMED_ENTRIES = 50
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Position:
-    """An entry's position among those that send to a server.
+    """An entry's position among the entries that send to a server.
 
     Attributes:
-      rank: Its number among them, from 0.
-      entries: How many they are.
+      rank: Index of the entry, from 0.
+      entries: Number of these entries.
     """
 
     rank: int
@@ -47,19 +47,19 @@
 
     @classmethod
     def assumed(cls, entry: str) -> "Position":
-        """Returns the position of an entry to which no agent reports one."""
+        """Returns the position of an entry before any agent reports one."""
         rank = zlib.crc32(entry.encode()) % _ASSUMED_ENTRIES
         return cls(rank, _ASSUMED_ENTRIES)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """What an answer of a server reported of its rate limit.
+    """The rate limit reported in an answer of a server.
 
     Attributes:
       start: The start of the server.
-      per_s: Requests a second; None where it reported no limit any more.
-      at: When the answer came, in monotonic seconds.
+      per_s: The limit in requests per second; None if none is in force anymore.
+      at: When the answer arrived, in monotonic seconds.
     """
 
     start: types.Start
@@ -68,7 +68,7 @@
 
 
 class Limiter:
-    """This entry's part of the limit of one start of a server."""
+    """This entry's share of the rate limit of one start of a server."""
 
     def __init__(
         self,
@@ -76,12 +76,13 @@
         position: Callable[[], Position],
         wall_clock: Callable[[], float],
     ):
-        """Limits nothing before `set_limit`.
+        """Initializes the limiter without a limit.
 
         Args:
-          server_id: The server; the slots of several servers are offset.
+          server_id: The server's id; offsets the slots of different servers.
           position: Returns this entry's position among the senders.
-          wall_clock: The time of day in seconds, about the same everywhere.
+          wall_clock: Returns the time of day in seconds, roughly synchronized
+            between entries.
         """
         self._offset = zlib.crc32(server_id.encode())
         self._position = position
@@ -96,11 +97,15 @@
 
     @property
     def per_s(self) -> float | None:
-        """The limit in force, in requests a second; None without one."""
+        """The limit in force, in requests per second; None if none is."""
         return self._per_s
 
     def set_limit(self, per_s: float | None) -> None:
-        """Takes over the limit that the server reports; None ends it."""
+        """Sets the limit reported by the server, in requests per second.
+
+        Args:
+          per_s: The limit; None ends it.
+        """
         if per_s is not None:
             per_s = max(per_s, _MIN_PER_S)
         self._per_s = per_s
@@ -110,14 +115,18 @@
         return self._per_s is None or self._next_slot() <= self._now_slot()
 
     def take_slot(self) -> bool:
-        """Uses up a slot; returns whether a limit is in force."""
+        """Uses a slot and returns whether a limit is in force."""
         if self._per_s is None:
             return False
         self._used_at = self._next_slot() / self._per_s
         return True
 
     def slots_within(self, span_s: float) -> float:
-        """Returns how many requests may be sent in the next seconds."""
+        """Returns how many requests may be sent within a time span.
+
+        Args:
+          span_s: Length of the span from now, in seconds.
+        """
         if self._per_s is None:
             return math.inf
         last = (self._wall_clock() + span_s) * self._per_s
@@ -135,8 +144,8 @@
         now, per_s, position = self._wall_clock(), self._per_s, self._position()
         round_s = position.entries / per_s
         if self._used_at > now + round_s + _VALID_S:
-            # The time of day was set back; the slots that it passed through
-            # before must not close the server until it is there again.
+            # The time of day was set back. Slots used in the time that now lies
+            # ahead must not block the server until that time is reached again.
             self._used_at = now
         valid_from = (now - _VALID_S) * per_s - _VALID_SLOTS
         unused_from = self._used_at * per_s + 0.5
--- a/src/clementinegw/direct/signals.py
+++ b/src/clementinegw/direct/signals.py
@@ -1,7 +1,7 @@
-"""What backend servers report about themselves in their answers.
+"""Signals that backend servers send about themselves in their answers.
 
-It is attached to a start of a server, not to its address or its record in the
-platform's list: the list may be away, shrink and come back meanwhile.
+Signals belong to a start of a server, not to its address or its record in the
+platform's list, since the list may be unavailable or shrink and recover.
 """
 
 import collections
@@ -14,29 +14,29 @@
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
-# How long an observation is relayed to other entries, in seconds: some rounds
-# of subscriptions.
+# How long an observation is relayed to other entries, in seconds: several
+# subscription rounds.
 _RELAY_FOR_S = 10.0
-# The longest pause that a server may ask for, in seconds: a faulty value must
-# not take it out for ever.
+# Longest backoff that a server may ask for, in seconds, so that a faulty value
+# does not disable it forever.
 _MAX_BACKOFF_S = 300.0
-# Starts that are remembered, also after they are gone from the list: some
-# times the servers of a large deployment.
+# Number of remembered starts, including those no longer listed: several times
+# the servers of a large deployment.
 _MAX_STARTS = 4_096
 
 
 class Signals:
-    """What one start of a server has reported.
+    """Signals of one start of a server.
 
     Attributes:
-      leaving: Whether it has said that it leaves; it never takes that back.
-      backoff_until: The end of the pause that it asked this entry for, in
+      leaving: Whether the server reported that it is leaving; this is final.
+      backoff_until: End of the backoff that it asked this entry for, in
         monotonic seconds.
       limited: Whether a rate limit is in force.
-      limiter: Keeps this entry's part of the server's rate limit.
-      position: This entry's position among those that send to the server, as
-        the agent beside it reports; None while none does.
-      entry_position: The same among all entries.
+      limiter: Limits this entry to its share of the server's rate limit.
+      position: This entry's position among the entries that send to the server,
+        as reported by the server's agent; None if unknown.
+      entry_position: This entry's position among all entries, likewise.
     """
 
     def __init__(
@@ -65,10 +65,13 @@
         self._malformed: frozenset[str] = frozenset()
 
     def recent_observation(self, now: float) -> rate_limit.Observation | None:
-        """Returns what answers to this entry reported of the rate limit.
+        """Returns the last rate limit observed by this entry; None if old.
 
-        Only own observations are relayed: relayed twice, an observation would
-        seem newer each time. None when there is no recent one.
+        Only this entry's own observations are relayed, as an observation that
+        is relayed twice would seem newer each time.
+
+        Args:
+          now: Monotonic seconds.
         """
         if self._observed is None or now - self._observed.at > _RELAY_FOR_S:
             return None
@@ -77,11 +80,11 @@
     def apply(
         self, facts: types.AnswerFacts, sent_at: float, now: float
     ) -> None:
-        """Takes in what an answer reports.
+        """Applies the signals of an answer.
 
         Args:
-          facts: What the answer's head says.
-          sent_at: When its request was sent, in monotonic seconds.
+          facts: Facts from the answer's headers.
+          sent_at: When the request was sent, in monotonic seconds.
           now: Monotonic seconds.
         """
         self._log_malformed(facts.malformed)
@@ -112,16 +115,16 @@
                 born=self.start.born,
                 pause_s=round(backoff_s, 3),
             )
-        # Each answer asks for a pause of its own: a shorter one that comes
-        # later does not end a longer one.
+        # Every answer asks for its own backoff, so a later, shorter one does
+        # not end a longer one.
         self.backoff_until = max(self.backoff_until, now + backoff_s)
 
     def _apply_limit(
         self, per_s: float | None, sent_at: float, now: float
     ) -> None:
         if per_s is None and sent_at <= self._limit_at:
-            # Answers overtake each other on their connections: only a request
-            # that was sent after the last report shows that the limit ended.
+            # Answers on different connections may be reordered, so only a
+            # request sent after the last report shows that the limit has ended.
             return
         if per_s is None and self.limiter.per_s is None:
             return
@@ -129,7 +132,7 @@
         self._set_limit(self._observed, "answer")
 
     def apply_relayed(self, observation: rate_limit.Observation) -> None:
-        """Takes in an observation of another entry, relayed by the agent."""
+        """Applies an observation of another entry, relayed by the agent."""
         same = self.start.same(observation.start)
         if same and observation.at > self._limit_at:
             self._set_limit(observation, "agent")
@@ -154,7 +157,7 @@
             )
 
     def _log_malformed(self, fields: frozenset[str]) -> None:
-        """Logs fields that cannot be read, once until they can be."""
+        """Logs newly malformed fields, once until they are readable again."""
         for field in fields - self._malformed:
             self._log.write(
                 _events.SERVER_SIGNAL_MALFORMED,
@@ -168,7 +171,7 @@
 
 
 class Registry:
-    """The signals of all starts."""
+    """Signals of all starts of servers."""
 
     def __init__(
         self,
@@ -177,13 +180,13 @@
         log: logs.Log,
         counters: counters_lib.Counters,
     ):
-        """Starts empty.
+        """Initializes an empty registry.
 
         Args:
           fleet_position: Returns this entry's position among all entries.
-          wall_clock: The time of day, in seconds.
-          log: Where events go.
-          counters: Counts changes, and what cannot be read.
+          wall_clock: Returns the time of day in seconds.
+          log: Log for events.
+          counters: Counters for changed and malformed signals.
         """
         self._fleet_position = fleet_position
         self._wall_clock = wall_clock
@@ -193,7 +196,7 @@
         self._by_server = collections.OrderedDict()
 
     def get(self, start: types.Start) -> Signals:
-        """Returns the signals of a start; new ones for one not seen before."""
+        """Returns the signals of a start, which are new for a new start."""
         found = self._by_server.get(start.server_id)
         if found is None or not found.start.same(start):
             found = Signals(
@@ -205,7 +208,7 @@
             )
             self._by_server[start.server_id] = found
         elif start.born:
-            # The platform's list may name a start before its birth is known.
+            # The platform may list a start before its start time is known.
             found.start = start
         self._by_server.move_to_end(start.server_id)
         while len(self._by_server) > _MAX_STARTS:
