--- a/src/clementinegw/direct/budget.py
+++ b/src/clementinegw/direct/budget.py
@@ -1,8 +1,8 @@
-"""Bounds repeated sends of one entry, so that all entries keep the limit.
+"""Retry budget of an entry.
 
-The limit holds for the sum over all entries. Each keeps to its own requests'
-part of the ratio and to its part of the slack, by the number of entries that
-agents tell; so the sum holds without a word between entries.
+The limit applies to the sum over all entries. Each entry uses the ratio for its
+own requests, and a share of the slack according to the number of entries that
+agents report. So the sum is kept without communication between entries.
 """
 
 import collections
@@ -11,12 +11,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What the operators allow.
+    """Limits on retries set by the operators.
 
     Attributes:
-      ratio: Repeated sends for each request.
-      slack: Repeated sends in a window besides those.
-      window_s: The window's length, in seconds.
+      ratio: Retries allowed per request.
+      slack: Retries allowed per window in addition.
+      window_s: Length of the window, in seconds.
     """
 
     ratio: float = 0.2
@@ -24,17 +24,17 @@
     window_s: float = 10.0
 
 
-# The part of the slack that all entries take together, and for how many
-# entries it is shared while nobody has told their number.
+# Fraction of the slack that all entries use together, and the number of entries
+# assumed until it is reported.
 _SLACK_SHARE = 0.7
 _ASSUMED_ENTRIES = 50
-# Requests stay in the window that they are counted in a little shorter than
-# the sends that they pay for, so that a late count never allows too much.
+# Requests expire from the window slightly earlier than the retries they allow,
+# so that a late count never allows too many.
 _RATIO_SHARE = 0.9
 
 
 class RetryBudget:
-    """The repeated sends of one service."""
+    """Limits the retries of one service."""
 
     def __init__(self, limits: Limits):
         self.limits = limits
@@ -43,12 +43,12 @@
         self.entries = 0
 
     def record_request(self, now: float) -> None:
-        """Counts a caller's request."""
+        """Counts a request of a caller."""
         self._requests.append(now)
         self._expire(now)
 
     def try_acquire(self, now: float) -> bool:
-        """Counts one repeated send; False when it is over the limit."""
+        """Counts a retry if the budget allows it; returns whether it does."""
         self._expire(now)
         earned = len(self._requests) * self.limits.ratio * _RATIO_SHARE
         slack = self.limits.slack * _SLACK_SHARE
--- a/src/clementinegw/direct/server_records.py
+++ b/src/clementinegw/direct/server_records.py
@@ -1,8 +1,8 @@
-"""Which record of a server is the newest one, start by start.
+"""Filters outdated records of servers.
 
 A write whose answer was lost may be executed seconds later. The platform then
-lists an older state of a server as its newest: one that had said it leaves
-seems ready again, and one that is gone seems back.
+lists an older state of a server as its newest: a server that reported to be
+leaving seems ready again, and one that is gone seems to be back.
 """
 
 import collections
@@ -12,14 +12,14 @@
 from clementinegw.direct import types
 from clementinegw.telemetry import logs
 
-# Starts that are remembered, also after they are gone: some times the servers
-# of a large deployment, at about 200 bytes each.
+# Number of remembered servers, including those no longer listed: several times
+# the servers of a large deployment, at about 200 bytes each.
 _MAX_SERVERS = 4_096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Newest:
-    """The newest record of a server."""
+    """Order and state of the newest record of a server."""
 
     started_ms: int
     sequence: int
@@ -27,7 +27,7 @@
 
 
 class ServerRecords:
-    """What was last believed of every server, by its id."""
+    """Newest accepted record of each server, by its id."""
 
     def __init__(self, log: logs.Log):
         self._log = log
@@ -35,11 +35,11 @@
         self._newest = collections.OrderedDict()
 
     def accept(self, server: types.Server) -> types.Server | None:
-        """Takes a record in and returns what it says; None for an older one.
+        """Accepts a record and returns its content; None if it is outdated.
 
-        Starts of one id are ordered by when they were born, the records of one
-        start by their sequence. A start that has said it leaves never takes
-        that back.
+        Starts of the same id are ordered by start time, records of the same
+        start by sequence number. Once a start is reported as leaving, it stays
+        leaving.
         """
         newest = self._newest.get(server.server_id)
         if newest is not None and _is_older(server, newest):
@@ -67,9 +67,9 @@
 
 
 def _is_same_start(server: types.Server, newest: _Newest) -> bool:
-    """Returns whether a record is of the start that is known.
+    """Returns whether a record belongs to the known start of its server.
 
-    Without a time of birth the id alone names the start.
+    Without a start time, all records of an id belong to the same start.
     """
     return (
         not server.born
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -1,4 +1,8 @@
-"""What an entry asks agents for: all of what it follows, else changes."""
+"""Subscriptions of an entry to agents' reports.
+
+The entry subscribes to all reports about servers that it follows, and to
+changes only about all others.
+"""
 
 from collections.abc import Callable
 
@@ -18,13 +22,13 @@
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
-# In how many rounds an agent that is asked for changes only is asked once: it
-# keeps such a subscription for twelve of them.
+# A subscription to changes only is renewed once in this many rounds; agents
+# keep it for twelve rounds.
 _CHANGES_ONLY_ROUNDS = 3
 
 
 class Subscriptions:
-    """One entry's subscriptions to reports."""
+    """An entry's subscriptions to reports."""
 
     def __init__(
         self,
@@ -38,18 +42,18 @@
         log: logs.Log,
         counters: counters_lib.Counters,
     ):
-        """Asks nobody before `subscribe_changed` or `renew`.
+        """Subscribes to nothing until `subscribe_changed` or `renew`.
 
         Args:
-          instance: What the entry knows of itself.
-          config_view: Which services run engines.
-          fleet: The servers; it is told which of them are followed.
-          versions: Which weights may serve.
+          instance: The entry's instance.
+          config_view: Tells which services run engines.
+          fleet: All servers; those to follow are set here.
+          versions: The model versions that may serve.
           listener: Sends the subscriptions.
-          suspicions: Returns what was seen of requests that crash servers.
-          clock: Monotonic seconds.
-          log: Where changes of what is followed go.
-          counters: Keeps how many servers are followed.
+          suspicions: Returns suspicions about requests that crash servers.
+          clock: Returns monotonic seconds.
+          log: Log for changes of the followed servers.
+          counters: Holds the gauge of followed servers.
         """
         self._instance = instance
         self._config_view = config_view
@@ -67,7 +71,7 @@
         self._rounds = 0
 
     def renew(self) -> None:
-        """Renews what is due; called about once a second."""
+        """Renews subscriptions that are due; called about once per second."""
         self._update_followed()
         self._subscribed = self._agents()
         self._rounds += 1
@@ -75,7 +79,7 @@
         asked = {
             agent: asking
             for number, (agent, asking) in enumerate(self._subscribed.items())
-            # What crashes servers is told to all agents at once.
+            # Suspicions are sent to all agents at once.
             if suspicions
             or not asking.changes_only
             or (number + self._rounds) % _CHANGES_ONLY_ROUNDS == 0
@@ -83,11 +87,11 @@
         self._listener.subscribe(asked, self._declared(), suspicions)
 
     def subscribe_changed(self) -> None:
-        """Asks agents that the entry has just come to need, without delay.
+        """Subscribes to agents whose subscription has changed, at once.
 
-        An agent tells each entry its share of the free slots. After a loss of
-        power it heard of the first entries only for a second, and each of them
-        took half of the slots.
+        An agent reports to each entry its share of the free slots. After a
+        power failure, agents knew only the first entries for a second, and each
+        of those took half of the slots.
         """
         self._update_followed()
         agents = self._agents()
@@ -101,7 +105,7 @@
             self._listener.subscribe(fresh, self._declared())
 
     def refresh(self) -> None:
-        """Asks anew where other servers may begin a request than before."""
+        """Renews subscriptions if the usable servers or rate limits changed."""
         if self._find_serving() != self._serving or _rates(
             self._observed_limits()
         ) != _rates(self._relayed_limits):
@@ -111,13 +115,13 @@
         return reports.Declared(self._versions.all(), self._versions.ages_s())
 
     def _update_followed(self) -> None:
-        """Chooses the servers that the entry sends to."""
+        """Selects the servers that the entry follows."""
         self._serving = self._find_serving()
         found: set[str] = set()
         for service in self._fleet.services():
             backends = [b for b in self._fleet.of(service) if not b.retired]
             if self._config_view.engine(service) is None:
-                # Nobody tells of these; there are a few of them.
+                # Plain servers have no agent to report on them, and are few.
                 found.update(b.server.server_id for b in backends)
             else:
                 found |= subsetting.select_followed(
@@ -146,7 +150,7 @@
         )
 
     def _find_serving(self) -> dict[str, bool]:
-        """Returns for each model server whether a request may begin there."""
+        """Returns for each engine server whether a request may start there."""
         found: dict[str, bool] = {}
         for service in self._fleet.services():
             engine = self._config_view.engine(service)
@@ -164,7 +168,7 @@
         return found
 
     def _agents(self) -> dict[places.Address, reports.Asking]:
-        """Returns where agents listen, and what each is asked for."""
+        """Returns the address of each agent and what it is asked for."""
         port = self._instance.peer_ports[0]
         self._relayed_limits = limits = self._observed_limits()
         return {
@@ -178,7 +182,7 @@
         }
 
     def _observed_limits(self) -> dict[str, rate_limit.Observation]:
-        """Returns what servers reported to this entry of their rate limits."""
+        """Returns the rate limits that servers reported to this entry."""
         now = self._clock()
         return {
             backend.server.server_id: observed
@@ -187,7 +191,7 @@
         }
 
     def _is_far(self, server: types.Server) -> bool:
-        """Returns whether a server stands in another region."""
+        """Returns whether a server is in another region."""
         distance = balance.distance_to(
             self._instance.regions,
             self._instance.place,
@@ -199,5 +203,5 @@
 def _rates(
     limits: dict[str, rate_limit.Observation],
 ) -> dict[str, float | None]:
-    """Returns limits without their times, which change with each answer."""
+    """Returns limits without their times, which change on every answer."""
     return {server_id: limit.per_s for server_id, limit in limits.items()}
--- a/src/clementinegw/direct/subsetting.py
+++ b/src/clementinegw/direct/subsetting.py
@@ -1,39 +1,39 @@
-"""Which backend servers an entry follows closely, and sends requests to.
+"""Selects the subset of backend servers that an entry follows and sends to.
 
-The load is that of a large fleet in the calm: with every entry told of every
-server, reports grow with entries times servers whatever the traffic, 99 times
-100 at ten a second. Taking them in, and choosing among all, was most of what an
-entry ran. So each follows the servers of its own region and a few of others.
-Which ones is computed from names alone, by rendezvous hashing (D. Thaler and
-C. Ravishankar, "Using name-based mappings to increase hit rates", 1998): nobody
-has to agree, a server that comes or goes moves no other, and each server has
-about as many followers as the next.
+In a large fleet, if every entry got reports of every server, the number of
+reports would be entries times servers regardless of the traffic, for instance
+99 times 100 at ten per second. Processing them and choosing among all servers
+was most of the work of an entry. So each entry follows the servers of its own
+region and a few of other regions. The selection uses names only, by rendezvous
+hashing (D. Thaler and C. Ravishankar, "Using name-based mappings to increase
+hit rates", 1998): it needs no coordination, a server that is added or removed
+does not affect the others, and all servers have about as many followers.
 """
 
 from collections.abc import Sequence
 import dataclasses
 import hashlib
 
-# Up to so many servers are followed, all of them in a fleet that is no larger:
-# an entry sends ten requests a second or so, and among 24 servers there is one
-# with room as often as among 60.
+# Maximum number of servers of the own region. A small fleet is followed whole.
+# An entry sends about ten requests per second, and 24 servers have one with
+# capacity as often as 60.
 _MAX_NEAR = 24
-# So many servers of other regions at least: where the own region is full, load
-# leaves it; with fewer, entries that follow the same ones crowd there.
+# Minimum number of servers of other regions, which take the excess load of a
+# full region. With fewer, the entries that follow the same ones overload them.
 _MIN_FAR = 8
-# So many that may begin a request at least. Where few have the version that is
-# demanded, all entries need those, wherever they are.
+# Minimum number of servers where a request may start. If few have the required
+# version, all entries need those, in any region.
 _MIN_SERVING = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """A server that could be followed.
+    """A server that may be followed.
 
     Attributes:
-      server_id: The server.
-      near: Whether it stands in the entry's region.
-      serves: Whether a request may begin there now.
+      server_id: Id of the server.
+      near: Whether it is in the entry's region.
+      serves: Whether a request may start there now.
     """
 
     server_id: str
@@ -44,13 +44,13 @@
 def select_followed(
     entry: str, candidates: Sequence[Candidate]
 ) -> frozenset[str]:
-    """Returns the servers that an entry follows.
+    """Returns the ids of the servers that an entry follows.
 
     Args:
-      entry: The entry's name.
-      candidates: The servers of one service.
+      entry: Name of the entry.
+      candidates: All servers of one service.
     """
-    ranked = sorted(candidates, key=lambda c: _rank(entry, c.server_id))
+    ranked = sorted(candidates, key=lambda c: _hash(entry, c.server_id))
     near = [c for c in ranked if c.near][:_MAX_NEAR]
     far = [c for c in ranked if not c.near]
     found = near + far[: max(_MIN_FAR, _MAX_NEAR - len(near))]
@@ -61,6 +61,6 @@
     return frozenset(chosen)
 
 
-def _rank(entry: str, server_id: str) -> bytes:
+def _hash(entry: str, server_id: str) -> bytes:
     pair = f"{entry} {server_id}".encode()
     return hashlib.blake2b(pair, digest_size=8).digest()
--- a/src/clementinegw/direct/timeouts.py
+++ b/src/clementinegw/direct/timeouts.py
@@ -1,4 +1,4 @@
-"""How long a call to another process may say nothing."""
+"""Timeouts of calls to other processes."""
 
 import asyncio
 import dataclasses
@@ -6,18 +6,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timeouts:
-    """How long a call may say nothing.
+    """Timeouts of a call.
 
-    A bound on the whole of a large answer would throw away what has come and
-    ask for the same bytes again; on a link that many share it never gets
-    free. So only silence ends a call, and a rate that no sound link has.
+    There is no bound on the total time of a large answer: it would discard the
+    received bytes and request them again, which would permanently occupy a link
+    shared by many. Instead, a call ends after silence, or at a rate that no
+    working link has.
 
     Attributes:
-      head_s: Until the head of the answer, in seconds.
-      idle_s: Between two arrivals of bytes, in seconds.
-      min_bytes_per_s: A body that comes more slowly than this, after
-        `idle_s` of grace, is given up: its connection trickles, and another
-        one may do better.
+      head_s: Time until the head of the answer, in seconds.
+      idle_s: Time between two arrivals of bytes, in seconds.
+      min_bytes_per_s: Minimum rate of the body after a grace period of
+        `idle_s`. A slower connection is given up, as another may be faster.
     """
 
     head_s: float
@@ -26,7 +26,7 @@
 
 
 class Watchdog:
-    """Gives a call up when its patience is over."""
+    """Ends a call when one of its timeouts expires."""
 
     def __init__(self, timeouts: Timeouts):
         self._timeouts = timeouts
@@ -42,13 +42,13 @@
         await self._timeout.__aexit__(*error)
 
     def head_received(self) -> None:
-        """Notes that the head has come."""
+        """Records that the head of the answer was received."""
         self._begun_at = self._clock()
         self.body_progress(0)
 
     def body_progress(self, size: int) -> None:
-        """Notes how many bytes of the body have come so far."""
+        """Records the number of body bytes received so far."""
         timeouts = self._timeouts
         idle_at = self._clock() + timeouts.idle_s
-        earned_s = timeouts.idle_s + size / timeouts.min_bytes_per_s
-        self._timeout.reschedule(min(idle_at, self._begun_at + earned_s))
+        allowed_s = timeouts.idle_s + size / timeouts.min_bytes_per_s
+        self._timeout.reschedule(min(idle_at, self._begun_at + allowed_s))
