--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of the direct path that need no sockets and no clock."""
+"""Tests decisions of the direct path that need no sockets and no clock."""
 
 import math
 import random
@@ -54,28 +54,28 @@
     return follow.Batch(found, len(found))
 
 
-# Which version to bring.
+# Choice of the version to transfer.
 
 
-def test_a_version_that_a_newer_one_would_leave_a_gap_behind_is_ended():
-    """Symptom: for two seconds no server may begin any request.
+def test_older_version_is_completed_if_the_newer_would_leave_a_gap():
+    """Guards against two seconds in which no server may start any request.
 
-    Sequence: version 2 is named and four seconds later version 3. Every agent
-    drops what it has of 2 and begins 3. Then 2 is due, and nobody has it.
-    Cause: only the newest version was ever brought.
+    Version 2 was declared, and version 3 four seconds later. Every agent
+    dropped its part of 2 for 3, so that nobody had 2 when it was due: only the
+    newest version was ever transferred.
     """
     both = [FIRST, plan.Declaration(3, 4.0)]
     current = plan.Progress(2, left=0.25)
     assert plan.choose(both, current, TERMS, now=4.0) == 2
 
 
-def test_an_older_version_that_comes_a_moment_late_is_ended_all_the_same():
-    """Symptom: for 4.6 s no server may begin any request.
+def test_older_version_that_is_slightly_late_is_completed():
+    """Guards against 4.6 s in which no server may start any request.
 
-    Sequence: version 2 is named, and four seconds later, when a little more
-    than half of it is here, version 3. Ended, 2 would serve 0.1 s after it is
-    due and 3 would be 2.5 s late; dropped, nothing serves for 3.2 s. Cause:
-    what came late by however little was held to be worth nothing.
+    Version 3 was declared four seconds after version 2, of which a little more
+    than half was transferred. If completed, 2 serves 0.1 s after it is due and
+    3 is 2.5 s late; if dropped, nothing serves for 3.2 s. A version that was
+    late by any amount was considered useless.
     """
     slow = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=8.0)
     both = [FIRST, plan.Declaration(3, 4.0)]
@@ -83,7 +83,7 @@
     assert plan.choose(both, current, slow, now=4.1) == 2
 
 
-def test_an_older_version_gives_way_where_the_newer_one_would_wait_longer():
+def test_older_version_is_dropped_if_the_newer_would_wait_longer():
     slow = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=8.0)
     both = [FIRST, plan.Declaration(3, 2.0)]
     current = plan.Progress(2, left=0.68)
@@ -91,25 +91,25 @@
 
 
 @pytest.mark.parametrize("left", [0.2, 0.36, 0.5, 0.65])
-def test_agents_a_few_pieces_apart_decide_alike(left):
-    """Symptom: a version takes 7.7 s to half of the servers.
+def test_agents_with_slightly_different_progress_decide_alike(left):
+    """Guards against a version that takes 7.7 s to reach half of the servers.
 
-    Sequence: version 3 is named while 2 is on its way; each agent decides by
-    the pieces that it has itself. Half of them drop 2, and with them go half of
-    those who hold its pieces. Cause: they are within a few pieces of the point
-    at which the decision changes.
+    Version 3 was declared during the transfer of 2, and each agent decided by
+    its own progress. Half of them dropped 2, and with them half of the sources
+    of its pieces, since they were a few pieces apart near the point of
+    decision.
     """
     slow = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=8.0)
     both = [FIRST, plan.Declaration(3, 4.0)]
     assert plan.choose(both, plan.Progress(2, left), slow, now=4.1) == 2
 
 
-def test_a_version_that_comes_when_the_next_one_is_due_is_not_taken_up_again():
-    """Symptom: nothing serves until ten seconds after the newest one was due.
+def test_older_version_is_not_resumed_if_the_newest_is_due_by_then():
+    """Guards against a gap of ten seconds after the newest version was due.
 
-    Sequence: the origin is away for six seconds; the newest version is set
-    aside, and the one before taken up until it is whole, though the newest is
-    due by then. Cause: it was not asked what an older one is still good for.
+    The origin was unreachable for six seconds. The newest version was set aside
+    and the previous one was resumed until complete, though the newest was due
+    by then: the remaining use of an older version was not considered.
     """
     both = [FIRST, plan.Declaration(3, 2.0)]
     current = plan.Progress(2, left=0.1)
@@ -117,28 +117,29 @@
     assert plan.choose(both, current, TERMS, 7.0, {3}) == 2
 
 
-def test_a_newer_version_that_comes_in_time_for_both_is_brought_alone():
+def test_newer_version_in_time_for_both_replaces_the_older():
     both = [FIRST, plan.Declaration(3, 0.5)]
     current = plan.Progress(2, left=0.95)
     assert plan.choose(both, current, TERMS, now=0.5) == 3
 
 
-def test_the_newest_follows_once_the_older_one_is_here():
+def test_newest_version_follows_the_completed_older_one():
     both = [FIRST, plan.Declaration(3, 4.0)]
     assert plan.choose(both, plan.Progress(2, 0.0), TERMS, now=5.2) == 3
 
 
-def test_a_version_that_comes_too_late_in_any_case_gives_way():
+def test_version_that_is_too_late_in_any_case_is_dropped():
     both = [FIRST, plan.Declaration(3, 7.5)]
     current = plan.Progress(2, left=0.9)
     assert plan.choose(both, current, TERMS, now=7.5) == 3
 
 
-def test_a_version_whose_origin_is_cut_off_gives_way_to_the_one_before():
-    """Symptom: nothing serves until an origin that was cut off is back.
+def test_previous_version_is_resumed_if_the_origin_is_unreachable():
+    """Guards against serving nothing until an unreachable origin is back.
 
-    Sequence: version 2 is half here when 3 is named; all agents begin 3, and
-    the origin is cut off. Cause: what lay with the agents was given up.
+    Version 3 was declared when half of 2 was transferred. All agents started 3,
+    and its origin became unreachable. The pieces that agents had of 2 were
+    given up.
     """
     both = [FIRST, plan.Declaration(3, 2.0)]
     current = plan.Progress(3, left=0.9)
@@ -148,54 +149,56 @@
     assert plan.choose(both, again, TERMS, 5.0, {2, 3}) == 3
 
 
-def test_of_two_that_could_be_in_time_the_one_with_time_to_spare_goes_first():
-    """Symptom: no server may begin anything for 1.8 s.
+def test_version_with_more_time_to_spare_goes_first():
+    """Guards against 1.8 s in which no server may start any request.
 
-    Sequence: version 3 is named when three quarters of version 2 are here. By
-    the links' usual time it comes 1.7 s before version 2 is due; it comes 1.8 s
-    after. Cause: where no gap was expected either way, the older was dropped.
+    Version 3 was declared when three quarters of 2 were transferred. At the
+    links' usual speed it would arrive 1.7 s before 2 is due; it arrived 1.8 s
+    after. The older version was dropped whenever no gap was expected either
+    way.
     """
     usual = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=13.4)
     both = [FIRST, plan.Declaration(3, 4.0)]
     assert plan.choose(both, plan.Progress(2, 0.3), usual, now=4.5) == 2
 
 
-def test_an_older_version_with_little_done_gives_way_to_the_newest():
-    """Both could come in time, but the newest alone has more to spare."""
+def test_older_version_with_little_progress_is_dropped():
+    """Both may be in time, but the newest alone has more time to spare."""
     usual = plan.Terms(bring_s=4.9, swap_s=0.9, due_s=9.7)
     both = [FIRST, plan.Declaration(3, 2.0)]
     assert plan.choose(both, plan.Progress(2, 0.6), usual, now=2.1) == 3
 
 
-def test_a_version_that_cannot_come_is_not_taken_up_again_and_again():
-    """Symptom: agents change versions ten times a second, for four seconds.
+def test_unobtainable_version_is_not_resumed_repeatedly():
+    """Guards against agents that change versions ten times per second for 4 s.
 
-    Sequence: versions 2 and 3 became known together; a failure domain is cut
-    off with next to nothing of either, and 3 stalls. Left, version 2 counted as
-    whole and was taken up; taken up, it could not come in time, and was left.
-    Cause: what was missing of a version was forgotten as it was left.
+    Versions 2 and 3 became known together, and a failure domain was cut off
+    with almost nothing of either. Version 3 stalled. When dropped, version 2
+    counted as complete and was resumed; when resumed, it could not be in time
+    and was dropped. The progress of a version was forgotten when it was
+    dropped.
     """
     usual = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=13.4)
     both = [plan.Declaration(2, 0.0), plan.Declaration(3, 0.1)]
-    lefts = {2: 0.95, 3: 1.0}
+    remaining = {2: 0.95, 3: 1.0}
     version, changes = 2, 0
-    for look in range(40):
-        current = plan.Progress(version, lefts[version])
-        behind = {v: left for v, left in lefts.items() if v != version}
-        now = 7.0 + look / 10
-        chosen = plan.choose(both, current, usual, now, {3}, behind)
+    for step in range(40):
+        current = plan.Progress(version, remaining[version])
+        former = {v: left for v, left in remaining.items() if v != version}
+        now = 7.0 + step / 10
+        chosen = plan.choose(both, current, usual, now, {3}, former)
         changes += chosen != version
         version = chosen
     assert changes <= 1
 
 
-def test_pieces_of_a_version_that_serves_nobody_hold_up_no_other():
-    """Symptom: half of the agents have nothing of a version when it is due.
+def test_pieces_of_a_version_of_no_use_do_not_go_first():
+    """Guards against agents that have nothing of a version when it is due.
 
-    Sequence: versions 2 and 3 are named while the platform is away, and known
-    together; some agents learn of 2 a moment before, and bring it until the
-    time of a whole version is over. Cause: last pieces went first, though the
-    older version is due when the newest one is.
+    Versions 2 and 3 were declared while the platform was unavailable and became
+    known together. Some agents learned of 2 slightly earlier and transferred it
+    for the time of a whole version. Last pieces went first, though the older
+    version was due at the same time as the newest.
     """
     usual = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=13.4)
     first = plan.Declaration(2, 0.0)
@@ -205,15 +208,15 @@
 
 
 @pytest.mark.parametrize("current", [None, plan.Progress(1, 0.0)])
-def test_the_only_declared_version_is_brought(current):
+def test_only_declared_version_is_chosen(current):
     assert plan.choose([FIRST], current, TERMS, now=1.0) == 2
 
 
-def test_nothing_is_brought_before_a_declaration():
+def test_nothing_is_chosen_before_a_declaration():
     assert plan.choose([], None, TERMS, now=1.0) == 0
 
 
-# Turns.
+# Turns of agents.
 
 
 SWAP = turns.Terms(groups=3, step_s=0.8, drain_s=1.0, least_drain_s=0.3)
@@ -225,7 +228,7 @@
     ]
 
 
-def test_every_agent_computes_the_same_turns_and_groups_are_even():
+def test_all_agents_compute_the_same_turns_in_even_groups():
     names = [f"i-{number}" for number in range(10)]
     found = turns_of(names, 5.0, 9.0)
     loads = [round(turn.load_at, 6) for turn in found]
@@ -235,11 +238,11 @@
     assert all(turn.load_at - turn.yield_at == 1.0 for turn in found)
 
 
-def test_groups_move_together_where_pieces_come_late():
-    """Symptom: no server takes requests for a second before a version is due.
+def test_groups_overlap_if_pieces_arrive_late():
+    """Guards against a second without servers before a version is due.
 
-    Sequence: a squeezed link holds the last pieces back until 1.7 s before.
-    Cause: all groups yielded at once, each for a whole second.
+    A slow link delayed the last pieces until 1.7 s before. All groups stopped
+    accepting requests at the same time, each for a whole second.
     """
     names = [f"i-{number}" for number in range(9)]
     found = turns_of(names, 6.3, 7.4)
@@ -249,19 +252,19 @@
     assert max(turn.load_at for turn in found) == 7.4
 
 
-def test_all_load_at_once_where_the_time_is_over():
+def test_all_groups_load_at_once_if_the_time_is_over():
     found = turns_of(["a", "b", "c"], 9.0, 7.4)
     assert {turn.load_at for turn in found} == {7.4}
 
 
-def test_an_agent_that_is_not_listed_yet_has_a_turn():
+def test_unlisted_agent_has_a_turn():
     assert turns.turn("me", [], 1, 5.0, 9.0, SWAP).load_at == 5.0
 
 
-# Versions.
+# Versions in force.
 
 
-def test_a_version_is_demanded_shortly_before_it_is_due():
+def test_version_is_demanded_shortly_before_it_is_due():
     now = [100.0]
     known = versions.Versions(8.0, lambda: now[0])
     assert known.declare(types.Declared("m", 2))
@@ -271,11 +274,11 @@
     assert known.demanded("m", 107.8) == 2
 
 
-def test_a_request_that_waits_at_a_server_does_not_begin_on_an_old_version():
-    """Symptom: a request begins on the former version after the due time.
+def test_request_queued_at_a_server_does_not_start_on_an_old_version():
+    """Guards against requests that start on an old version after due time.
 
-    Sequence: it is sent a second before that time to a server on the former
-    version, waits there for 1.1 s and begins. Cause: nobody took it back.
+    It was sent to a server with the old version a second before the due time,
+    waited there for 1.1 s and started, as it was not recalled.
     """
     known = versions.Versions(8.0, lambda: 0.0)
     known.declare(types.Declared("m", 2))
@@ -284,34 +287,34 @@
     assert known.take_back_at("other", held=1) == math.inf
 
 
-def test_a_declaration_that_lay_unread_is_due_that_much_earlier():
-    """Symptom: an entry sends to an old version after the due time.
+def test_due_time_counts_from_the_declaration_not_from_its_receipt():
+    """Guards against an entry that sends to an old version after the due time.
 
-    Sequence: its connection to the platform goes silent, and it reads of the
-    version a second after the others. Cause: the time counted from there.
+    Its connection to the platform was silent, so it read the declaration a
+    second after the others, and counted the time from then.
     """
     known = versions.Versions(8.0, lambda: 0.0)
     known.declare(types.Declared("m", 2), unread_s=1.0)
     assert known.demanded("m", 8.0 - 1.2) == 2
 
 
-def test_after_a_long_outage_a_version_has_nearly_its_whole_time():
-    """Symptom: all servers load at once, and none is left to serve.
+def test_version_has_nearly_its_whole_time_after_a_long_outage():
+    """Guards against all servers loading at once, with none left to serve.
 
-    Sequence: a version is named while the platform is down for eight seconds;
-    every process reads of it afterwards, and holds it to be overdue.
+    A version was declared while the platform was down for eight seconds. Every
+    process read the declaration afterwards and considered it overdue.
     """
     known = versions.Versions(8.0, lambda: 0.0)
     known.declare(types.Declared("m", 2), unread_s=8.0)
     assert known.demanded("m", 6.0) is None
 
 
-def test_a_stream_that_was_broken_off_goes_where_no_load_is_near():
-    """Symptom: streams end broken while two versions swap.
+def test_interrupted_stream_resumes_where_no_load_is_imminent():
+    """Guards against streams that end incomplete while versions are swapped.
 
-    Sequence: a load breaks a stream off; it goes on at a server that has still
-    to load, and is broken off again. Cause: the next server was chosen as for
-    a new request, and its attempts were used up.
+    A load interrupted a stream, which was resumed at a server that still had to
+    load and was interrupted again. The next server was chosen as for a new
+    request, and its attempts were exhausted.
     """
     known = versions.Versions(8.0, lambda: 0.0)
     known.declare(types.Declared("m", 2))
@@ -320,7 +323,7 @@
     assert known.demanded("m", 6.6) is None
 
 
-def test_a_repeated_or_older_declaration_changes_nothing():
+def test_repeated_or_older_declaration_changes_nothing():
     known = versions.Versions(8.0, lambda: 0.0)
     assert known.declare(types.Declared("m", 3))
     assert not known.declare(types.Declared("m", 3))
@@ -328,12 +331,12 @@
     assert known.declared("m") == 3
 
 
-def test_a_server_with_the_newer_version_is_not_turned_away():
-    """Symptom: servers that load early refuse with 421 until all have.
+def test_server_with_a_newer_version_is_accepted():
+    """Guards against 421 answers of servers that load a version early.
 
-    Sequence: version 2 is due, 3 is on its way, one server has 3 already; a
-    request asks it for exactly 2. Cause: the demanded version was named
-    whatever the server had.
+    Version 2 was due, 3 was being transferred, and one server had 3 already. A
+    request asked it for exactly 2: the demanded version was sent regardless of
+    the server's version.
     """
     now = [0.0]
     known = versions.Versions(8.0, lambda: now[0])
@@ -349,12 +352,12 @@
 # The list of servers.
 
 
-def test_a_list_that_shrank_during_an_outage_is_not_believed_at_once():
-    """Symptom: after an outage of the platform no server is left.
+def test_list_that_shrank_during_an_outage_is_not_applied_at_once():
+    """Guards against having no server left after an outage of the platform.
 
-    Sequence: the platform is away; entries run out meanwhile; at its return
-    all are reported gone, and come back within two seconds. Cause: a listing
-    that ran out says nothing of the server.
+    Listings expired during the outage. At its end all servers were reported
+    gone, and were listed again within two seconds. An expired listing says
+    nothing about the server.
     """
     servers = new_fleet()
     servers.apply(batch(("a", server("a")), ("b", server("b"))), True, 60.0)
@@ -367,33 +370,33 @@
     assert [b.server.server_id for b in servers.of("engine")] == ["a"]
 
 
-def test_a_server_that_is_gone_in_calm_times_gets_nothing_more():
+def test_server_removed_without_an_outage_is_dropped():
     servers = new_fleet()
     servers.apply(batch(("a", server("a"))), True, 60.0)
     servers.apply(batch(("a", None)), False, 60.0)
     assert servers.of("engine") == []
 
 
-def test_a_whole_reading_leaves_out_who_is_gone():
+def test_complete_batch_drops_servers_missing_from_it():
     servers = new_fleet()
     servers.apply(batch(("a", server("a")), ("b", server("b"))), True, 60.0)
     servers.apply(batch(("b", server("b"))), True, 60.0)
     assert [b.server.server_id for b in servers.of("engine")] == ["b"]
 
 
-def test_what_one_batch_says_of_a_server_counts_in_its_order():
+def test_records_of_one_batch_are_applied_in_order():
     servers = new_fleet()
     servers.apply(batch(("a", server("a")), ("a", None)), False, 60.0)
     assert servers.of("engine") == []
     again = batch(("a", None), ("a", server("a", sequence=2)))
     servers.apply(again, False, 60.0)
     assert len(servers.of("engine")) == 1
-    spoilt = batch(("a", types.Unreadable("x")), ("b", server("b")))
-    servers.apply(spoilt, False, 60.0)
+    unreadable = batch(("a", types.Unreadable("x")), ("b", server("b")))
+    servers.apply(unreadable, False, 60.0)
     assert [b.server.server_id for b in servers.of("engine")] == ["b"]
 
 
-def test_listings_that_run_out_one_by_one_after_an_outage_are_held():
+def test_listings_that_expire_one_by_one_after_an_outage_are_kept():
     servers = new_fleet()
     names = [f"i-{number}" for number in range(10)]
     listed = batch(*[(name, server(name)) for name in names])
@@ -405,7 +408,7 @@
     assert servers.of("engine") == []
 
 
-def test_records_of_one_start_are_ordered_and_leaving_is_for_good():
+def test_records_of_one_start_are_ordered_and_leaving_is_final():
     backends = new_fleet()
     listed = (
         (server("a", born=5, sequence=3), False),
@@ -426,12 +429,12 @@
     return reports.Report(**{**values, **fields})
 
 
-def test_free_slots_are_shared_out_between_the_entries():
-    """Symptom: a server with one free slot gets a request of every entry.
+def test_free_slots_are_divided_between_the_entries():
+    """Guards against a free slot that gets requests of all entries.
 
-    Sequence: all slots of all servers are taken and requests wait in eight
-    entries; one request ends and every entry sees it in the same report.
-    Cause: each entry took all free slots for its own.
+    All slots of all servers were taken, and requests waited in eight entries.
+    One request ended, and every entry saw it in the same report and used all
+    free slots.
     """
     taken = 0
     for seed in range(800):
@@ -440,16 +443,16 @@
         backend = backends.find("a")
         backend.apply_report(report(running=15, entries=8), 1.0)
         taken += backend.has_share(1.0)
-    # One slot among eight.
+    # One slot among eight entries.
     assert 0.075 < taken / 800 < 0.175
 
 
-def test_a_server_that_has_just_loaded_is_not_flooded():
-    """Symptom: requests wait 0.6 s at a server that all others look up to.
+def test_server_that_has_just_loaded_is_not_overloaded():
+    """Guards against requests that wait 0.6 s at a server that has just loaded.
 
-    Sequence: a server has loaded and shows all its slots free; every entry
-    sends it what it has until the next report. Cause: slots were shared out,
-    though reading the prompts takes longer than waiting for a slot.
+    The server reported all of its slots free, and every entry sent requests
+    until the next report. Slots were divided between entries, but reading the
+    prompts takes longer than waiting for a slot.
     """
     taken = 0
     for seed in range(400):
@@ -462,11 +465,11 @@
         while backend.has_share(1.1):
             backend.begin_request()
             taken += 1
-    # Each of eight entries: 0.1 s are 3.3 prompts.
+    # All eight entries together: 3.3 prompts are read in 0.1 s.
     assert 2.2 < 8 * taken / 400 < 4.7
 
 
-def test_a_server_whose_agent_is_silent_is_used_all_the_same():
+def test_server_whose_agent_is_silent_is_still_used():
     backends = new_fleet()
     backends.apply(batch(("a", server("a"))), True, 60.0)
     backend = backends.find("a")
@@ -475,11 +478,11 @@
     assert backend.has_share(3.0)
 
 
-def test_one_prompt_at_a_time_goes_to_a_server_of_which_no_agent_tells():
-    """Symptom: all servers are overloaded just after a loss of power.
+def test_server_without_reports_gets_one_prompt_at_a_time():
+    """Guards against overloaded servers after a power failure.
 
-    Sequence: servers come back before their agents are heard; every entry has
-    many requests that wait. Cause: without reports nothing was shared out.
+    Servers were back before their agents reported, and every entry had many
+    waiting requests. Without reports nothing limited an entry's share.
     """
     backends = new_fleet()
     backends.apply(batch(("a", server("a"))), True, 60.0)
@@ -491,7 +494,7 @@
     assert backend.has_share(1.0)
 
 
-def test_a_server_without_layers_serves_nothing_whatever_the_list_says():
+def test_server_without_layers_serves_nothing_despite_its_record():
     backends = new_fleet()
     held = (types.Held("m", 1, 16),)
     backends.apply(batch(("a", server("a", held=held))), True, 60.0)
@@ -505,10 +508,10 @@
 
 
 def test_all_entries_together_keep_the_budget():
-    """Symptom: a service gets more repeats than allowed while it is failing.
+    """Guards against more retries of a failing service than allowed.
 
-    Sequence: every send of eight entries fails and each repeats as often as
-    its budget allows. Cause: each entry used the whole slack.
+    Every attempt of eight entries failed, and each entry retried as often as
+    its budget allowed. Each one used the whole slack.
     """
     terms = budget.Limits(ratio=0.2, slack=104.0, window_s=10.0)
     repeats, requests = 0, 0
@@ -525,7 +528,7 @@
     assert repeats > 0.15 * requests
 
 
-def test_the_budget_comes_back_after_its_window():
+def test_budget_recovers_after_its_window():
     one = budget.RetryBudget(budget.Limits(0.0, 100.0, 10.0))
     one.entries = 10
     while one.try_acquire(0.0):
@@ -548,7 +551,7 @@
         ("", None),
     ],
 )
-def test_the_longest_prefix_wins(path, found):
+def test_longest_prefix_matches(path, found):
     routes = (route("/a/", "short"), route("/a/b/", "long"))
     known = catalog.Catalog(types.Configuration(1, routes, {}, {}))
     match = known.route("h", path)
@@ -559,7 +562,7 @@
 # Events.
 
 
-def test_events_are_whole_whatever_the_bytes_come_in():
+def test_events_are_complete_for_any_split_of_the_bytes():
     stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
     for cut in range(len(stream) + 1):
         splitter = events.Splitter()
@@ -568,7 +571,7 @@
         assert [e.event_id for e in found][:2] == ["1", "2"]
 
 
-def test_an_event_that_has_not_ended_is_kept_back():
+def test_incomplete_event_is_held_back():
     splitter = events.Splitter()
     assert splitter.feed(b"id: 1\ndata: a\n") == []
     assert splitter.rest == b"id: 1\ndata: a\n"
