--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -1,4 +1,4 @@
-"""What one entry was told of a server's rate limit, passed on by its agent."""
+"""Tests the relay of observed rate limits between entries by the agent."""
 
 import asyncio
 import collections
@@ -23,8 +23,8 @@
 LIMITED = types.AnswerFacts("a", True, False, limit_per_s=2.0)
 
 
-class Wire:
-    """Carries datagrams between entries and one agent at once."""
+class Network:
+    """Delivers datagrams between entries and one agent immediately."""
 
     def __init__(self):
         self.reporter = reports.Reporter(lambda declared: None)
@@ -36,7 +36,7 @@
         found = reports.Listener(
             name, lambda host, report: self.told[name].append(report)
         )
-        found.connection_made(Up(self, name))
+        found.connection_made(AgentTransport(self, name))
         self.listeners[name] = found
         return found
 
@@ -44,7 +44,7 @@
         self.listeners[name].datagram_received(data, ("10.0.0.1", 1))
 
     def tell(self, start=START):
-        """Returns the limit that each entry is told with a report."""
+        """Returns the limit in the report sent to each entry."""
         report = reports.Report(
             start.server_id, 1, 0, 8, "m", 1, True, born=start.born
         )
@@ -52,15 +52,15 @@
         return {name: told[-1].limit for name, told in self.told.items()}
 
 
-class Up:
-    """An entry's way to the agent."""
+class AgentTransport:
+    """The transport of an entry's datagrams to the agent."""
 
-    def __init__(self, wire, name):
-        self._wire = wire
+    def __init__(self, network, name):
+        self._network = network
         self._name = name
 
     def sendto(self, data, addr):
-        self._wire.reporter.datagram_received(data, self._name)
+        self._network.reporter.datagram_received(data, self._name)
 
 
 def subscribe(listener, limit=None):
@@ -80,21 +80,21 @@
     )
 
 
-def test_what_one_entry_was_told_of_a_limit_reaches_the_others():
+def test_limit_observed_by_one_entry_reaches_the_others():
     async def play():
         loop = asyncio.get_running_loop()
-        wire = Wire()
-        one, two = wire.listener("one"), wire.listener("two")
+        network = Network()
+        one, two = network.listener("one"), network.listener("two")
         subscribe(two)
         subscribe(one, rate_limit.Observation(START, 2.0, loop.time()))
         await asyncio.sleep(0.5)
-        told = wire.tell()
+        told = network.tell()
         subscribe(one, rate_limit.Observation(START, None, loop.time()))
-        ended = wire.tell()
+        ended = network.tell()
         await asyncio.sleep(11.0)
         subscribe(one)
         subscribe(two)
-        return told, ended, wire.tell(), loop.time()
+        return told, ended, network.tell(), loop.time()
 
     told, ended, later, now = clocks.run(play())
     assert [limit.per_s for limit in told.values()] == [2.0, 2.0]
@@ -107,13 +107,13 @@
 def test_older_observations_and_those_of_another_start_are_ignored():
     async def play():
         loop = asyncio.get_running_loop()
-        wire = Wire()
-        one = wire.listener("one")
+        network = Network()
+        one = network.listener("one")
         now = loop.time()
         subscribe(one, rate_limit.Observation(START, 2.0, now))
         subscribe(one, rate_limit.Observation(START, None, now - 1.0))
-        kept = wire.tell()["one"].per_s
-        return kept, wire.tell(NEXT_START)["one"]
+        kept = network.tell()["one"].per_s
+        return kept, network.tell(NEXT_START)["one"]
 
     assert clocks.run(play()) == (2.0, None)
 
@@ -129,16 +129,16 @@
 )
 def test_malformed_limits_are_ignored(limit):
     async def play():
-        wire = Wire()
-        subscribe(wire.listener("one"))
+        network = Network()
+        subscribe(network.listener("one"))
         message = ttypes.Subscribe("one", {}, False, None, limit)
-        wire.reporter.datagram_received(codec.encode(message), "one")
-        return wire.tell()["one"]
+        network.reporter.datagram_received(codec.encode(message), "one")
+        return network.tell()["one"]
 
     assert clocks.run(play()) is None
 
 
-def test_the_newest_observation_of_any_entry_is_in_force():
+def test_newest_observation_of_any_entry_is_in_force():
     signals = new_signals()
     signals.apply(LIMITED, 9.0, 10.0)
     signals.apply_relayed(rate_limit.Observation(START, None, 9.5))
@@ -149,8 +149,8 @@
     assert signals.limiter.per_s is None
 
 
-def test_only_what_a_server_told_an_entry_itself_is_passed_on():
-    """Relayed twice it would seem newer each time, and never end."""
+def test_only_own_observations_are_relayed():
+    """A relayed observation would seem newer at each relay and never expire."""
     signals = new_signals()
     signals.apply_relayed(rate_limit.Observation(START, 2.0, 10.0))
     assert signals.limiter.per_s == 2.0
@@ -163,11 +163,11 @@
     assert signals.recent_observation(60.0) is None
 
 
-def test_a_place_outside_the_entries_is_ignored():
-    """A foreign report would end in a division by zero at the next choice."""
+def test_position_outside_the_entries_is_ignored():
+    """Guards against a division by zero caused by an invalid report."""
     signals = new_signals()
     backend = backends.Backend(None, None, None, signals)
     told = reports.Report("s1", 0, 0, 1, rank=3, follower_rank=0, entries=2)
-    backend._update_share = lambda report, reads: None
+    backend._update_share = lambda report, readable_prompts: None
     backend.apply_report(told, 1.0)
     assert (signals.position, signals.entry_position) == (None, None)
--- a/tests/test_direct_server_backoff.py
+++ b/tests/test_direct_server_backoff.py
@@ -1,4 +1,4 @@
-"""Backend servers that answer 503 and say how long they want nothing."""
+"""Tests backend servers that answer 503 and ask for a backoff."""
 
 import asyncio
 
@@ -8,14 +8,19 @@
 
 from clementinegw.direct import client
 
-# The platform's rule: from so long after the answer, in seconds, to the end of
-# the time that it names, a server gets no more than two requests of an entry.
+# The platform's rule: from NOTICE_S seconds after the answer to the end of the
+# requested backoff, a server gets at most MOST requests of an entry.
 NOTICE_S = 0.5
 MOST = 2
 
 
 def overloaded(retry_after, until):
-    """Returns what a server does that rejects requests up to a moment."""
+    """Returns a handler that rejects requests up to a given time.
+
+    Args:
+      retry_after: Value of the Retry-After header.
+      until: End of the rejections, in the loop's time.
+    """
 
     def do(call):
         if asyncio.get_running_loop().time() >= until:
@@ -28,7 +33,7 @@
 
 
 async def keep_asking(site, until_s, path="/safe/1", pause_s=0.02):
-    """Asks over and over; returns the answers."""
+    """Sends requests one after the other and returns the answers."""
     clock = asyncio.get_running_loop().time
     end, answers = clock() + until_s, []
     while clock() < end:
@@ -37,30 +42,32 @@
     return answers
 
 
-def within(server, began, until):
-    """Returns how many requests reached a server within a pause."""
+def requests_during_backoff(server, began, until):
+    """Returns how many requests reached a server during its backoff."""
     return sum(began + NOTICE_S < at < until for at in server.arrived_at)
 
 
-def test_a_server_that_asked_for_a_pause_gets_nothing_until_its_end():
-    """Requests went on 0.15 s after each 503, whatever the server asked for."""
+def test_server_gets_no_requests_during_its_backoff():
+    """Guards against resuming 0.15 s after each 503 despite the backoff."""
 
     async def play():
         async with sites.Site("i-1", "i-2") as site:
             first, now = site.servers[0], asyncio.get_running_loop().time()
             first.do = overloaded(3, now + 3.0)
             answers = await keep_asking(site, 2.9)
-            paused = within(first, first.arrived_at[0], now + 3.0)
+            during_backoff = requests_during_backoff(
+                first, first.arrived_at[0], now + 3.0
+            )
             await keep_asking(site, 2.0)
-            return answers, paused, first.arrived_at[-1] - now
+            return answers, during_backoff, first.arrived_at[-1] - now
 
-    answers, paused, last = sites.run(play())
+    answers, during_backoff, last = sites.run(play())
     assert {answer.status for answer in answers} == {200}
-    assert paused <= MOST
+    assert during_backoff <= MOST
     assert last > 3.0
 
 
-def test_where_all_asked_for_a_pause_callers_are_told_when_it_ends():
+def test_callers_are_told_when_the_backoff_of_all_servers_ends():
     async def play():
         async with sites.Site("i-1", "i-2") as site:
             now = asyncio.get_running_loop().time()
@@ -81,12 +88,12 @@
     assert b"backoff" in rejected.body
     assert took_s < 0.1
     assert more == 0
-    # A caller comes back within a third of its 2.5 s, and waits for the rest.
+    # A caller retries within a third of its 2.5 s and then waits for the rest.
     assert 0.6 < retry_after_s < 0.84
     assert answer.status == 200
 
 
-def test_a_pause_that_is_nearly_over_is_waited_for():
+def test_short_remaining_backoff_is_waited_for():
     async def play():
         async with sites.Site("i-1") as site:
             (server,) = site.servers
@@ -97,8 +104,8 @@
     assert sites.run(play()) == (200, 2)
 
 
-def test_a_good_answer_does_not_end_a_pause():
-    """One that was under way came in behind the 503."""
+def test_successful_answer_does_not_end_a_backoff():
+    """An answer to an earlier request may arrive after the 503."""
 
     async def play():
         async with sites.Site("i-1", "i-2") as site:
@@ -121,12 +128,12 @@
                     call.answer()
             await asyncio.gather(*slow)
             await keep_asking(site, 1.5)
-            return within(first, began - NOTICE_S, began + 1.5)
+            return requests_during_backoff(first, began - NOTICE_S, began + 1.5)
 
     assert sites.run(play()) == 0
 
 
-def test_a_request_whose_connection_comes_up_is_taken_back(monkeypatch):
+def test_request_is_not_sent_if_the_backoff_began_while_connecting(monkeypatch):
     async def play():
         async with sites.Site("i-1") as site:
             (server,) = site.servers
@@ -145,7 +152,7 @@
     assert sites.run(play()) == ([503, 503], 1)
 
 
-def test_a_pause_outlives_the_list_and_ends_with_its_start():
+def test_backoff_outlives_the_listing_and_ends_with_the_start():
     async def play():
         async with sites.Site("i-1") as site:
             (server,) = site.servers
@@ -185,7 +192,7 @@
         (503, ("Wed, 21 Oct 2026 07:28:00 GMT",), 0.0, True),
     ],
 )
-def test_pauses_are_read_or_said_to_be_malformed(
+def test_backoff_is_parsed_or_reported_as_malformed(
     status, values, backoff_s, malformed
 ):
     raw = tuple((b"retry-after", value.encode()) for value in values)
@@ -194,7 +201,7 @@
     assert ("backoff_s" in facts.malformed) == malformed
 
 
-def test_an_absurd_pause_is_cut():
+def test_excessive_backoff_is_capped():
     async def play():
         async with sites.Site("i-1") as site:
             (server,) = site.servers
--- a/tests/test_direct_server_leaving.py
+++ b/tests/test_direct_server_leaving.py
@@ -9,7 +9,7 @@
 from clementinegw.direct import client
 
 LEAVING = "Server-Leaving: 1"
-# The platform's bound: nothing later than this after the answer, in seconds.
+# The platform's rule: no requests later than this after the answer, in seconds.
 DRAIN_S = 2.0
 
 
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "says", "malformed"),
+    ("value", "expected", "malformed"),
     [
         (None, False, False),
         ("1", True, False),
@@ -168,8 +168,8 @@
         ("yes", False, True),
     ],
 )
-def test_what_says_leaving_and_what_is_malformed(value, says, malformed):
+def test_what_says_leaving_and_what_is_malformed(value, expected, malformed):
     raw = () if value is None else ((b"server-leaving", value.encode()),)
     facts = headers.Headers().answer_facts(client.Head(200, raw))
-    assert facts.leaving == says
+    assert facts.leaving == expected
     assert ("leaving" in facts.malformed) == malformed
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -1,4 +1,4 @@
-"""Servers that start again under their former id: nothing of before holds."""
+"""Tests that nothing known of one start of a server applies to the next."""
 
 import asyncio
 import math
@@ -56,8 +56,8 @@
     return reports.Report(**{**values, **fields})
 
 
-def learn(backend):
-    """Learns all that may be learned of a start."""
+def observe_everything(backend):
+    """Applies everything that can be observed of a start."""
     told = report(
         version=2,
         whole=True,
@@ -86,12 +86,12 @@
     backend.missing_until = 11.0
 
 
-def beliefs(backend):
-    apart = ("server", "pool", "_rng", "signals")
-    found = {k: v for k, v in vars(backend).items() if k not in apart}
-    apart = ("start", "limiter", "_log", "_counters")
+def observed_state(backend):
+    excluded = ("server", "pool", "_rng", "signals")
+    found = {k: v for k, v in vars(backend).items() if k not in excluded}
+    excluded = ("start", "limiter", "_log", "_counters")
     reported = vars(backend.signals).items()
-    found |= {k: v for k, v in reported if k not in apart}
+    found |= {k: v for k, v in reported if k not in excluded}
     return found | {"limit": backend.signals.limiter.per_s}
 
 
@@ -99,11 +99,11 @@
     ("asked_at", "told", "found"),
     [(10.0, 2.0, 2.0), (12.4, 2.0, 0.0), (13.0, 2.0, math.inf)],
 )
-def test_a_server_that_is_overdue_is_not_waited_for(asked_at, told, found):
-    """Symptom: callers wait for a server that does not come.
+def test_overdue_server_is_not_waited_for(asked_at, told, found):
+    """Guards against callers that wait for a server that never becomes ready.
 
-    Sequence: an agent tells when its server will serve, and freezes. Cause: a
-    moment that was past counted as now.
+    An agent predicted when its server would be ready, and froze. A predicted
+    time in the past counted as now.
     """
     backends = new_fleet()
     listed(backends, server(1)).apply_report(report(ready_in_s=told), 10.0)
@@ -117,19 +117,19 @@
     assert balancer.ready_in_s("engine") == pytest.approx(found)
 
 
-def test_nothing_learned_of_one_start_speaks_of_the_next():
-    """A server that had just started was passed over, or sent what it lacks.
+def test_observations_of_one_start_do_not_apply_to_the_next():
+    """Guards against skipping a restarted server or sending it unfit requests.
 
-    It crashed and came back at once under its id and its address. The entry
-    went on with what it knew of the start before: doubts, a rest, the version
-    it had told of, requests under way, that it was about to be given up.
+    The server crashed and was back at once with the same id and address. The
+    entry kept the state of the previous start: failure rate, cooldown, reported
+    version, requests in flight, and that it was missing from the list.
     """
     backends = new_fleet()
     former = listed(backends, server(1, held=HELD, sequence=40))
-    learn(former)
+    observe_everything(former)
     present = listed(backends, server(2))
     fresh = listed(new_fleet(), server(2))
-    assert beliefs(present) == beliefs(fresh)
+    assert observed_state(present) == observed_state(fresh)
     assert present.held_version(4) == 0
     assert present.pool is not former.pool
 
@@ -138,11 +138,11 @@
     ("born", "taken", "over"),
     [(1, False, False), (2, True, False), (3, False, True), (0, True, False)],
 )
-def test_a_report_speaks_of_its_own_start_only(born, taken, over):
-    """A server without any layers was sent requests after it had come back.
+def test_report_applies_to_its_own_start_only(born, taken, over):
+    """Guards against requests to a restarted server without any layers.
 
-    The last report of the start before was on its way meanwhile, and said that
-    all layers are there. One of a later start says that the listed one is over.
+    The last report of the previous start arrived late and said that all layers
+    are there. A report of a later start means that the listed one is over.
     """
     backends = new_fleet()
     backend = listed(backends, server(2))
@@ -154,7 +154,7 @@
         assert not listed(backends, server(3)).retired
 
 
-def test_a_report_carries_the_start_that_it_is_of():
+def test_report_carries_its_start():
     heard = []
     listener = reports.Listener("e", lambda host, told: heard.append(told))
 
@@ -179,7 +179,7 @@
     ]
 
 
-def test_a_server_that_leaves_goes_on_leaving_whatever_its_agent_tells():
+def test_leaving_server_stays_leaving_after_a_report():
     backends = new_fleet()
     backend = listed(backends, server(2, leaving=True))
     backends.match_report(report(born=2), HOST).apply_report(
@@ -189,7 +189,7 @@
     assert backend.retired
 
 
-def test_a_start_that_is_listed_anew_still_leaves():
+def test_start_that_is_listed_again_is_still_leaving():
     backends = new_fleet()
     listed(backends, server(2, leaving=True, sequence=4))
     gone = follow.Batch((follow.Record("a", None),), 1)
@@ -198,20 +198,21 @@
     assert not listed(backends, server(3, sequence=1)).retired
 
 
-def test_a_start_whose_birth_nobody_tells_is_named_by_its_id():
+def test_start_without_a_start_time_is_identified_by_its_id():
     backends = new_fleet()
     backend = listed(backends, server(0, sequence=3))
-    learn(backend)
+    observe_everything(backend)
     assert listed(backends, server(0, sequence=4)) is backend
     assert listed(backends, server(5, sequence=5)) is backend
     assert listed(backends, server(0, sequence=6)) is backend
     assert listed(backends, server(6, sequence=1)) is not backend
 
 
-def test_a_request_may_try_the_next_start_and_crash_it_too():
-    """A request crashed one server over and over, which came back each time.
+def test_crashes_of_two_starts_of_a_server_count_twice():
+    """Guards against a request that crashes the same server repeatedly.
 
-    Crashes were counted by the server's id: two of one server were one.
+    Crashes were counted by the server's id, so two starts of a server counted
+    once.
     """
 
     class Request:
@@ -224,11 +225,11 @@
     assert known.refused(Request, "c", 1.0)
 
 
-def test_connections_of_a_start_that_is_over_are_not_kept():
-    """Connections to starts that were gone stayed open for as long as we ran.
+def test_connections_of_an_ended_start_are_closed():
+    """Guards against connections to ended starts that stay open forever.
 
-    They were in use when the start ended, and were given back to a pool that
-    nobody looks through any more.
+    They were in use when the start ended and were returned to a pool that is no
+    longer pruned.
     """
 
     class Transport(asyncio.Transport):
@@ -304,20 +305,20 @@
         (around(named("a", 0), born=4), types.Start("a", 4)),
     ],
 )
-def test_an_agent_names_the_present_start_of_its_server(found, start):
-    """Nothing was told of a server for seconds after it had crashed.
+def test_agent_determines_the_current_start_of_its_server(found, start):
+    """Guards against seconds without reports after a server has crashed.
 
-    The start before is listed until it runs out, at the same address, and the
-    agent went on to tell under its name.
+    The previous start stays listed at the same address until its listing
+    expires, and the agent continued to report under its id.
     """
     assert found.start == start
 
 
 def test_an_order_is_not_given_to_another_start():
-    """A server that had just come back got the order meant for the one before.
+    """Guards against a load order sent to a start that it was not meant for.
 
-    It crashed while its agent compared the pieces that lie staged; both starts
-    had accepted no order, so that the number of orders told nothing.
+    The server crashed while its agent compared the staged pieces. Neither start
+    had accepted an order, so the number of orders did not tell them excluded.
     """
 
     class Beside:
