--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -1,4 +1,4 @@
-"""Which servers an entry of a large fleet follows, and what that costs."""
+"""Tests which servers an entry of a large fleet follows, and the cost of it."""
 
 import asyncio
 import collections
@@ -41,7 +41,7 @@
     return found
 
 
-def test_a_small_fleet_is_followed_whole():
+def test_small_fleet_is_followed_completely():
     candidates = servers_of(0, 24)
     assert len(subsetting.select_followed("e", candidates)) == 24
 
@@ -49,21 +49,23 @@
 @pytest.mark.parametrize(
     ("entries", "servers"), [(100, 60), (100, 100), (300, 300)]
 )
-def test_servers_of_a_large_fleet_are_followed_about_alike(entries, servers):
+def test_servers_of_a_large_fleet_have_similar_numbers_of_followers(
+    entries, servers
+):
     found = followers(servers, entries=ENTRIES[:entries])
     each = len(subsetting.select_followed("e", servers_of(0, servers)))
     assert each <= 32
     mean = statistics.fmean(found.values())
-    # Chance spreads a few dozen followers by a fifth either way.
+    # The random spread of a few dozen followers is about a fifth.
     assert max(found.values()) <= 1.7 * mean
     assert min(found.values()) >= 0.4 * mean
 
 
-def test_a_region_without_entries_keeps_followers():
-    """Symptom: a region's servers idle while callers are turned away.
+def test_region_without_entries_has_followers():
+    """Guards against idle servers in a region while callers are refused.
 
-    Sequence: all entries of a region are lost, its servers are not. Cause: an
-    entry might follow the servers of its own region alone.
+    All entries of the region were lost, but not its servers. Entries might
+    follow only the servers of their own region.
     """
     found = collections.Counter()
     for number, entry in enumerate(ENTRIES[:100]):
@@ -73,17 +75,17 @@
     assert min(found[f"s{n}"] for n in range(0, 100, DOMAINS)) >= 2
 
 
-def test_all_entries_follow_the_few_servers_that_may_begin_a_request():
-    """Symptom: callers are turned away though servers are idle.
+def test_all_entries_follow_few_servers_that_may_start_a_request():
+    """Guards against refused callers while servers are idle.
 
-    Sequence: a version is due, and three servers of a hundred have it. Cause:
-    most entries did not follow any of these.
+    A version was due, and three of a hundred servers had it. Most entries did
+    not follow any of these.
     """
     found = followers(100, lambda n: n in {11, 52, 93})
     assert all(found[f"s{n}"] == len(ENTRIES) for n in (11, 52, 93))
 
 
-def test_a_server_that_goes_changes_what_is_followed_by_one():
+def test_removed_server_changes_one_followed_server():
     candidates = servers_of(0, 100)
     before = subsetting.select_followed("e", candidates)
     gone = next(c for c in candidates if c.server_id in before)
@@ -95,7 +97,7 @@
 
 
 def play(follow_all, seed):
-    """Returns the part in time, and the largest over the mean use."""
+    """Returns the fraction in time and the largest over the mean use."""
 
     async def run():
         site = overload_site.Site(
@@ -117,22 +119,24 @@
     return in_time, max(begun) / statistics.fmean(begun)
 
 
-def test_following_some_servers_costs_no_balance_and_no_answers():
-    """The servers' load stays as even, and answers come as often in time.
+def test_following_a_subset_keeps_balance_and_answers_in_time():
+    """Guards against imbalance load and late answers due to subsetting.
 
-    By no more than what users take for noise, 0.03, in the mean of four seeds:
-    one seed alone differs from the next by that much.
+    The tolerance of 0.03, which users take for noise, applies to the mean of
+    four seeds, as a single seed differs from the next by that much.
     """
     everything = [play(True, seed) for seed in range(1, 5)]
     some = [play(False, seed) for seed in range(1, 5)]
-    in_time, uneven = map(statistics.fmean, zip(*everything, strict=True))
-    some_in_time, some_uneven = map(statistics.fmean, zip(*some, strict=True))
+    in_time, imbalance = map(statistics.fmean, zip(*everything, strict=True))
+    some_in_time, some_imbalance = map(
+        statistics.fmean, zip(*some, strict=True)
+    )
     assert some_in_time >= in_time - 0.03
-    assert some_uneven <= 1.15 * uneven
+    assert some_imbalance <= 1.15 * imbalance
 
 
-class Wire:
-    """A datagram transport that keeps what is sent, by whom it is for."""
+class RecordingTransport:
+    """A datagram transport that records the reports sent to each address."""
 
     def __init__(self):
         self.sent = collections.defaultdict(list)
@@ -141,37 +145,37 @@
         self.sent[addr].append(codec.decode(ttypes.BackendReport, data))
 
 
-def test_who_does_not_follow_is_told_of_changes_only():
-    """Symptom: reports take a quarter of what entries before 100 servers run.
+def test_entry_that_does_not_follow_gets_changes_only():
+    """Guards against reports that take a quarter of the work of entries.
 
-    Sequence: none; it is so in the calm. Cause: each of 100 agents told each
-    of 99 entries of its server's load some times a second.
+    This happened with 100 servers without any fault: each of 100 agents
+    reported its server's load to each of 99 entries several times per second.
     """
 
     async def run():
-        wire = Wire()
+        transport = RecordingTransport()
         reporter = reports.Reporter(lambda declared: None)
-        reporter.connection_made(wire)
+        reporter.connection_made(transport)
         for name, changes_only in (("follows", False), ("other", True)):
             asks = ttypes.Subscribe(name, {}, False, changes_only)
             reporter.datagram_received(codec.encode(asks), name)
         report = reports.Report("s1", 1, 0, 8, "m", 1, True)
         for _ in range(8):
             reporter.tell(report)
-        calm = {name: len(told) for name, told in wire.sent.items()}
+        calm = {name: len(told) for name, told in transport.sent.items()}
         reporter.tell(reports.Report("s1", 1, 0, 8, "m", 2, True))
-        newest = [told[-1].version for told in wire.sent.values()]
+        newest = [told[-1].version for told in transport.sent.values()]
         return calm, newest, (reporter.entries, reporter.followers)
 
     calm, newest, counted = clocks.run(run())
-    # Its first report comes at once: it knows nothing else of the server.
+    # The first report is sent immediately, as it is the first information.
     assert calm == {"follows": 8, "other": 1}
     assert newest == [2, 2]
     assert counted == (2, 1)
 
 
-def test_slots_are_shared_by_those_who_follow():
-    """Ninety-nine entries share the repeat budget, thirty a server's slots."""
+def test_slots_are_divided_between_followers():
+    """All entries share the retry budget, but only followers the slots."""
 
     async def run():
         site = overload_site.Site(engines=1, entries=1)
@@ -185,16 +189,16 @@
         site.stop()
         return taken, backend.entries
 
-    # Eight free slots among four.
+    # Eight free slots divided between four followers.
     assert clocks.run(run()) == (2, 99)
 
 
-def test_a_server_that_is_followed_anew_is_used_once_it_was_heard():
-    """Symptom: the first server with a version gets a request of each entry.
+def test_newly_followed_server_is_used_after_its_first_report():
+    """Guards against overloading the first server that has a version.
 
-    Sequence: a version is due; one server has it, and all entries begin to
-    follow it in the same second. Cause: a server of which nobody had told yet
-    took one request from each of them.
+    A version was due, one server had it, and all entries started to follow it
+    in the same second. A server without any report yet got one request from
+    each.
     """
 
     async def run():
@@ -205,7 +209,7 @@
         shares = [backend.has_share(1.0)]
         backend.set_followed(True, 2.0)
         shares.append(backend.has_share(2.1))
-        # An agent that tells nothing must not keep a server from callers.
+        # An agent that does not report must not keep its server unused.
         shares.append(backend.has_share(2.6))
         told = reports.Report("s0", 0, 0, 8, entries=9, followers=2)
         backend.apply_report(told, 2.7)
@@ -216,8 +220,8 @@
     assert clocks.run(run()) == [False, False, True, True]
 
 
-class Asked:
-    """Stands for the listener: keeps what agents were asked for."""
+class RecordingListener:
+    """A listener that records what agents were asked for."""
 
     def __init__(self):
         self.rounds = []
@@ -227,21 +231,20 @@
         self.rounds.append(dict(agents))
 
 
-def test_an_entry_follows_a_server_as_soon_as_only_that_one_may_serve():
-    """Symptom: callers are turned away for a second behind a due time.
+def test_entry_follows_the_only_usable_server_immediately():
+    """Guards against refusing callers for a second after a version is due.
 
-    Sequence: a version is due, and the first server that has it stands in
-    another region, where the entry does not follow it. Cause: what is followed
-    was chosen anew once a second, and agents asked then.
+    The first server with the version was in another region, where the entry did
+    not follow it. The followed servers were only selected once per second.
     """
 
     async def run():
         loop = asyncio.get_running_loop()
         site = overload_site.Site(engines=60, entries=1, domains=DOMAINS)
         entry = site.entries[0]
-        listener = Asked()
+        listener = RecordingListener()
         known = versions.Versions(8.0, loop.time)
-        asking = subscriptions.Subscriptions(
+        subscribed = subscriptions.Subscriptions(
             types.SimpleNamespace(
                 name="e",
                 place=entry.place,
@@ -259,46 +262,51 @@
             logs.Log(),
             counters.Counters(),
         )
-        asking.renew()
-        left_out = next(b for b in entry.fleet.all() if not b.followed)
+        subscribed.renew()
+        unfollowed = next(b for b in entry.fleet.all() if not b.followed)
         known.declare(direct_types.Declared("m", 2))
         await asyncio.sleep(8.0)
-        asking.refresh()
-        before = left_out.followed
-        left_out.apply_report(
+        subscribed.refresh()
+        before = unfollowed.followed
+        unfollowed.apply_report(
             reports.Report("x", 0, 0, 8, "m", 2, True), loop.time()
         )
-        asking.refresh()
+        subscribed.refresh()
         site.stop()
-        return before, left_out.followed, listener.rounds
+        return before, unfollowed.followed, listener.rounds
 
     before, after, rounds = clocks.run(run())
     assert (before, after) == (False, True)
     assert [asking.changes_only for asking in rounds[-1].values()] == [False]
 
 
-def test_each_entry_is_told_its_place_among_all_and_among_followers():
-    """An agent that has just started knows of some only, and says nothing."""
+def test_each_entry_gets_its_rank_among_all_and_among_followers():
+    """Ranks are not reported by an agent that has just started.
+
+    It knows only some of the entries.
+    """
 
     async def play():
         reporter = reports.Reporter(lambda declared: None)
-        wire = Wire()
-        reporter.connection_made(wire)
+        transport = RecordingTransport()
+        reporter.connection_made(transport)
         for name, changes_only in (("b", False), ("a", True), ("c", False)):
             asks = ttypes.Subscribe(name, {}, False, changes_only)
             reporter.datagram_received(codec.encode(asks), name)
         reporter.tell(reports.Report("s1", 1, 0, 8, "m", 1, True))
-        early = ranks(wire)
+        early = ranks(transport)
         await asyncio.sleep(2.5)
         reporter.tell(reports.Report("s1", 1, 0, 8, "m", 2, True))
-        return early, ranks(wire)
+        return early, ranks(transport)
 
     early, late = clocks.run(play())
     assert early == dict.fromkeys("abc", (-1, -1))
     assert late == {"a": (0, -1), "b": (1, 0), "c": (2, 1)}
 
 
-def ranks(wire):
-    """Returns the places in the last report that went to each entry."""
-    last = {name: reports._report(told[-1]) for name, told in wire.sent.items()}
+def ranks(transport):
+    """Returns the ranks in the last report sent to each entry."""
+    last = {
+        name: reports._report(told[-1]) for name, told in transport.sent.items()
+    }
     return {name: (r.rank, r.follower_rank) for name, r in last.items()}
--- a/tests/test_direct_server_leaving.py
+++ b/tests/test_direct_server_leaving.py
@@ -1,4 +1,4 @@
-"""Backend servers whose answers say that they leave."""
+"""Tests backend servers whose answers report that they are leaving."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 async def keep_asking(site, until_s):
-    """Asks over and over; returns the statuses."""
+    """Sends requests one after the other and returns the statuses."""
     clock = asyncio.get_running_loop().time
     end, statuses = clock() + until_s, []
     while clock() < end:
@@ -27,8 +27,8 @@
     return statuses
 
 
-def test_a_server_that_says_it_leaves_gets_nothing_while_the_store_is_away():
-    """Requests went on to a server that only its own answers said leaves."""
+def test_leaving_server_gets_no_requests_while_the_store_is_unavailable():
+    """Guards against requests to a server reported leaving in answers only."""
 
     async def play():
         async with sites.Site("i-1", "i-2") as site:
@@ -49,7 +49,7 @@
 
 
 async def calls_after(site, server, count=12):
-    """Returns how many more requests reach a server, and the statuses."""
+    """Sends requests; returns how many reach a server, and the statuses."""
     before = len(server.calls)
     answers = [await site.ask() for _ in range(count)]
     return len(server.calls) - before, {a.status for a in answers}
@@ -86,7 +86,7 @@
         ("/stream/1", streams),
     ],
 )
-def test_every_kind_of_answer_says_that_its_server_leaves(path, answer):
+def test_every_kind_of_answer_may_report_leaving(path, answer):
     async def play():
         async with sites.Site("i-1", "i-2") as site:
             first = site.servers[0]
@@ -99,8 +99,8 @@
 
 
 @pytest.mark.parametrize("gone", [False, True])
-def test_a_list_that_says_ready_brings_no_leaving_server_back(gone):
-    """The list was behind, or lost the server's record and got it again."""
+def test_leaving_is_final_despite_a_later_ready_record(gone):
+    """The list was outdated, or lost the server's record and regained it."""
 
     async def play():
         async with sites.Site("i-1", "i-2") as site:
@@ -119,7 +119,7 @@
     assert sites.run(play()) == (0, {200})
 
 
-def test_another_start_of_a_server_that_left_gets_requests():
+def test_next_start_of_a_leaving_server_gets_requests():
     async def play():
         async with sites.Site("i-1") as site:
             (server,) = site.servers
@@ -138,7 +138,7 @@
     assert sites.run(play()) == (503, 200)
 
 
-def test_a_request_whose_connection_comes_up_misses_who_says_it_leaves(
+def test_request_is_not_sent_if_the_server_left_while_connecting(
     monkeypatch,
 ):
     async def play():
@@ -168,7 +168,7 @@
         ("yes", False, True),
     ],
 )
-def test_what_says_leaving_and_what_is_malformed(value, expected, malformed):
+def test_leaving_is_parsed_or_reported_as_malformed(value, expected, malformed):
     raw = () if value is None else ((b"server-leaving", value.encode()),)
     facts = headers.Headers().answer_facts(client.Head(200, raw))
     assert facts.leaving == expected
