--- a/tests/test_direct_reach.py
+++ b/tests/test_direct_reach.py
@@ -1,4 +1,4 @@
-"""Servers out of reach: what a request waits for, and what it is told."""
+"""Tests requests whose servers cannot be connected."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 NAMES = ("i-1", "i-2")
 
 
-class Reach:
-    """Stands before `client.connect`, and refuses while servers are away."""
+class UnreachableServers:
+    """Replaces `client.connect`; refuses connections while servers are away."""
 
     def __init__(self, monkeypatch, refuse_s=0.002):
         self._connect = client.connect
@@ -28,34 +28,34 @@
         raise client.ConnectFailed("refused")
 
     def cut(self, site):
-        """Takes all servers away; connections that were up are gone."""
+        """Makes all servers unreachable and closes their connections."""
         self.away = True
         for backend in site.entry._fleet.all():
             backend.pool.close()
 
 
 async def timed(asking):
-    """Returns an answer, and how long it took in seconds."""
+    """Returns an answer and the time it took, in seconds."""
     clock = asyncio.get_running_loop().time
     began = clock()
     answer = await asking
     return answer, clock() - began
 
 
-def test_what_no_server_is_in_reach_for_is_refused_soon_and_may_come_back(
+def test_request_without_reachable_server_is_refused_soon_and_may_retry(
     monkeypatch,
 ):
-    """A failure domain was cut off and its servers' connections refused.
+    """Guards against 504 at the end of callers' time if no server is reachable.
 
-    Callers were told 504 at the end of their time, which promises nothing,
-    though nothing had been handed over, and stayed on their connections to a
-    process that reached no server.
+    A failure domain was cut off, and its servers' connections were refused.
+    Nothing had been sent, but 504 does not tell that a request was not run.
+    Callers also stayed connected to a process that reached no server.
     """
 
     async def play():
         async with sites.Site(*NAMES) as site:
-            reach = Reach(monkeypatch)
-            reach.cut(site)
+            unreachable = UnreachableServers(monkeypatch)
+            unreachable.cut(site)
             first = await timed(site.ask("/once/1"))
             await asyncio.sleep(1.0)
             return first, await timed(site.ask("/once/1"))
@@ -68,19 +68,20 @@
         assert took_s < 0.5
 
 
-def test_connections_that_time_out_one_by_one_leave_time_to_come_back(
+def test_consecutive_connection_timeouts_leave_time_to_retry(
     monkeypatch,
 ):
-    """A domain was cut off in silence, and a service had many servers there.
+    """Guards against spending all of a request's time on connecting.
 
-    A request tried one after the other, a quarter of a second each, until its
-    own time was over: 504, and no time left to come back.
+    A domain with many servers of a service was cut off silently. A request
+    tried one server after the other for 250 ms each until its time was over: it
+    ended with 504 and left no time for a retry.
     """
 
     async def play():
         async with sites.Site(*[f"i-{n}" for n in range(12)]) as site:
-            reach = Reach(monkeypatch, refuse_s=9.0)
-            reach.cut(site)
+            unreachable = UnreachableServers(monkeypatch, refuse_s=9.0)
+            unreachable.cut(site)
             return await timed(site.ask("/once/1"))
 
     answer, took_s = sites.run(play())
@@ -88,32 +89,32 @@
     assert took_s < 0.5 * 2.5
 
 
-def test_a_server_that_refused_once_still_gets_its_chance(monkeypatch):
+def test_server_that_refused_once_is_tried_again(monkeypatch):
     async def play():
         async with sites.Site("i-1") as site:
-            reach = Reach(monkeypatch)
-            reach.cut(site)
+            unreachable = UnreachableServers(monkeypatch)
+            unreachable.cut(site)
             asking = asyncio.ensure_future(site.ask("/once/1"))
             await asyncio.sleep(0.1)
-            reach.away = False
+            unreachable.away = False
             return await asking
 
     assert sites.run(play()).status == 200
 
 
-def test_requests_that_come_together_count_one_failure_of_a_server(
+def test_simultaneous_failures_of_a_server_count_once(
     monkeypatch,
 ):
-    """A server was away for a tenth of a second and rested for four.
+    """Guards against a cooldown of 4 s after an outage of 100 ms.
 
-    Ten connections to it were on their way at once, and each that failed
-    doubled its rest.
+    Ten connections to the server were being established at the same time, and
+    each failure doubled its cooldown.
     """
 
     async def play():
         async with sites.Site("i-1") as site:
-            reach = Reach(monkeypatch, refuse_s=0.05)
-            reach.cut(site)
+            unreachable = UnreachableServers(monkeypatch, refuse_s=0.05)
+            unreachable.cut(site)
             asked = [
                 asyncio.ensure_future(
                     site.ask("/once/1", attempt_id=f"b{number}")
@@ -121,45 +122,45 @@
                 for number in range(10)
             ]
             await asyncio.sleep(0.1)
-            reach.away = False
+            unreachable.away = False
             return [(await asking).status for asking in asked]
 
     assert sites.run(play()) == [200] * 10
 
 
-def test_servers_that_are_back_are_found_soon(monkeypatch):
-    """All servers of a service were away for ten seconds.
+def test_recovered_servers_are_detected_soon(monkeypatch):
+    """Guards against refusing callers long after servers have recovered.
 
-    Each rests longer after each failure, up to four seconds. Where no other
-    serves, that is how long callers would be refused though they are back.
+    All servers of a service were away for ten seconds. The cooldown grows up to
+    four seconds with each failure, and no other server was available.
     """
 
     async def play():
         async with sites.Site(*NAMES) as site:
-            reach = Reach(monkeypatch)
-            reach.cut(site)
+            unreachable = UnreachableServers(monkeypatch)
+            unreachable.cut(site)
             for number in range(200):
                 await site.ask("/once/1", attempt_id=f"b{number}")
                 await asyncio.sleep(0.05)
-            reach.away = False
+            unreachable.away = False
             await asyncio.sleep(0.25)
-            return (await site.ask("/once/1")).status, len(reach.tries)
+            return (await site.ask("/once/1")).status, len(unreachable.tries)
 
     status, tries = sites.run(play())
     assert status == 200
-    # Each server four times a second at most, whatever callers come.
+    # Each server at most four times per second, whatever the number of callers.
     assert tries <= 2 * 4 * 15
 
 
-def test_one_server_that_answers_again_serves_all_who_wait(monkeypatch):
+def test_recovered_server_serves_all_waiting_requests(monkeypatch):
     async def play():
         async with sites.Site("i-1") as site:
-            reach = Reach(monkeypatch)
-            reach.cut(site)
+            unreachable = UnreachableServers(monkeypatch)
+            unreachable.cut(site)
             for number in range(40):
                 await site.ask("/once/1", attempt_id=f"b{number}")
                 await asyncio.sleep(0.05)
-            reach.away = False
+            unreachable.away = False
             await asyncio.sleep(0.25)
             first = await site.ask("/once/1")
             rest = [await site.ask("/once/1") for _ in range(10)]
@@ -169,13 +170,13 @@
 
 
 @pytest.mark.parametrize("path", ["/once/1", "/safe/1", "/stream/1"])
-def test_a_server_out_of_reach_costs_no_repeat(monkeypatch, path):
-    """Nothing arrives where no connection comes up: the budget is for more."""
+def test_unreachable_server_uses_no_retry_budget(monkeypatch, path):
+    """Without a connection nothing is sent that could count as a retry."""
 
     async def play():
         async with sites.Site(*NAMES) as site:
-            reach = Reach(monkeypatch)
-            reach.cut(site)
+            unreachable = UnreachableServers(monkeypatch)
+            unreachable.cut(site)
             for number in range(30):
                 await site.ask(path, attempt_id=f"b{number}")
             budget = site.entry._forwarder._budget("plain")
--- a/tests/test_direct_server_limit.py
+++ b/tests/test_direct_server_limit.py
@@ -1,4 +1,4 @@
-"""Backend servers that report how many requests a second they take."""
+"""Tests backend servers that report a rate limit in requests per second."""
 
 import asyncio
 import statistics
@@ -12,26 +12,26 @@
 from clementinegw.direct import rate_limit
 from clementinegw.testing import clock as clocks
 
-# What a server with a limit may get in any such span, in seconds, beside the
-# share of its limit: the platform's rule.
+# The platform's rule: in any span of this length, in seconds, a server may get
+# 1.5 times the requests of its limit and five more.
 SPAN_S = 4.0
 EXCESS_RATIO, EXCESS_REQUESTS = 1.5, 5
-# From then on, after the limit was first reported, it has to be kept.
+# Time after the first report from which the limit has to be kept, in seconds.
 SETTLED_S = 3.0
 
 
 def limited(per_s):
-    """Returns what a server does that reports a limit in each answer."""
+    """Returns a handler that reports a rate limit in each answer."""
     return lambda call: call.answer(more=(f"Server-Limit: {per_s}",))
 
 
 def arrivals(server, since):
-    """Returns when requests reached a server, from a moment on."""
+    """Returns when requests reached a server from a given time on."""
     return [at for at in server.arrived_at if at >= since]
 
 
 def most_in_span(times):
-    """Returns the most arrivals in any span."""
+    """Returns the largest number of arrivals in any span."""
     return max(
         (sum(at <= other < at + SPAN_S for other in times) for at in times),
         default=0,
@@ -43,7 +43,7 @@
 
 
 async def keep_asking(site, count, pause_s):
-    """Sends requests at an even pace; returns the statuses."""
+    """Sends requests at an even pace and returns the statuses."""
     asking = []
     for number in range(count):
         asking.append(asyncio.ensure_future(site.ask(f"/safe/{number}")))
@@ -51,8 +51,8 @@
     return [answer.status for answer in await asyncio.gather(*asking)]
 
 
-def test_a_server_gets_no_more_than_the_limit_it_reported():
-    """A server that reported a rate limit got as many requests as before."""
+def test_server_gets_no_more_requests_than_its_limit():
+    """Guards against a reported rate limit that has no effect."""
 
     async def play():
         async with sites.Site("i-1", "i-2") as site:
@@ -68,15 +68,15 @@
     assert most <= allowed(1.5)
 
 
-def alone(site):
+def use_only_entry(site):
     """Makes the entry the only one that shares the limits."""
     site.entry._fleet._position = rate_limit.Position(0, 1)
 
 
-def test_where_all_servers_are_limited_what_cannot_be_served_is_rejected_soon():
+def test_excess_requests_are_rejected_soon_if_all_servers_are_limited():
     async def play():
         async with sites.Site("i-1") as site:
-            alone(site)
+            use_only_entry(site)
             site.servers[0].do = limited(2.0)
             await site.ask()
             asking, clock = [], asyncio.get_running_loop().time
@@ -89,7 +89,7 @@
     answers, most = sites.run(play())
     served = [answer for answer, _ in answers if answer.status == 200]
     rejected = [a for a in answers if a[0].status == 503]
-    # Five seconds at two requests a second, most of them used.
+    # Five seconds at two requests per second, most of which were used.
     assert len(served) >= 9
     assert len(served) + len(rejected) == 100
     assert most <= allowed(2.0)
@@ -105,14 +105,14 @@
     return answer, asyncio.get_running_loop().time() - began
 
 
-def test_requests_under_way_to_a_server_are_taken_back_at_its_first_report(
+def test_connecting_requests_are_not_sent_after_the_first_report(
     monkeypatch,
 ):
-    """Connections were coming up as the first answer reported the limit."""
+    """Guards against exceeding a limit that is reported during connecting."""
 
     async def play():
         async with sites.Site("i-1") as site:
-            alone(site)
+            use_only_entry(site)
             await site.ask()
             site.servers[0].do = limited(0.5)
             sites.slow_connections(monkeypatch, by_s=0.2)
@@ -122,14 +122,14 @@
             await asyncio.gather(*asking)
             return len(site.servers[0].calls)
 
-    # One to learn the port, one that reports, and a few valid slots.
+    # The first request, one that gets the report, and a few valid slots.
     assert sites.run(play()) <= 5
 
 
-def test_a_limit_ends_with_the_first_answer_that_reports_none():
+def test_limit_ends_with_the_first_answer_without_one():
     async def play():
         async with sites.Site("i-1") as site:
-            alone(site)
+            use_only_entry(site)
             (server,) = site.servers
             server.do = limited(2.0)
             await keep_asking(site, count=20, pause_s=0.1)
@@ -140,12 +140,12 @@
     assert sites.run(play()) == [200] * 40
 
 
-def test_an_answer_from_before_a_report_does_not_end_it():
-    """A slow answer, made before the server was in need, came in later."""
+def test_answer_to_an_earlier_request_does_not_end_a_limit():
+    """A slow answer from before the overload arrived after the report."""
 
     async def play():
         async with sites.Site("i-1") as site:
-            alone(site)
+            use_only_entry(site)
             (server,) = site.servers
             held = []
             server.do = held.append
@@ -160,10 +160,10 @@
     assert sites.run(play()) == 1
 
 
-def test_a_limit_outlives_a_list_that_was_empty_for_a_while():
+def test_limit_outlives_a_temporarily_empty_list():
     async def play():
         async with sites.Site("i-1", "i-2") as site:
-            alone(site)
+            use_only_entry(site)
             (server, _) = site.servers
             server.do = limited(1.0)
             await keep_asking(site, count=20, pause_s=0.02)
@@ -178,10 +178,10 @@
     assert sites.run(play()) == (1, 0, 1)
 
 
-def test_another_start_of_a_server_has_no_limit():
+def test_next_start_of_a_server_has_no_limit():
     async def play():
         async with sites.Site("i-1") as site:
-            alone(site)
+            use_only_entry(site)
             (server,) = site.servers
             entry = server.entry(born=1)
             site.store.put("keyed.servers", server.name, entry)
@@ -214,17 +214,17 @@
         (("2", "x"), None, True),
     ],
 )
-def test_limits_are_read_or_said_to_be_malformed(values, per_s, malformed):
+def test_limits_are_parsed_or_reported_as_malformed(values, per_s, malformed):
     raw = tuple((b"server-limit", value.encode()) for value in values)
     facts = headers.Headers().answer_facts(client.Head(200, raw))
     assert facts.limit_per_s == per_s
     assert ("limit_per_s" in facts.malformed) == malformed
 
 
-def test_a_limit_that_cannot_be_read_leaves_the_former_one_in_force():
+def test_malformed_limit_keeps_the_previous_one_in_force():
     async def play():
         async with sites.Site("i-1") as site:
-            alone(site)
+            use_only_entry(site)
             (server,) = site.servers
             server.do = limited(1.0)
             await site.ask()
@@ -237,7 +237,7 @@
 
 
 def served_share(engines, limits, seed):
-    """Returns what part of a usual load is served in time, and arrivals."""
+    """Returns the fraction of requests in time at usual load, and arrivals."""
 
     async def play():
         site = overload_site.Site(engines, seed=seed)
@@ -255,8 +255,8 @@
     return clocks.run(play())
 
 
-def test_limited_engines_serve_callers_as_well_as_their_limit_allows():
-    """The others get the rest, and no caller waits for a limited one."""
+def test_limited_engines_serve_callers_up_to_their_limits():
+    """The others serve the rest, and no caller waits for a limited one."""
     limits = {3: 1.0, 7: 2.4}
     limited_share, without = [], []
     for seed in range(2):
