--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -1,8 +1,8 @@
-"""Entries before engines in an overload, in virtual time and without sockets.
+"""Simulates entries and overloaded engines in virtual time without sockets.
 
-The entries' own decisions run unchanged: which server, what waits, who is
-turned away. Engines are `testing.engine_model`; callers come as a schedule
-says, return once when they are told to, and leave when nothing comes for long.
+The entries' decisions run unchanged: server selection, queueing and refusals.
+Engines are `testing.engine_model`. Callers arrive on a schedule, retry once
+after a refusal and leave if nothing arrives for a while.
 """
 
 import asyncio
@@ -32,26 +32,34 @@
 
 SERVICE = "engine"
 REPORT_S = 0.1
-# What a server tells of its load is so many reports old.
+# Age of the load in a report, in reports.
 LAG_REPORTS = 2
-# An entry in another region gets one report of so many.
+# An entry in another region gets one of this many reports.
 FAR_EVERY = 4
-MOST_DOMAINS = 5
-REGIONS = {f"d{n}": f"r{n}" for n in range(MOST_DOMAINS)}
+MAX_DOMAINS = 5
+REGIONS = {f"d{n}": f"r{n}" for n in range(MAX_DOMAINS)}
 DEADLINE_S = 6.0
-# Callers differ in patience by up to this part of it.
-PATIENCE_SPREAD = 0.15
-# A caller leaves when nothing has come for so long.
-PATIENCE_S = 3.2
-LARGEST_GAP_S = 0.4
-TRIP_S = 0.004
+# The callers' timeouts are shorter than DEADLINE_S by up to this fraction.
+TIMEOUT_SPREAD = 0.15
+# A caller leaves if nothing arrives for this time, in seconds.
+IDLE_TIMEOUT_S = 3.2
+MAX_GAP_S = 0.4
+LATENCY_S = 0.004
 # The time of day at the start, in Unix seconds.
 WALL_S = 1_790_000_000.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Kind:
-    """One kind of request; a second `per_s` of them come."""
+    """A kind of request, of which `per_s` arrive per second.
+
+    Attributes:
+      name: Name of its route.
+      per_s: Mean arrival rate, in requests per second.
+      prompt: Mean number of prompt tokens.
+      events: Mean number of events in the answer.
+      objective_s: Objective for the time to the first event, in seconds.
+    """
 
     name: str
     per_s: float
@@ -69,7 +77,7 @@
 
 @dataclasses.dataclass
 class Caller:
-    """One caller and what became of it."""
+    """A caller and the outcome of its request."""
 
     kind: Kind
     arrived_at: float
@@ -90,14 +98,14 @@
         return (
             self.served
             and self.first_at - self.arrived_at <= self.kind.objective_s
-            and self.gap_s <= LARGEST_GAP_S
+            and self.gap_s <= MAX_GAP_S
         )
 
 
 class Entry:
-    """The decisions of one entry."""
+    """The decision logic of one entry."""
 
-    def __init__(self, site, number, seed, terms):
+    def __init__(self, site, number, seed, engine_policy):
         rng = random.Random(seed)
         clock = asyncio.get_running_loop().time
         self.name = f"entry-{number}"
@@ -114,7 +122,7 @@
             catalog.Catalog(site.configuration), lambda: 0.0, 5.0, 3.0
         )
         self.caller_timeouts = admit.CallerTimeouts()
-        more = {} if terms is None else {"engine_policy": terms}
+        more = {} if engine_policy is None else {"engine_policy": engine_policy}
         self.placer = placement.Placer(
             config_view,
             balancer,
@@ -128,7 +136,7 @@
         self.fleet.apply(batch, True, 10.0)
 
     def follow(self):
-        """Follows some servers only, as the daemon does."""
+        """Follows a subset of the servers, as the daemon does."""
         candidates = [
             subsetting.Candidate(
                 backend.server.server_id,
@@ -142,7 +150,7 @@
         )
 
 
-class Site:
+class Simulation:
     """Engines, entries and callers."""
 
     def __init__(
@@ -150,7 +158,7 @@
         engines,
         entries=8,
         seed=1,
-        terms=None,
+        engine_policy=None,
         *,
         domains=3,
         follow_all=True,
@@ -160,14 +168,14 @@
         """Starts the engines.
 
         Args:
-          engines: How many there are, spread evenly over the domains.
-          entries: How many entries there are, spread likewise.
-          seed: Of callers and of the entries' draws.
-          terms: How requests wait for engines; None for the product's.
-          domains: How many failure domains, each a region of its own.
+          engines: Number of engines, spread evenly over the domains.
+          entries: Number of entries, spread likewise.
+          seed: Seed of the callers and of the entries' random choices.
+          engine_policy: Queueing policy for engines; None for the default.
+          domains: Number of failure domains, each a region of its own.
           follow_all: Whether each entry follows all engines.
-          figures: What the engines' work takes; None for the usual engine.
-          kinds: What is asked for.
+          figures: Parameters of the engines; None for the default.
+          kinds: The kinds of requests.
         """
         self._domains = domains
         self.figures = figures or engine_model.Figures()
@@ -177,22 +185,24 @@
         }
         self.configuration = _configuration(self.figures, kinds)
         self.rng = random.Random(seed)
-        # Apart, so that the same callers come whatever is decided.
+        # A separate generator, so that callers do not depend on decisions.
         self._arrivals = random.Random(seed)
         self.entries = [
-            Entry(self, n, seed * 100 + n, terms) for n in range(entries)
+            Entry(self, n, seed * 100 + n, engine_policy)
+            for n in range(entries)
         ]
         if not follow_all:
             for entry in self.entries:
                 entry.follow()
         self.callers = []
-        self.begun = dict.fromkeys(self.engines, 0)
-        # When no engine may begin anything, in seconds from the start.
-        self.gap = (math.inf, math.inf)
-        # The rate limits that engines report, by number.
+        self.started = dict.fromkeys(self.engines, 0)
+        # Period in which no engine may start requests, in seconds from the
+        # start.
+        self.outage = (math.inf, math.inf)
+        # The rate limits that engines report, by engine number.
         self.limits = {}
-        # Whether agents tell entries what others were told of them.
-        self.relay = True
+        # Whether agents relay observed rate limits between entries.
+        self.relay_limits = True
         self.arrived_at = {n: [] for n in self.engines}
         self._tasks = set()
         self._clock = asyncio.get_running_loop().time
@@ -206,7 +216,7 @@
         return self._clock() - self._began
 
     def place(self, number):
-        """Returns where the entry or engine of a number stands."""
+        """Returns the location of the entry or engine with a number."""
         domain = number % self._domains
         return places.Place(f"r{domain}", f"d{domain}")
 
@@ -220,11 +230,11 @@
             held=(types.Held("m", 1, 1),),
         )
 
-    async def play(self, seconds, strength: Callable[[float], float]):
-        """Lets callers come; `strength` says how many times the usual."""
+    async def play(self, seconds, load_factor: Callable[[float], float]):
+        """Generates callers; `load_factor` scales the usual rate over time."""
         total = sum(kind.per_s for kind in self.kinds)
         while self.now < seconds:
-            rate = total * strength(self.now)
+            rate = total * load_factor(self.now)
             await asyncio.sleep(self._arrivals.expovariate(rate))
             self._spawn(self._call(self._caller()))
 
@@ -234,25 +244,25 @@
         for engine in self.engines.values():
             engine.stop()
 
-    def came(self, since, until):
-        """Returns who came then, in seconds from the start."""
+    def callers_between(self, since, until):
+        """Returns the callers that arrived then, in seconds from the start."""
         return [c for c in self.callers if since <= c.arrived_at < until]
 
-    def part_in_time(self, since, until):
-        """Answers in time of who came then, as a part of what engines can."""
-        found = self.came(since, until)
-        can = self.part_that_engines_can(since, until)
-        return sum(c.in_time for c in found) / len(found) / can
+    def share_in_time(self, since, until):
+        """Returns the fraction of serviceable callers that were in time."""
+        found = self.callers_between(since, until)
+        share = self.serviceable_share(since, until)
+        return sum(c.in_time for c in found) / len(found) / share
 
-    def part_that_engines_can(self, since, until):
-        """What engines can serve, as a part of who came then; 1 at most."""
-        found = self.came(since, until)
+    def serviceable_share(self, since, until):
+        """Returns the fraction of callers that engines can serve."""
+        found = self.callers_between(since, until)
         engine_s = statistics.fmean(self._engine_s(c) for c in found)
-        can = len(self.engines) / engine_s * (until - since)
-        return min(1.0, can / len(found))
+        servable = len(self.engines) / engine_s * (until - since)
+        return min(1.0, servable / len(found))
 
     def _engine_s(self, caller):
-        """Returns the time of a full engine that one request takes."""
+        """Returns the time that a request takes of a full engine."""
         figures = self.figures
         reading_s = caller.prompt / figures.prefill_tokens_per_s
         event_s = figures.steps_per_pass * figures.step_at(figures.slots)
@@ -261,15 +271,19 @@
     def _caller(self):
         weights = [kind.per_s for kind in self.kinds]
         kind = self._arrivals.choices(self.kinds, weights)[0]
-        prompt = _drawn(self._arrivals, kind.prompt, 1.0, 3 * kind.prompt)
-        events = _drawn(self._arrivals, kind.events, 0.8, 2.5 * kind.events)
-        patience = 1.0 - self._arrivals.uniform(0.0, PATIENCE_SPREAD)
+        prompt = _draw_lognormal(
+            self._arrivals, kind.prompt, 1.0, 3 * kind.prompt
+        )
+        events = _draw_lognormal(
+            self._arrivals, kind.events, 0.8, 2.5 * kind.events
+        )
+        timeout_factor = 1.0 - self._arrivals.uniform(0.0, TIMEOUT_SPREAD)
         caller = Caller(
             kind,
             self.now,
             max(1, prompt),
             max(1, events),
-            patience * DEADLINE_S,
+            timeout_factor * DEADLINE_S,
         )
         self.callers.append(caller)
         return caller
@@ -283,12 +297,14 @@
         left_s = caller.deadline_s - (self.now - caller.arrived_at)
         await asyncio.sleep(min(wait_s, left_s / 3))
         left_s = caller.deadline_s - (self.now - caller.arrived_at)
-        again = self.rng.choice([e for e in self.entries if e is not entry])
-        if await self._ask(caller, again, left_s) is not None:
+        other_entry = self.rng.choice(
+            [e for e in self.entries if e is not entry]
+        )
+        if await self._ask(caller, other_entry, left_s) is not None:
             caller.refusals += 1
 
     async def _ask(self, caller, entry, left_s):
-        """Returns when to come back; None when that is no question."""
+        """Sends a request; returns the retry delay, or None if not refused."""
         now = self._clock()
         facts = types.RequestFacts(
             timeout_s=left_s, prompt_tokens=caller.prompt
@@ -304,30 +320,30 @@
             entry.caller_timeouts.spent_s(route.name, left_s),
         )
         try:
-            async with asyncio.timeout(min(left_s, PATIENCE_S)):
-                place = await entry.placer.reserve(job)
+            async with asyncio.timeout(min(left_s, IDLE_TIMEOUT_S)):
+                reservation = await entry.placer.reserve(job)
         except TimeoutError:
             return None
-        if not isinstance(place, queue.Reservation):
-            return place.retry_after_s
-        await self._run(caller, entry, job, place, left_s)
+        if not isinstance(reservation, queue.Reservation):
+            return reservation.retry_after_s
+        await self._run(caller, entry, job, reservation, left_s)
         return None
 
-    async def _run(self, caller, entry, job, place, left_s):
-        backend = place.backend
+    async def _run(self, caller, entry, job, reservation, left_s):
+        backend = reservation.backend
         backend.unread_tokens += caller.prompt
         number = int(backend.server.server_id[1:])
         engine = self.engines[number]
-        self.begun[number] += 1
+        self.started[number] += 1
         self.arrived_at[number].append(self.now)
         sent_at = self._clock()
-        heard = asyncio.Event()
+        event_received = asyncio.Event()
         ended = asyncio.Event()
         last = [self.now]
 
         def on_event():
             if caller.first_at == math.inf:
-                caller.first_at = self.now + TRIP_S
+                caller.first_at = self.now + LATENCY_S
                 backend.unread_tokens -= caller.prompt
                 job.first_answer_at = self._clock()
                 entry.placer.record_first_event(job)
@@ -338,39 +354,41 @@
             else:
                 caller.gap_s = max(caller.gap_s, self.now - last[0])
             last[0] = self.now
-            heard.set()
+            event_received.set()
 
         work = engine_model.Work(
             caller.prompt, caller.events, on_event, ended.set
         )
-        await asyncio.sleep(TRIP_S)
+        await asyncio.sleep(LATENCY_S)
         engine.submit(work)
         try:
             async with asyncio.timeout(left_s):
-                await self._hear(heard, ended)
+                await self._await_events(event_received, ended)
             caller.ended_at = self.now
         except TimeoutError:
             engine.drop(work)
             if caller.first_at == math.inf:
                 backend.unread_tokens -= caller.prompt
-        place.release()
+        reservation.release()
 
-    async def _hear(self, heard, ended):
+    async def _await_events(self, event_received, ended):
         while not ended.is_set():
-            async with asyncio.timeout(PATIENCE_S):
-                await heard.wait()
-            heard.clear()
+            async with asyncio.timeout(IDLE_TIMEOUT_S):
+                await event_received.wait()
+            event_received.clear()
 
     async def _report(self, number):
         loop = asyncio.get_running_loop()
         await asyncio.sleep(self.rng.random() * REPORT_S)
-        told = self.rng.randrange(FAR_EVERY)
-        # What an agent asks its server is answered as of a while ago.
-        seen = collections.deque([(0, 0)] * LAG_REPORTS, maxlen=LAG_REPORTS)
+        report_count = self.rng.randrange(FAR_EVERY)
+        # The load that a server reports to its agent is slightly outdated.
+        past_loads = collections.deque(
+            [(0, 0)] * LAG_REPORTS, maxlen=LAG_REPORTS
+        )
         while True:
             engine = self.engines[number]
-            running, waiting = seen[0]
-            seen.append((engine.running, engine.waiting))
+            running, waiting = past_loads[0]
+            past_loads.append((engine.running, engine.waiting))
             observed = [
                 limit
                 for entry in self.entries
@@ -380,7 +398,7 @@
                     ).signals.recent_observation(self._clock())
                 )
             ]
-            told_to = [
+            followers = [
                 entry
                 for entry in self.entries
                 if entry.fleet.find(f"s{number}").followed
@@ -392,29 +410,31 @@
                 self.figures.slots,
                 "m",
                 1,
-                not self.gap[0] <= self.now < self.gap[1],
+                not self.outage[0] <= self.now < self.outage[1],
                 entries=len(self.entries),
-                followers=len(told_to),
+                followers=len(followers),
                 limit=max(observed, key=lambda limit: limit.at, default=None)
-                if self.relay
+                if self.relay_limits
                 else None,
-                ready_in_s=max(0.0, self.gap[1] - self.now)
-                if self.gap[0] <= self.now < self.gap[1]
+                ready_in_s=max(0.0, self.outage[1] - self.now)
+                if self.outage[0] <= self.now < self.outage[1]
                 else 0.0,
             )
-            told += 1
-            for rank, entry in enumerate(told_to):
+            report_count += 1
+            for rank, entry in enumerate(followers):
                 near = entry.place == self.place(number)
-                if near or not told % FAR_EVERY:
+                if near or not report_count % FAR_EVERY:
                     report = dataclasses.replace(
                         report,
                         rank=self.entries.index(entry),
                         follower_rank=rank,
                     )
-                    loop.call_later(TRIP_S, self._take, entry, number, report)
+                    loop.call_later(
+                        LATENCY_S, self._deliver_report, entry, number, report
+                    )
             await asyncio.sleep(REPORT_S)
 
-    def _take(self, entry, number, report):
+    def _deliver_report(self, entry, number, report):
         reading_s = sum(k.prompt * k.per_s for k in self.kinds) / sum(
             k.per_s for k in self.kinds
         )
@@ -429,9 +449,9 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _drawn(rng, mean, sigma, most):
+def _draw_lognormal(rng, mean, sigma, max_value):
     value = rng.lognormvariate(math.log(mean) - sigma**2 / 2, sigma)
-    return int(min(most, value))
+    return int(min(max_value, value))
 
 
 def _route(kind):
@@ -446,7 +466,7 @@
         rank=1,
         max_attempts=2,
         resumable=True,
-        max_gap_s=LARGEST_GAP_S,
+        max_gap_s=MAX_GAP_S,
     )
 
 
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -100,7 +100,7 @@
     """Returns the fraction in time and the largest over the mean use."""
 
     async def run():
-        site = overload_site.Site(
+        site = overload_site.Simulation(
             engines=40,
             entries=40,
             seed=seed,
@@ -113,8 +113,8 @@
         return site
 
     site = clocks.run(run())
-    came = site.came(1.0, 4.0)
-    begun = site.begun.values()
+    came = site.callers_between(1.0, 4.0)
+    begun = site.started.values()
     in_time = sum(c.in_time for c in came) / len(came)
     return in_time, max(begun) / statistics.fmean(begun)
 
@@ -178,7 +178,7 @@
     """All entries share the retry budget, but only followers the slots."""
 
     async def run():
-        site = overload_site.Site(engines=1, entries=1)
+        site = overload_site.Simulation(engines=1, entries=1)
         backend = site.entries[0].fleet.find("s0")
         told = reports.Report("s0", 0, 0, 8, entries=99, followers=4)
         backend.apply_report(told, 1.0)
@@ -202,7 +202,7 @@
     """
 
     async def run():
-        site = overload_site.Site(engines=1, entries=1)
+        site = overload_site.Simulation(engines=1, entries=1)
         backend = site.entries[0].fleet.find("s0")
         backend.apply_report(reports.Report("s0", 0, 0, 8, entries=9), 1.0)
         backend.set_followed(False, 1.0)
@@ -240,7 +240,7 @@
 
     async def run():
         loop = asyncio.get_running_loop()
-        site = overload_site.Site(engines=60, entries=1, domains=DOMAINS)
+        site = overload_site.Simulation(engines=60, entries=1, domains=DOMAINS)
         entry = site.entries[0]
         listener = RecordingListener()
         known = versions.Versions(8.0, loop.time)
--- a/tests/test_direct_overload.py
+++ b/tests/test_direct_overload.py
@@ -1,4 +1,4 @@
-"""What entries decide while more comes than engines can serve."""
+"""Tests the entries' decisions under overload of the engines."""
 
 import asyncio
 import functools
@@ -13,16 +13,16 @@
 from clementinegw.testing import clock as clocks
 from clementinegw.testing import engine_model
 
-# Late requests might take a fixed part of the slots once.
+# Former policy: late requests might use a fixed fraction of the slots.
 FORMER = queue.Policy(
     max_utilization=1.0, late_limit_high=0.9, late_limit_low=0.9
 )
 BURST = (4.0, 10.0)
-TEN_S_LATER = (20.0, 25.0)
-# Requests under way at the end are waited for.
-AFTER_S = 7.0
-# Engines, kinds of request and how many come a second: 1.7 times what ten such
-# engines can serve.
+AFTER_BURST = (20.0, 25.0)
+# Time to wait for requests in flight at the end, in seconds.
+DRAIN_S = 7.0
+# Engine parameters, kinds of requests, and requests per second: 1.7 times what
+# ten such engines can serve.
 LOADS = {
     "drafts": (
         engine_model.Figures(
@@ -50,19 +50,21 @@
 }
 
 
-def strength(now):
-    """Half the usual at first, then a burst, then what is just too much."""
+def load_factor(now):
+    """Returns half the usual load, then a burst, then slightly too much."""
     if now < BURST[0]:
         return 0.55
     return 1.7 if now < BURST[1] else 1.0
 
 
 @functools.cache
-def play(terms, seed):
+def play(policy, seed):
     async def run():
-        site = overload_site.Site(engines=8, seed=seed, terms=terms)
-        await site.play(TEN_S_LATER[1], strength)
-        await asyncio.sleep(AFTER_S)
+        site = overload_site.Simulation(
+            engines=8, seed=seed, engine_policy=policy
+        )
+        await site.play(AFTER_BURST[1], load_factor)
+        await asyncio.sleep(DRAIN_S)
         site.stop()
         return site
 
@@ -70,25 +72,25 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_what_a_burst_left_behind_does_not_outlast_it(seed):
-    """Symptom: long after a burst engines are full, and most answers late.
+def test_backlog_of_a_burst_does_not_outlast_it(seed):
+    """Guards against full engines and late answers long after a burst.
 
-    Sequence: a burst of six seconds; who is turned away comes back, too late to
-    be on time, and takes the slots; who comes new finds none in time, is turned
-    away, and comes back. Cause: late requests might take nine tenths of the
-    slots whatever those who could be on time needed.
+    After a burst of six seconds, refused callers retried too late to be on time
+    and took the slots. New requests found none in time, were refused and
+    retried as well. Late requests were allowed nine tenths of the slots,
+    regardless of the need of requests that could be on time.
     """
-    former = play(FORMER, seed).part_in_time(*TEN_S_LATER)
+    former = play(FORMER, seed).share_in_time(*AFTER_BURST)
     site = play(None, seed)
-    now = site.part_in_time(*TEN_S_LATER)
+    now = site.share_in_time(*AFTER_BURST)
     assert now >= 0.8
     assert now >= former + 0.15
 
 
-def test_large_requests_are_served_as_others_are_in_an_overload():
-    """A request's size must not decide whether it is served at all."""
+def test_large_requests_are_served_like_others_under_overload():
+    """The size of a request must not decide whether it is served."""
     site = play(None, 1)
-    found = site.came(BURST[0], TEN_S_LATER[1])
+    found = site.callers_between(BURST[0], AFTER_BURST[1])
     large = [c for c in found if c.kind is overload_site.KINDS[0]]
     large.sort(key=lambda c: c.prompt)
     largest = large[-len(large) // 10 :]
@@ -96,35 +98,35 @@
     assert sum(c.served for c in largest) / len(largest) >= 0.75 * served
 
 
-def test_callers_are_served_behind_a_gap_without_a_server():
-    """Symptom: callers are held for 1.5 s and turned away, then once more.
+def test_callers_are_served_after_a_period_without_servers():
+    """Guards against callers that wait for 1.5 s and are refused, twice.
 
-    Sequence: a version falls due before the next one is here; for 3.5 s no
-    server may begin anything. Cause: callers were held whether a server was
-    coming or not, and no longer where one was.
+    A version was due before the next one was available, so that no server might
+    start requests for 3.5 s. Callers waited whether a server was becoming ready
+    or not, and not longer if one was.
     """
 
     async def run():
-        site = overload_site.Site(engines=14)
-        site.gap = (5.0, 8.5)
+        site = overload_site.Simulation(engines=14)
+        site.outage = (5.0, 8.5)
         await site.play(16.0, lambda now: 0.9)
-        await asyncio.sleep(AFTER_S)
+        await asyncio.sleep(DRAIN_S)
         site.stop()
         return site
 
-    found = clocks.run(run()).came(0.0, 16.0)
+    found = clocks.run(run()).callers_between(0.0, 16.0)
     assert sum(c.served for c in found) / len(found) >= 0.97
 
 
 LASTING = (4.0, 20.0)
-# Engines are full, and callers that were turned away are back, from here on.
+# From this time on engines are full and refused callers retry, in seconds.
 SETTLED = 7.0
 
 
 @functools.cache
 def play_lasting(figures, kinds, entries, per_s):
     async def run():
-        site = overload_site.Site(
+        site = overload_site.Simulation(
             engines=10, entries=entries, figures=figures, kinds=kinds
         )
         usual = sum(kind.per_s for kind in kinds)
@@ -132,7 +134,7 @@
         await site.play(
             LASTING[1], lambda now: factor * (0.5 if now < LASTING[0] else 1.0)
         )
-        await asyncio.sleep(AFTER_S)
+        await asyncio.sleep(DRAIN_S)
         site.stop()
         return site
 
@@ -140,21 +142,22 @@
 
 
 @pytest.mark.parametrize("load", ["drafts", "notices"])
-def test_engines_for_six_tenths_of_the_load_serve_what_they_can_in_time(load):
-    """Symptom: in an overload that lasts a fifth is in time, half is late.
-
-    Sequence: servers that were to be added do not come; from then on engines
-    can serve six tenths of what comes. Cause: callers that are less patient
-    than others were taken for ones that came back, waited behind all others,
-    were turned away, and took as late ones the slots that new ones needed; and
-    slots that were free were given out twice, so that prompts were read for
-    those that came just too late.
+def test_engines_at_60_percent_of_the_load_serve_their_capacity_in_time(load):
+    """Guards against few answers in time under a lasting overload.
+
+    A fifth of the answers was in time and half of them were late.
+
+    Servers that were to be added did not appear, so the engines could serve
+    60% of the load. Callers with shorter timeouts than others were mistaken for
+    retries: they queued behind all others, were refused, and as late requests
+    took slots that new ones needed. Also, free slots were given out twice, so
+    that prompts were read for requests that were slightly too late.
     """
     figures, kinds, per_s = LOADS[load]
     site = play_lasting(figures, kinds, 10, per_s)
-    assert site.part_that_engines_can(SETTLED, LASTING[1]) < 0.65
-    assert site.part_in_time(SETTLED, LASTING[1]) >= 0.85
-    found = site.came(SETTLED, LASTING[1])
+    assert site.serviceable_share(SETTLED, LASTING[1]) < 0.65
+    assert site.share_in_time(SETTLED, LASTING[1]) >= 0.85
+    found = site.callers_between(SETTLED, LASTING[1])
     served = sum(c.served for c in found) / len(found)
     groups = [[c for c in found if c.kind is kind] for kind in kinds]
     found.sort(key=lambda c: c.prompt)
@@ -163,70 +166,69 @@
         assert sum(c.served for c in group) / len(group) >= served / 2
 
 
-# What part late requests may take.
+# The limit for late requests.
 
 
-def test_late_requests_give_way_to_those_that_find_no_room():
-    part = late_limit.LateLimit(low=0.3, high=0.9)
+def test_late_limit_shrinks_if_requests_find_no_capacity():
+    limit = late_limit.LateLimit(low=0.3, high=0.9)
     for _ in range(3):
-        part.record_miss()
-    assert 0.5 < part.limit < 0.6
+        limit.record_miss()
+    assert 0.5 < limit.limit < 0.6
     for _ in range(20):
-        part.record_miss()
-    assert part.limit == 0.3
+        limit.record_miss()
+    assert limit.limit == 0.3
 
 
-def test_late_requests_take_more_again_once_all_find_room():
-    part = late_limit.LateLimit(low=0.3, high=0.9)
-    part.record_miss()
+def test_late_limit_grows_again_once_all_find_capacity():
+    limit = late_limit.LateLimit(low=0.3, high=0.9)
+    limit.record_miss()
     for _ in range(100):
-        part.record_placed(0.0)
-    assert part.limit == 0.9
+        limit.record_placed(0.0)
+    assert limit.limit == 0.9
 
 
-def test_a_request_that_waited_for_its_room_makes_no_more_for_late_ones():
-    part = late_limit.LateLimit(low=0.3, high=0.9)
-    part.record_miss()
-    before = part.limit
-    part.record_placed(0.2)
-    assert part.limit == before
+def test_late_limit_does_not_grow_after_a_wait():
+    limit = late_limit.LateLimit(low=0.3, high=0.9)
+    limit.record_miss()
+    before = limit.limit
+    limit.record_placed(0.2)
+    assert limit.limit == before
 
 
-# How long a first event takes.
+# The time to the first event.
 
 
-def test_the_time_to_a_first_event_is_learned_from_answers():
-    found = latency_estimator.LatencyEstimator(initial_s=0.2, max_s=0.3)
+def test_latency_is_estimated_from_answers():
+    estimator = latency_estimator.LatencyEstimator(initial_s=0.2, max_s=0.3)
     for number in range(400):
-        found.record(0.05 if number % 3 else 0.25)
-    assert 0.2 <= found.estimate_s <= 0.3
+        estimator.record(0.05 if number % 3 else 0.25)
+    assert 0.2 <= estimator.estimate_s <= 0.3
 
 
-def test_what_should_not_have_been_sent_teaches_no_more_than_the_most():
-    found = latency_estimator.LatencyEstimator(initial_s=0.2, max_s=0.3)
+def test_latency_estimate_is_bounded():
+    estimator = latency_estimator.LatencyEstimator(initial_s=0.2, max_s=0.3)
     for _ in range(200):
-        found.record(5.0)
-    assert found.estimate_s == 0.3
+        estimator.record(5.0)
+    assert estimator.estimate_s == 0.3
 
 
-# Who is new, and who came back.
+# New and retrying callers.
 
 
-def test_callers_that_are_less_patient_than_others_are_new():
-    """Symptom: two thirds of all callers wait for 1.7 s and are turned away.
+def test_callers_with_shorter_timeouts_are_new():
+    """Guards against two thirds of all callers waiting 1.7 s and being refused.
 
-    Sequence: callers of one route give between 5.1 and 6.0 s; each one that
-    gave 0.1 s less than the most patient one so far was taken for one that had
-    been turned away before. Cause: its patience, not a refusal, made the
-    difference.
+    The timeouts of a route's callers were between 5.1 and 6.0 s. Each caller
+    with a timeout 0.1 s below the longest one so far was mistaken for one that
+    had been refused before.
     """
-    found = admit.CallerTimeouts()
-    assert found.spent_s("r", 6.0) == 0.0
-    assert found.spent_s("r", 5.12) == 0.0
+    timeouts = admit.CallerTimeouts()
+    assert timeouts.spent_s("r", 6.0) == 0.0
+    assert timeouts.spent_s("r", 5.12) == 0.0
 
 
-def test_callers_that_were_turned_away_have_spent_time():
-    found = admit.CallerTimeouts()
-    found.spent_s("r", 6.0)
+def test_refused_callers_have_spent_time():
+    timeouts = admit.CallerTimeouts()
+    timeouts.spent_s("r", 6.0)
     least_s = admit.MIN_RETRY_SHARE * 6.0
-    assert found.spent_s("r", 6.0 - least_s - 0.01) > least_s
+    assert timeouts.spent_s("r", 6.0 - least_s - 0.01) > least_s
--- a/tests/test_direct_server_limit.py
+++ b/tests/test_direct_server_limit.py
@@ -240,13 +240,13 @@
     """Returns the fraction of requests in time at usual load, and arrivals."""
 
     async def play():
-        site = overload_site.Site(engines, seed=seed)
+        site = overload_site.Simulation(engines, seed=seed)
         loop = asyncio.get_running_loop()
         loop.call_later(4.0, site.limits.update, limits)
         await site.play(16.0, lambda now: 0.85)
         await asyncio.sleep(6.0)
         site.stop()
-        came = site.came(8.0, 16.0)
+        came = site.callers_between(8.0, 16.0)
         arrived = {
             n: [t for t in site.arrived_at[n] if t > 7.0] for n in limits
         }
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -1,4 +1,4 @@
-"""The share that each entry takes of a server's rate limit."""
+"""Tests the share that each entry takes of a server's rate limit."""
 
 import math
 import random
@@ -14,7 +14,7 @@
 
 
 def allowed(per_s):
-    """Returns the most requests in a span: the platform's rule."""
+    """Returns the most requests allowed in a span by the platform's rule."""
     return 1.5 * per_s * SPAN_S + 5
 
 
@@ -43,7 +43,7 @@
         )
 
     def play(self, until_s, asked_per_s=math.inf):
-        """Sends until a moment; each entry is asked so often a second."""
+        """Sends requests up to a time; entries get `asked_per_s` of them."""
         chance = min(1.0, asked_per_s * STEP_S)
         while self.now < until_s:
             for limiter in self.limiters:
@@ -72,8 +72,8 @@
 
 
 @pytest.mark.parametrize("entries", [1, 8, 30, 100])
-def test_the_limit_is_kept_while_clocks_jump(entries):
-    """A third of the entries' clocks are set by two seconds and back."""
+def test_limit_is_kept_while_clocks_jump(entries):
+    """A third of the clocks are changed by two seconds and back."""
     fleet = Fleet(entries, 1.0, seed=2)
     skews = fleet.skews
     fleet.play(30.0)
@@ -87,8 +87,8 @@
 
 
 @pytest.mark.parametrize("entries", [8, 30, 100])
-def test_the_limit_is_kept_while_entries_come_and_go(entries):
-    """Each change moves every entry, at moments of their own."""
+def test_limit_is_kept_while_entries_are_added_and_removed(entries):
+    """Each change moves the position of every entry, at different times."""
     fleet = Fleet(entries, 1.0, seed=3)
     for change in range(12):
         fleet.play(10.0 * change + 5.0)
@@ -99,13 +99,13 @@
     assert fleet.most_in_span() <= allowed(1.0)
 
 
-def test_entries_that_are_asked_seldom_use_most_of_the_limit():
+def test_entries_with_few_requests_use_most_of_the_limit():
     fleet = Fleet(8, 2.0, seed=4)
     fleet.play(PLAY_S, asked_per_s=1.0)
     assert fleet.used_share(2.0) >= 0.7
 
 
-def test_entries_that_no_agent_told_their_turn_keep_the_limit():
+def test_entries_without_a_reported_position_keep_the_limit():
     fleet = Fleet(30, 1.0, seed=5)
     fleet.positions = [
         rate_limit.Position.assumed(f"front-{n}") for n in range(30)
@@ -114,7 +114,7 @@
     assert fleet.most_in_span() <= allowed(1.0)
 
 
-def test_a_clock_set_back_for_good_does_not_close_a_server():
+def test_clock_set_back_permanently_does_not_block_a_server():
     fleet = Fleet(8, 1.0, seed=6)
     fleet.play(20.0)
     fleet.skews = [-3_600.0] * 8
@@ -123,14 +123,14 @@
     assert len(fleet.sent_at) >= 10
 
 
-def test_a_limit_of_zero_leaves_a_probe_now_and_then():
+def test_limit_of_zero_allows_occasional_probes():
     fleet = Fleet(8, 0.0, seed=7)
     fleet.play(PLAY_S)
-    # A tenth of a request a second, and what may lie unused at first.
+    # 0.1 requests per second, plus the valid unused slots at the start.
     assert 1 <= len(fleet.sent_at) <= 0.1 * (PLAY_S + 1.5) + 3
 
 
-def test_a_limit_that_ended_limits_nothing():
+def test_ended_limit_has_no_effect():
     fleet = Fleet(1, 1.0, seed=8)
     (limiter,) = fleet.limiters
     while limiter.is_open():
@@ -142,11 +142,11 @@
     assert not limiter.take_slot()
 
 
-def test_slots_to_come_are_counted():
+def test_upcoming_slots_are_counted():
     fleet = Fleet(4, 2.0, seed=9)
     limiter = fleet.limiters[0]
     while limiter.is_open():
         limiter.take_slot()
-    # A round of four entries at two a second takes two seconds.
+    # At two slots per second a round of four entries takes two seconds.
     assert limiter.slots_within(2.0) == 1
     assert limiter.slots_within(4.0) == 2
