--- a/src/clementinegw/direct/admit.py
+++ b/src/clementinegw/direct/admit.py
@@ -48,8 +48,10 @@
 
 
 def match(
-    config_view: ConfigView, request: servers.Request, facts: types.RequestFacts
-) -> catalogs.Match | outcomes.Refusal:
+    config_view: ConfigView,
+    request: servers.Request,
+    facts: types.RequestMetadata,
+) -> catalogs.RouteMatch | outcomes.Refusal:
     """Returns the route and customer of a request, or a refusal."""
     catalog = config_view.catalog
     if catalog is None:
@@ -63,10 +65,10 @@
             return outcomes.Refusal(404, Reason.NO_ROUTE)
         return unavailable(Reason.STALE_ROUTES, _RETRY_SOON_S)
     if not catalog.keyed or (route.anonymous and not facts.key):
-        return catalogs.Match(route, None)
+        return catalogs.RouteMatch(route, None)
     customer = catalog.customer(facts.key)
     if customer is None and route.anonymous:
-        return catalogs.Match(route, None)
+        return catalogs.RouteMatch(route, None)
     if customer is None:
         if fresh:
             return outcomes.Refusal(401, Reason.NO_KEY)
@@ -75,7 +77,7 @@
     # that is cut off notices nothing else, so only the age of the view decides.
     if config_view.age_s() >= config_view.max_key_age_s:
         return unavailable(Reason.STALE_KEYS, _RETRY_SOON_S)
-    return catalogs.Match(route, customer)
+    return catalogs.RouteMatch(route, customer)
 
 
 class CallerTimeouts:
--- a/src/clementinegw/direct/catalog.py
+++ b/src/clementinegw/direct/catalog.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Match:
+class RouteMatch:
     """Where a request belongs.
 
     Attributes:
@@ -58,4 +58,4 @@
     @property
     def keyed(self) -> bool:
         """Whether requests need a key at all."""
-        return self.configuration.keyed
+        return self.configuration.requires_key
--- a/src/clementinegw/direct/placement.py
+++ b/src/clementinegw/direct/placement.py
@@ -12,7 +12,7 @@
 from clementinegw.direct import outcomes
 from clementinegw.direct import queue
 from clementinegw.direct import types
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 
 Reason = outcomes.RefusalReason
 
@@ -70,7 +70,7 @@
         self,
         config_view: admit.ConfigView,
         balancer: balance.Balancer,
-        versions: versions_lib.Versions,
+        versions: version_policy.VersionPolicy,
         rng: random.Random,
         clock: Callable[[], float],
         engine_policy: queue.Policy = _ENGINE_POLICY,
@@ -142,7 +142,7 @@
             return self.refuse(job, Reason.BUSY)
         job.placed_at = now
         job.permitted = reservation.permitted
-        job.busy = self._balancer.utilization(reservation.backend, now)
+        job.utilization = self._balancer.utilization(reservation.backend, now)
         job.server_id = reservation.backend.server.server_id
         return reservation
 
@@ -180,10 +180,10 @@
           job: The request; its server was reserved with `reserve`.
         """
         engine = self._config_view.engine(job.service)
-        if engine is None or job.first_answer_at is None:
+        if engine is None or job.first_event_at is None:
             return
-        reading_s = job.facts.prompt_tokens / engine.prefill_tokens_per_s
-        latency_s = job.first_answer_at - job.placed_at - reading_s
+        reading_s = job.metadata.prompt_tokens / engine.prefill_tokens_per_s
+        latency_s = job.first_event_at - job.placed_at - reading_s
         self._estimator(job.service, engine).record(latency_s)
 
     def layers(self, service: str) -> int:
@@ -201,7 +201,7 @@
         engine = self._config_view.engine(job.service)
         if engine is None or not engine.models:
             return ""
-        return job.facts.model or engine.models[0]
+        return job.metadata.model or engine.models[0]
 
     def refuse(self, job: attempts.Job, reason: Reason) -> outcomes.Refusal:
         """Returns the refusal of a request that gets no server."""
@@ -226,7 +226,7 @@
         left for a retry.
         """
         time_s = job.deadline - job.request.arrived_at
-        return job.unreached_s < _RETRIED_WAIT_SHARE * time_s
+        return job.failed_connect_s < _RETRIED_WAIT_SHARE * time_s
 
     def _refuse_until_ready(
         self, job: attempts.Job, reason: Reason, ready_in_s: float
@@ -266,7 +266,7 @@
         if engine is None:
             return at
         at -= self._estimator(job.service, engine).estimate_s
-        at -= job.facts.prompt_tokens / engine.prefill_tokens_per_s
+        at -= job.metadata.prompt_tokens / engine.prefill_tokens_per_s
         if job.spent_s or job.sends:
             return at
         min_start_s = _MIN_START_SHARE * job.match.route.objective_s
@@ -288,9 +288,9 @@
         """Returns the current requirements of a request on its server."""
         now = self._versions.now
         model = self.model(job)
-        least = self._versions.demanded(model, now) or 0
+        least = self._versions.required(model, now) or 0
         if job.runs:
-            least = max(least, self._versions.lasting(model, now))
+            least = max(least, self._versions.stable(model, now))
         return balance.Requirements(
             job.service,
             self.layers(job.service),
--- a/src/clementinegw/direct/queue.py
+++ b/src/clementinegw/direct/queue.py
@@ -19,11 +19,11 @@
 # requests and load reports, in seconds.
 _DISPATCH_INTERVAL_S = 0.02
 
-_NO_STARTS: frozenset[types.Start] = frozenset()
+_NO_STARTS: frozenset[types.ServerStart] = frozenset()
 
 # Requirements that no server could meet during this dispatch, with whether the
 # request was late and which servers were excluded.
-_Unmet = set[tuple[balance.Requirements, bool, frozenset[types.Start]]]
+_Unmet = set[tuple[balance.Requirements, bool, frozenset[types.ServerStart]]]
 # Number of requests with the same requirements that go first; see
 # `Queue._will_expire`.
 _Ahead = dict[balance.Requirements, int | None]
@@ -64,7 +64,7 @@
     """
 
     requirements: Callable[[], balance.Requirements]
-    tried: frozenset[types.Start]
+    tried: frozenset[types.ServerStart]
     latest_start: float
     give_up_at: float
     reservation: asyncio.Future["Reservation | None"]
@@ -128,7 +128,7 @@
     async def reserve(
         self,
         requirements: Callable[[], balance.Requirements],
-        tried: frozenset[types.Start],
+        tried: frozenset[types.ServerStart],
         latest_start: float,
         give_up_at: float,
     ) -> Reservation | None:
--- a/src/clementinegw/direct/signals.py
+++ b/src/clementinegw/direct/signals.py
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        start: types.Start,
+        start: types.ServerStart,
         fleet_position: Callable[[], rate_limit.Position],
         wall_clock: Callable[[], float],
         log: logs.Log,
@@ -78,7 +78,7 @@
         return self._observed
 
     def apply(
-        self, facts: types.AnswerFacts, sent_at: float, now: float
+        self, facts: types.AnswerMetadata, sent_at: float, now: float
     ) -> None:
         """Applies the signals of an answer.
 
@@ -103,7 +103,7 @@
         self._log.write(
             _events.SERVER_LEAVING,
             server=self.start.server_id,
-            born=self.start.born,
+            born=self.start.started_ms,
         )
 
     def _apply_backoff(self, backoff_s: float, now: float) -> None:
@@ -112,7 +112,7 @@
             self._log.write(
                 _events.SERVER_BACKOFF,
                 server=self.start.server_id,
-                born=self.start.born,
+                born=self.start.started_ms,
                 pause_s=round(backoff_s, 3),
             )
         # Every answer asks for its own backoff, so a later, shorter one does
@@ -133,7 +133,7 @@
 
     def apply_relayed(self, observation: rate_limit.Observation) -> None:
         """Applies an observation of another entry, relayed by the agent."""
-        same = self.start.same(observation.start)
+        same = self.start.matches(observation.start)
         if same and observation.at > self._limit_at:
             self._set_limit(observation, "agent")
 
@@ -149,7 +149,7 @@
             self._log.write(
                 _events.SERVER_LIMIT_CHANGED,
                 server=self.start.server_id,
-                born=self.start.born,
+                born=self.start.started_ms,
                 per_s=self.limiter.per_s,
                 was=was,
                 position=str(self.limiter.position),
@@ -162,7 +162,7 @@
             self._log.write(
                 _events.SERVER_SIGNAL_MALFORMED,
                 server=self.start.server_id,
-                born=self.start.born,
+                born=self.start.started_ms,
                 field=field,
             )
         for field in fields:
@@ -195,10 +195,10 @@
         self._by_server: collections.OrderedDict[str, Signals]
         self._by_server = collections.OrderedDict()
 
-    def get(self, start: types.Start) -> Signals:
+    def get(self, start: types.ServerStart) -> Signals:
         """Returns the signals of a start, which are new for a new start."""
         found = self._by_server.get(start.server_id)
-        if found is None or not found.start.same(start):
+        if found is None or not found.start.matches(start):
             found = Signals(
                 start,
                 self._fleet_position,
@@ -207,7 +207,7 @@
                 self._counters,
             )
             self._by_server[start.server_id] = found
-        elif start.born:
+        elif start.started_ms:
             # The platform may list a start before its start time is known.
             found.start = start
         self._by_server.move_to_end(start.server_id)
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import admit
 from clementinegw.direct import backend as backend_lib
@@ -18,7 +18,7 @@
 from clementinegw.direct import subsetting
 from clementinegw.direct import suspects
 from clementinegw.direct import types
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
@@ -35,7 +35,7 @@
         instance: instances.Instance,
         config_view: admit.ConfigView,
         fleet: fleets.Fleet,
-        versions: versions_lib.Versions,
+        versions: version_policy.VersionPolicy,
         listener: reports.Listener,
         suspicions: Callable[[], tuple[suspects.Suspicion, ...]],
         clock: Callable[[], float],
@@ -64,7 +64,7 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._subscribed: dict[places.Address, reports.Asking] = {}
+        self._subscribed: dict[shared_types.Address, reports.Subscription] = {}
         self._followed: set[str] = set()
         self._serving: dict[str, bool] = {}
         self._relayed_limits: dict[str, rate_limit.Observation] = {}
@@ -111,8 +111,10 @@
         ) != _rates(self._relayed_limits):
             self.subscribe_changed()
 
-    def _declared(self) -> reports.Declared:
-        return reports.Declared(self._versions.all(), self._versions.ages_s())
+    def _declared(self) -> reports.DeclaredVersions:
+        return reports.DeclaredVersions(
+            self._versions.newest_by_model(), self._versions.ages_s()
+        )
 
     def _update_followed(self) -> None:
         """Selects the servers that the entry follows."""
@@ -167,12 +169,14 @@
                 )
         return found
 
-    def _agents(self) -> dict[places.Address, reports.Asking]:
+    def _agents(self) -> dict[shared_types.Address, reports.Subscription]:
         """Returns the address of each agent and what it is asked for."""
         port = self._instance.peer_ports[0]
         self._relayed_limits = limits = self._observed_limits()
         return {
-            places.Address(backend.server.address.host, port): reports.Asking(
+            shared_types.Address(
+                backend.server.address.host, port
+            ): reports.Subscription(
                 self._is_far(backend.server),
                 not backend.followed,
                 limits.get(backend.server.server_id),
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -14,19 +14,19 @@
 import statistics
 import types as builtin_types
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import admit
 from clementinegw.direct import attempt as attempts
 from clementinegw.direct import balance
 from clementinegw.direct import catalog
 from clementinegw.direct import fleet as fleets
-from clementinegw.direct import follow
 from clementinegw.direct import placement
 from clementinegw.direct import queue
 from clementinegw.direct import reports
 from clementinegw.direct import subsetting
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import logs
 from clementinegw.testing import engine_model
 
@@ -126,13 +126,15 @@
         self.placer = placement.Placer(
             config_view,
             balancer,
-            versions.Versions(8.0, clock),
+            version_policy.VersionPolicy(8.0, clock),
             rng,
             clock,
             **more,
         )
-        records = [follow.Record(f"s{n}", site.server(n)) for n in site.engines]
-        batch = follow.Batch(tuple(records), len(records))
+        records = [
+            topic_watch.Record(f"s{n}", site.server(n)) for n in site.engines
+        ]
+        batch = topic_watch.Batch(tuple(records), len(records))
         self.fleet.apply(batch, True, 10.0)
 
     def follow(self):
@@ -218,16 +220,16 @@
     def place(self, number):
         """Returns the location of the entry or engine with a number."""
         domain = number % self._domains
-        return places.Place(f"r{domain}", f"d{domain}")
+        return shared_types.Place(f"r{domain}", f"d{domain}")
 
     def server(self, number):
         return types.Server(
             f"s{number}",
             SERVICE,
-            places.Address(f"10.0.{number // 250}.{number % 250}", 1_000),
+            shared_types.Address(f"10.0.{number // 250}.{number % 250}", 1_000),
             self.place(number).failure_domain,
             self.figures.slots,
-            held=(types.Held("m", 1, 1),),
+            held=(types.HeldWeights("m", 1, 1),),
         )
 
     async def play(self, seconds, load_factor: Callable[[float], float]):
@@ -306,14 +308,14 @@
     async def _ask(self, caller, entry, left_s):
         """Sends a request; returns the retry delay, or None if not refused."""
         now = self._clock()
-        facts = types.RequestFacts(
+        facts = types.RequestMetadata(
             timeout_s=left_s, prompt_tokens=caller.prompt
         )
         route = _route(caller.kind)
         job = attempts.Job(
             builtin_types.SimpleNamespace(arrived_at=now),
             facts,
-            catalog.Match(route, None),
+            catalog.RouteMatch(route, None),
             SERVICE,
             None,
             now + left_s,
@@ -345,9 +347,9 @@
             if caller.first_at == math.inf:
                 caller.first_at = self.now + LATENCY_S
                 backend.unread_tokens -= caller.prompt
-                job.first_answer_at = self._clock()
+                job.first_event_at = self._clock()
                 entry.placer.record_first_event(job)
-                facts = types.AnswerFacts(
+                facts = types.AnswerMetadata(
                     "a", True, False, limit_per_s=self.limits.get(number)
                 )
                 backend.signals.apply(facts, sent_at, self._clock())
@@ -459,11 +461,11 @@
         name=kind.name,
         host="h",
         prefix=f"/{kind.name}/",
-        repeat=types.Repeat.STREAM,
+        repeat_policy=types.RepeatPolicy.STREAM,
         targets=(types.Target(SERVICE, 1.0),),
         timeout_s=DEADLINE_S,
         objective_s=kind.objective_s,
-        rank=1,
+        priority=1,
         max_attempts=2,
         resumable=True,
         max_gap_s=MAX_GAP_S,
@@ -481,8 +483,8 @@
         1,
         96,
         24_576,
-        usual_prompt=980.0,
-        usual_answer=95.0,
+        typical_prompt_tokens=980.0,
+        typical_answer_tokens=95.0,
     )
     service = types.Service(SERVICE, 274, engine)
     return types.Configuration(
--- a/tests/shared_domain.py
+++ b/tests/shared_domain.py
@@ -4,22 +4,22 @@
 import math
 
 from clementinegw import exceptions
-from clementinegw import types as places
-from clementinegw.direct import choice as choices
-from clementinegw.direct import follow
-from clementinegw.direct import questions
+from clementinegw import types as shared_types
+from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
-from clementinegw.direct import shared
+from clementinegw.direct import reader_selector
+from clementinegw.direct import shared_topic
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
-_PACE = follow.Pace(2.0, 0.0)
+_TIMING = topic_watch.PollTiming(2.0, 0.0)
 _LATENCY_S = 0.004
 _TURN_BYTES = 8_192
 
 
 def address(number):
-    return places.Address("10.0.0.1", 7_000 + number)
+    return shared_types.Address("10.0.0.1", 7_000 + number)
 
 
 class Store:
@@ -63,7 +63,7 @@
         self.refused = False
         self.silent = False
 
-    async def newest(self):
+    async def snapshot(self):
         self._store.wholes += 1
         await self._reach(0.0)
         newest = dict(self._store.log)
@@ -81,7 +81,7 @@
             self._check()
         self._check()
         if self.silent:
-            # Its question had reached the store; the answer is lost.
+            # Its query had reached the store; the answer is lost.
             await asyncio.sleep(max(0.0, until + 1.2 - loop.time()))
             raise exceptions.PlatformUnavailable("silent", "timeout")
         found = self._store.log[offset:]
@@ -91,7 +91,7 @@
         return raw.Batch(tuple(items), offset + len(items))
 
     def decoded(self, items):
-        return tuple(follow.Record(i.key, i.value or None) for i in items)
+        return tuple(topic_watch.Record(i.key, i.value or None) for i in items)
 
     async def _reach(self, wait_s):
         self._store.reads += 1
@@ -115,24 +115,24 @@
         self.gone = False
         self.frozen = False
         self.known = {}
-        self.unread_s = 0.0
-        self.choice = choices.Choice(clock)
-        self.choice.me = address(number)
-        self.shared = shared.Shared(
+        self.lag_s = 0.0
+        self.selector = reader_selector.ReaderSelector(clock)
+        self.selector.own_address = address(number)
+        self.shared = shared_topic.SharedTopic(
             "t",
             self.topic,
             domain,
-            self.choice,
-            _PACE,
+            self.selector,
+            _TIMING,
             True,
             logs.Log(),
             counters_lib.Counters(),
             clock,
         )
-        self.follower = follow.Follower(
+        self.follower = topic_watch.TopicWatcher(
             "t",
             self.shared,
-            _PACE,
+            _TIMING,
             self._take,
             logs.Log(),
             counters_lib.Counters(),
@@ -140,7 +140,7 @@
         )
 
     def _take(self, batch, whole):
-        self.unread_s = self.follower.unread_s
+        self.lag_s = self.follower.lag_s
         if whole:
             self.known = {}
         for record in batch.records:
@@ -169,28 +169,30 @@
 
     def elect(self, order):
         for process in self.processes:
-            process.choice.offer(tuple(address(n) for n in order))
+            process.selector.set_candidates(tuple(address(n) for n in order))
 
-    async def ask(self, reader, question, on_bytes):
+    async def ask(self, reader, query, on_progress):
         process = self.processes[reader.port - 7_000]
         await asyncio.sleep(_LATENCY_S)
         if process.gone:
-            raise questions.Unable("gone", "broken")
+            raise peer_queries.Unable("gone", "broken")
 
         clock = asyncio.get_running_loop().time
-        patient_until = clock() + question.wait_s + question.patience_s
+        patient_until = clock() + query.wait_s + query.grace_s
 
-        async def say():
+        async def send_keep_alive():
             nonlocal patient_until
             if not process.frozen:
-                patient_until = clock() + question.patience_s
+                patient_until = clock() + query.grace_s
 
-        answering = asyncio.ensure_future(process.shared.answer(question, say))
+        answering = asyncio.ensure_future(
+            process.shared.answer(query, send_keep_alive)
+        )
         try:
             while not answering.done() or process.frozen:
                 await asyncio.sleep(0.01)
                 if process.gone or clock() > patient_until:
-                    raise questions.Unable("silent", "broken")
+                    raise peer_queries.Unable("silent", "broken")
             return answering.result()
         finally:
             answering.cancel()
@@ -202,7 +204,7 @@
         """Checks that nobody claims to know what he does not know."""
         now = asyncio.get_running_loop().time()
         for process in self.processes:
-            if not process.follower.known:
+            if not process.follower.has_snapshot:
                 continue
             proved_at = now - process.follower.age_s
             state = {}
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -45,12 +45,12 @@
     ),
     "revoked_keys": (
         "src/clementinegw/direct/entry.py",
-        "_KEYS_SHARE = 0.9",
-        "_KEYS_SHARE = 900.0",
+        "_MAX_KEY_PROOF_SHARE = 0.9",
+        "_MAX_KEY_PROOF_SHARE = 900.0",
     ),
     "retry_of_all": (
         "src/clementinegw/direct/types.py",
-        "return self.repeat is Repeat.SAFE",
+        "return self.repeat_policy is RepeatPolicy.SAFE",
         "return True",
     ),
     "budget": (
@@ -59,10 +59,10 @@
         "if False:",
     ),
     "digest_check": (
-        "src/clementinegw/direct/bring.py",
-        "if lying is not None and digest_of(lying) == digest:\n"
+        "src/clementinegw/direct/fetcher.py",
+        "if existing is not None and digest_of(existing) == digest:\n"
         "                continue",
-        "if lying is not None:\n                continue",
+        "if existing is not None:\n                continue",
     ),
     "server_limit": (
         "src/clementinegw/direct/balance.py",
--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import admit
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import placement
 from clementinegw.direct import queue
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
 
@@ -41,19 +41,19 @@
 def new_fleet():
     backends = fleet.Fleet(logs.Log(), lambda service: 640, random.Random(1))
     records = tuple(
-        follow.Record(
+        topic_watch.Record(
             f"s{number}",
             types.Server(
                 server_id=f"s{number}",
                 service="engine",
-                address=places.Address("127.0.0.1", 9),
+                address=shared_types.Address("127.0.0.1", 9),
                 failure_domain="d1",
                 slots=16,
             ),
         )
         for number in range(SERVERS)
     )
-    backends.apply(follow.Batch(records, len(records)), True, 60.0)
+    backends.apply(topic_watch.Batch(records, len(records)), True, 60.0)
     return backends
 
 
@@ -83,7 +83,7 @@
     async def play():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
-        place = places.Place("r", "d1")
+        place = shared_types.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         line = queue.Queue("engine", chooser, TERMS, loop.time)
         tell(backends, 16, loop.time())
@@ -147,12 +147,12 @@
     async def play():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
-        place = places.Place("r", "d1")
+        place = shared_types.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         finder = placement.Placer(
             admit.ConfigView(None, lambda: 0.0, 1.0, 1.0),
             chooser,
-            versions.Versions(8.0, loop.time),
+            version_policy.VersionPolicy(8.0, loop.time),
             random.Random(1),
             loop.time,
         )
@@ -179,7 +179,7 @@
     async def play():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
-        place = places.Place("r", "d1")
+        place = shared_types.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         line = queue.Queue("engine", chooser, TERMS, loop.time)
         tell(backends, 16, loop.time())
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -5,31 +5,31 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import budget
 from clementinegw.direct import catalog
-from clementinegw.direct import events
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import plan
 from clementinegw.direct import reports
-from clementinegw.direct import turns
+from clementinegw.direct import sse
+from clementinegw.direct import swap_schedule
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import logs
 
-TERMS = plan.Terms(bring_s=5.0, swap_s=1.6, due_s=8.0)
+TERMS = plan.RolloutTiming(fetch_s=5.0, swap_s=1.6, due_s=8.0)
 FIRST = plan.Declaration(2, 0.0)
 
 
 def route(prefix, name="r", **fields):
     values = {
         "host": "h",
-        "repeat": types.Repeat.SAFE,
+        "repeat_policy": types.RepeatPolicy.SAFE,
         "targets": (types.Target("plain", 1.0),),
         "timeout_s": 6.0,
         "objective_s": 0.4,
-        "rank": 0,
+        "priority": 0,
         "max_attempts": 2,
     }
     return types.Route(name=name, prefix=prefix, **{**values, **fields})
@@ -38,7 +38,7 @@
 def server(name, **fields):
     values = {
         "service": "engine",
-        "address": places.Address("127.0.0.1", 9),
+        "address": shared_types.Address("127.0.0.1", 9),
         "failure_domain": "d1",
         "slots": 16,
     }
@@ -50,8 +50,8 @@
 
 
 def batch(*records):
-    found = tuple(follow.Record(key, value) for key, value in records)
-    return follow.Batch(found, len(found))
+    found = tuple(topic_watch.Record(key, value) for key, value in records)
+    return topic_watch.Batch(found, len(found))
 
 
 # Choice of the version to transfer.
@@ -65,7 +65,7 @@
     newest version was ever transferred.
     """
     both = [FIRST, plan.Declaration(3, 4.0)]
-    current = plan.Progress(2, left=0.25)
+    current = plan.Progress(2, missing=0.25)
     assert plan.choose(both, current, TERMS, now=4.0) == 2
 
 
@@ -77,16 +77,16 @@
     3 is 2.5 s late; if dropped, nothing serves for 3.2 s. A version that was
     late by any amount was considered useless.
     """
-    slow = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=8.0)
+    slow = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=8.0)
     both = [FIRST, plan.Declaration(3, 4.0)]
-    current = plan.Progress(2, left=0.49)
+    current = plan.Progress(2, missing=0.49)
     assert plan.choose(both, current, slow, now=4.1) == 2
 
 
 def test_older_version_is_dropped_if_the_newer_would_wait_longer():
-    slow = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=8.0)
+    slow = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=8.0)
     both = [FIRST, plan.Declaration(3, 2.0)]
-    current = plan.Progress(2, left=0.68)
+    current = plan.Progress(2, missing=0.68)
     assert plan.choose(both, current, slow, now=2.1) == 3
 
 
@@ -99,7 +99,7 @@
     of its pieces, since they were a few pieces apart near the point of
     decision.
     """
-    slow = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=8.0)
+    slow = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=8.0)
     both = [FIRST, plan.Declaration(3, 4.0)]
     assert plan.choose(both, plan.Progress(2, left), slow, now=4.1) == 2
 
@@ -112,14 +112,14 @@
     by then: the remaining use of an older version was not considered.
     """
     both = [FIRST, plan.Declaration(3, 2.0)]
-    current = plan.Progress(2, left=0.1)
+    current = plan.Progress(2, missing=0.1)
     assert plan.choose(both, current, TERMS, 8.2, {3}) == 3
     assert plan.choose(both, current, TERMS, 7.0, {3}) == 2
 
 
 def test_newer_version_in_time_for_both_replaces_the_older():
     both = [FIRST, plan.Declaration(3, 0.5)]
-    current = plan.Progress(2, left=0.95)
+    current = plan.Progress(2, missing=0.95)
     assert plan.choose(both, current, TERMS, now=0.5) == 3
 
 
@@ -130,7 +130,7 @@
 
 def test_version_that_is_too_late_in_any_case_is_dropped():
     both = [FIRST, plan.Declaration(3, 7.5)]
-    current = plan.Progress(2, left=0.9)
+    current = plan.Progress(2, missing=0.9)
     assert plan.choose(both, current, TERMS, now=7.5) == 3
 
 
@@ -142,9 +142,9 @@
     given up.
     """
     both = [FIRST, plan.Declaration(3, 2.0)]
-    current = plan.Progress(3, left=0.9)
+    current = plan.Progress(3, missing=0.9)
     assert plan.choose(both, current, TERMS, 3.5, {3}) == 2
-    again = plan.Progress(2, left=0.4)
+    again = plan.Progress(2, missing=0.4)
     assert plan.choose(both, again, TERMS, 3.6, {3}) == 2
     assert plan.choose(both, again, TERMS, 5.0, {2, 3}) == 3
 
@@ -157,14 +157,14 @@
     after. The older version was dropped whenever no gap was expected either
     way.
     """
-    usual = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=13.4)
+    usual = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=13.4)
     both = [FIRST, plan.Declaration(3, 4.0)]
     assert plan.choose(both, plan.Progress(2, 0.3), usual, now=4.5) == 2
 
 
 def test_older_version_with_little_progress_is_dropped():
     """Both may be in time, but the newest alone has more time to spare."""
-    usual = plan.Terms(bring_s=4.9, swap_s=0.9, due_s=9.7)
+    usual = plan.RolloutTiming(fetch_s=4.9, swap_s=0.9, due_s=9.7)
     both = [FIRST, plan.Declaration(3, 2.0)]
     assert plan.choose(both, plan.Progress(2, 0.6), usual, now=2.1) == 3
 
@@ -178,7 +178,7 @@
     and was dropped. The progress of a version was forgotten when it was
     dropped.
     """
-    usual = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=13.4)
+    usual = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=13.4)
     both = [plan.Declaration(2, 0.0), plan.Declaration(3, 0.1)]
     remaining = {2: 0.95, 3: 1.0}
     version, changes = 2, 0
@@ -200,11 +200,13 @@
     for the time of a whole version. Last pieces went first, though the older
     version was due at the same time as the newest.
     """
-    usual = plan.Terms(bring_s=6.3, swap_s=0.9, due_s=13.4)
+    usual = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=13.4)
     first = plan.Declaration(2, 0.0)
     together, later = plan.Declaration(3, 0.1), plan.Declaration(3, 2.0)
-    assert not plan.spreads_first(first, together, 4.3, usual, now=1.3)
-    assert plan.spreads_first(first, later, 0.5, usual, now=3.0)
+    assert not plan.should_finish_spreading(
+        first, together, 4.3, usual, now=1.3
+    )
+    assert plan.should_finish_spreading(first, later, 0.5, usual, now=3.0)
 
 
 @pytest.mark.parametrize("current", [None, plan.Progress(1, 0.0)])
@@ -219,12 +221,15 @@
 # Turns of agents.
 
 
-SWAP = turns.Terms(groups=3, step_s=0.8, drain_s=1.0, least_drain_s=0.3)
+SWAP = swap_schedule.SwapPolicy(
+    groups=3, step_s=0.8, drain_s=1.0, min_drain_s=0.3
+)
 
 
 def turns_of(names, here_at, last_at):
     return [
-        turns.turn(name, names, 7, here_at, last_at, SWAP) for name in names
+        swap_schedule.swap_times(name, names, 7, here_at, last_at, SWAP)
+        for name in names
     ]
 
 
@@ -258,7 +263,7 @@
 
 
 def test_unlisted_agent_has_a_turn():
-    assert turns.turn("me", [], 1, 5.0, 9.0, SWAP).load_at == 5.0
+    assert swap_schedule.swap_times("me", [], 1, 5.0, 9.0, SWAP).load_at == 5.0
 
 
 # Versions in force.
@@ -266,12 +271,12 @@
 
 def test_version_is_demanded_shortly_before_it_is_due():
     now = [100.0]
-    known = versions.Versions(8.0, lambda: now[0])
-    assert known.declare(types.Declared("m", 2))
+    known = version_policy.VersionPolicy(8.0, lambda: now[0])
+    assert known.record_declared(types.DeclaredVersion("m", 2))
     assert known.preferred("m", 107.3) == 0
     assert known.preferred("m", 107.6) == 2
-    assert known.demanded("m", 107.6) is None
-    assert known.demanded("m", 107.8) == 2
+    assert known.required("m", 107.6) is None
+    assert known.required("m", 107.8) == 2
 
 
 def test_request_queued_at_a_server_does_not_start_on_an_old_version():
@@ -280,11 +285,11 @@
     It was sent to a server with the old version a second before the due time,
     waited there for 1.1 s and started, as it was not recalled.
     """
-    known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2))
-    assert 8.0 - 0.2 < known.take_back_at("m", held=1) < 8.0 - 0.1
-    assert known.take_back_at("m", held=2) == math.inf
-    assert known.take_back_at("other", held=1) == math.inf
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    known.record_declared(types.DeclaredVersion("m", 2))
+    assert 8.0 - 0.2 < known.withdraw_at("m", held=1) < 8.0 - 0.1
+    assert known.withdraw_at("m", held=2) == math.inf
+    assert known.withdraw_at("other", held=1) == math.inf
 
 
 def test_due_time_counts_from_the_declaration_not_from_its_receipt():
@@ -293,9 +298,9 @@
     Its connection to the platform was silent, so it read the declaration a
     second after the others, and counted the time from then.
     """
-    known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2), unread_s=1.0)
-    assert known.demanded("m", 8.0 - 1.2) == 2
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    known.record_declared(types.DeclaredVersion("m", 2), unread_s=1.0)
+    assert known.required("m", 8.0 - 1.2) == 2
 
 
 def test_version_has_nearly_its_whole_time_after_a_long_outage():
@@ -304,9 +309,9 @@
     A version was declared while the platform was down for eight seconds. Every
     process read the declaration afterwards and considered it overdue.
     """
-    known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2), unread_s=8.0)
-    assert known.demanded("m", 6.0) is None
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    known.record_declared(types.DeclaredVersion("m", 2), unread_s=8.0)
+    assert known.required("m", 6.0) is None
 
 
 def test_interrupted_stream_resumes_where_no_load_is_imminent():
@@ -316,19 +321,19 @@
     load and was interrupted again. The next server was chosen as for a new
     request, and its attempts were exhausted.
     """
-    known = versions.Versions(8.0, lambda: 0.0)
-    known.declare(types.Declared("m", 2))
-    assert known.lasting("m", 5.0) == 0
-    assert known.lasting("m", 6.6) == 2
-    assert known.demanded("m", 6.6) is None
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    known.record_declared(types.DeclaredVersion("m", 2))
+    assert known.stable("m", 5.0) == 0
+    assert known.stable("m", 6.6) == 2
+    assert known.required("m", 6.6) is None
 
 
 def test_repeated_or_older_declaration_changes_nothing():
-    known = versions.Versions(8.0, lambda: 0.0)
-    assert known.declare(types.Declared("m", 3))
-    assert not known.declare(types.Declared("m", 3))
-    assert not known.declare(types.Declared("m", 2))
-    assert known.declared("m") == 3
+    known = version_policy.VersionPolicy(8.0, lambda: 0.0)
+    assert known.record_declared(types.DeclaredVersion("m", 3))
+    assert not known.record_declared(types.DeclaredVersion("m", 3))
+    assert not known.record_declared(types.DeclaredVersion("m", 2))
+    assert known.newest_declared("m") == 3
 
 
 def test_server_with_a_newer_version_is_accepted():
@@ -339,10 +344,10 @@
     the server's version.
     """
     now = [0.0]
-    known = versions.Versions(8.0, lambda: now[0])
-    known.declare(types.Declared("m", 2))
+    known = version_policy.VersionPolicy(8.0, lambda: now[0])
+    known.record_declared(types.DeclaredVersion("m", 2))
     now[0] = 4.0
-    known.declare(types.Declared("m", 3))
+    known.record_declared(types.DeclaredVersion("m", 3))
     assert known.expected("m", held=3, now=8.0) == 3
     assert known.expected("m", held=2, now=8.0) == 2
     assert known.expected("m", held=1, now=8.0) == 2
@@ -411,17 +416,17 @@
 def test_records_of_one_start_are_ordered_and_leaving_is_final():
     backends = new_fleet()
     listed = (
-        (server("a", born=5, sequence=3), False),
-        (server("a", born=5, sequence=7, leaving=True), True),
-        (server("a", born=5, sequence=6), True),
-        (server("a", born=5, sequence=8), True),
-        (server("a", born=4, sequence=90), True),
-        (server("a", born=6, sequence=1), False),
+        (server("a", started_ms=5, sequence=3), False),
+        (server("a", started_ms=5, sequence=7, leaving=True), True),
+        (server("a", started_ms=5, sequence=6), True),
+        (server("a", started_ms=5, sequence=8), True),
+        (server("a", started_ms=4, sequence=90), True),
+        (server("a", started_ms=6, sequence=1), False),
     )
     for record, leaving in listed:
         backends.apply(batch(("a", record)), False, 60.0)
         assert backends.find("a").server.leaving == leaving
-    assert backends.find("a").server.born == 6
+    assert backends.find("a").server.started_ms == 6
 
 
 def report(**fields):
@@ -496,7 +501,7 @@
 
 def test_server_without_layers_serves_nothing_despite_its_record():
     backends = new_fleet()
-    held = (types.Held("m", 1, 16),)
+    held = (types.HeldWeights("m", 1, 16),)
     backends.apply(batch(("a", server("a", held=held))), True, 60.0)
     backend = backends.find("a")
     assert backend.serves(1, 16)
@@ -565,13 +570,13 @@
 def test_events_are_complete_for_any_split_of_the_bytes():
     stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
     for cut in range(len(stream) + 1):
-        splitter = events.Splitter()
+        splitter = sse.Splitter()
         found = splitter.feed(stream[:cut]) + splitter.feed(stream[cut:])
-        assert b"".join(e.data for e in found) + splitter.rest == stream
+        assert b"".join(e.data for e in found) + splitter.remainder == stream
         assert [e.event_id for e in found][:2] == ["1", "2"]
 
 
 def test_incomplete_event_is_held_back():
-    splitter = events.Splitter()
+    splitter = sse.Splitter()
     assert splitter.feed(b"id: 1\ndata: a\n") == []
-    assert splitter.rest == b"id: 1\ndata: a\n"
+    assert splitter.remainder == b"id: 1\ndata: a\n"
--- a/tests/test_direct_follow.py
+++ b/tests/test_direct_follow.py
@@ -5,8 +5,8 @@
 import pytest
 
 from clementinegw import exceptions
-from clementinegw.direct import follow
 from clementinegw.direct import outage
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
@@ -21,10 +21,10 @@
         self.down = False
         self.wholes = 0
 
-    async def newest(self):
+    async def snapshot(self):
         self._check()
         self.wholes += 1
-        return follow.Batch(tuple(self.records[-1:]), len(self.records))
+        return topic_watch.Batch(tuple(self.records[-1:]), len(self.records))
 
     async def changes(self, offset, wait_s):
         loop = asyncio.get_running_loop()
@@ -35,11 +35,13 @@
         self._check()
         await asyncio.sleep(0.004)
         if offset < self.first:
-            raise follow.HistoryLost("gone")
-        return follow.Batch(tuple(self.records[offset:]), len(self.records))
+            raise topic_watch.HistoryLost("gone")
+        return topic_watch.Batch(
+            tuple(self.records[offset:]), len(self.records)
+        )
 
     def put(self, key):
-        self.records.append(follow.Record(key, key))
+        self.records.append(topic_watch.Record(key, key))
 
     def _check(self):
         if self.down:
@@ -47,7 +49,7 @@
 
 
 async def following(topic, pace, taken):
-    follower = follow.Follower(
+    follower = topic_watch.TopicWatcher(
         "t",
         topic,
         pace,
@@ -72,7 +74,7 @@
     async def play():
         topic = Topic()
         topic.put("a")
-        follower = await following(topic, follow.Pace(2.0, 0.0), [])
+        follower = await following(topic, topic_watch.PollTiming(2.0, 0.0), [])
         await asyncio.sleep(4.0 + news_at)
         topic.put("b")
         oldest = 0.0
@@ -88,14 +90,14 @@
 def test_the_age_grows_while_the_platform_is_away():
     async def play():
         topic = Topic()
-        follower = await following(topic, follow.Pace(2.0, 0.0), [])
+        follower = await following(topic, topic_watch.PollTiming(2.0, 0.0), [])
         await asyncio.sleep(3.0)
         topic.down = True
         await asyncio.sleep(5.0)
-        old, settled = follower.age_s, follower.settled_s
+        old, settled = follower.age_s, follower.available_s
         topic.down = False
         await asyncio.sleep(2.0)
-        young, again = follower.age_s, follower.settled_s
+        young, again = follower.age_s, follower.available_s
         await follower.stop()
         return old, settled, young, again
 
@@ -110,7 +112,9 @@
     async def play():
         topic, taken = Topic(), []
         topic.put("a")
-        follower = await following(topic, follow.Pace(0.5, 0.0), taken)
+        follower = await following(
+            topic, topic_watch.PollTiming(0.5, 0.0), taken
+        )
         await asyncio.sleep(1.2)
         topic.put("b")
         topic.put("c")
@@ -126,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "away_s"),
+    ("fault", "outage_s"),
     [
         ("broke at once", 0.3),
         ("hung", 3.5),
@@ -135,7 +139,7 @@
     ],
 )
 def test_a_connection_that_broke_is_told_from_a_platform_that_was_away(
-    fault, away_s
+    fault, outage_s
 ):
     """A removal was not believed for seconds after one connection broke.
 
@@ -153,17 +157,17 @@
 
     async def play():
         clock = asyncio.get_running_loop().time
-        watch = outage.Watch(clock)
-        watch.answered()
+        tracker = outage.OutageTracker(clock)
+        tracker.record_answer()
         asked_at = clock()
         await asyncio.sleep(lasts_s)
         if lost_history:
-            watch.answered()
+            tracker.record_answer()
         else:
-            watch.failed(asked_at, 2.0)
+            tracker.record_failure(asked_at, 2.0)
         await asyncio.sleep(0.3)
-        watch.answered()
-        assert watch.away_s == pytest.approx(away_s, abs=0.01)
+        tracker.record_answer()
+        assert tracker.outage_s == pytest.approx(outage_s, abs=0.01)
 
     clocks.run(play())
 
@@ -171,14 +175,14 @@
 def test_an_outage_that_ends_in_fits_is_one():
     async def play():
         clock = asyncio.get_running_loop().time
-        watch = outage.Watch(clock)
+        tracker = outage.OutageTracker(clock)
         for down in (True, False, True, False):
             if down:
-                watch.failed(clock(), 0.0)
+                tracker.record_failure(clock(), 0.0)
             else:
-                watch.answered()
+                tracker.record_answer()
             await asyncio.sleep(1.0)
-        assert watch.away_s == pytest.approx(3.0, abs=0.01)
+        assert tracker.outage_s == pytest.approx(3.0, abs=0.01)
 
     clocks.run(play())
 
@@ -194,20 +198,22 @@
     calls = []
 
     class Source:
-        async def newest(self):
+        async def snapshot(self):
             calls.append("newest")
             await asyncio.sleep(0.002)
-            return follow.Batch((), 5)
+            return topic_watch.Batch((), 5)
 
         async def changes(self, offset, wait_s):
             calls.append("changes")
             await asyncio.sleep(0.002)
             if fault == "history is lost":
-                raise follow.HistoryLost("gone")
-            return follow.Batch((), offset)
+                raise topic_watch.HistoryLost("gone")
+            return topic_watch.Batch((), offset)
 
     async def play():
-        follower = await following(Source(), follow.Pace(2.0, 0.0), [])
+        follower = await following(
+            Source(), topic_watch.PollTiming(2.0, 0.0), []
+        )
         await asyncio.sleep(10.0)
         await follower.stop()
 
@@ -224,17 +230,19 @@
     """
 
     class Reader:
-        async def newest(self):
-            return follow.Batch((), 0)
+        async def snapshot(self):
+            return topic_watch.Batch((), 0)
 
         async def changes(self, offset, wait_s):
             await asyncio.sleep(0.01)
-            record = follow.Record(str(offset), offset)
-            return follow.Batch((record,), offset + 1, paid=False)
+            record = topic_watch.Record(str(offset), offset)
+            return topic_watch.Batch((record,), offset + 1, billed=False)
 
     async def play():
         taken = []
-        follower = await following(Reader(), follow.Pace(2.0, 0.0), taken)
+        follower = await following(
+            Reader(), topic_watch.PollTiming(2.0, 0.0), taken
+        )
         await asyncio.sleep(1.0)
         await follower.stop()
         return len(taken)
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -14,7 +14,7 @@
 from clementinegw.direct import subscriptions
 from clementinegw.direct import subsetting
 from clementinegw.direct import types as direct_types
-from clementinegw.direct import versions
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
@@ -161,9 +161,9 @@
             reporter.datagram_received(codec.encode(asks), name)
         report = reports.Report("s1", 1, 0, 8, "m", 1, True)
         for _ in range(8):
-            reporter.tell(report)
+            reporter.send(report)
         calm = {name: len(told) for name, told in transport.sent.items()}
-        reporter.tell(reports.Report("s1", 1, 0, 8, "m", 2, True))
+        reporter.send(reports.Report("s1", 1, 0, 8, "m", 2, True))
         newest = [told[-1].version for told in transport.sent.values()]
         return calm, newest, (reporter.entries, reporter.followers)
 
@@ -243,7 +243,7 @@
         site = overload_site.Simulation(engines=60, entries=1, domains=DOMAINS)
         entry = site.entries[0]
         listener = RecordingListener()
-        known = versions.Versions(8.0, loop.time)
+        known = version_policy.VersionPolicy(8.0, loop.time)
         subscribed = subscriptions.Subscriptions(
             types.SimpleNamespace(
                 name="e",
@@ -264,7 +264,7 @@
         )
         subscribed.renew()
         unfollowed = next(b for b in entry.fleet.all() if not b.followed)
-        known.declare(direct_types.Declared("m", 2))
+        known.record_declared(direct_types.DeclaredVersion("m", 2))
         await asyncio.sleep(8.0)
         subscribed.refresh()
         before = unfollowed.followed
@@ -293,10 +293,10 @@
         for name, changes_only in (("b", False), ("a", True), ("c", False)):
             asks = ttypes.Subscribe(name, {}, False, changes_only)
             reporter.datagram_received(codec.encode(asks), name)
-        reporter.tell(reports.Report("s1", 1, 0, 8, "m", 1, True))
+        reporter.send(reports.Report("s1", 1, 0, 8, "m", 1, True))
         early = ranks(transport)
         await asyncio.sleep(2.5)
-        reporter.tell(reports.Report("s1", 1, 0, 8, "m", 2, True))
+        reporter.send(reports.Report("s1", 1, 0, 8, "m", 2, True))
         return early, ranks(transport)
 
     early, late = clocks.run(play())
@@ -307,6 +307,7 @@
 def ranks(transport):
     """Returns the ranks in the last report sent to each entry."""
     last = {
-        name: reports._report(told[-1]) for name, told in transport.sent.items()
+        name: reports._report_from_wire(told[-1])
+        for name, told in transport.sent.items()
     }
     return {name: (r.rank, r.follower_rank) for name, r in last.items()}
--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import backend as backends
 from clementinegw.direct import rate_limit
 from clementinegw.direct import reports
@@ -17,10 +17,10 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
 
-START = types.Start("s1", 7)
-NEXT_START = types.Start("s1", 8)
-NONE = types.AnswerFacts("a", True, False)
-LIMITED = types.AnswerFacts("a", True, False, limit_per_s=2.0)
+START = types.ServerStart("s1", 7)
+NEXT_START = types.ServerStart("s1", 8)
+NONE = types.AnswerMetadata("a", True, False)
+LIMITED = types.AnswerMetadata("a", True, False, limit_per_s=2.0)
 
 
 class Network:
@@ -46,9 +46,9 @@
     def tell(self, start=START):
         """Returns the limit in the report sent to each entry."""
         report = reports.Report(
-            start.server_id, 1, 0, 8, "m", 1, True, born=start.born
+            start.server_id, 1, 0, 8, "m", 1, True, started_ms=start.started_ms
         )
-        self.reporter.tell(report)
+        self.reporter.send(report)
         return {name: told[-1].limit for name, told in self.told.items()}
 
 
@@ -64,9 +64,10 @@
 
 
 def subscribe(listener, limit=None):
-    asking = reports.Asking(False, False, limit)
+    asking = reports.Subscription(False, False, limit)
     listener.subscribe(
-        {places.Address("10.0.0.1", 1): asking}, reports.Declared({}, {})
+        {shared_types.Address("10.0.0.1", 1): asking},
+        reports.DeclaredVersions({}, {}),
     )
 
 
--- a/tests/test_direct_server_leaving.py
+++ b/tests/test_direct_server_leaving.py
@@ -3,10 +3,10 @@
 import asyncio
 
 from adapter import headers
+from clementinegw.direct import client
 import platform_site as sites
 import pytest
 
-from clementinegw.direct import client
 
 LEAVING = "Server-Leaving: 1"
 # The platform's rule: no requests later than this after the answer, in seconds.
@@ -14,7 +14,7 @@
 
 
 def leaving(call):
-    call.answer(more=(LEAVING,))
+    call.answer(extra_headers=(LEAVING,))
 
 
 async def keep_asking(site, until_s):
@@ -36,7 +36,7 @@
             await keep_asking(site, 1.0)
             site.store.silent = True
             site.store.cut()
-            first.do = leaving
+            first.on_call = leaving
             began = asyncio.get_running_loop().time()
             await keep_asking(site, 0.5)
             statuses = await keep_asking(site, 2.5)
@@ -56,11 +56,13 @@
 
 
 def rejects(call):
-    call.answer(b"", 503, more=(LEAVING, "X-Clementinegw-Not-Executed: 1"))
+    call.answer(
+        b"", 503, extra_headers=(LEAVING, "X-Clementinegw-Not-Executed: 1")
+    )
 
 
 def fails(call):
-    call.answer(b"", 500, more=(LEAVING,))
+    call.answer(b"", 500, extra_headers=(LEAVING,))
 
 
 def streams(call):
@@ -90,7 +92,7 @@
     async def play():
         async with sites.Site("i-1", "i-2") as site:
             first = site.servers[0]
-            first.do = answer
+            first.on_call = answer
             while not first.calls:
                 await site.ask(path)
             return await calls_after(site, first)
@@ -105,13 +107,13 @@
     async def play():
         async with sites.Site("i-1", "i-2") as site:
             first = site.servers[0]
-            first.do = leaving
+            first.on_call = leaving
             while not first.calls:
                 await site.ask()
             if gone:
                 site.store.put("keyed.servers", first.name, None)
                 await asyncio.sleep(4.0)
-            entry = first.entry(sequence=9)
+            entry = first.record(sequence=9)
             site.store.put("keyed.servers", first.name, entry)
             await asyncio.sleep(1.5)
             return await calls_after(site, first)
@@ -123,14 +125,14 @@
     async def play():
         async with sites.Site("i-1") as site:
             (server,) = site.servers
-            entry = server.entry(born=1)
+            entry = server.record(born=1)
             site.store.put("keyed.servers", server.name, entry)
             await asyncio.sleep(1.5)
-            server.do = leaving
+            server.on_call = leaving
             await site.ask()
-            server.do = lambda call: call.answer()
+            server.on_call = lambda call: call.answer()
             left = (await site.ask()).status
-            entry = server.entry(born=2)
+            entry = server.record(born=2)
             site.store.put("keyed.servers", server.name, entry)
             await asyncio.sleep(1.5)
             return left, (await site.ask()).status
@@ -145,7 +147,7 @@
         async with sites.Site("i-1") as site:
             (server,) = site.servers
             held = []
-            server.do = held.append
+            server.on_call = held.append
             first = asyncio.ensure_future(site.ask("/once/1"))
             await asyncio.sleep(0.1)
             sites.slow_connections(monkeypatch, by_s=0.2)
@@ -170,6 +172,6 @@
 )
 def test_leaving_is_parsed_or_reported_as_malformed(value, expected, malformed):
     raw = () if value is None else ((b"server-leaving", value.encode()),)
-    facts = headers.Headers().answer_facts(client.Head(200, raw))
+    facts = headers.Headers().answer_metadata(client.Head(200, raw))
     assert facts.leaving == expected
     assert ("leaving" in facts.malformed) == malformed
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
@@ -22,19 +22,19 @@
 def new_fleet(*names):
     backends = fleet.Fleet(logs.Log(), lambda service: 64, random.Random(1))
     records = tuple(
-        follow.Record(
+        topic_watch.Record(
             name,
             types.Server(
                 server_id=name,
                 service="engine",
-                address=places.Address("127.0.0.1", 9),
+                address=shared_types.Address("127.0.0.1", 9),
                 failure_domain="d1",
                 slots=16,
             ),
         )
         for name in names
     )
-    backends.apply(follow.Batch(records, len(records)), True, 60.0)
+    backends.apply(topic_watch.Batch(records, len(records)), True, 60.0)
     return backends
 
 
@@ -45,7 +45,7 @@
 
 
 def chosen(backends, now):
-    place = places.Place("r", "d1")
+    place = shared_types.Place("r", "d1")
     chooser = balance.Balancer(
         backends, place, {}, random.Random(1), lambda: now
     )
@@ -123,7 +123,7 @@
             message = ttypes.Subscribe(f"e{number}", {}, number >= near)
             reporter.datagram_received(codec.encode(message), (number,))
         for _ in range(41):
-            reporter.tell(reports.Report("a", 1, 0, 16))
+            reporter.send(reports.Report("a", 1, 0, 16))
         # The first one is news to all.
         return len(transport.to) - near - far
 
@@ -135,17 +135,21 @@
     backends.find("resting").cooldown_until = 11.0
     now = [10.0]
     chooser = balance.Balancer(
-        backends, places.Place("r", "d1"), {}, random.Random(1), lambda: now[0]
+        backends,
+        shared_types.Place("r", "d1"),
+        {},
+        random.Random(1),
+        lambda: now[0],
     )
     assert chooser.choose(REQUIREMENTS) is backends.find("well")
-    found = chooser.choose(REQUIREMENTS, {types.Start("well")})
+    found = chooser.choose(REQUIREMENTS, {types.ServerStart("well")})
     assert found is backends.find("resting")
     chooser.record_sent(found)
-    assert chooser.choose(REQUIREMENTS, {types.Start("well")}) is None
+    assert chooser.choose(REQUIREMENTS, {types.ServerStart("well")}) is None
     now[0] = 10.3
-    assert chooser.choose(REQUIREMENTS, {types.Start("well")}) is found
+    assert chooser.choose(REQUIREMENTS, {types.ServerStart("well")}) is found
     waited_for = dataclasses.replace(REQUIREMENTS, allow_cooldown=False)
-    assert chooser.choose(waited_for, {types.Start("well")}) is None
+    assert chooser.choose(waited_for, {types.ServerStart("well")}) is None
     assert chooser.cooldown_ends_in_s(REQUIREMENTS) == 0.0
     backends.find("well").cooldown_until = 10.5
     assert chooser.cooldown_ends_in_s(REQUIREMENTS) == pytest.approx(0.2)
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -6,19 +6,19 @@
 
 import pytest
 
-from clementinegw import types as places
-from clementinegw.direct import backing
+from clementinegw import types as shared_types
+from clementinegw.direct import agent_interfaces
 from clementinegw.direct import balance
 from clementinegw.direct import channel
 from clementinegw.direct import client
 from clementinegw.direct import declarations
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
-from clementinegw.direct import keep
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
+from clementinegw.direct import updater
 from clementinegw.telemetry import counters
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
@@ -27,23 +27,23 @@
 from clementinegw.wire.gen.reports import ttypes
 
 HOST = "127.0.0.1"
-HELD = (types.Held("m", 2, 4),)
+HELD = (types.HeldWeights("m", 2, 4),)
 
 
 def server(born, **fields):
     values = {
         "service": "engine",
-        "address": places.Address(HOST, 9),
+        "address": shared_types.Address(HOST, 9),
         "failure_domain": "d1",
         "slots": 16,
         "sequence": 1,
     }
-    return types.Server(server_id="a", born=born, **{**values, **fields})
+    return types.Server(server_id="a", started_ms=born, **{**values, **fields})
 
 
 def listed(backends, *servers):
-    records = tuple(follow.Record(s.server_id, s) for s in servers)
-    backends.apply(follow.Batch(records, len(records)), False, 60.0)
+    records = tuple(topic_watch.Record(s.server_id, s) for s in servers)
+    backends.apply(topic_watch.Batch(records, len(records)), False, 60.0)
     return backends.find(servers[-1].server_id)
 
 
@@ -71,7 +71,7 @@
         follower_rank=1,
     )
     backend.apply_report(told, 10.0)
-    facts = types.AnswerFacts(
+    facts = types.AnswerMetadata(
         "a", True, False, limit_per_s=2.0, leaving=True, backoff_s=9.0
     )
     backend.signals.apply(facts, 9.0, 10.0)
@@ -109,7 +109,7 @@
     listed(backends, server(1)).apply_report(report(ready_in_s=told), 10.0)
     balancer = balance.Balancer(
         backends,
-        places.Place("r1", "d1"),
+        shared_types.Place("r1", "d1"),
         {},
         random.Random(1),
         lambda: asked_at,
@@ -146,7 +146,7 @@
     """
     backends = new_fleet()
     backend = listed(backends, server(2))
-    told = report(born=born, version=2, whole=True)
+    told = report(started_ms=born, version=2, whole=True)
     assert backends.match_report(told, "127.0.0.2") is None
     assert (backends.match_report(told, HOST) is backend) == taken
     assert backend.retired == over
@@ -168,11 +168,11 @@
         asks = codec.encode(ttypes.Subscribe("e", {}, False))
         reporter.datagram_received(asks, (HOST, 1))
         for born in (0, 1_780_000_000_123, 1_780_000_000_124):
-            reporter.tell(report(born=born))
+            reporter.send(report(started_ms=born))
 
     clocks.run(play())
     assert [told.server_id for told in heard] == ["a", "a", "a"]
-    assert [told.born for told in heard] == [
+    assert [told.started_ms for told in heard] == [
         0,
         1_780_000_000_123,
         1_780_000_000_124,
@@ -182,8 +182,8 @@
 def test_leaving_server_stays_leaving_after_a_report():
     backends = new_fleet()
     backend = listed(backends, server(2, leaving=True))
-    backends.match_report(report(born=2), HOST).apply_report(
-        report(born=2), 1.0
+    backends.match_report(report(started_ms=2), HOST).apply_report(
+        report(started_ms=2), 1.0
     )
     assert backend.server.leaving
     assert backend.retired
@@ -192,7 +192,7 @@
 def test_start_that_is_listed_again_is_still_leaving():
     backends = new_fleet()
     listed(backends, server(2, leaving=True, sequence=4))
-    gone = follow.Batch((follow.Record("a", None),), 1)
+    gone = topic_watch.Batch((topic_watch.Record("a", None),), 1)
     backends.apply(gone, False, 60.0)
     assert listed(backends, server(2, sequence=9)).retired
     assert not listed(backends, server(3, sequence=1)).retired
@@ -218,11 +218,13 @@
     class Request:
         method, target, host, body = "POST", "/a", "h", b"x"
 
-    known = suspects.Suspects()
+    tracker = suspects.SuspectTracker()
     for born in (1, 2):
-        assert not known.refused(Request, "c", 1.0)
-        known.crashed(Request, "c", types.Start("a", born).text, 1.0)
-    assert known.refused(Request, "c", 1.0)
+        assert not tracker.is_refused(Request, "c", 1.0)
+        tracker.record_crash(
+            Request, "c", types.ServerStart("a", born).text, 1.0
+        )
+    assert tracker.is_refused(Request, "c", 1.0)
 
 
 def test_connections_of_an_ended_start_are_closed():
@@ -251,12 +253,12 @@
         link = channel.Channel()
         link.connection_made(transport)
         connection = client.Connection(link)
-        connection.renew = lambda: None
+        connection.start_next_call = lambda: None
         assert connection.reusable
         pool._open = 1
         listed(backends, server(2))
-        pool.give_back(connection)
-        assert pool.open == 0
+        pool.release(connection)
+        assert pool.open_connections == 0
         assert transport.aborted
 
     clocks.run(play())
@@ -265,44 +267,47 @@
 # The agent.
 
 
-ADDRESS = places.Address(HOST, 9)
+ADDRESS = shared_types.Address(HOST, 9)
 
 
 def around(*servers, born=0):
     instance = instances.Instance(
         name="agent",
-        place=places.Place("r1", "d1"),
+        place=shared_types.Place("r1", "d1"),
         regions={"d1": "r1"},
         host=HOST,
         peer_ports=(0, 0),
-        store=ADDRESS,
-        callers=None,
-        ready=None,
-        backend=ADDRESS,
+        store_address=ADDRESS,
+        callers_address=None,
+        ready_address=None,
+        backend_address=ADDRESS,
         service="engine",
         link_bytes_per_s=1e6,
         bounds=instances.Bounds(),
     )
-    state = backing.State((), False, 0, 0, 0, 1.0, born)
+    state = agent_interfaces.ServerState((), False, 0, 0, 0, 1.0, born)
     found = {s.server_id: s for s in servers}
-    return keep.Around(instance, servers=found, state=state)
+    return updater.Context(instance, servers=found, state=state)
 
 
 def named(server_id, born):
-    return types.Server(server_id, "engine", ADDRESS, "d1", 16, born=born)
+    return types.Server(server_id, "engine", ADDRESS, "d1", 16, started_ms=born)
 
 
 @pytest.mark.parametrize(
     ("found", "start"),
     [
-        (around(), types.Start("")),
-        (around(born=4), types.Start("", 0)),
-        (around(named("a", 0)), types.Start("a")),
-        (around(named("a", 0), named("b", 0)), types.Start("b")),
-        (around(named("a", 4), named("b", 3)), types.Start("a", 4)),
-        (around(named("a", 3), named("b", 4), born=3), types.Start("a", 3)),
-        (around(named("a", 3), born=4), types.Start("a", 4)),
-        (around(named("a", 0), born=4), types.Start("a", 4)),
+        (around(), types.ServerStart("")),
+        (around(born=4), types.ServerStart("", 0)),
+        (around(named("a", 0)), types.ServerStart("a")),
+        (around(named("a", 0), named("b", 0)), types.ServerStart("b")),
+        (around(named("a", 4), named("b", 3)), types.ServerStart("a", 4)),
+        (
+            around(named("a", 3), named("b", 4), born=3),
+            types.ServerStart("a", 3),
+        ),
+        (around(named("a", 3), born=4), types.ServerStart("a", 4)),
+        (around(named("a", 0), born=4), types.ServerStart("a", 4)),
     ],
 )
 def test_agent_determines_the_current_start_of_its_server(found, start):
@@ -321,50 +326,54 @@
     had accepted an order, so the number of orders did not tell them excluded.
     """
 
-    class Beside:
+    class LocalServer:
         loads = 0
         born = 1
 
         async def state(self):
-            return backing.State((), False, 0, 0, 0, 1.0, self.born)
+            return agent_interfaces.ServerState(
+                (), False, 0, 0, 0, 1.0, self.born
+            )
 
-        async def load(self, model, version, sequence, cut):
+        async def load(self, model, version, sequence, abort_running):
             self.loads += 1
             return True
 
-    class Bringer:
-        digests = None
-        left = 0.0
+    class Fetcher:
+        manifest = None
+        missing_fraction = 0.0
 
-        def holds(self, digests):
+        def holds_all(self, manifest):
             return True
 
-        async def stage(self, beside, digests):
-            beside.born = 2
+        async def stage(self, local_server, manifest):
+            local_server.born = 2
             return True
 
     async def play():
         known = around(named("a", 1), born=1)
         known.engine = types.Engine(("m",), 16, 0.01, 0.0, 1e4, 6, 4, 1, 10)
-        known.beside = Beside()
+        known.local_server = LocalServer()
         declared = declarations.Declarations(
             8.0, 3.0, asyncio.get_running_loop().time
         )
-        weights = keep.Weights(
+        weights = updater.WeightsUpdater(
             known,
-            Bringer(),
+            Fetcher(),
             logs.Log(),
             counters.Counters(),
             histograms.Histograms(),
             declared,
         )
-        declared.read("m", 2, 0.0)
-        weights._digests[2] = backing.Digests("m", 2, 10, (b"d",))
+        declared.record("m", 2, 0.0)
+        weights._manifests[2] = agent_interfaces.VersionManifest(
+            "m", 2, 10, (b"d",)
+        )
         await asyncio.sleep(10.0)
         await weights.load_newest()
-        assert known.beside.loads == 0
-        known.state = await known.beside.state()
+        assert known.local_server.loads == 0
+        known.state = await known.local_server.state()
         await weights.load_newest()
-        assert known.beside.loads == 1
+        assert known.local_server.loads == 1
 
     clocks.run(play())
