--- a/tests/test_direct_server_leaving.py
+++ b/tests/test_direct_server_leaving.py
@@ -3,10 +3,10 @@
 import asyncio
 
 from adapter import headers
-from clementinegw.direct import client
 import platform_site as sites
 import pytest
 
+from clementinegw.direct import client
 
 LEAVING = "Server-Leaving: 1"
 # The platform's rule: no requests later than this after the answer, in seconds.
--- a/tests/test_direct_server_limit.py
+++ b/tests/test_direct_server_limit.py
@@ -4,13 +4,13 @@
 import statistics
 
 from adapter import headers
-from clementinegw.direct import client
-from clementinegw.direct import rate_limit
-from clementinegw.testing import clock as clocks
 import overload_site
 import platform_site as sites
 import pytest
 
+from clementinegw.direct import client
+from clementinegw.direct import rate_limit
+from clementinegw.testing import clock as clocks
 
 # The platform's rule: in any span of this length, in seconds, a server may get
 # 1.5 times the requests of its limit and five more.
