--- a/src/clementinegw/direct/admit.py
+++ b/src/clementinegw/direct/admit.py
@@ -50,7 +50,7 @@
 def match(
     config_view: ConfigView,
     request: servers.Request,
-    facts: types.RequestMetadata,
+    metadata: types.RequestMetadata,
 ) -> catalogs.RouteMatch | outcomes.Refusal:
     """Returns the route and customer of a request, or a refusal."""
     catalog = config_view.catalog
@@ -64,9 +64,9 @@
         if fresh:
             return outcomes.Refusal(404, Reason.NO_ROUTE)
         return unavailable(Reason.STALE_ROUTES, _RETRY_SOON_S)
-    if not catalog.keyed or (route.anonymous and not facts.key):
+    if not catalog.keyed or (route.anonymous and not metadata.key):
         return catalogs.RouteMatch(route, None)
-    customer = catalog.customer(facts.key)
+    customer = catalog.customer(metadata.key)
     if customer is None and route.anonymous:
         return catalogs.RouteMatch(route, None)
     if customer is None:
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -36,7 +36,7 @@
         log: logs.Log,
         max_connections: Callable[[str], int],
         rng: random.Random,
-        terms: outage.ListingTimes | None = None,
+        listing_times: outage.ListingTimes | None = None,
         *,
         entry: str = "",
         wall_clock: Callable[[], float] = time.time,
@@ -48,8 +48,8 @@
           log: Log for events.
           max_connections: Returns the connection limit of a service's servers.
           rng: Rounds shares of free slots randomly.
-          terms: How long servers are kept after they are no longer listed; None
-            for as long as an outage may need.
+          listing_times: How long servers are kept after they are no longer
+            listed; None for as long as an outage may need.
           entry: Name of this entry.
           wall_clock: Returns the time of day in seconds; entries share rate
             limits based on it.
@@ -63,7 +63,7 @@
             counters or counters_lib.Counters(),
         )
         self.listing_expiry = outage.ListingExpiry(
-            terms or outage.ListingTimes()
+            listing_times or outage.ListingTimes()
         )
         self._log = log
         self._rng = rng
--- a/src/clementinegw/direct/signals.py
+++ b/src/clementinegw/direct/signals.py
@@ -78,22 +78,22 @@
         return self._observed
 
     def apply(
-        self, facts: types.AnswerMetadata, sent_at: float, now: float
+        self, metadata: types.AnswerMetadata, sent_at: float, now: float
     ) -> None:
         """Applies the signals of an answer.
 
         Args:
-          facts: Facts from the answer's headers.
+          metadata: Metadata of the answer.
           sent_at: When the request was sent, in monotonic seconds.
           now: Monotonic seconds.
         """
-        self._log_malformed(facts.malformed)
-        if facts.leaving:
+        self._log_malformed(metadata.malformed)
+        if metadata.leaving:
             self._apply_leaving()
-        if facts.backoff_s:
-            self._apply_backoff(min(facts.backoff_s, _MAX_BACKOFF_S), now)
-        if "limit_per_s" not in facts.malformed:
-            self._apply_limit(facts.limit_per_s, sent_at, now)
+        if metadata.backoff_s:
+            self._apply_backoff(min(metadata.backoff_s, _MAX_BACKOFF_S), now)
+        if "limit_per_s" not in metadata.malformed:
+            self._apply_limit(metadata.limit_per_s, sent_at, now)
 
     def _apply_leaving(self) -> None:
         if self.leaving:
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -308,13 +308,13 @@
     async def _ask(self, caller, entry, left_s):
         """Sends a request; returns the retry delay, or None if not refused."""
         now = self._clock()
-        facts = types.RequestMetadata(
+        metadata = types.RequestMetadata(
             timeout_s=left_s, prompt_tokens=caller.prompt
         )
         route = _route(caller.kind)
         job = attempts.Job(
             builtin_types.SimpleNamespace(arrived_at=now),
-            facts,
+            metadata,
             catalog.RouteMatch(route, None),
             SERVICE,
             None,
@@ -349,10 +349,10 @@
                 backend.unread_tokens -= caller.prompt
                 job.first_event_at = self._clock()
                 entry.placer.record_first_event(job)
-                facts = types.AnswerMetadata(
+                metadata = types.AnswerMetadata(
                     "a", True, False, limit_per_s=self.limits.get(number)
                 )
-                backend.signals.apply(facts, sent_at, self._clock())
+                backend.signals.apply(metadata, sent_at, self._clock())
             else:
                 caller.gap_s = max(caller.gap_s, self.now - last[0])
             last[0] = self.now
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -120,7 +120,7 @@
 
 
 def test_following_a_subset_keeps_balance_and_answers_in_time():
-    """Guards against imbalance load and late answers due to subsetting.
+    """Guards against uneven load and late answers due to subsetting.
 
     The tolerance of 0.03, which users take for noise, applies to the mean of
     four seeds, as a single seed differs from the next by that much.
--- a/tests/test_direct_server_backoff.py
+++ b/tests/test_direct_server_backoff.py
@@ -196,9 +196,9 @@
     status, values, backoff_s, malformed
 ):
     raw = tuple((b"retry-after", value.encode()) for value in values)
-    facts = headers.Headers().answer_metadata(client.Head(status, raw))
-    assert facts.backoff_s == backoff_s
-    assert ("backoff_s" in facts.malformed) == malformed
+    metadata = headers.Headers().answer_metadata(client.Head(status, raw))
+    assert metadata.backoff_s == backoff_s
+    assert ("backoff_s" in metadata.malformed) == malformed
 
 
 def test_excessive_backoff_is_capped():
--- a/tests/test_direct_server_leaving.py
+++ b/tests/test_direct_server_leaving.py
@@ -172,6 +172,6 @@
 )
 def test_leaving_is_parsed_or_reported_as_malformed(value, expected, malformed):
     raw = () if value is None else ((b"server-leaving", value.encode()),)
-    facts = headers.Headers().answer_metadata(client.Head(200, raw))
-    assert facts.leaving == expected
-    assert ("leaving" in facts.malformed) == malformed
+    metadata = headers.Headers().answer_metadata(client.Head(200, raw))
+    assert metadata.leaving == expected
+    assert ("leaving" in metadata.malformed) == malformed
--- a/tests/test_direct_server_limit.py
+++ b/tests/test_direct_server_limit.py
@@ -216,9 +216,9 @@
 )
 def test_limits_are_parsed_or_reported_as_malformed(values, per_s, malformed):
     raw = tuple((b"server-limit", value.encode()) for value in values)
-    facts = headers.Headers().answer_metadata(client.Head(200, raw))
-    assert facts.limit_per_s == per_s
-    assert ("limit_per_s" in facts.malformed) == malformed
+    metadata = headers.Headers().answer_metadata(client.Head(200, raw))
+    assert metadata.limit_per_s == per_s
+    assert ("limit_per_s" in metadata.malformed) == malformed
 
 
 def test_malformed_limit_keeps_the_previous_one_in_force():
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -30,7 +30,7 @@
 HELD = (types.HeldWeights("m", 2, 4),)
 
 
-def server(born, **fields):
+def server(started_ms, **fields):
     values = {
         "service": "engine",
         "address": shared_types.Address(HOST, 9),
@@ -38,7 +38,9 @@
         "slots": 16,
         "sequence": 1,
     }
-    return types.Server(server_id="a", started_ms=born, **{**values, **fields})
+    return types.Server(
+        server_id="a", started_ms=started_ms, **{**values, **fields}
+    )
 
 
 def listed(backends, *servers):
@@ -71,10 +73,10 @@
         follower_rank=1,
     )
     backend.apply_report(told, 10.0)
-    facts = types.AnswerMetadata(
+    metadata = types.AnswerMetadata(
         "a", True, False, limit_per_s=2.0, leaving=True, backoff_s=9.0
     )
-    backend.signals.apply(facts, 9.0, 10.0)
+    backend.signals.apply(metadata, 9.0, 10.0)
     backend.begin_request()
     backend.unread_tokens += 700
     backend.record_unreachable(10.0)
@@ -135,10 +137,10 @@
 
 
 @pytest.mark.parametrize(
-    ("born", "taken", "over"),
+    ("started_ms", "taken", "over"),
     [(1, False, False), (2, True, False), (3, False, True), (0, True, False)],
 )
-def test_report_applies_to_its_own_start_only(born, taken, over):
+def test_report_applies_to_its_own_start_only(started_ms, taken, over):
     """Guards against requests to a restarted server without any layers.
 
     The last report of the previous start arrived late and said that all layers
@@ -146,7 +148,7 @@
     """
     backends = new_fleet()
     backend = listed(backends, server(2))
-    told = report(started_ms=born, version=2, whole=True)
+    told = report(started_ms=started_ms, version=2, whole=True)
     assert backends.match_report(told, "127.0.0.2") is None
     assert (backends.match_report(told, HOST) is backend) == taken
     assert backend.retired == over
@@ -155,8 +157,8 @@
 
 
 def test_report_carries_its_start():
-    heard = []
-    listener = reports.Listener("e", lambda host, told: heard.append(told))
+    received = []
+    listener = reports.Listener("e", lambda host, told: received.append(told))
 
     class Transport:
         def sendto(self, data, addr):
@@ -167,12 +169,12 @@
         reporter.connection_made(Transport())
         asks = codec.encode(ttypes.Subscribe("e", {}, False))
         reporter.datagram_received(asks, (HOST, 1))
-        for born in (0, 1_780_000_000_123, 1_780_000_000_124):
-            reporter.send(report(started_ms=born))
+        for started_ms in (0, 1_780_000_000_123, 1_780_000_000_124):
+            reporter.send(report(started_ms=started_ms))
 
     clocks.run(play())
-    assert [told.server_id for told in heard] == ["a", "a", "a"]
-    assert [told.started_ms for told in heard] == [
+    assert [told.server_id for told in received] == ["a", "a", "a"]
+    assert [told.started_ms for told in received] == [
         0,
         1_780_000_000_123,
         1_780_000_000_124,
@@ -219,10 +221,10 @@
         method, target, host, body = "POST", "/a", "h", b"x"
 
     tracker = suspects.SuspectTracker()
-    for born in (1, 2):
+    for started_ms in (1, 2):
         assert not tracker.is_refused(Request, "c", 1.0)
         tracker.record_crash(
-            Request, "c", types.ServerStart("a", born).text, 1.0
+            Request, "c", types.ServerStart("a", started_ms).text, 1.0
         )
     assert tracker.is_refused(Request, "c", 1.0)
 
@@ -270,7 +272,7 @@
 ADDRESS = shared_types.Address(HOST, 9)
 
 
-def around(*servers, born=0):
+def new_context(*servers, started_ms=0):
     instance = instances.Instance(
         name="agent",
         place=shared_types.Place("r1", "d1"),
@@ -285,29 +287,43 @@
         link_bytes_per_s=1e6,
         bounds=instances.Bounds(),
     )
-    state = agent_interfaces.ServerState((), False, 0, 0, 0, 1.0, born)
+    state = agent_interfaces.ServerState((), False, 0, 0, 0, 1.0, started_ms)
     found = {s.server_id: s for s in servers}
     return updater.Context(instance, servers=found, state=state)
 
 
-def named(server_id, born):
-    return types.Server(server_id, "engine", ADDRESS, "d1", 16, started_ms=born)
+def new_server(server_id, started_ms):
+    return types.Server(
+        server_id, "engine", ADDRESS, "d1", 16, started_ms=started_ms
+    )
 
 
 @pytest.mark.parametrize(
     ("found", "start"),
     [
-        (around(), types.ServerStart("")),
-        (around(born=4), types.ServerStart("", 0)),
-        (around(named("a", 0)), types.ServerStart("a")),
-        (around(named("a", 0), named("b", 0)), types.ServerStart("b")),
-        (around(named("a", 4), named("b", 3)), types.ServerStart("a", 4)),
+        (new_context(), types.ServerStart("")),
+        (new_context(started_ms=4), types.ServerStart("", 0)),
+        (new_context(new_server("a", 0)), types.ServerStart("a")),
+        (
+            new_context(new_server("a", 0), new_server("b", 0)),
+            types.ServerStart("b"),
+        ),
+        (
+            new_context(new_server("a", 4), new_server("b", 3)),
+            types.ServerStart("a", 4),
+        ),
         (
-            around(named("a", 3), named("b", 4), born=3),
+            new_context(new_server("a", 3), new_server("b", 4), started_ms=3),
             types.ServerStart("a", 3),
         ),
-        (around(named("a", 3), born=4), types.ServerStart("a", 4)),
-        (around(named("a", 0), born=4), types.ServerStart("a", 4)),
+        (
+            new_context(new_server("a", 3), started_ms=4),
+            types.ServerStart("a", 4),
+        ),
+        (
+            new_context(new_server("a", 0), started_ms=4),
+            types.ServerStart("a", 4),
+        ),
     ],
 )
 def test_agent_determines_the_current_start_of_its_server(found, start):
@@ -323,16 +339,16 @@
     """Guards against a load order sent to a start that it was not meant for.
 
     The server crashed while its agent compared the staged pieces. Neither start
-    had accepted an order, so the number of orders did not tell them excluded.
+    had accepted an order, so the number of orders did not distinguish them.
     """
 
     class LocalServer:
         loads = 0
-        born = 1
+        started_ms = 1
 
         async def state(self):
             return agent_interfaces.ServerState(
-                (), False, 0, 0, 0, 1.0, self.born
+                (), False, 0, 0, 0, 1.0, self.started_ms
             )
 
         async def load(self, model, version, sequence, abort_running):
@@ -347,11 +363,11 @@
             return True
 
         async def stage(self, local_server, manifest):
-            local_server.born = 2
+            local_server.started_ms = 2
             return True
 
     async def play():
-        known = around(named("a", 1), born=1)
+        known = new_context(new_server("a", 1), started_ms=1)
         known.engine = types.Engine(("m",), 16, 0.01, 0.0, 1e4, 6, 4, 1, 10)
         known.local_server = LocalServer()
         declared = declarations.Declarations(
