--- a/src/clementinegw/direct/balance.py
+++ b/src/clementinegw/direct/balance.py
@@ -123,24 +123,24 @@
           tried: Server starts that already received it.
         """
         now = self._clock()
-        fitting = self.candidates(requirements)
+        candidates = self.candidates(requirements)
         if tried:
-            fitting = [b for b in fitting if b.server.start not in tried]
+            candidates = [b for b in candidates if b.server.start not in tried]
         found = [
             backend
-            for backend in self._reachable(fitting, requirements, now)
+            for backend in self._reachable(candidates, requirements, now)
             if not backend.loading
             and backend.full_until <= now
             and backend.accepts(now)
             and not backend.pool.full
             and self.utilization(backend, now) < requirements.max_utilization
         ]
-        for better in self._preferences(requirements, now):
-            found = [b for b in found if better(b)] or found
+        for preferred in self._preferences(requirements, now):
+            found = [b for b in found if preferred(b)] or found
         # Checked after the preferences: a request waits for the next report
         # rather than go to a server that will soon interrupt it.
-        sharing = [b for b in found if b.has_share(now)]
-        return min(sharing, key=lambda b: self._score(b, now), default=None)
+        with_share = [b for b in found if b.has_share(now)]
+        return min(with_share, key=lambda b: self._score(b, now), default=None)
 
     def has_capacity(self, service: str) -> bool:
         """Returns whether this entry may use a slot of any server.
--- a/src/clementinegw/direct/budget.py
+++ b/src/clementinegw/direct/budget.py
@@ -50,9 +50,9 @@
     def try_acquire(self, now: float) -> bool:
         """Counts a retry if the budget allows it; returns whether it does."""
         self._expire(now)
-        earned = len(self._requests) * self.limits.ratio * _RATIO_SHARE
+        allowed = len(self._requests) * self.limits.ratio * _RATIO_SHARE
         slack = self.limits.slack * _SLACK_SHARE
-        limit = earned + slack / (self.entries or _ASSUMED_ENTRIES)
+        limit = allowed + slack / (self.entries or _ASSUMED_ENTRIES)
         if len(self._retries) + 1 > limit:
             return False
         self._retries.append(now)
--- a/src/clementinegw/direct/placement.py
+++ b/src/clementinegw/direct/placement.py
@@ -98,27 +98,31 @@
         self, job: attempts.Job
     ) -> queue.Reservation | outcomes.Refusal:
         """Returns a reservation of a server, or a refusal."""
-        arrived = job.request.arrived_at
-        time_s = job.deadline - arrived
+        arrived_at = job.request.arrived_at
+        timeout_s = job.deadline - arrived_at
         latest_start = self._latest_start(job)
         # A new request that can no longer be on time is refused right away: it
         # retries later and uses no capacity until then. A retried request waits
         # longer, since it would be lost if it were refused again.
-        give_up_at = max(arrived, latest_start)
+        give_up_at = max(arrived_at, latest_start)
         if job.spent_s or job.sends:
-            give_up_at = arrived + _RETRIED_WAIT_SHARE * time_s
+            give_up_at = arrived_at + _RETRIED_WAIT_SHARE * timeout_s
         if not self._balancer.candidates(self._requirements(job)):
             ready_in_s = self._balancer.ready_in_s(job.service)
-            if ready_in_s > _READY_WAIT_SHARE * time_s:
+            if ready_in_s > _READY_WAIT_SHARE * timeout_s:
                 return self._refuse_until_ready(
                     job, Reason.NO_SERVER, ready_in_s
                 )
             # If refused, the caller would retry before the server is ready and
             # be lost. A server that is nearly ready can still serve it, though
             # late.
-            give_up_at = self._clock() + ready_in_s + _READY_WAIT_SHARE * time_s
-            give_up_at = min(give_up_at, arrived + _MAX_WAIT_SHARE * time_s)
-        began = self._clock()
+            give_up_at = (
+                self._clock() + ready_in_s + _READY_WAIT_SHARE * timeout_s
+            )
+            give_up_at = min(
+                give_up_at, arrived_at + _MAX_WAIT_SHARE * timeout_s
+            )
+        queued_at = self._clock()
         reservation = await self._queue(job.service).reserve(
             lambda: self._requirements(job),
             frozenset(job.tried),
@@ -126,7 +130,7 @@
             give_up_at,
         )
         now = self._clock()
-        job.waited_s += now - began
+        job.waited_s += now - queued_at
         if reservation is None:
             if self._balancer.cooldown_ends_in_s(self._requirements(job)):
                 return self.refuse_unreachable(job)
@@ -225,16 +229,16 @@
         a request that spends its time on connection timeouts would have none
         left for a retry.
         """
-        time_s = job.deadline - job.request.arrived_at
-        return job.failed_connect_s < _RETRIED_WAIT_SHARE * time_s
+        timeout_s = job.deadline - job.request.arrived_at
+        return job.failed_connect_s < _RETRIED_WAIT_SHARE * timeout_s
 
     def _refuse_until_ready(
         self, job: attempts.Job, reason: Reason, ready_in_s: float
     ) -> outcomes.Refusal:
         """Returns a refusal that asks to retry when a server is ready."""
         left_s = max(0.001, job.deadline - self._clock())
-        most = self._draw_share(_RETRY_NOT_READY)
-        share = min(most, max(_RETRY_FULL[0], ready_in_s / left_s))
+        max_share = self._draw_share(_RETRY_NOT_READY)
+        share = min(max_share, max(_RETRY_FULL[0], ready_in_s / left_s))
         return self._refusal(job, reason, share)
 
     def _refusal(
@@ -288,13 +292,13 @@
         """Returns the current requirements of a request on its server."""
         now = self._versions.now
         model = self.model(job)
-        least = self._versions.required(model, now) or 0
+        min_version = self._versions.required(model, now) or 0
         if job.runs:
-            least = max(least, self._versions.stable(model, now))
+            min_version = max(min_version, self._versions.stable(model, now))
         return balance.Requirements(
             job.service,
             self.layers(job.service),
-            least,
+            min_version,
             self._versions.preferred(model, now),
         )
 
--- a/src/clementinegw/direct/queue.py
+++ b/src/clementinegw/direct/queue.py
@@ -269,10 +269,12 @@
             key = (base, late, tried)
             if key in unmet:
                 continue
-            most = (
+            max_utilization = (
                 self._late_limit.limit if late else self._policy.max_utilization
             )
-            requirements = dataclasses.replace(base, max_utilization=most)
+            requirements = dataclasses.replace(
+                base, max_utilization=max_utilization
+            )
             backend = self._balancer.choose(requirements, tried)
             if backend is not None:
                 return backend
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -73,18 +73,20 @@
     def renew(self) -> None:
         """Renews subscriptions that are due; called about once per second."""
         self._update_followed()
-        self._subscribed = self._agents()
+        self._subscribed = self._subscriptions_by_agent()
         self._rounds += 1
         suspicions = self._suspicions()
-        asked = {
-            agent: asking
-            for number, (agent, asking) in enumerate(self._subscribed.items())
+        due = {
+            agent: subscription
+            for number, (agent, subscription) in enumerate(
+                self._subscribed.items()
+            )
             # Suspicions are sent to all agents at once.
             if suspicions
-            or not asking.changes_only
+            or not subscription.changes_only
             or (number + self._rounds) % _CHANGES_ONLY_ROUNDS == 0
         }
-        self._listener.subscribe(asked, self._declared(), suspicions)
+        self._listener.subscribe(due, self._declared(), suspicions)
 
     def subscribe_changed(self) -> None:
         """Subscribes to agents whose subscription has changed, at once.
@@ -94,15 +96,15 @@
         of those took half of the slots.
         """
         self._update_followed()
-        agents = self._agents()
-        fresh = {
-            agent: asking
-            for agent, asking in agents.items()
-            if self._subscribed.get(agent) != asking
+        subscriptions = self._subscriptions_by_agent()
+        changed = {
+            agent: subscription
+            for agent, subscription in subscriptions.items()
+            if self._subscribed.get(agent) != subscription
         }
-        self._subscribed = agents
-        if fresh:
-            self._listener.subscribe(fresh, self._declared())
+        self._subscribed = subscriptions
+        if changed:
+            self._listener.subscribe(changed, self._declared())
 
     def refresh(self) -> None:
         """Renews subscriptions if the usable servers or rate limits changed."""
@@ -169,7 +171,9 @@
                 )
         return found
 
-    def _agents(self) -> dict[shared_types.Address, reports.Subscription]:
+    def _subscriptions_by_agent(
+        self,
+    ) -> dict[shared_types.Address, reports.Subscription]:
         """Returns the address of each agent and what it is asked for."""
         port = self._instance.peer_ports[0]
         self._relayed_limits = limits = self._observed_limits()
--- a/src/clementinegw/direct/subsetting.py
+++ b/src/clementinegw/direct/subsetting.py
@@ -56,8 +56,8 @@
     found = near + far[: max(_MIN_FAR, _MAX_NEAR - len(near))]
     chosen = {c.server_id for c in found}
     missing = _MIN_SERVING - sum(c.serves for c in found)
-    more = [c for c in ranked if c.serves and c.server_id not in chosen]
-    chosen.update(c.server_id for c in more[: max(0, missing)])
+    extra = [c for c in ranked if c.serves and c.server_id not in chosen]
+    chosen.update(c.server_id for c in extra[: max(0, missing)])
     return frozenset(chosen)
 
 
--- a/src/clementinegw/direct/timeouts.py
+++ b/src/clementinegw/direct/timeouts.py
@@ -32,7 +32,7 @@
         self._timeouts = timeouts
         self._clock = asyncio.get_running_loop().time
         self._timeout = asyncio.timeout(timeouts.head_s)
-        self._begun_at = 0.0
+        self._body_started_at = 0.0
 
     async def __aenter__(self) -> "Watchdog":
         await self._timeout.__aenter__()
@@ -43,7 +43,7 @@
 
     def head_received(self) -> None:
         """Records that the head of the answer was received."""
-        self._begun_at = self._clock()
+        self._body_started_at = self._clock()
         self.body_progress(0)
 
     def body_progress(self, size: int) -> None:
@@ -51,4 +51,6 @@
         timeouts = self._timeouts
         idle_at = self._clock() + timeouts.idle_s
         allowed_s = timeouts.idle_s + size / timeouts.min_bytes_per_s
-        self._timeout.reschedule(min(idle_at, self._begun_at + allowed_s))
+        self._timeout.reschedule(
+            min(idle_at, self._body_started_at + allowed_s)
+        )
