--- a/src/clementinegw/direct/freshness.py
+++ b/src/clementinegw/direct/freshness.py
@@ -1,26 +1,26 @@
-"""What an answer about a topic proves, and how old its records may be."""
+"""Computes how fresh an answer is, and how long its records lay unread."""
 
 import dataclasses
 import math
 
-# The part of a wait that counts as served by the platform's clock; the two
-# clocks need not agree to the last percent.
+# The share of a wait that is credited to an empty answer. The wait is measured
+# by the platform's clock, which may run slightly faster than the local one.
 _CREDITED_WAIT_SHARE = 0.95
-# An answer that took longer had waited for its records, in seconds.
+# An answer that took more than this, in seconds, was held until a record came.
 _IMMEDIATE_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Freshness:
-    """What a source that reads for several says of an answer's age.
+    """How fresh an answer is, as told by a source that several processes share.
 
     Attributes:
-      current_at: Up to when it proves that nothing else is new, in boot
+      current_at: The latest time at which the copy is known to have been
+        current, in boot seconds.
+      lag_s: The maximum time the records lay unread in the store, in seconds.
+      available_s: How long the platform has answered without a failure, in
         seconds.
-      lag_s: How long its records may have lain unread, in seconds.
-      available_s: How long the platform has answered without failure, in
-        seconds.
-      outage_s: How long it had given no answer before that, in seconds.
+      outage_s: The length of the outage before that, in seconds.
     """
 
     current_at: float
@@ -30,15 +30,16 @@
 
 
 def current_at(asked_at: float, now: float, wait_s: float) -> float:
-    """Returns up to when an answer proves that nothing else is new.
+    """Returns the latest time at which an answer shows the copy was current.
 
-    An answer without records was kept back for the whole wait, so it speaks of
-    the end of that wait and not of its beginning.
+    An empty answer was held for the whole wait, so it confirms the state at the
+    end of the wait and not at its beginning.
 
     Args:
-      asked_at: When the question was asked, in seconds.
-      now: When its answer was there.
-      wait_s: For how long it may have been kept back; 0 for one with records.
+      asked_at: When the call was sent, in seconds.
+      now: When its answer arrived, in seconds.
+      wait_s: How long the answer may have been held, in seconds; 0 if it has
+        records.
     """
     return asked_at + min(now - asked_at, wait_s) * _CREDITED_WAIT_SHARE
 
@@ -46,21 +47,23 @@
 def lag_s(
     asked_at: float, now: float, wait_s: float, last_complete: float | None
 ) -> float:
-    """Returns how long the records of an answer may have lain unread.
+    """Returns the maximum time the records of an answer lay unread.
 
-    An answer that waited brings what was added just then. One that came at
-    once may bring what was added since the last answer: long ago, where a
-    connection had gone silent meanwhile. A question that the platform could
-    not keep waiting never waited, however slow its answer was.
+    A held answer brings records that were added just then. An immediate one may
+    bring anything added since the last answer, which may be long ago if a
+    connection had gone silent in between. An answer that could not be held
+    counts as immediate, however long it took.
 
     Args:
-      asked_at: When the question was asked, in seconds.
-      now: When its answer was there.
-      wait_s: For how long it may have been kept back; 0 for a whole reading.
-      last_complete: Up to when all was known before; None at the first reading.
+      asked_at: When the call was sent, in seconds.
+      now: When its answer arrived, in seconds.
+      wait_s: How long the answer may have been held, in seconds; 0 for a
+        snapshot.
+      last_complete: The time up to which all records had been read before, in
+        seconds; None for the first answer.
 
     Returns:
-      Seconds; infinite at the first reading.
+      The time in seconds; infinite for the first answer.
     """
     if last_complete is None:
         return math.inf
@@ -72,16 +75,17 @@
 def complete_until(
     asked_at: float, now: float, wait_s: float, has_records: bool
 ) -> float:
-    """Returns up to when an answer brings all that was added.
+    """Returns the estimated time up to which an answer includes all records.
 
-    Unlike a proof it leans to no side: the earliest guess of all processes
-    counts, and one that is early by a second would cost all of them as much of
-    a version's time.
+    Unlike `current_at` this is not a lower bound. Of the estimates of when a
+    version was declared, the earliest one of all processes counts, and one that
+    is a second too early would cost all of them a second of the time that they
+    have for the version.
 
     Args:
-      asked_at: When the question was asked, in seconds.
-      now: When its answer was there.
-      wait_s: For how long it may have been kept back.
-      has_records: Whether it brought any.
+      asked_at: When the call was sent, in seconds.
+      now: When its answer arrived, in seconds.
+      wait_s: How long the answer may have been held, in seconds.
+      has_records: Whether the answer has records.
     """
     return now if has_records else min(now, asked_at + wait_s)
--- a/src/clementinegw/direct/topic_watch.py
+++ b/src/clementinegw/direct/topic_watch.py
@@ -1,8 +1,8 @@
-"""Follows the platform's records and knows how old that knowledge is.
+"""Watches topics of the platform's store and tracks how fresh the copy is.
 
-One follower a topic: it reads the newest record of each key once, then only
-what is added. What it knows has an age: the time since the question was asked
-whose answer last proved it right.
+There is one watcher per topic. It reads a snapshot, which is the newest record
+of each key, and then only changes. The age of its copy is the time since the
+last moment at which an answer showed that the copy was current.
 """
 
 import asyncio
@@ -20,20 +20,20 @@
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
-# The first pause after a failed call and the longest one, in seconds. Short
-# beside the two seconds in which a change must be in force.
+# Backoff after failed calls, in seconds: short compared with the two seconds
+# within which a change must take effect.
 _MIN_BACKOFF_S = 0.1
 _MAX_BACKOFF_S = 0.8
-# Answers in a row that bring nothing and come at once, though the platform may
-# wait, or say that history is lost. So many are usual: a whole reading, a proof
-# behind news. More would be asked for as quickly as the platform answers.
+# Consecutive answers that are immediate and empty or report lost history, after
+# which calls back off. A few are normal, such as a snapshot and the immediate
+# poll after a change; without a limit the watcher would poll in a busy loop.
 _MAX_EMPTY_ANSWERS = 4
-# An answer that came sooner did not wait, in seconds.
+# An answer that took less than this, in seconds, was not held by the platform.
 _IMMEDIATE_S = 0.05
 
 
 class HistoryLost(exceptions.PlatformError):
-    """The records that were asked for are deleted; read the newest anew."""
+    """The requested records are deleted; a new snapshot must be read."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
     Attributes:
       key: The key, such as a server's id.
-      value: A decoded record of `direct.types`; None when the key is gone.
+      value: A decoded record of `direct.types`; None if the key is deleted.
     """
 
     key: str
@@ -51,13 +51,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Batch:
-    """What one call returned.
+    """The result of one call to a source.
 
     Attributes:
-      records: In the order of the log.
-      next_offset: The offset to go on from.
-      freshness: Its age; None when the time of the call says it.
-      billed: Whether the call is paid for, so that the next one should wait.
+      records: The records in log order.
+      next_offset: The offset at which the next call starts.
+      freshness: How fresh the answer is; None if it follows from the time of
+        the call.
+      billed: Whether the platform charges for the call, so that the next one
+        should be delayed.
     """
 
     records: tuple[Record, ...]
@@ -67,30 +69,30 @@
 
 
 class Source(Protocol):
-    """One topic of the platform's store."""
+    """A topic of the platform's store with decoded records."""
 
     async def snapshot(self) -> Batch:
         """Returns the newest record of each key.
 
         Raises:
-          exceptions.PlatformError: No whole answer came.
+          exceptions.PlatformError: No complete answer arrived.
         """
 
     async def changes(self, offset: int, wait_s: float) -> Batch:
-        """Returns what was added from an offset on.
+        """Returns the records that were added since an offset.
 
         Args:
-          offset: Where to begin.
-          wait_s: How long the platform may wait for a first record.
+          offset: The first offset to read.
+          wait_s: How long the platform may wait for a first record, in seconds.
 
         Raises:
-          HistoryLost: Those records are deleted.
-          exceptions.PlatformError: No whole answer came.
+          HistoryLost: The records at this offset are deleted.
+          exceptions.PlatformError: No complete answer arrived.
         """
 
 
 class Platform(Protocol):
-    """The topics that every process follows."""
+    """The topics that every process watches."""
 
     def operators(self) -> Source:
         """Returns the operators' declarations."""
@@ -100,22 +102,22 @@
 
 
 def boot_time() -> float:
-    """Returns seconds that also count while the machine is suspended.
+    """Returns seconds since boot, including time while suspended.
 
-    The steady clock stands still then; keys that were taken away meanwhile
-    would look fresh to a process that wakes.
+    The monotonic clock stops during suspension. With it, a process that resumes
+    would treat keys that were revoked in the meantime as recently confirmed.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollTiming:
-    """How a topic is read.
+    """How a topic is polled.
 
     Attributes:
-      wait_s: How long the platform may hold an answer, in seconds.
-      pause_s: The pause after an answer with records, in seconds. Changes
-        come in bursts, and each answer is paid for.
+      wait_s: How long the platform may hold a poll, in seconds.
+      pause_s: The pause after an answer with records, in seconds. Changes come
+        in bursts, and the platform charges for each answer.
     """
 
     wait_s: float
@@ -123,7 +125,7 @@
 
 
 class TopicWatcher(mode.Service):
-    """Keeps up with one topic."""
+    """Polls one topic and passes its records on."""
 
     def __init__(
         self,
@@ -135,17 +137,17 @@
         counters: counters_lib.Counters,
         clock: Callable[[], float] = boot_time,
     ):
-        """Does nothing before `start`.
+        """Makes no calls before `start`.
 
         Args:
           name: The topic's name in logs and counters.
-          source: Reads it.
-          timing: How often.
-          on_batch: Takes each batch, and whether it is a whole reading: keys
-            that a whole reading leaves out are gone.
-          log: Where events go.
+          source: Reads the topic.
+          timing: How the topic is polled.
+          on_batch: Called with each batch and whether it is a snapshot. Keys
+            that are missing from a snapshot are deleted.
+          log: Receives events.
           counters: Counts calls and failures.
-          clock: Seconds that also count while the machine is suspended.
+          clock: Returns seconds, including time while suspended.
         """
         super().__init__()
         self._name = name
@@ -168,34 +170,34 @@
 
     @property
     def has_snapshot(self) -> bool:
-        """Whether a whole reading has come."""
+        """Whether a snapshot has been read."""
         return self._current_at is not None
 
     @property
     def age_s(self) -> float:
-        """How old the knowledge may be, in seconds; infinite before any."""
+        """The maximum age of the copy in seconds; infinite before any."""
         if self._current_at is None:
             return float("inf")
         return self._clock() - self._current_at
 
     @property
     def lag_s(self) -> float:
-        """How long the records of the last batch may have lain, in seconds.
+        """The maximum time the last batch lay unread in the store, in seconds.
 
-        Infinite for the first reading of all.
+        Infinite for the first batch.
         """
         return self._lag_s
 
     @property
     def available_s(self) -> float:
-        """How long the platform has answered without failure, in seconds."""
+        """How long the platform has answered without a failure, in seconds."""
         if self._failing_since is not None:
             return 0.0
         return self._clock() - self._available_since
 
     @property
     def outage_s(self) -> float:
-        """How long the last outage lasted, where the source tells; seconds."""
+        """The length of the last outage in seconds, if the source tells it."""
         return self._outage_s
 
     @mode.Service.task
@@ -205,7 +207,7 @@
         while not self.should_stop:
             asked_at = self._clock()
             try:
-                has_news = await self._read()
+                has_billed_records = await self._read()
             except HistoryLost:
                 self._counters.add(f"platform.{self._name}.history_lost")
                 self._log.write(_events.HISTORY_LOST, topic=self._name)
@@ -218,7 +220,7 @@
                 at_once = self._clock() - asked_at < _IMMEDIATE_S
                 is_empty = at_once and not self._had_records
                 empty_answers = empty_answers + 1 if is_empty else 0
-                if has_news or not self._timing.wait_s:
+                if has_billed_records or not self._timing.wait_s:
                     await asyncio.sleep(self._timing.pause_s)
             if empty_answers < _MAX_EMPTY_ANSWERS:
                 pause_s = _MIN_BACKOFF_S
@@ -227,7 +229,7 @@
             pause_s = min(2 * pause_s, _MAX_BACKOFF_S)
 
     async def _read(self) -> bool:
-        """Makes one call; returns whether there was anything new."""
+        """Polls once and returns whether a billed answer had records."""
         asked_at = self._clock()
         is_snapshot = self._offset is None
         self._counters.add(f"platform.{self._name}.calls")
@@ -243,9 +245,10 @@
         )
         self._lag_s = freshness.lag_s
         self._on_success(freshness)
-        # An answer that waited and then brought news proves the time of its
-        # question only. Asked again at once, the knowledge is as young as it
-        # can be; else every change made the process look cut off for a while.
+        # An answer that was held and then had records only shows that the copy
+        # was current when the poll was sent. An immediate second poll brings
+        # the age down; without it, the process would look cut off for a while
+        # after every change.
         self._poll_at_once = bool(batch.records) and not self._timing.pause_s
         if is_snapshot or batch.records:
             self._on_batch(batch, is_snapshot)
@@ -288,13 +291,13 @@
 
     def _on_failure(self, error: exceptions.ClementineError) -> None:
         self._counters.add(f"platform.{self._name}.failed")
-        # The first answer after an outage must not wait for news: until it
-        # comes the process refuses what it could serve.
+        # The first poll after an outage must not be held: until it is answered,
+        # the process rejects requests that it could serve.
         self._poll_at_once = True
         now = self._clock()
         since = now if self._failing_since is None else self._failing_since
-        # Another reason may tell what the first one does not, as a reader that
-        # is gone before a store that is silent.
+        # A later failure with another reason is logged too. The first one may
+        # only say that a reader is gone, the next one that the store is silent.
         reason = getattr(error, "reason", "")
         if self._failing_since is None or reason != self._failure_reason:
             self._log.write(
@@ -309,14 +312,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollTimings:
-    """How the topics of a platform are read."""
+    """How the topics of a platform are polled."""
 
     operators: PollTiming
     servers: PollTiming
 
 
 class TopicWatchers:
-    """Keeps up with all topics of a platform."""
+    """Holds one watcher for each topic of a platform."""
 
     def __init__(
         self,
@@ -328,16 +331,17 @@
         counters: counters_lib.Counters,
         clock: Callable[[], float] = boot_time,
     ):
-        """Does nothing before its followers start.
+        """Creates the watchers; the caller starts them.
 
         Args:
-          platform: Has the topics.
-          timings: How often each is read.
-          on_operators: Takes what operators declared; see `TopicWatcher`.
-          on_servers: Takes changes of the list of servers.
-          log: Where events go.
+          platform: Provides the topics.
+          timings: How each topic is polled.
+          on_operators: Called with the operators' declarations, as `on_batch`
+            of `TopicWatcher`.
+          on_servers: Called with changes of the list of servers, likewise.
+          log: Receives events.
           counters: Counts calls and failures.
-          clock: Seconds that also count while the machine is suspended.
+          clock: Returns seconds, including time while suspended.
         """
         self.operators = TopicWatcher(
             "operators",
