--- a/src/clementinegw/direct/compacted_log.py
+++ b/src/clementinegw/direct/compacted_log.py
@@ -1,26 +1,28 @@
-"""The newest value of each key of a topic, so that others may be brought up."""
+"""Keeps the newest value of each key of a topic to bring peers up to date."""
 
 import dataclasses
 
 from clementinegw.direct import raw
 from clementinegw.direct import topic_watch
 
-# Keys that are deleted and still told to those who are behind. Each is some ten
-# bytes; whoever is further behind takes everything anew.
+# The maximum number of deleted keys that are kept for peers that are behind.
+# Each takes about ten bytes. A peer that is further behind needs a snapshot.
 _MAX_TOMBSTONES = 2_048
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _LoggedItem:
+    """An item and the time in seconds after which it was added."""
+
     item: raw.Item
     added_after: float
 
 
 class CompactedLog:
-    """Keeps up with a topic's changes; knows nothing of who reads them."""
+    """A copy of a topic that keeps only the newest item of each key."""
 
     def __init__(self) -> None:
-        # In the order of the log: a key that changes moves to the end.
+        # In log order: a key that changes moves to the end.
         self._log: dict[str, _LoggedItem] = {}
         self._tombstones = 0
         self._first_offset = 0
@@ -28,11 +30,16 @@
 
     @property
     def next_offset(self) -> int | None:
-        """The offset to go on from; None before a whole reading."""
+        """The offset at which the next call starts; None before a snapshot."""
         return self._next_offset
 
     def replace(self, batch: raw.Batch, now: float) -> None:
-        """Takes a whole reading; keys that it leaves out are gone."""
+        """Replaces the copy by a snapshot.
+
+        Args:
+          batch: The snapshot.
+          now: The time in seconds.
+        """
         self._log = {
             item.key: _LoggedItem(item, now)
             for item in batch.items
@@ -42,11 +49,11 @@
         self._first_offset = self._next_offset = batch.next_offset
 
     def add(self, batch: raw.Batch, added_after: float) -> None:
-        """Takes changes.
+        """Applies changes.
 
         Args:
           batch: The changes.
-          added_after: The time in seconds before which none of them was added.
+          added_after: The time before which none of them was added, in seconds.
         """
         for item in batch.items:
             previous = self._log.pop(item.key, None)
@@ -58,16 +65,16 @@
             self._drop_tombstones()
 
     def all(self) -> tuple[raw.Item, ...]:
-        """Returns the newest value of each key that is there."""
+        """Returns the newest item of each key that is not deleted."""
         return tuple(
             logged.item for logged in self._log.values() if logged.item.value
         )
 
     def since(self, offset: int) -> tuple[raw.Item, ...]:
-        """Returns the newest value of each key that changed from an offset on.
+        """Returns the newest item of each key that changed since an offset.
 
         Raises:
-          topic_watch.HistoryLost: It is not known any more which ones did.
+          topic_watch.HistoryLost: Not all changes since the offset are known.
         """
         if offset < self._first_offset:
             raise topic_watch.HistoryLost("too far behind")
@@ -76,9 +83,10 @@
         )
 
     def added_after(self, offset: int) -> float:
-        """Returns a time before which nothing from an offset on was added.
+        """Returns a time before which no item since an offset was added.
 
-        In seconds; infinite when nothing was added.
+        Returns:
+          The time in seconds; infinite if nothing was added.
         """
         return min(
             (logged.added_after for logged in self._changed_since(offset)),
@@ -86,7 +94,7 @@
         )
 
     def _changed_since(self, offset: int) -> list[_LoggedItem]:
-        """Returns what changed from an offset on, the newest first."""
+        """Returns the items that changed since an offset, the newest first."""
         changed = []
         for logged in reversed(self._log.values()):
             if logged.item.offset < offset:
--- a/src/clementinegw/direct/outage.py
+++ b/src/clementinegw/direct/outage.py
@@ -1,37 +1,37 @@
-"""How long the platform gave no answer: what its list is worth after that."""
+"""Measures outages of the platform and detects listings that they expired."""
 
 from collections.abc import Callable
 import dataclasses
 import math
 
-# What a server that vanished during an outage of the platform is believed to
-# be missing after, counted from the platform's return: listings that ran out
-# meanwhile are back by then. Seconds.
+# How long after the platform's return a server that vanished from the list
+# during the outage is kept, in seconds. Listings that expired in the meantime
+# are back by then.
 _RELIST_S = 2.2
-# The part of the time to drain that this may take. The rest is for a return
-# that was noticed late, for the pause between two readings, and for a
-# connection that comes up slowly.
+# The share of the drain time that this may take. The rest covers a return that
+# is noticed late, the pause between two polls, and a slow connection setup.
 _RELIST_SHARE = 0.9
-# Where so large a part of the list is gone after the platform was away, the
-# listings ran out; a few that are gone have left, and got requests for seconds
-# after a cut of this machine alone.
+# If at least this share of the list is missing after an outage, the listings
+# expired. Fewer missing servers have left: after only this machine had lost its
+# connection, they used to be sent requests for seconds.
 _MASS_EXPIRY_SHARE = 0.5
-# A call that failed this much after its wait was over had hung, in seconds: a
-# platform that is there answers within half of that when it is slow.
+# A call that fails this long after the end of its wait had hung, in seconds. An
+# available platform answers within half of this even when it is slow.
 _HANG_S = 0.4
-# A failure so soon after an answer belongs to the outage before it, in
-# seconds: an outage may end in fits.
+# A failure within this time after an answer belongs to the outage before it, in
+# seconds, because an outage may end with some calls answered and others not.
 _SAME_OUTAGE_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListingTimes:
-    """How long a server that the platform no longer lists is believed in.
+    """The times that bound how long an unlisted server is kept.
 
     Attributes:
-      drain_s: A server that leaves gets its last request within this, in
-        seconds.
-      renewal_s: How often servers renew their listings, about, in seconds.
+      drain_s: The time within which a leaving server must get its last request,
+        in seconds.
+      renewal_s: The approximate interval at which servers renew their listings,
+        in seconds.
     """
 
     drain_s: float = math.inf
@@ -39,12 +39,12 @@
 
     @property
     def relist_s(self) -> float:
-        """How long after the platform's return a listing may be missing."""
+        """How long listings may be missing after an outage, in seconds."""
         return min(_RELIST_S, _RELIST_SHARE * self.drain_s)
 
 
 class ListingExpiry:
-    """Tells listings that ran out in an outage from servers that left."""
+    """Tells listings that expired in an outage from servers that left."""
 
     def __init__(self, times: ListingTimes):
         self.times = times
@@ -57,21 +57,21 @@
         remaining_s: float,
         outage_s: float,
     ) -> bool:
-        """Returns whether servers are still to be believed in.
+        """Returns whether the missing servers should still be used.
 
         Args:
           missing: The ids that are no longer listed.
-          listed: All ids that were.
-          remaining_s: How long listings may still be missing after an outage.
-          outage_s: How long the platform gave no answer.
+          listed: All ids that were listed before.
+          remaining_s: How long listings may still be missing after the outage,
+            in seconds.
+          outage_s: How long the platform gave no answer, in seconds.
         """
         if remaining_s <= 0.0:
             self._missing.clear()
             return False
-        # A listing outlives more than one interval without news. What was
-        # missing after a shorter silence, of one connection perhaps, was taken
-        # out by its server; held all the same, it got requests after its last
-        # time.
+        # A listing lasts for more than one renewal interval. If it is missing
+        # after a shorter outage, perhaps of one connection, the server removed
+        # it itself, and would be sent requests after its drain time if kept.
         if outage_s < self.times.renewal_s:
             return False
         self._missing |= missing & listed
@@ -81,19 +81,19 @@
 
 
 class OutageTracker:
-    """Knows how long the platform gave no answer.
+    """Measures how long the platform gave no answer.
 
-    A connection that breaks and an answer that is lost look alike to who asks,
-    and neither tells an outage of the platform from a fault of one connection.
-    The time without any answer does: a listing that ran out for want of its
-    server's news takes longer than one such interval.
+    A caller cannot distinguish a broken connection from a lost answer, and
+    neither shows whether the platform or only one connection failed. The time
+    without any answer does: a listing expires only after more than one renewal
+    interval.
     """
 
     def __init__(self, clock: Callable[[], float]):
-        """Has seen no outage.
+        """Starts without an outage.
 
         Args:
-          clock: Seconds that also count while the machine is suspended.
+          clock: Returns seconds, including time while suspended.
         """
         self._clock = clock
         self._outage_since: float | None = None
@@ -103,15 +103,15 @@
 
     @property
     def outage_s(self) -> float:
-        """How long the last outage may have lasted, in seconds."""
+        """The maximum length of the last outage, in seconds."""
         return self._outage_s
 
     def record_failure(self, asked_at: float, wait_s: float) -> None:
-        """Notes a call without an answer.
+        """Records a call that got no answer.
 
         Args:
-          asked_at: When it was made, in seconds.
-          wait_s: How long the platform might have waited, in seconds.
+          asked_at: When the call was sent, in seconds.
+          wait_s: How long the platform may have held the answer, in seconds.
         """
         if self._outage_since is not None:
             return
@@ -126,7 +126,7 @@
         self._outage_began_at = self._outage_since
 
     def record_answer(self) -> None:
-        """Notes an answer, also one that says that history is lost."""
+        """Records an answer, including one that reports lost history."""
         if self._outage_since is None:
             return
         now = self._clock()
--- a/src/clementinegw/direct/raw.py
+++ b/src/clementinegw/direct/raw.py
@@ -1,4 +1,4 @@
-"""Topics of the platform's store as bytes, before anything is decoded."""
+"""Interfaces to topics of the platform's store before records are decoded."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -14,9 +14,9 @@
 
     Attributes:
       key: The key.
-      value: As the store keeps it; empty when the key is gone.
-      offset: Where it stands in the log. Items of a whole reading have the
-        offset before its end.
+      value: The bytes in the store; empty if the key is deleted.
+      offset: The offset in the log. Items of a snapshot have the offset before
+        `next_offset` of the snapshot.
     """
 
     key: str
@@ -26,13 +26,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Batch:
-    """What one call returned.
+    """The result of one call to the store.
 
     Attributes:
-      items: In the order of the log.
-      next_offset: The offset to go on from.
-      has_more: Whether more was there than one answer holds. Then it proves
-        nothing of what it leaves out.
+      items: The items in log order.
+      next_offset: The offset at which the next call starts.
+      has_more: Whether the log has more items than fit into one answer. The
+        answer then does not show that the copy is current.
     """
 
     items: tuple[Item, ...]
@@ -41,46 +41,46 @@
 
 
 class Topic(Protocol):
-    """One topic of the platform's store."""
+    """A topic of the platform's store."""
 
     async def snapshot(self) -> Batch:
         """Returns the newest value of each key.
 
         Raises:
-          exceptions.PlatformError: No whole answer came.
+          exceptions.PlatformError: No complete answer arrived.
         """
 
     async def changes(self, offset: int, wait_s: float) -> Batch:
-        """Returns what was added from an offset on.
+        """Returns the items that were added since an offset.
 
         Args:
-          offset: Where to begin.
+          offset: The first offset to read.
           wait_s: How long the platform may wait for a first record, in seconds.
 
         Raises:
-          topic_watch.HistoryLost: Those records are deleted.
-          exceptions.PlatformError: No whole answer came.
+          topic_watch.HistoryLost: The records at this offset are deleted.
+          exceptions.PlatformError: No complete answer arrived.
         """
 
     def decoded(self, items: Iterable[Item]) -> tuple[topic_watch.Record, ...]:
-        """Returns the records that can be read."""
+        """Returns the records of all items that can be decoded."""
 
 
 class ReaderGroup(Protocol):
-    """Who reads the store for the processes of a failure domain."""
+    """The processes that read the store for their failure domain."""
 
     async def join(self) -> int:
-        """Offers this process as a reader, or keeps it one.
+        """Registers this process as a reader or renews its registration.
 
         Returns:
-          A number that grows with each change among the readers.
+          The generation of the group, which grows whenever its readers change.
 
         Raises:
           exceptions.PlatformError: The platform did not answer.
         """
 
     async def candidates(self) -> tuple[types.Address, ...]:
-        """Returns where readers listen; the first one should read.
+        """Returns the addresses of the readers, the preferred one first.
 
         Raises:
           exceptions.PlatformError: The platform did not answer.
@@ -88,7 +88,7 @@
 
 
 class Platform(Protocol):
-    """The topics that every process follows, and who reads them."""
+    """The topics that every process watches, and the group that reads them."""
 
     def operators(self) -> Topic:
         """Returns the operators' declarations."""
@@ -97,9 +97,9 @@
         """Returns the list of backend servers."""
 
     def reader_group(self, own_address: types.Address | None) -> ReaderGroup:
-        """Returns the readers of this process's failure domain.
+        """Returns the reader group of this process's failure domain.
 
         Args:
-          own_address: Where this process answers others; None when it only
-            asks.
+          own_address: Where this process answers its peers; None if it only
+            queries them.
         """
