--- a/src/clementinegw/direct/hedged_call.py
+++ b/src/clementinegw/direct/hedged_call.py
@@ -1,8 +1,8 @@
-"""Asks several for the same: one first, and more while it is overdue.
+"""Makes the same call to several targets, one more whenever an answer is late.
 
-Whoever waits for one reader to fail before it asks the next one waits for the
-whole patience of each: three readers that the store turned away silently took
-longer than a change may take to be in force.
+A caller that asks the next reader only after one has failed waits for the
+timeout of each. With three readers that the store had silently cut off, this
+took longer than a change may take to be in force.
 """
 
 import asyncio
@@ -15,20 +15,22 @@
 
 _Target = TypeVar("_Target")
 _Answer = TypeVar("_Answer")
-# By how much a timer may seem to end early, in seconds.
+# How much earlier than requested a timer may seem to end, in seconds.
 _TIMER_TOLERANCE_S = 0.001
-# For how long bytes of a large answer speak for its coming, in seconds.
+# How long no further target is called after bytes of a large answer arrived, in
+# seconds.
 _POSTPONE_S = 0.4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HedgeTiming:
-    """When more are asked.
+    """When further targets are called.
 
     Attributes:
-      overdue_s: After which time without an answer the first one is overdue,
-        in seconds; infinite where the next one is asked only behind a failure.
-      interval_s: The time after which each further one is asked, in seconds.
+      overdue_s: The time without an answer after which the first target is
+        overdue, in seconds; infinite if the next one is called only after a
+        failure.
+      interval_s: The time between calls to further targets, in seconds.
     """
 
     overdue_s: float
@@ -37,13 +39,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result(Generic[_Target, _Answer]):
-    """The first answer.
+    """The first answer to a hedged call.
 
     Attributes:
-      target: Who gave it.
-      answer: What it is.
-      overdue: Who had not answered though it was overdue.
-      error: The last failure before it, if any.
+      target: The target that answered.
+      answer: The answer.
+      overdue: The targets that were overdue without an answer.
+      error: The last failure before the answer, if any.
     """
 
     target: _Target
@@ -53,18 +55,19 @@
 
 
 class HedgedCall(Generic[_Target, _Answer]):
-    """One question to several, until the first answer."""
+    """One call that is made to several targets until the first answer."""
 
     def __init__(
         self,
         ask: Callable[[_Target], Awaitable[_Answer]],
         final: type[exceptions.PlatformError],
     ):
-        """Asks nobody yet.
+        """Makes no calls before `run`.
 
         Args:
-          ask: Asks one; it is cancelled once another one has answered.
-          final: A failure that ends the race, as others would fail likewise.
+          ask: Calls one target; it is cancelled once another one has answered.
+          final: A failure that ends the call, as it would be the same at every
+            target.
         """
         self._ask = ask
         self._final = final
@@ -76,7 +79,7 @@
         self._error: exceptions.PlatformError | None = None
 
     def switch_to(self, target: _Target) -> None:
-        """Asks one, and nobody else any more."""
+        """Calls only this target, unless a call to it is in progress."""
         if target in self._running.values():
             return
         self._cancel_all()
@@ -85,7 +88,7 @@
         self._changed.set()
 
     def postpone(self) -> None:
-        """Says that an answer is coming: for a while nobody else is asked."""
+        """Delays calls to further targets because an answer is arriving."""
         self._postponed_until = asyncio.get_running_loop().time() + _POSTPONE_S
 
     async def run(
@@ -94,11 +97,12 @@
         """Returns the first answer.
 
         Args:
-          order: Whom to ask, the first one first.
-          timing: When the next ones are asked.
+          order: The targets in the order in which they are called.
+          timing: When further targets are called.
 
         Raises:
-          exceptions.PlatformError: All failed; the last failure.
+          exceptions.PlatformError: All targets failed; this is the last
+            failure, or one of the type `final`.
         """
         self._pending = list(order)
         loop = asyncio.get_running_loop()
@@ -135,10 +139,10 @@
         self._running[asyncio.ensure_future(self._ask(target))] = target
 
     async def _wait(self, timeout_s: float) -> bool:
-        """Waits for an answer, a failure or a change of who is asked.
+        """Waits for an answer, a failure or a change of the targets.
 
         Returns:
-          Whether nothing of that came within the time.
+          Whether the time ran out before any of these.
         """
         self._changed.clear()
         changed = asyncio.ensure_future(self._changed.wait())
@@ -153,7 +157,7 @@
         return not done
 
     def _cancel_all(self) -> None:
-        """Cancels all questions under way."""
+        """Cancels all calls in progress."""
         for running in self._running:
             running.cancel()
             running.add_done_callback(_consume_exception)
@@ -162,10 +166,11 @@
     def _first_answer(
         self, overdue_before: float
     ) -> Result[_Target, _Answer] | None:
-        """Returns the first answer that is there; keeps failures.
+        """Returns the first answer that has arrived and stores failures.
 
         Args:
-          overdue_before: Who was asked no later than this is overdue.
+          overdue_before: Targets that were called no later than this time, in
+            seconds, are overdue.
         """
         for running in [r for r in self._running if r.done()]:
             target = self._running.pop(running)
@@ -181,7 +186,7 @@
         return None
 
     def _overdue(self, since: float) -> tuple[_Target, ...]:
-        """Returns who was asked before a time and has not answered."""
+        """Returns the targets called before a time that have not answered."""
         return tuple(
             target
             for target in self._running.values()
@@ -190,6 +195,6 @@
 
 
 def _consume_exception(running: asyncio.Future) -> None:
-    """Takes note of a failure behind the first answer; it is of no use."""
+    """Retrieves a failure of a cancelled call, which asyncio would log."""
     if not running.cancelled():
         running.exception()
--- a/src/clementinegw/direct/peer_queries.py
+++ b/src/clementinegw/direct/peer_queries.py
@@ -1,4 +1,4 @@
-"""What one process asks another about a topic, and the answer."""
+"""Queries about topics between the processes of a failure domain."""
 
 from collections.abc import Callable
 import dataclasses
@@ -8,27 +8,28 @@
 from clementinegw import types
 from clementinegw.direct import raw
 
-# What a receiver may take beyond the wait of a question for proofs, in
-# seconds: the asker's knowledge grows old meanwhile.
+# How long a peer may be silent after the wait of a query, in seconds. It is
+# shorter for a query for freshness, as the copy of the asking process ages
+# meanwhile.
 _FRESHNESS_GRACE_S = 0.5
-# And of another question.
 _GRACE_S = 1.5
 
 
 class Unable(exceptions.PlatformUnavailable):
-    """The process that was asked cannot answer."""
+    """A queried process cannot answer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Query:
-    """What one process asks another one.
+    """A query of one process to another one, which may hold it.
 
     Attributes:
       topic: The topic's name.
-      offset: Where the asker is; None when it knows nothing yet.
-      freshness_id: The newest proof of the receiver that the asker has;
-        None when it asks for news only.
-      wait_s: For how long the receiver may wait for something to say.
+      offset: The first offset to return; None to get a snapshot.
+      freshness_id: The newest `freshness_id` that the receiver told before, so
+        that it also answers when its copy is fresher; None to get an answer
+        without changes only at the end of the wait.
+      wait_s: How long the receiver may hold the query, in seconds.
     """
 
     topic: str
@@ -38,7 +39,7 @@
 
     @property
     def grace_s(self) -> float:
-        """How long the receiver may say nothing beyond the wait."""
+        """How long the receiver may be silent after the wait, in seconds."""
         if self.freshness_id is None or self.offset is None:
             return _GRACE_S
         return _FRESHNESS_GRACE_S
@@ -46,20 +47,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Update:
-    """The answer.
+    """The answer to a query.
 
     Attributes:
-      items: The newest value of each key that changed; of all keys when the
-        query had no offset.
-      next_offset: The offset to go on from.
-      freshness_id: The number of the proof that nothing else is new.
-      age_s: How old that proof is at the moment of the answer.
-      held_s: How long the question was held.
-      lag_s: How long the oldest of the items may have lain in the store; None
-        when that is not known.
-      available_s: How long the store has answered without failure.
-      outage_s: How long it had given no answer before that.
-      readers: Who reads for the failure domain.
+      items: The newest item of each key that changed; of all keys if the query
+        had no offset.
+      next_offset: The offset at which the next query starts.
+      freshness_id: A number of the sender that grows whenever its copy of the
+        topic is shown to be current at a later time.
+      age_s: The age of the sender's copy when it answered, in seconds.
+      held_s: How long the query was held, in seconds.
+      lag_s: The maximum time the items lay unread in the store, in seconds;
+        None if it is not known.
+      available_s: How long the store has answered without a failure, in
+        seconds.
+      outage_s: The length of the outage before that, in seconds.
+      readers: The reader candidates of the failure domain.
     """
 
     items: tuple[raw.Item, ...]
@@ -74,7 +77,7 @@
 
 
 class Peers(Protocol):
-    """Other processes."""
+    """The other processes of a failure domain."""
 
     async def ask(
         self,
@@ -82,14 +85,15 @@
         query: Query,
         on_progress: Callable[[], None],
     ) -> Update:
-        """Asks one.
+        """Sends a query to a process and returns the answer.
 
         Args:
-          reader: Whom.
-          query: What.
-          on_progress: Is told from time to time that a large answer is coming.
+          reader: The address of the process.
+          query: The query.
+          on_progress: Called repeatedly while a large answer is arriving.
 
         Raises:
-          topic_watch.HistoryLost: It no longer knows what the asker lacks.
-          exceptions.PlatformUnavailable: It cannot answer, or did not.
+          topic_watch.HistoryLost: The process does not know all changes since
+            the offset.
+          exceptions.PlatformUnavailable: The process cannot answer or did not.
         """
