--- a/src/clementinegw/direct/reader_directory.py
+++ b/src/clementinegw/direct/reader_directory.py
@@ -1,4 +1,4 @@
-"""Keeps up with who reads the store for a failure domain."""
+"""Tracks which processes read the store for their failure domain."""
 
 import asyncio
 
@@ -11,21 +11,24 @@
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
-# A reader that has gone is on the list for at most three of these, in seconds.
+# The interval at which a reader renews its registration, in seconds. A reader
+# that is gone stays listed for at most three intervals.
 _JOIN_INTERVAL_S = 2.0
-# Nobody waits longer than this for a list of readers; then the store is read
-# by whoever needs it, in seconds.
+# How long a process that starts waits for the list of readers, in seconds. It
+# then reads the store itself.
 _READY_TIMEOUT_S = 1.5
-# A process that only asks looks again so soon while nobody reads, as at a
-# start of all, and then less and less often; each look is paid for. Seconds.
+# How soon a process that is no reader itself fetches an empty list again, in
+# seconds. The list is empty when all processes start at once. The delay is
+# doubled up to the maximum, as the platform charges for each call.
 _MIN_RETRY_S = 0.3
 _MAX_RETRY_S = 5.0
-# And so seldom once a reader has failed, in seconds.
+# The minimum time between two fetches of a list that is not empty, in seconds.
+# It is fetched again only after a reader has failed.
 _MIN_POLL_INTERVAL_S = 2.0
 
 
 class ReaderDirectory(mode.Service):
-    """Offers this process as a reader, and knows the others."""
+    """Registers this process as a reader and keeps the list of all readers."""
 
     def __init__(
         self,
@@ -35,14 +38,14 @@
         log: logs.Log,
         counters: counters_lib.Counters,
     ):
-        """Does nothing before `start`.
+        """Makes no calls before `start`.
 
         Args:
-          reader_group: The platform's list.
-          joins: Whether others may ask this process.
-          selector: Is told of the readers.
-          log: Where events go.
-          counters: Counts failures.
+          reader_group: The platform's list of readers.
+          joins: Whether this process is a reader that others may query.
+          selector: Receives the list.
+          log: Receives events.
+          counters: Counts calls and failures.
         """
         super().__init__()
         self._reader_group = reader_group
@@ -56,7 +59,7 @@
         self._stale = asyncio.Event()
 
     async def wait_ready(self) -> None:
-        """Returns once there was a look at the list, or it takes too long."""
+        """Returns once the list has been fetched, or after a timeout."""
         try:
             async with asyncio.timeout(_READY_TIMEOUT_S):
                 await self._ready.wait()
@@ -64,11 +67,11 @@
             self._counters.add("readers.late")
 
     def mark_stale(self) -> None:
-        """Says that a reader failed, so the list may be old."""
+        """Requests a new list because a reader has failed."""
         self._stale.set()
 
     def set_candidates(self, candidates: tuple) -> None:
-        """Takes the list that another process knows."""
+        """Takes the list from another process, unless this one is a reader."""
         if not self._joins and candidates:
             self._apply(candidates)
 
--- a/src/clementinegw/direct/reader_selector.py
+++ b/src/clementinegw/direct/reader_selector.py
@@ -1,61 +1,65 @@
-"""Chooses whom to ask about topics: another process, or the store."""
+"""Selects where topics are read from: other processes or the store."""
 
 from collections.abc import Callable
 
 from clementinegw import types
 
-# None stands for the store.
+# The address of a reader process; None for the store.
 Reader = types.Address | None
 
-# How many other processes are asked before the store: for everything few, since
-# each that is down takes up to half a second; for changes more, since they are
-# asked side by side and one of them may hold what the store takes long to send.
+# How many peers are queried before the store is read. For a snapshot it is few,
+# since each peer that is down costs up to half a second. For changes it is
+# more, since peers are queried in parallel and one of them may already have
+# what the store takes long to send.
 _MAX_PEERS_FOR_SNAPSHOT = 3
 _MAX_PEERS_FOR_CHANGES = 7
-# How long a reader that failed is not asked, in seconds: doubled with each
-# failure up to the longest.
+# How long a reader is not queried after a failure, in seconds. It is doubled
+# with each further failure up to the maximum.
 _MIN_BACKOFF_S = 2.0
 _MAX_BACKOFF_S = 16.0
-# After a loss of power of all, the readers of before come up within a second of
-# each other. So long, in seconds, a process that starts asks them again and
-# again before it reads the store itself; and each after this pause.
+# After a power loss of a whole failure domain, the previous readers start
+# within a second of each other. For this long after its own start, in seconds,
+# a process keeps querying them, each after this backoff, before it reads the
+# store itself.
 _STARTUP_S = 1.2
 _STARTUP_BACKOFF_S = 0.15
-# While nobody reaches the store, so many of the first readers go on trying it;
-# the peers ask these, and try it themselves only this often, in seconds: all
-# of them would read what has changed at the same moment, over one link, when it
-# returns. One that it turns away alone finds out so that it is back.
+# While no process reaches the store, this many of the first readers keep trying
+# it. The others query these and try the store themselves only at this interval,
+# in seconds. Otherwise all of them would read the changes over one link at the
+# same time when the store returns. The interval also lets a process that alone
+# had lost the store find out that it is back.
 _MAX_PROBERS = 2
 _PROBE_INTERVAL_S = 4.0
 
 
 class ReaderSelector:
-    """Who is asked next, by what the readers have done so far."""
+    """Orders the readers to query by their rank and their recent failures."""
 
     def __init__(self, clock: Callable[[], float]):
-        """Begins with the store alone; `own_address` is set once it is known.
+        """Starts with the store as the only reader.
 
         Args:
-          clock: Steady seconds.
+          clock: Returns monotonic seconds.
         """
-        # Where this process answers peers; None when it only asks.
+        # Where this process answers its peers, once it is known; None if it
+        # only queries them.
         self.own_address: types.Address | None = None
         self._clock = clock
         self._startup_until = clock() + _STARTUP_S
         self._candidates: tuple[types.Address, ...] = ()
         self._backoff_until: dict[Reader, float] = {}
         self._failures: dict[Reader, int] = {}
-        # Readers that gave no answer at all when they were asked last.
+        # Readers that gave no answer at all to the last query.
         self._unreachable: set[Reader] = set()
-        self._probe_at = 0.0
+        self._next_probe_at = 0.0
 
     @property
     def candidates(self) -> tuple[types.Address, ...]:
-        """Who may read for the failure domain, the first one first."""
+        """The readers of the failure domain, the preferred one first."""
         return self._candidates
 
     def set_candidates(self, candidates: tuple[types.Address, ...]) -> bool:
-        """Takes the newest candidates; returns whether they changed."""
+        """Sets the candidates and returns whether they changed."""
         if candidates == self._candidates:
             return False
         self._candidates = candidates
@@ -65,15 +69,16 @@
         return True
 
     def order(self, serving: bool, is_snapshot: bool = True) -> list[Reader]:
-        """Returns whom to ask, one after the other.
+        """Returns the readers to query, in order.
 
         Args:
-          serving: Whether peers ask this process: it then reads the store
-            itself, so that nobody waits for somebody who waits for him.
-          is_snapshot: Whether everything is asked for, not changes.
+          serving: Whether peers query this process. It then prefers the store,
+            so that processes do not wait for each other in a cycle.
+          is_snapshot: Whether a snapshot is needed and not changes.
 
         Returns:
-          Nobody when this process has just started, and so may the readers.
+          The readers; none if this process has just started and the other
+          readers may still be starting.
         """
         now = self._clock()
         ranked = self._ranked(
@@ -94,22 +99,22 @@
     def _order_after_failures(
         self, ranked: list[Reader], now: float
     ) -> list[Reader]:
-        """Returns whom to ask where all have failed just now."""
+        """Returns whom to query when all readers have failed recently."""
         reachable = [
             r for r in ranked if r is not None and r not in self._unreachable
         ]
         peers = reachable[:_MAX_PROBERS]
         rank = self._rank()
-        if rank >= _MAX_PROBERS and peers and now < self._probe_at:
+        if rank >= _MAX_PROBERS and peers and now < self._next_probe_at:
             return [*peers]
-        self._probe_at = now + _PROBE_INTERVAL_S
+        self._next_probe_at = now + _PROBE_INTERVAL_S
         return [None, *peers]
 
     def _rank(self) -> int:
-        """Returns where this process stands among the readers that live.
+        """Returns the rank of this process among the reachable readers.
 
-        Dead ones may be listed for as long as the store is away. Counted, they
-        would leave nobody to find out that it is back.
+        Dead readers may be listed for as long as the store is unavailable. If
+        they counted, no process might be left to find out that it is back.
         """
         reachable = [r for r in self._candidates if r not in self._unreachable]
         if self.own_address is None or self.own_address not in reachable:
@@ -117,16 +122,16 @@
         return reachable.index(self.own_address)
 
     def is_backed_off(self, reader: Reader) -> bool:
-        """Whether a reader failed just now."""
+        """Returns whether a reader is in backoff after a failure."""
         return self._backoff_until.get(reader, 0.0) > self._clock()
 
     def record_failure(self, reader: Reader, unreachable: bool = False) -> None:
-        """Puts a reader aside for a while.
+        """Starts or extends the backoff of a reader.
 
         Args:
           reader: The reader.
-          unreachable: Whether it gave no answer at all; one that says that the
-            store is out of reach for it lives.
+          unreachable: Whether it gave no answer at all. A reader that answers
+            that it cannot reach the store is alive.
         """
         if unreachable:
             self._unreachable.add(reader)
@@ -141,12 +146,13 @@
         self._backoff_until[reader] = self._clock() + backoff_s
 
     def record_success(self, reader: Reader) -> None:
-        """Forgets a reader's failures."""
+        """Clears the failures and the backoff of a reader."""
         self._failures.pop(reader, None)
         self._unreachable.discard(reader)
         self._backoff_until.pop(reader, None)
 
     def _ranked(self, max_peers: int) -> list[Reader]:
+        """Returns the first candidates in order, with the store for itself."""
         ranked: list[Reader] = []
         for candidate in self._candidates:
             if candidate == self.own_address:
