--- a/src/clementinegw/direct/relay.py
+++ b/src/clementinegw/direct/relay.py
@@ -1,4 +1,4 @@
-"""Topics between the processes of a failure domain, over their connections."""
+"""Shares topics between the processes of a failure domain over connections."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,36 +22,39 @@
 from clementinegw.wire import connection as connections
 from clementinegw.wire.gen.topics import ttypes
 
-# The processes of one platform stand in its own network; the key only keeps a
-# stray connection of something else out.
+# The processes of a platform run in its own network. The key only keeps out
+# accidental connections from other software.
 _KEY = b"clementinegw readers of one platform"
-# A frozen reader is noticed, and the next one asked, before an entry's
-# knowledge is so old that it takes no new callers: after 2.75 s.
+# After this time without a frame, in seconds, a connection is closed. A frozen
+# reader is thus replaced before an entry's copy reaches the age of 2.75 s, at
+# which the entry accepts no new callers.
 _SILENCE_TIMEOUT_S = 2.1
-# Nor may it take more than this part of the time in which a server that leaves
-# gets its last request: who asks is in touch with the platform and bound.
+# The timeout is at most this share of the time within which a leaving server
+# gets its last request. A process that queries a reader is in touch with the
+# platform, so this bound applies to it.
 _SILENCE_TIMEOUT_SHARE = 0.5
 _PINGS_PER_TIMEOUT = 3
 _CONNECT_TIMEOUT_S = 0.5
-# Larger answers are packed; smaller ones do not fill a packet.
+# Larger answers are compressed; smaller ones fit into one packet anyway.
 _MAX_UNCOMPRESSED_BYTES = 1_024
 _COMPRESSION_LEVEL = 1
 _MAX_DECOMPRESSED_BYTES = 32 << 20
-# Whether a large answer is coming is looked at this often, in seconds; signs of
-# life alone come at a tenth of this rate.
+# The interval at which incoming bytes are checked, in seconds, and the rate
+# above which a large answer is arriving. Keep-alive frames alone reach a tenth
+# of this rate.
 _PROGRESS_INTERVAL_S = 0.25
 _MIN_PROGRESS_BYTES_PER_S = 4_096
-# Keys of other writers may be no text; their bytes come back as they were.
+# Keys of other writers may not be valid text; this preserves their bytes.
 _KEY_ERRORS = "surrogateescape"
-# Packed answers that are kept: of the two topics, for those who are one or two
-# changes behind.
+# How many compressed answers are cached: those of both topics for peers that
+# are one or two changes behind.
 _MAX_CACHED_ANSWERS = 6
-# The topic with the keys and routes, whose age entries answer by.
+# The topic with keys and routes. What entries may answer depends on its age.
 _OPERATORS = "operators"
 
 
 class Relay(mode.Service):
-    """The topics of a platform, read once for a failure domain."""
+    """Reads a platform's topics once for a failure domain and shares them."""
 
     def __init__(
         self,
@@ -63,17 +66,17 @@
         counters: counters_lib.Counters,
         clock: Callable[[], float] = topic_watch.boot_time,
     ):
-        """Does nothing before `start`.
+        """Makes no calls before `start`.
 
         Args:
-          instance: What the process knows of itself.
-          role: An entry answers others; an agent, whose link is narrow, only
-            asks.
-          platform: Has the topics.
-          timings: How often each is read.
-          log: Where events go.
-          counters: Counts questions by where they went and how they ended.
-          clock: Seconds that also count while the machine is suspended.
+          instance: The configuration of this process.
+          role: An entry answers its peers; an agent, whose link is narrow, only
+            queries them.
+          platform: Provides the topics.
+          timings: How each topic is polled.
+          log: Receives events.
+          counters: Counts queries by target and result.
+          clock: Returns seconds, including time while suspended.
         """
         super().__init__()
         self._instance = instance
@@ -106,13 +109,13 @@
                 self,
                 self._selector,
                 timing,
-                # Nothing that an entry does hangs on the age of the list.
+                # The age of the list of servers has no effect on entries.
                 self._serves_peers and name == _OPERATORS,
                 log,
                 counters,
                 clock,
                 drain_s,
-                hedged=self._serves_peers,
+                hedges=self._serves_peers,
             )
             for name, (topic, timing) in topics.items()
         }
@@ -126,7 +129,7 @@
         return self._topics["servers"]
 
     async def on_start(self) -> None:
-        """Listens for those who ask, and begins to look for readers."""
+        """Listens for queries of peers and fetches the list of readers."""
         address = None
         if self._serves_peers:
             port = self._instance.peer_ports[0]
@@ -145,10 +148,10 @@
         await self._directory.wait_ready()
 
     async def on_shutdown(self) -> None:
-        """Ends all connections: those who ask turn to the next one."""
+        """Closes all connections, so that peers query the next reader."""
         await self._endpoint.close()
 
-    # Asking.
+    # Queries to peers.
 
     async def ask(
         self,
@@ -169,7 +172,7 @@
         except TimeoutError as error:
             self._directory.mark_stale()
             raise peer_queries.Unable(
-                f"{reader}: no answer", "timeout"
+                f"{reader}: no answer in time", "timeout"
             ) from error
         self._directory.set_candidates(update.readers)
         return update
@@ -203,7 +206,7 @@
             raise topic_watch.HistoryLost(f"{reader}: {refused.reason}")
         raise peer_queries.Unable(f"{reader}: {refused.reason}", "unable")
 
-    # Answering.
+    # Queries of peers.
 
     async def _on_query(
         self,
@@ -258,10 +261,10 @@
     def _compressed_items(
         self, query: peer_queries.Query, update: peer_queries.Update
     ) -> tuple[bool, bytes]:
-        """Returns whether the items are packed, and their bytes.
+        """Returns whether the items are compressed, and their bytes.
 
-        All who ask for the same are told the same: packed once, a large
-        configuration costs 2 ms a failure domain and not 2 ms an asker.
+        Equal queries get equal answers, so these are cached. Compressing a
+        large configuration takes 2 ms, which is spent once and not per peer.
         """
         if not update.items:
             return False, b""
@@ -283,19 +286,26 @@
 async def _receive(
     connection: connections.Connection,
     exchange: connections.Exchange,
-    grace_s: float,
+    timeout_s: float,
     on_progress: Callable[[], None],
 ) -> connections.Frame:
-    """Returns the next frame of an answer, however long a large one takes.
+    """Returns the next frame, waiting longer while a large answer arrives.
 
-    Thrown away while it comes, it would be asked for again, by all who share
-    the link, and the link would never get free.
+    If large answers were given up while they arrive, all processes that share
+    the link would request them again, and the link would stay saturated.
+
+    Args:
+      connection: The connection of the exchange.
+      exchange: Receives the frame.
+      timeout_s: The time without progress after which to give up, in seconds.
+      on_progress: Called whenever enough bytes have arrived.
 
     Raises:
-      TimeoutError: The patience was over and nothing large was coming.
+      TimeoutError: No frame came within the timeout and no large answer is
+        arriving.
     """
     loop = asyncio.get_running_loop()
-    until = loop.time() + grace_s
+    until = loop.time() + timeout_s
     while True:
         bytes_before = connection.bytes_in
         interval_s = min(_PROGRESS_INTERVAL_S, until - loop.time())
@@ -306,9 +316,9 @@
                 connection.bytes_in - bytes_before
                 > _PROGRESS_INTERVAL_S * _MIN_PROGRESS_BYTES_PER_S
             ):
-                until = max(until, loop.time() + grace_s)
+                until = max(until, loop.time() + timeout_s)
                 on_progress()
-                # Else the sender hears nothing for as long, and gives up.
+                # Without it the sender hears nothing meanwhile and gives up.
                 connection.notify(connections.Kind.PING)
             elif loop.time() >= until:
                 raise
@@ -377,7 +387,9 @@
         except zlib.error as error:
             raise exceptions.DecodeError(f"TopicNews: {error}") from error
         if not decompressor.eof:
-            raise exceptions.DecodeError("TopicNews: cut, or too large")
+            raise exceptions.DecodeError(
+                "TopicNews: items are truncated or too large"
+            )
     wire = codec.decode(ttypes.TopicItems, data)
     return tuple(
         raw.Item(i.key.decode(errors=_KEY_ERRORS), i.value, i.offset)
--- a/src/clementinegw/direct/shared_topic.py
+++ b/src/clementinegw/direct/shared_topic.py
@@ -1,8 +1,9 @@
-"""One topic, read from the store by one process of a failure domain.
+"""Shares a topic that one process of a failure domain reads from the store.
 
-Each process keeps the newest values, and what it knows of their age, whether
-the store or another process told it. Asked by others it reads the store itself
-and answers from that alone, so nobody waits for somebody who waits for him.
+Each process keeps a compacted copy of the topic and how fresh it is, whether it
+comes from the store or from a peer. A process that is queried by peers reads
+the store itself and reports only freshness from there, so that processes do not
+wait for each other in a cycle.
 """
 
 import asyncio
@@ -24,49 +25,50 @@
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
-# How long the store may hold a question of a process that others ask for
-# proofs, in seconds. Their knowledge is as old as its own and a twentieth more;
-# an entry refuses unknown routes for good while that is under 1.9 s. Where the
-# store goes silent for the reader alone, this and the store's 1.2 s of patience
-# are over before entries take no new callers, at 2.75 s.
+# How long the store may hold a poll of a process that is queried for freshness,
+# in seconds. The copies of its peers get as old as its own, plus 5 %, and an
+# entry rejects unknown routes as final only while that is below 1.9 s. If the
+# store goes silent for the reader alone, this wait and the further 1.2 s after
+# which the poll fails end before 2.75 s, the age at which entries accept no new
+# callers.
 _SERVING_WAIT_S = 1.3
-# How long a question for proofs may be held, in seconds. A reader that says
-# nothing for this long and half a second more has stopped, and the next one is
-# asked while the knowledge is young enough.
+# How long a query for freshness may be held, in seconds. A reader that is
+# silent for this time plus 0.5 s has stopped, and the next reader is queried
+# while the copy is still fresh enough.
 _FRESHNESS_WAIT_S = 1.4
-# And both at most, as a part of the time in which a change must be known.
+# The maximum of both waits as a share of the time in which a change must be
+# known.
 _SERVING_SHARE, _FRESHNESS_SHARE = 0.4, 0.45
-# The store is read for this long after the last question of another process.
+# How long the store is read after the last query of a peer, in seconds.
 _SERVING_LINGER_S = 3.0
-# How often an asker whose wait is over hears that it is not forgotten.
+# The interval of keep-alive frames after the end of a query's wait, in seconds.
 _KEEP_ALIVE_S = 0.3
-# A whole answer, and one without news, may rest on a proof of this age, in
-# seconds.
+# The maximum age of the copy for an answer with a snapshot or without changes,
+# in seconds.
 _MAX_AGE_S = 3.0
-# An answer that takes so long beyond its wait is overdue, in seconds: one with
-# a proof, which comes as soon as there is one; and any other, that of the store
-# too, which may be slow or send much.
+# How long after its wait an answer is overdue, in seconds. An answer about
+# freshness comes as soon as the reader has one. Any other may be slow or large,
+# as may those of the store.
 _FRESHNESS_OVERDUE_S, _OVERDUE_S = 0.2, 0.5
-# Each further one is asked so much later, in seconds: nearly as long as the
-# store takes to send one of them a large configuration, so that few send for
-# it over one link.
+# The time between hedged calls, in seconds: nearly as long as the store takes
+# to send a large configuration, so that few processes fetch it over one link.
 _HEDGE_INTERVAL_S = 0.25
-# How a question to another process fails where it gives no answer at all.
+# The reasons of a failed query if the peer gave no answer at all.
 _NO_ANSWER_REASONS = frozenset({"broken", "timeout"})
-# Failures in a row after which the store counts as out of reach from here. The
-# first one may be a kept connection that had ended.
+# The number of consecutive failures after which the store counts as
+# unreachable. A single one may be due to a kept connection that had ended.
 _MAX_FAILURES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _AnsweredCall:
-    """One call that was answered.
+    """The parameters and times of a call that was answered.
 
     Attributes:
-      offset: Where it asked from; None for everything.
-      wait_s: For how long the answer might be kept back, in seconds.
-      asked_at: When it was made, in seconds.
-      now: When its answer was there.
+      offset: The first requested offset; None for a snapshot.
+      wait_s: How long the answer may have been held, in seconds.
+      asked_at: When the call was sent, in seconds.
+      now: When its answer arrived, in seconds.
     """
 
     offset: int | None
@@ -75,13 +77,13 @@
     now: float
 
 
-# Takes an answer over; only the first one that came is.
+# Applies an answer to the copy; called for the first answer only.
 _Accept = Callable[[], topic_watch.Batch]
 _HedgedCall = hedged_call.HedgedCall[reader_selector.Reader, _Accept]
 
 
 class SharedTopic:
-    """Reads a topic as a `topic_watch.Source`, and answers others about it."""
+    """Reads a topic as a `topic_watch.Source` and answers queries about it."""
 
     def __init__(
         self,
@@ -95,24 +97,25 @@
         counters: counters_lib.Counters,
         clock: Callable[[], float],
         propagation_bound_s: float = math.inf,
-        hedged: bool = True,
+        hedges: bool = True,
     ):
-        """Does nothing before it is asked.
+        """Makes no calls before it is used.
 
         Args:
-          name: The topic's name between processes, in logs and counters.
+          name: The topic's name in queries, logs and counters.
           topic: Reads the store.
-          peers: Asks other processes.
-          selector: Whom to ask; shared by all topics of a process.
-          poll_timing: How long an answer may wait.
-          notify_freshness: Whether a newer proof is worth an answer by itself.
-          log: Where events go.
-          counters: Counts questions by where they went and how they ended.
-          clock: Seconds that also count while the machine is suspended.
-          propagation_bound_s: Within which a change must be known everywhere,
-            in seconds, also where a reader falls out.
-          hedged: Whether others are asked beside a reader that is overdue.
-            One whose link is narrow hears late as a rule.
+          peers: Queries other processes.
+          selector: Selects the readers; shared by all topics of a process.
+          poll_timing: How long a query may be held.
+          notify_freshness: Whether this process queries for freshness, so that
+            peers also answer when only their freshness has changed.
+          log: Receives events.
+          counters: Counts queries by target and result.
+          clock: Returns seconds, including time while suspended.
+          propagation_bound_s: The time within which a change must be known
+            everywhere even if a reader fails, in seconds.
+          hedges: Whether further readers are queried while one is overdue. A
+            process with a narrow link regularly gets answers late.
         """
         self._serving_wait_s = min(
             _SERVING_WAIT_S, _SERVING_SHARE * propagation_bound_s
@@ -126,7 +129,7 @@
         self._selector = selector
         self._poll_timing = poll_timing
         self._notify_freshness = notify_freshness
-        self._hedged = hedged
+        self._hedges = hedges
         self._log = log
         self._counters = counters
         self._clock = clock
@@ -143,15 +146,15 @@
         self._outages = outage.OutageTracker(clock)
         self._open_queries = 0
         self._serving_until = 0.0
-        self._hedged_call: _HedgedCall | None = None
+        self._call: _HedgedCall | None = None
         self._changed = asyncio.Event()
 
     @property
     def serving(self) -> bool:
-        """Whether others ask this process."""
+        """Whether peers query this process."""
         return bool(self._open_queries) or self._clock() < self._serving_until
 
-    # What the own process asks.
+    # Reads of this process.
 
     async def snapshot(self) -> topic_watch.Batch:
         """See `topic_watch.Source`."""
@@ -173,13 +176,13 @@
                 return await self._ask_store(offset, wait_s)
             return await self._ask_peer(reader, offset, call.postpone)
 
-        call = self._hedged_call = _HedgedCall(ask, topic_watch.HistoryLost)
+        call = self._call = _HedgedCall(ask, topic_watch.HistoryLost)
         try:
             result = await call.run(
                 order, self._hedge_timing(order[0], offset, wait_s)
             )
         finally:
-            self._hedged_call = None
+            self._call = None
         for reader in result.overdue:
             self._mark_overdue(reader)
         self._log_reader(result.target, result.error)
@@ -188,12 +191,12 @@
     def _hedge_timing(
         self, first: reader_selector.Reader, offset: int | None, wait_s: float
     ) -> hedged_call.HedgeTiming:
-        """Returns when others are asked beside the first one.
+        """Returns when further readers are queried besides the first one.
 
-        Everything is asked of one after the other: at a start of all many ask
-        for it, and the link to the store carries it once.
+        Snapshots are not hedged: many processes may need one at the same time
+        after a common start, and it should cross the link to the store once.
         """
-        if offset is None or not self._hedged:
+        if offset is None or not self._hedges:
             return hedged_call.HedgeTiming(math.inf, math.inf)
         if first is None:
             overdue_s = self._store_wait_s(wait_s) + _OVERDUE_S
@@ -205,10 +208,10 @@
         return hedged_call.HedgeTiming(overdue_s, _HEDGE_INTERVAL_S)
 
     def _store_wait_s(self, wait_s: float) -> float:
-        """Returns for how long the store may hold a question."""
+        """Returns how long the store may hold a poll, in seconds."""
         if not self._reads_store:
-            # The former reader's last proof is old by now, and whoever asks
-            # here waits for a first one: it must not be held.
+            # The copy from the previous reader has aged by now, and peers may
+            # be waiting for a first answer, so this poll must not be held.
             return 0.0
         if self.serving and self._notify_freshness:
             return min(wait_s, self._serving_wait_s)
@@ -274,7 +277,7 @@
         self._wake_waiters()
 
     def _mark_overdue(self, reader: reader_selector.Reader) -> None:
-        """Notes one that another one was asked beside, and was slower."""
+        """Records a reader that was overdue when another one answered."""
         if reader is None:
             self._count("store", "overdue")
             self._mark_store_failed()
@@ -283,7 +286,7 @@
             self._selector.record_failure(reader)
 
     def _peer_wait_s(self, offset: int | None) -> float:
-        """Returns for how long another process may hold a question."""
+        """Returns how long a peer may hold a query, in seconds."""
         if offset is None:
             return 0.0
         return (
@@ -338,8 +341,8 @@
         held_s = (
             freshness_lib.current_at(asked_at, now, update.held_s) - asked_at
         )
-        # By the other process's clock the answer left at `asked_at + held_s`
-        # at the earliest; what is older than that cannot be ruled out.
+        # The peer sent the answer at `asked_at + held_s` at the earliest, by
+        # its clock. Its copy may be older by `age_s` than that.
         current_at = asked_at + held_s - update.age_s
         lag_s = self._lag_s(update, now, now - asked_at - held_s)
         self._complete_until = now if update.items else asked_at + held_s
@@ -350,10 +353,11 @@
     def _lag_s(
         self, update: peer_queries.Update, now: float, transit_s: float
     ) -> float:
-        """Returns how long what another process told may have lain.
+        """Returns the maximum time that items from a peer lay unread.
 
-        It can't tell of what it found when it began to read itself; what was
-        not there at this process's own last answer is no older than that.
+        The peer does not know it for items that it found when it began to read.
+        Items that are new since this process's own last answer cannot have lain
+        unread for longer than since then.
         """
         max_s = (
             math.inf
@@ -402,79 +406,81 @@
             topic=self._name,
             reader=str(reader or "store"),
             was=str(self._reader or "store"),
-            reason=error.message if error else "its turn",
+            reason=error.message if error else "first in order",
         )
         self._reader = reader
 
     def _count(self, where: str, what: str) -> None:
         self._counters.add(f"topics.{self._name}.{where}.{what}")
 
-    # What others ask.
+    # Queries of peers.
 
     async def answer(
         self,
         query: peer_queries.Query,
         send_keep_alive: Callable[[], Awaitable[None]],
     ) -> peer_queries.Update:
-        """Answers another process once there is something to say.
+        """Returns the answer to a query, once there is one.
 
         Args:
-          query: What it asks.
-          send_keep_alive: Tells it from time to time that it is not forgotten.
+          query: The query of a peer.
+          send_keep_alive: Tells the peer that its query is still held; called
+            repeatedly after the end of the query's wait.
 
         Raises:
-          topic_watch.HistoryLost: What it lacks is not known here any more.
-          peer_queries.Unable: The store is out of reach from here.
+          topic_watch.HistoryLost: Not all changes since the offset are known.
+          peer_queries.Unable: This process cannot reach the store.
         """
-        started = self._clock()
+        received_at = self._clock()
         self._count("served", "asked")
         self._open_queries += 1
         try:
             self._switch_to_store()
-            while not self._can_answer(query, started):
+            while not self._can_answer(query, received_at):
                 if self._selector.is_backed_off(None):
                     self._count("served", "unable")
                     raise peer_queries.Unable(
                         "the store does not answer here", "unable"
                     )
                 await self._wait_for_change()
-                if self._clock() >= started + query.wait_s:
+                if self._clock() >= received_at + query.wait_s:
                     await send_keep_alive()
-            # Not for one that got no answer: while the store is away all ask
-            # each other, and all would read it for others when it returns.
+            # Only after an answer: while the store is unavailable, all
+            # processes query each other. If that made them serve, all of them
+            # would read the store when it returns.
             self._serving_until = self._clock() + _SERVING_LINGER_S
-            return self._make_update(query, started)
+            return self._make_update(query, received_at)
         finally:
             self._open_queries -= 1
 
     def _switch_to_store(self) -> None:
-        # From the store, so that nobody waits for somebody who waits for him.
-        if self._hedged_call is not None and not self._selector.is_backed_off(
-            None
-        ):
-            self._hedged_call.switch_to(None)
-
-    def _can_answer(self, query: peer_queries.Query, started: float) -> bool:
-        end = self._compacted.next_offset
-        if end is None or self._current_at is None:
+        # Reads from the store, so that processes do not wait in a cycle.
+        if self._call is not None and not self._selector.is_backed_off(None):
+            self._call.switch_to(None)
+
+    def _can_answer(
+        self, query: peer_queries.Query, received_at: float
+    ) -> bool:
+        next_offset = self._compacted.next_offset
+        if next_offset is None or self._current_at is None:
             return False
-        if query.offset is not None and query.offset < end:
-            # Whoever told it: what is here need not be read again, and its
-            # age goes with it.
+        if query.offset is not None and query.offset < next_offset:
+            # Items that are here can be passed on even if they come from a
+            # peer, as their age is passed on with them.
             return True
         if not self._reads_store:
             return False
         now = self._clock()
         is_fresh = now - self._current_at < _MAX_AGE_S
         if query.offset is None:
-            # A process that was suspended would tell of what is gone since.
+            # A process that was suspended has keys that were deleted since.
             return is_fresh
         if query.freshness_id is not None:
             return query.freshness_id != self._freshness_id
-        return is_fresh and now >= started + query.wait_s
+        return is_fresh and now >= received_at + query.wait_s
 
     def _make_update(
-        self, query: peer_queries.Query, started: float
+        self, query: peer_queries.Query, received_at: float
     ) -> peer_queries.Update:
         assert self._current_at is not None
         assert self._compacted.next_offset is not None
@@ -491,7 +497,7 @@
             next_offset=max(self._compacted.next_offset, offset or 0),
             freshness_id=self._freshness_id,
             age_s=now - self._current_at,
-            held_s=now - started,
+            held_s=now - received_at,
             lag_s=lag_s,
             available_s=now - self._available_since,
             outage_s=self._outage_s,
@@ -504,7 +510,7 @@
             async with asyncio.timeout(_KEEP_ALIVE_S):
                 await changed.wait()
         except TimeoutError:
-            # Nothing changed; the asker is told so.
+            # Nothing changed, so the caller may send a keep-alive.
             return
 
     def _wake_waiters(self) -> None:
