--- a/src/clementinegw/direct/finals.py
+++ b/src/clementinegw/direct/finisher.py
@@ -8,7 +8,7 @@
 from clementinegw.direct import attempt as attempts
 from clementinegw.direct import channel
 from clementinegw.direct import client
-from clementinegw.direct import dialect as dialects
+from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
 from clementinegw.direct import server as servers
 from clementinegw.telemetry import counters as counters_lib
@@ -22,7 +22,7 @@
 # caller elsewhere only when it connects anew. An entry cut off from the
 # platform got 20 requests a second on kept connections for as long as that
 # lasted.
-_OURS_ALONE = frozenset(
+_LOCAL_REASONS = frozenset(
     {
         Reason.STALE_KEYS,
         Reason.STALE_ROUTES,
@@ -32,13 +32,13 @@
 )
 
 
-class Finals:
+class RequestFinisher:
     """Ends requests."""
 
     def __init__(
         self,
-        dialect: dialects.Dialect,
-        knowledge: admit.Knowledge,
+        codec: header_codec.HeaderCodec,
+        config_view: admit.ConfigView,
         clock: Callable[[], float],
         log: logs.Log,
         counters: counters_lib.Counters,
@@ -47,15 +47,15 @@
         """Ends nothing by itself.
 
         Args:
-          dialect: Knows the platform's headers.
-          knowledge: How old what the process knows is.
+          codec: Knows the platform's headers.
+          config_view: How old what the process knows is.
           clock: Monotonic seconds.
           log: Where events go.
           counters: Counts refusals and answers by reason.
           histograms: Of the answers' times.
         """
-        self._dialect = dialect
-        self._knowledge = knowledge
+        self._codec = codec
+        self._config_view = config_view
         self._clock = clock
         self._log = log
         self._counters = counters
@@ -79,14 +79,16 @@
         self._counters.add(f"direct.refused.{refusal.reason}")
         self._log.write(
             _events.REQUEST_REFUSED,
-            request=job.facts.attempt_id if job else self._id_of(request),
+            request=job.metadata.attempt_id
+            if job
+            else self._attempt_id(request),
             target=request.target[:120],
             status=refusal.status,
             reason=refusal.reason.value,
             sends=job.sends if job else 0,
             runs=job.runs if job else 0,
             spent_ms=round(job.spent_s * 1e3) if job else 0,
-            age_s=round(min(self._knowledge.age_s(), 9_999.0), 3),
+            age_s=round(min(self._config_view.age_s(), 9_999.0), 3),
             after_ms=round((self._clock() - request.arrived_at) * 1000, 1),
         )
         if responder.begun:
@@ -99,22 +101,22 @@
         body = json.dumps({"reason": refusal.reason.value}).encode()
         try:
             await responder.answer(
-                refusal.status, headers, body, refusal.reason in _OURS_ALONE
+                refusal.status, headers, body, refusal.reason in _LOCAL_REASONS
             )
         except channel.ChannelClosed:
             responder.abort()
 
-    def _id_of(self, request: servers.Request) -> str:
+    def _attempt_id(self, request: servers.Request) -> str:
         """Returns the id of a request that was not admitted, for the log."""
         try:
-            return self._dialect.request_facts(request.headers).attempt_id
+            return self._codec.request_metadata(request.headers).attempt_id
         except ValueError:
             return ""
 
-    def done(self, job: attempts.Job, outcome: str, status: int) -> None:
+    def record_done(self, job: attempts.Job, outcome: str, status: int) -> None:
         """Notes how an admitted request ended."""
         now = self._clock()
-        first = job.first_answer_at
+        first = job.first_event_at
         arrived = job.request.arrived_at
         self._counters.add(f"direct.done.{outcome}")
         self._histograms.add("direct.answer", now - arrived)
@@ -123,16 +125,16 @@
             self._histograms.add("direct.first_event", first - arrived)
         self._log.write(
             _events.REQUEST_DONE,
-            request=job.facts.attempt_id,
+            request=job.metadata.attempt_id,
             route=job.match.route.name,
             outcome=outcome,
             status=status,
             sends=job.sends,
             server=job.server_id,
-            busy=round(job.busy, 2),
+            busy=round(job.utilization, 2),
             spent_ms=round(job.spent_s * 1e3),
             waited_ms=round(job.waited_s * 1e3),
             first_ms=None if first is None else round((first - arrived) * 1e3),
             total_ms=round((now - arrived) * 1e3),
-            age_s=round(min(self._knowledge.age_s(), 9_999.0), 3),
+            age_s=round(min(self._config_view.age_s(), 9_999.0), 3),
         )
--- a/src/clementinegw/direct/reports.py
+++ b/src/clementinegw/direct/reports.py
@@ -14,7 +14,7 @@
 from clementinegw import types
 from clementinegw.direct import rate_limit
 from clementinegw.direct import suspects
-from clementinegw.direct import suspicions as suspicions_lib
+from clementinegw.direct import suspicion_codec
 from clementinegw.direct import types as servers
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
@@ -71,7 +71,8 @@
         not known.
       ready_in_s: About when it serves again, in seconds; negative when that is
         not known.
-      started_ms: Which start of the server it is of; see `direct.types.Start`.
+      started_ms: Which start of the server it is of; see
+        `direct.types.ServerStart`.
       ages_s: By version of the model, how long ago it was declared, in
         seconds; those that are known.
       rank: The place among `entries` of the entry that it goes to, by name;
@@ -100,9 +101,9 @@
     limit: rate_limit.Observation | None = None
 
     @property
-    def start(self) -> servers.Start:
+    def start(self) -> servers.ServerStart:
         """Which start of the server it is of."""
-        return servers.Start(self.server_id, self.started_ms)
+        return servers.ServerStart(self.server_id, self.started_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -227,26 +228,29 @@
             )
         )
         if message.suspicions:
-            self._on_suspicions(suspicions_lib.from_wire(message.suspicions))
+            self._on_suspicions(suspicion_codec.from_wire(message.suspicions))
         # An entry that starts must not wait for what it alone can't know.
         self.send_due_ages()
 
     def _update_limit(self, limit: rate_limit.Observation) -> None:
         """Takes in an observation of an entry; the newest of a start counts."""
         known = self._limit
-        if known is None or not known.start.same(limit.start):
-            newer = known is None or limit.start.born >= known.start.born
+        if known is None or not known.start.matches(limit.start):
+            newer = (
+                known is None
+                or limit.start.started_ms >= known.start.started_ms
+            )
         else:
             newer = limit.at > known.at
         if newer:
             self._limit = limit
 
     def _current_limit(
-        self, start: servers.Start, now: float
+        self, start: servers.ServerStart, now: float
     ) -> rate_limit.Observation | None:
         """Returns what is reported of a start's rate limit."""
         limit = self._limit
-        if limit is None or not limit.start.same(start):
+        if limit is None or not limit.start.matches(start):
             return None
         ended = limit.per_s is None
         return None if ended and now - limit.at > _LIMIT_END_S else limit
@@ -437,7 +441,7 @@
         except exceptions.DecodeError:
             return
         if message.suspicions:
-            self._on_suspicions(suspicions_lib.from_wire(message.suspicions))
+            self._on_suspicions(suspicion_codec.from_wire(message.suspicions))
         self._on_report(addr[0], _report_from_wire(message))
 
     def subscribe(
@@ -466,7 +470,7 @@
                     subscription.changes_only or None,
                     _limit_to_wire(subscription.limit),
                     ages_ms=ages_ms or None,
-                    suspicions=suspicions_lib.to_wire(suspicions),
+                    suspicions=suspicion_codec.to_wire(suspicions),
                 )
             )
             for subscription in set(agents.values())
@@ -504,7 +508,7 @@
             _limit_to_wire(report.limit),
             born=report.started_ms,
             ages_ms=ages_ms or None,
-            suspicions=suspicions_lib.to_wire(suspicions),
+            suspicions=suspicion_codec.to_wire(suspicions),
         )
     )
 
@@ -540,7 +544,7 @@
     age_s = asyncio.get_running_loop().time() - observed.at
     return ttypes.Limit(
         observed.start.server_id,
-        observed.start.born,
+        observed.start.started_ms,
         min(int(1e3 * age_s), _MAX_AGE_MS),
         observed.per_s,
     )
@@ -559,7 +563,7 @@
     if message.per_s is not None and not 0.0 <= message.per_s < math.inf:
         return None
     return rate_limit.Observation(
-        servers.Start(message.server_id, message.born),
+        servers.ServerStart(message.server_id, message.born),
         message.per_s,
         now - message.age_ms / 1e3,
     )
--- a/tests/test_direct_readers.py
+++ b/tests/test_direct_readers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import compacted_log
 from clementinegw.direct import raw
 from clementinegw.direct import reader_selector
@@ -10,7 +10,7 @@
 
 
 def address(number):
-    return places.Address("10.0.0.1", 7_000 + number)
+    return shared_types.Address("10.0.0.1", 7_000 + number)
 
 
 def batch(offset, *pairs):
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -6,19 +6,19 @@
 
 import pytest
 
-from clementinegw import types as places
-from clementinegw.direct import backing
+from clementinegw import types as shared_types
+from clementinegw.direct import agent_interfaces
 from clementinegw.direct import balance
 from clementinegw.direct import channel
 from clementinegw.direct import client
 from clementinegw.direct import declarations
 from clementinegw.direct import fleet
 from clementinegw.direct import instance as instances
-from clementinegw.direct import keep
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
 from clementinegw.direct import topic_watch
 from clementinegw.direct import types
+from clementinegw.direct import updater
 from clementinegw.telemetry import counters
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
@@ -27,18 +27,18 @@
 from clementinegw.wire.gen.reports import ttypes
 
 HOST = "127.0.0.1"
-HELD = (types.Held("m", 2, 4),)
+HELD = (types.HeldWeights("m", 2, 4),)
 
 
 def server(born, **fields):
     values = {
         "service": "engine",
-        "address": places.Address(HOST, 9),
+        "address": shared_types.Address(HOST, 9),
         "failure_domain": "d1",
         "slots": 16,
         "sequence": 1,
     }
-    return types.Server(server_id="a", born=born, **{**values, **fields})
+    return types.Server(server_id="a", started_ms=born, **{**values, **fields})
 
 
 def listed(backends, *servers):
@@ -70,17 +70,17 @@
         rank=1,
         follower_rank=1,
     )
-    backend.take_report(told, 10.0)
-    facts = types.AnswerFacts(
+    backend.apply_report(told, 10.0)
+    facts = types.AnswerMetadata(
         "a", True, False, limit_per_s=2.0, leaving=True, backoff_s=9.0
     )
-    backend.signals.take(facts, 9.0, 10.0)
-    backend.take()
+    backend.signals.apply(facts, 9.0, 10.0)
+    backend.begin_request()
     backend.unread_tokens += 700
-    backend.unreachable(10.0)
+    backend.record_unreachable(10.0)
     backend.heard_at = 10.0
     backend.full_until = math.inf
-    backend.empty = True
+    backend.weights_incomplete = True
     backend.replaced = True
     backend.missing = True
     backend.missing_until = 11.0
@@ -106,10 +106,10 @@
     moment that was past counted as now.
     """
     backends = new_fleet()
-    listed(backends, server(1)).take_report(report(ready_in_s=told), 10.0)
+    listed(backends, server(1)).apply_report(report(ready_in_s=told), 10.0)
     balancer = balance.Balancer(
         backends,
-        places.Place("r1", "d1"),
+        shared_types.Place("r1", "d1"),
         {},
         random.Random(1),
         lambda: asked_at,
@@ -130,7 +130,7 @@
     present = listed(backends, server(2))
     fresh = listed(new_fleet(), server(2))
     assert beliefs(present) == beliefs(fresh)
-    assert present.held(4) == 0
+    assert present.held_version(4) == 0
     assert present.pool is not former.pool
 
 
@@ -147,11 +147,11 @@
     backends = new_fleet()
     backend = listed(backends, server(2))
     told = report(started_ms=born, version=2, whole=True)
-    assert backends.reported(told, "127.0.0.2") is None
-    assert (backends.reported(told, HOST) is backend) == taken
-    assert backend.left == over
+    assert backends.match_report(told, "127.0.0.2") is None
+    assert (backends.match_report(told, HOST) is backend) == taken
+    assert backend.retired == over
     if over:
-        assert not listed(backends, server(3)).left
+        assert not listed(backends, server(3)).retired
 
 
 def test_a_report_carries_the_start_that_it_is_of():
@@ -182,11 +182,11 @@
 def test_a_server_that_leaves_goes_on_leaving_whatever_its_agent_tells():
     backends = new_fleet()
     backend = listed(backends, server(2, leaving=True))
-    backends.reported(report(started_ms=2), HOST).take_report(
+    backends.match_report(report(started_ms=2), HOST).apply_report(
         report(started_ms=2), 1.0
     )
     assert backend.server.leaving
-    assert backend.left
+    assert backend.retired
 
 
 def test_a_start_that_is_listed_anew_still_leaves():
@@ -194,8 +194,8 @@
     listed(backends, server(2, leaving=True, sequence=4))
     gone = topic_watch.Batch((topic_watch.Record("a", None),), 1)
     backends.apply(gone, False, 60.0)
-    assert listed(backends, server(2, sequence=9)).left
-    assert not listed(backends, server(3, sequence=1)).left
+    assert listed(backends, server(2, sequence=9)).retired
+    assert not listed(backends, server(3, sequence=1)).retired
 
 
 def test_a_start_whose_birth_nobody_tells_is_named_by_its_id():
@@ -217,11 +217,13 @@
     class Request:
         method, target, host, body = "POST", "/a", "h", b"x"
 
-    known = suspects.Suspects()
+    tracker = suspects.SuspectTracker()
     for born in (1, 2):
-        assert not known.refused(Request, "c", 1.0)
-        known.crashed(Request, "c", types.Start("a", born).text, 1.0)
-    assert known.refused(Request, "c", 1.0)
+        assert not tracker.is_refused(Request, "c", 1.0)
+        tracker.record_crash(
+            Request, "c", types.ServerStart("a", born).text, 1.0
+        )
+    assert tracker.is_refused(Request, "c", 1.0)
 
 
 def test_connections_of_a_start_that_is_over_are_not_kept():
@@ -250,12 +252,12 @@
         link = channel.Channel()
         link.connection_made(transport)
         connection = client.Connection(link)
-        connection.renew = lambda: None
+        connection.start_next_call = lambda: None
         assert connection.reusable
         pool._open = 1
         listed(backends, server(2))
-        pool.give_back(connection)
-        assert pool.open == 0
+        pool.release(connection)
+        assert pool.open_connections == 0
         assert transport.aborted
 
     clocks.run(play())
@@ -264,44 +266,47 @@
 # The agent.
 
 
-ADDRESS = places.Address(HOST, 9)
+ADDRESS = shared_types.Address(HOST, 9)
 
 
 def around(*servers, born=0):
     instance = instances.Instance(
         name="agent",
-        place=places.Place("r1", "d1"),
+        place=shared_types.Place("r1", "d1"),
         regions={"d1": "r1"},
         host=HOST,
         peer_ports=(0, 0),
-        store=ADDRESS,
-        callers=None,
-        ready=None,
-        backend=ADDRESS,
+        store_address=ADDRESS,
+        callers_address=None,
+        ready_address=None,
+        backend_address=ADDRESS,
         service="engine",
         link_bytes_per_s=1e6,
         bounds=instances.Bounds(),
     )
-    state = backing.State((), False, 0, 0, 0, 1.0, born)
+    state = agent_interfaces.ServerState((), False, 0, 0, 0, 1.0, born)
     found = {s.server_id: s for s in servers}
-    return keep.Around(instance, servers=found, state=state)
+    return updater.Context(instance, servers=found, state=state)
 
 
 def named(server_id, born):
-    return types.Server(server_id, "engine", ADDRESS, "d1", 16, born=born)
+    return types.Server(server_id, "engine", ADDRESS, "d1", 16, started_ms=born)
 
 
 @pytest.mark.parametrize(
     ("found", "start"),
     [
-        (around(), types.Start("")),
-        (around(born=4), types.Start("", 0)),
-        (around(named("a", 0)), types.Start("a")),
-        (around(named("a", 0), named("b", 0)), types.Start("b")),
-        (around(named("a", 4), named("b", 3)), types.Start("a", 4)),
-        (around(named("a", 3), named("b", 4), born=3), types.Start("a", 3)),
-        (around(named("a", 3), born=4), types.Start("a", 4)),
-        (around(named("a", 0), born=4), types.Start("a", 4)),
+        (around(), types.ServerStart("")),
+        (around(born=4), types.ServerStart("", 0)),
+        (around(named("a", 0)), types.ServerStart("a")),
+        (around(named("a", 0), named("b", 0)), types.ServerStart("b")),
+        (around(named("a", 4), named("b", 3)), types.ServerStart("a", 4)),
+        (
+            around(named("a", 3), named("b", 4), born=3),
+            types.ServerStart("a", 3),
+        ),
+        (around(named("a", 3), born=4), types.ServerStart("a", 4)),
+        (around(named("a", 0), born=4), types.ServerStart("a", 4)),
     ],
 )
 def test_an_agent_names_the_present_start_of_its_server(found, start):
@@ -320,50 +325,54 @@
     had accepted no order, so that the number of orders told nothing.
     """
 
-    class Beside:
+    class LocalServer:
         loads = 0
         born = 1
 
         async def state(self):
-            return backing.State((), False, 0, 0, 0, 1.0, self.born)
+            return agent_interfaces.ServerState(
+                (), False, 0, 0, 0, 1.0, self.born
+            )
 
-        async def load(self, model, version, sequence, cut):
+        async def load(self, model, version, sequence, abort_running):
             self.loads += 1
             return True
 
-    class Bringer:
-        digests = None
-        left = 0.0
+    class Fetcher:
+        manifest = None
+        missing_fraction = 0.0
 
-        def holds(self, digests):
+        def holds_all(self, manifest):
             return True
 
-        async def stage(self, beside, digests):
-            beside.born = 2
+        async def stage(self, local_server, manifest):
+            local_server.born = 2
             return True
 
     async def play():
         known = around(named("a", 1), born=1)
         known.engine = types.Engine(("m",), 16, 0.01, 0.0, 1e4, 6, 4, 1, 10)
-        known.beside = Beside()
+        known.local_server = LocalServer()
         declared = declarations.Declarations(
             8.0, 3.0, asyncio.get_running_loop().time
         )
-        weights = keep.Weights(
+        weights = updater.WeightsUpdater(
             known,
-            Bringer(),
+            Fetcher(),
             logs.Log(),
             counters.Counters(),
             histograms.Histograms(),
             declared,
         )
-        declared.read("m", 2, 0.0)
-        weights._digests[2] = backing.Digests("m", 2, 10, (b"d",))
+        declared.record("m", 2, 0.0)
+        weights._manifests[2] = agent_interfaces.VersionManifest(
+            "m", 2, 10, (b"d",)
+        )
         await asyncio.sleep(10.0)
         await weights.load_newest()
-        assert known.beside.loads == 0
-        known.state = await known.beside.state()
+        assert known.local_server.loads == 0
+        known.state = await known.local_server.state()
         await weights.load_newest()
-        assert known.beside.loads == 1
+        assert known.local_server.loads == 1
 
     clocks.run(play())
