--- a/src/clementinegw/direct/reports.py
+++ b/src/clementinegw/direct/reports.py
@@ -1,8 +1,9 @@
-"""What backend servers are doing, in datagrams from agents to entries.
+"""Sends the load and state of backend servers from agents to entries.
 
-The platform's list is a heartbeat behind and a server's own report costs a
-call. The agent beside a server asks for nothing, so it tells every entry that
-has subscribed; a lost datagram is made good by the next one.
+The platform's list of servers is one heartbeat old, and reading the state of a
+server costs a call. The agent next to it reads the state anyway, so it sends
+reports in datagrams to every entry that has subscribed. A lost datagram is
+compensated by the next one.
 """
 
 import asyncio
@@ -19,31 +20,33 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
 
-# A subscription that is not renewed ends after this, in seconds; entries
-# renew it more often by some times.
+# How long a subscription lasts without renewal, in seconds. Entries renew it
+# several times within this time.
 SUBSCRIPTION_S = 4.0
-# The same for an entry that is told of changes only, and renews it a third as
-# often: with a hundred entries these were most of what an agent was sent.
+# The same for an entry that gets changes only. It renews a third as often, as
+# with a hundred entries renewals were most of what an agent received.
 _CHANGES_SUBSCRIPTION_S = 12.0
 _MAX_SUBSCRIBERS = 512
-# Of so many reports an entry in another region gets one, unless the server's
-# weights have changed. Bytes between regions are paid for, and with 43 entries
-# reports took a tenth of a machine's link; servers far away get few requests.
+# An entry in another region gets one of this many reports, unless the server's
+# weights have changed. Traffic between regions is billed, and with 43 entries
+# reports took a tenth of a machine's link. Distant servers get few requests.
 _FAR_INTERVAL = 4
-# So many entries of the own region get every report; with more of them each
-# gets every second one, and so on. A report takes 58 bytes and its headers,
-# and taking them in was a third of what an entry before 31 agents ran.
+# Up to this many entries of the agent's region get every report. With more of
+# them each gets every second one, and so on. A report takes 58 bytes plus
+# headers, and an entry with 31 agents spent a third of its processor time on
+# receiving reports.
 _MAX_NEAR_PER_REPORT = 8
-# How long the end of a rate limit is reported, in seconds: some lost datagrams.
+# How long the end of a rate limit is reported, in seconds, so that a few
+# datagrams may be lost.
 _LIMIT_END_S = 10.0
-# The largest age in a report, in milliseconds: what a field holds.
+# The largest age that fits into a field of a report, in milliseconds.
 _MAX_AGE_MS = 2**31 - 1
-# Entries renew their subscriptions within this, in seconds, after an agent has
-# started. Before that it knows of the first ones only, and each would take too
-# large a share of a server's rate limit.
+# The time after its start within which an agent gets the subscriptions of all
+# entries, in seconds. Before that it knows only the first ones, and each would
+# take too large a share of a server's rate limit.
 _RANKS_DELAY_S = 2.0
-# How often an entry is told of the ages of declared versions, in seconds: one
-# that was cut off hears of them so long after. They take six bytes and more.
+# How often an entry gets the ages of declared versions, in seconds. An entry
+# that was cut off learns them after this time. They take at least six bytes.
 _AGES_INTERVAL_S = 1.0
 
 
@@ -52,33 +55,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What an agent tells of the server beside it.
+    """An agent's report about the server next to it.
 
     Attributes:
-      server_id: The server's present start; empty when it is not known, or
-        when only ages are told.
-      running: Requests that it works on.
-      waiting: Requests in its queue.
-      slots: Requests that it runs at once.
-      model: The model it holds; empty for none.
-      version: The version of the weights it holds; 0 for none.
-      whole: Whether every layer is there.
-      loading: Whether it takes no requests because it loads weights.
-      pace: How many times slower than usual it works.
-      yielding: Whether it is about to load, so that others are preferred.
-      entries: Entries that ask its agent for reports.
-      followers: Those of them that send requests to the server; 0 when that is
-        not known.
-      ready_in_s: About when it serves again, in seconds; negative when that is
-        not known.
-      started_ms: Which start of the server it is of; see
+      server_id: The id of the server; empty if it is not known or if the report
+        has ages only.
+      running: The number of requests in progress.
+      waiting: The number of requests in the server's queue.
+      slots: The number of requests that the server runs at once.
+      model: The loaded model; empty for none.
+      version: The version of the loaded weights; 0 for none.
+      whole: Whether all layers are loaded.
+      loading: Whether the server accepts no requests because it loads weights.
+      pace: The factor by which the server is slower than usual.
+      yielding: Whether the server is about to load weights, so that other
+        servers are preferred.
+      entries: The number of entries that have subscribed at the agent.
+      followers: The number of entries among them that send requests to the
+        server; 0 if it is not known.
+      ready_in_s: The estimated time until the server accepts requests again, in
+        seconds; negative if it is not known.
+      started_ms: When this start of the server began; see
         `direct.types.ServerStart`.
-      ages_s: By version of the model, how long ago it was declared, in
-        seconds; those that are known.
-      rank: The place among `entries` of the entry that it goes to, by name;
-        negative when it is not reported this time.
+      ages_s: The time since a version of the model was declared, in seconds, by
+        version, as far as known.
+      rank: The position of the receiving entry among `entries`, ordered by
+        name; negative if this report does not have it.
       follower_rank: The same among `followers`.
-      limit: The newest observation of any entry of the server's rate limit.
+      limit: The newest observation of the server's rate limit by any entry.
     """
 
     server_id: str
@@ -102,18 +106,18 @@
 
     @property
     def start(self) -> servers.ServerStart:
-        """Which start of the server it is of."""
+        """The start of the server that the report is about."""
         return servers.ServerStart(self.server_id, self.started_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeclaredVersions:
-    """What an entry knows of declared versions.
+    """The declared versions that an entry knows.
 
     Attributes:
       newest: The newest version of each model.
-      ages_s: By model and version, how long ago it was declared, in seconds;
-        those that are known.
+      ages_s: The time since a version was declared, in seconds, by model and
+        version, as far as known.
     """
 
     newest: Mapping[str, int]
@@ -122,12 +126,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Subscription:
-    """What an entry asks an agent for.
+    """The content of an entry's subscription at an agent.
 
     Attributes:
-      far: Whether it stands in another region.
-      changes_only: Whether it sends no requests to the server beside, and is
-        told of what changes only, not of the load.
+      far: Whether the entry is in another region.
+      changes_only: Whether the entry sends no requests to the agent's server
+        and therefore gets changes of its state only, and not its load.
       limit: The entry's own last observation of the server's rate limit.
     """
 
@@ -138,18 +142,21 @@
 
 @dataclasses.dataclass(slots=True)
 class _Subscriber:
+    """An entry that has subscribed; times are in seconds of the event loop."""
+
     subscription: Subscription
     expires_at: float
     name: str = ""
     ages_sent_at: float = -math.inf
-    # Its first report does not wait for its turn: it sends nothing until then.
-    new: bool = True
+    # The first report is sent at once: the entry sends no requests before it.
+    first_pending: bool = True
 
     @property
     def ages_interval_s(self) -> float:
-        """How often it is told of ages where no report does, in seconds.
+        """How often ages are sent if no report has them, in seconds.
 
-        Who is told of changes only hears of ages from the agents it follows.
+        An entry that gets changes only learns ages from the agents of servers
+        that it sends requests to.
         """
         return (
             _CHANGES_SUBSCRIPTION_S
@@ -158,7 +165,10 @@
         )
 
     def renew(self, subscription: Subscription, now: float) -> None:
-        self.new = self.new or subscription != self.subscription
+        """Replaces the subscription and extends its lifetime."""
+        self.first_pending = (
+            self.first_pending or subscription != self.subscription
+        )
         self.subscription = subscription
         lifetime_s = (
             _CHANGES_SUBSCRIPTION_S
@@ -169,7 +179,7 @@
 
 
 class Reporter(asyncio.DatagramProtocol):
-    """The agent's side."""
+    """Sends reports from an agent to the entries that have subscribed."""
 
     def __init__(
         self,
@@ -177,12 +187,13 @@
         ages: Callable[[], Report | None] = lambda: None,
         on_suspicions: OnSuspicions = lambda suspicions: None,
     ):
-        """Does nothing before it is bound.
+        """Sends nothing before it is bound to a socket.
 
         Args:
-          on_declared: Takes the versions that an entry knows to be declared.
-          ages: Returns a report of ages only; None while none is known.
-          on_suspicions: Takes what an entry saw of requests that crash servers.
+          on_declared: Called with the declared versions that an entry knows.
+          ages: Returns a report with ages only; None while none is known.
+          on_suspicions: Called with an entry's suspicions about requests that
+            crash servers.
         """
         self._on_declared = on_declared
         self._ages_report = ages
@@ -200,7 +211,7 @@
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        """Takes a subscription."""
+        """Handles a subscription."""
         try:
             message = codec.decode(ttypes.Subscribe, data)
         except exceptions.DecodeError:
@@ -210,15 +221,17 @@
         )
         now = asyncio.get_running_loop().time()
         self._ranks_valid_at = min(self._ranks_valid_at, now + _RANKS_DELAY_S)
-        known = self._subscribers.get(addr)
-        if known is None and len(self._subscribers) < _MAX_SUBSCRIBERS:
-            known = _Subscriber(subscription, 0.0, message.instance_id or "")
-            self._subscribers[addr] = known
+        subscriber = self._subscribers.get(addr)
+        if subscriber is None and len(self._subscribers) < _MAX_SUBSCRIBERS:
+            subscriber = _Subscriber(
+                subscription, 0.0, message.instance_id or ""
+            )
+            self._subscribers[addr] = subscriber
             self._ranks = None
-        if known is not None:
-            if known.subscription != subscription:
+        if subscriber is not None:
+            if subscriber.subscription != subscription:
                 self._ranks = None
-            known.renew(subscription, now)
+            subscriber.renew(subscription, now)
         limit = _limit_from_wire(message.limit, now)
         if limit is not None:
             self._update_limit(limit)
@@ -229,11 +242,11 @@
         )
         if message.suspicions:
             self._on_suspicions(suspicion_codec.from_wire(message.suspicions))
-        # An entry that starts must not wait for what it alone can't know.
+        # An entry that has just started needs the ages at once.
         self.send_due_ages()
 
     def _update_limit(self, limit: rate_limit.Observation) -> None:
-        """Takes in an observation of an entry; the newest of a start counts."""
+        """Stores an entry's observation if it is newer than the stored one."""
         known = self._limit
         if known is None or not known.start.matches(limit.start):
             newer = (
@@ -248,7 +261,7 @@
     def _current_limit(
         self, start: servers.ServerStart, now: float
     ) -> rate_limit.Observation | None:
-        """Returns what is reported of a start's rate limit."""
+        """Returns the observed rate limit to report; None if there is none."""
         limit = self._limit
         if limit is None or not limit.start.matches(start):
             return None
@@ -257,12 +270,12 @@
 
     @property
     def entries(self) -> int:
-        """How many have subscribed."""
+        """The number of entries that have subscribed."""
         return len(self._subscribers)
 
     @property
     def followers(self) -> int:
-        """How many of them send requests to the server beside."""
+        """The number of these entries that send requests to the server."""
         return sum(
             not s.subscription.changes_only for s in self._subscribers.values()
         )
@@ -272,11 +285,12 @@
         report: Report,
         suspicions: tuple[suspects.Suspicion, ...] = (),
     ) -> None:
-        """Sends a report to whoever has subscribed.
+        """Sends a report to the subscribed entries that are due.
 
         Args:
-          report: What the server beside is doing.
-          suspicions: Requests that crash servers; they go to all.
+          report: The state of the server.
+          suspicions: Suspicions about requests that crash servers; if there are
+            any, the report goes to all entries.
         """
         if self._transport is None:
             return
@@ -286,13 +300,13 @@
         if limit is not None:
             report = dataclasses.replace(report, limit=limit)
         is_change = self._is_change(report) or bool(suspicions)
-        told = self._recipients(is_change)
-        if not told:
+        recipients = self._recipients(is_change)
+        if not recipients:
             return
         short = _encode_report(
             dataclasses.replace(report, ages_s={}), suspicions
         )
-        for addr, subscriber in told:
+        for addr, subscriber in recipients:
             data = short
             if subscriber.ages_sent_at + _AGES_INTERVAL_S <= now:
                 subscriber.ages_sent_at = now
@@ -302,7 +316,7 @@
             self._transport.sendto(data, addr)
 
     def _with_ranks(self, report: Report, addr: tuple, now: float) -> Report:
-        """Returns a report with a subscriber's place among all."""
+        """Returns the report with the ranks of a subscriber, if valid."""
         if now < self._ranks_valid_at:
             return report
         if self._ranks is None:
@@ -313,20 +327,20 @@
         )
 
     def _rank_all(self) -> dict[tuple, tuple[int, int]]:
-        """Returns each subscriber's place among all, and among followers."""
+        """Returns each subscriber's rank among all, and among followers."""
         ranks: dict[tuple, tuple[int, int]] = {}
         followers = 0
         by_name = sorted(
             self._subscribers.items(), key=lambda item: (item[1].name, item[0])
         )
         for rank, (addr, subscriber) in enumerate(by_name):
-            follows = not subscriber.subscription.changes_only
-            ranks[addr] = (rank, followers if follows else -1)
-            followers += follows
+            is_follower = not subscriber.subscription.changes_only
+            ranks[addr] = (rank, followers if is_follower else -1)
+            followers += is_follower
         return ranks
 
     def _drop_expired(self, now: float) -> None:
-        """Drops who has not renewed a subscription."""
+        """Removes subscribers that have not renewed their subscription."""
         expired = [
             a for a, s in self._subscribers.items() if s.expires_at < now
         ]
@@ -335,48 +349,50 @@
             self._ranks = None
 
     def _recipients(self, is_change: bool) -> list[tuple[tuple, _Subscriber]]:
-        """Returns who is told this time.
+        """Returns the subscribers that get the present report.
 
         Args:
-          is_change: Whether all are.
+          is_change: Whether the report has a change, so that all get it.
         """
         self._report_count += 1
         near = not self._report_count % self._near_interval
         far = not self._report_count % _FAR_INTERVAL
-        found = []
+        recipients = []
         for addr, subscriber in self._subscribers.items():
             subscription = subscriber.subscription
             turn = far if subscription.far else near
-            due = subscriber.new or (turn and not subscription.changes_only)
+            due = subscriber.first_pending or (
+                turn and not subscription.changes_only
+            )
             if is_change or due:
-                subscriber.new = False
-                found.append((addr, subscriber))
-        return found
+                subscriber.first_pending = False
+                recipients.append((addr, subscriber))
+        return recipients
 
     def send_ages_now(self) -> None:
-        """Tells of ages at once; a version or its age is new."""
+        """Sends the ages of declared versions to all subscribers at once."""
         for subscriber in self._subscribers.values():
             subscriber.ages_sent_at = -math.inf
         self.send_due_ages()
 
     def send_due_ages(self) -> None:
-        """Tells of ages whoever has not been told for a while.
+        """Sends the ages to subscribers that have not had them for a while.
 
-        Also while the server beside is silent, and no reports go out.
+        This also works while the server is silent and there are no reports.
         """
         now = asyncio.get_running_loop().time()
-        late = {
+        due = {
             addr: subscriber
             for addr, subscriber in self._subscribers.items()
             if subscriber.ages_sent_at + subscriber.ages_interval_s
             <= now
             <= subscriber.expires_at
         }
-        report = self._ages_report() if late else None
+        report = self._ages_report() if due else None
         if self._transport is None or report is None:
             return
         data = _encode_report(report)
-        for addr, subscriber in late.items():
+        for addr, subscriber in due.items():
             subscriber.ages_sent_at = now
             self._transport.sendto(data, addr)
 
@@ -389,8 +405,8 @@
         return min(_FAR_INTERVAL, 1 + near // (_MAX_NEAR_PER_REPORT + 1))
 
     def _is_change(self, report: Report) -> bool:
-        """Returns whether every entry is told of a report at once."""
-        told = (
+        """Returns whether a report has a change that all entries need."""
+        state = (
             report.start,
             report.version,
             report.whole,
@@ -398,18 +414,18 @@
             report.yielding,
             report.limit and report.limit.per_s,
         )
-        changed = told != self._last_state
-        self._last_state = told
+        changed = state != self._last_state
+        self._last_state = state
         return changed
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the socket."""
         if self._transport is not None:
             self._transport.close()
 
 
 class Listener(asyncio.DatagramProtocol):
-    """The entry's side."""
+    """Subscribes an entry at agents and receives their reports."""
 
     def __init__(
         self,
@@ -418,12 +434,13 @@
         *,
         on_suspicions: OnSuspicions = lambda suspicions: None,
     ):
-        """Does nothing before it is bound.
+        """Sends nothing before it is bound to a socket.
 
         Args:
-          name: This entry.
-          on_report: Takes the IP address a report came from, and the report.
-          on_suspicions: Takes what entries saw of requests that crash servers.
+          name: The instance name of this entry.
+          on_report: Called with the sender's IP address and the report.
+          on_suspicions: Called with the suspicions of all entries about
+            requests that crash servers.
         """
         self._name = name
         self._on_report = on_report
@@ -435,7 +452,7 @@
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        """Takes a report."""
+        """Handles a report."""
         try:
             message = codec.decode(ttypes.BackendReport, data)
         except exceptions.DecodeError:
@@ -450,12 +467,12 @@
         declared: DeclaredVersions,
         suspicions: tuple[suspects.Suspicion, ...] = (),
     ) -> None:
-        """Asks agents for reports.
+        """Sends subscriptions to agents.
 
         Args:
-          agents: What each is asked for.
+          agents: The subscription for each agent.
           declared: The versions of weights that are known to be declared.
-          suspicions: What this entry saw of requests that crash servers.
+          suspicions: This entry's suspicions about requests that crash servers.
         """
         if self._transport is None:
             return
@@ -479,7 +496,7 @@
             self._transport.sendto(data[subscription], (agent.host, agent.port))
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the socket."""
         if self._transport is not None:
             self._transport.close()
 
@@ -553,7 +570,7 @@
 def _limit_from_wire(
     message: ttypes.Limit | None, now: float
 ) -> rate_limit.Observation | None:
-    """Returns what a datagram says of a rate limit; None for nothing."""
+    """Returns the rate limit in a datagram; None if it is absent or invalid."""
     if message is None or None in (
         message.server_id,
         message.born,
@@ -570,9 +587,10 @@
 
 
 def _ages_to_ms(ages_s: Mapping[int, float]) -> dict[int, int]:
-    """Returns ages as they are told.
+    """Returns ages in milliseconds.
 
-    Rounded down: what is told over and over must not grow older on its way.
+    They are rounded down so that an age that is passed on many times does not
+    grow.
     """
     return {version: int(1e3 * age_s) for version, age_s in ages_s.items()}
 
