--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -1,4 +1,4 @@
-"""What the direct path costs a processor, counted and not timed."""
+"""Tests the processor cost of the direct path by counting operations."""
 
 import asyncio
 import random
@@ -21,20 +21,20 @@
 from clementinegw.testing import clock as clocks
 
 REQUIREMENTS = balance.Requirements("engine")
-TERMS = queue.Policy(
+POLICY = queue.Policy(
     max_utilization=1.0, late_limit_high=0.9, late_limit_low=0.3
 )
 SERVERS = 20
 WAITING = 100
 
 
-class Counting(balance.Balancer):
-    """Counts how often all servers are looked through."""
+class CountingBalancer(balance.Balancer):
+    """Counts the scans of all servers."""
 
-    passes = 0
+    scans = 0
 
     def candidates(self, requirements):
-        self.passes += 1
+        self.scans += 1
         return super().candidates(requirements)
 
 
@@ -57,162 +57,178 @@
     return backends
 
 
-def tell(backends, running, now):
+def report_load(backends, running, now):
     for backend in backends.all():
-        told = reports.Report(
+        report = reports.Report(
             backend.server.server_id, running, 0, 16, entries=1
         )
-        backend.apply_report(told, now)
+        backend.apply_report(report, now)
 
 
-async def wait_in(line, tried=()):
+async def wait_for_server(request_queue, tried=()):
     now = asyncio.get_running_loop().time()
-    return await line.reserve(
+    return await request_queue.reserve(
         lambda: REQUIREMENTS, frozenset(tried), now + 0.5, now + 1.0
     )
 
 
-def overloaded(with_tried, share_left=True):
-    """Returns a play of many who wait at full servers until one has room.
+def overload_scenario(with_tried, share_left=True):
+    """Returns a scenario in which many requests wait until a server has room.
 
     Args:
-      with_tried: Whether each has been at a server before.
-      share_left: Whether the entry has a share at one that turns it away.
+      with_tried: Whether each request has been sent to a server before.
+      share_left: Whether the entry has a share left at a server that rejects
+        requests.
     """
 
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
         place = shared_types.Place("r", "d1")
-        chooser = Counting(backends, place, {}, random.Random(1), loop.time)
-        line = queue.Queue("engine", chooser, TERMS, loop.time)
-        tell(backends, 16, loop.time())
+        balancer = CountingBalancer(
+            backends, place, {}, random.Random(1), loop.time
+        )
+        request_queue = queue.Queue("engine", balancer, POLICY, loop.time)
+        report_load(backends, 16, loop.time())
         if share_left:
             refusing = backends.find("s2")
             refusing.end_request()
             refusing.full_until = loop.time() + 1.0
         tried = ("s1",) if with_tried else ()
         tasks = [
-            asyncio.ensure_future(wait_in(line, tried)) for _ in range(WAITING)
+            asyncio.ensure_future(wait_for_server(request_queue, tried))
+            for _ in range(WAITING)
         ]
         await asyncio.sleep(0.001)
-        chooser.passes = 0
-        line.dispatch()
-        passes = chooser.passes
+        balancer.scans = 0
+        request_queue.dispatch()
+        scans = balancer.scans
         free = reports.Report("s3", 14, 0, 16, entries=1)
         backends.find("s3").apply_report(free, loop.time())
-        line.dispatch()
+        request_queue.dispatch()
         await asyncio.sleep(0)
         placed = [t.result().backend for t in tasks if t.done()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        return passes, [b.server.server_id for b in placed]
-
-    return play()
+        return scans, [b.server.server_id for b in placed]
 
+    return scenario()
 
-@pytest.mark.parametrize(("with_tried", "passes"), [(False, 1), (True, 2)])
-def test_many_who_wait_for_the_same_cost_one_look(with_tried, passes):
-    """Requests came faster than the servers could take them.
 
-    At each report an entry looked through all servers once for each request
-    that waited, and had that much less time for the streams it passed on.
+@pytest.mark.parametrize(
+    ("with_tried", "expected_scans"), [(False, 1), (True, 2)]
+)
+def test_equal_waiting_requests_cost_one_scan_of_the_servers(
+    with_tried, expected_scans
+):
+    """Guards against a scan of all servers for each waiting request.
+
+    When requests arrived faster than the servers could accept them, an entry
+    scanned all servers once for each waiting request at each report, and had
+    less time to forward streams.
     """
-    found, placed = clocks.run(overloaded(with_tried))
-    assert found == passes
-    # The two free slots and no more: the share of the only entry.
+    scans, placed = clocks.run(overload_scenario(with_tried))
+    assert scans == expected_scans
+    # The only entry has a share of both free slots and no more.
     assert placed == ["s3", "s3"]
 
 
-def test_many_who_wait_at_full_servers_cost_no_look_at_all():
-    """Symptom: entries before 60 servers look through them without an end.
+def test_requests_waiting_for_full_servers_cost_no_scan():
+    """Guards against entries that scan 60 full servers all the time.
 
-    Sequence: all slots are taken, and each server tells so ten times a second.
-    Cause: each report and each timer led to a choice among all servers, though
-    no server had a share left for the entry.
+    All slots are taken, and each server reports this ten times a second. Each
+    report and each timer used to trigger a scan of all servers, though no
+    server had a share left for the entry.
     """
-    found, placed = clocks.run(overloaded(False, share_left=False))
-    assert found == 0
+    scans, placed = clocks.run(overload_scenario(False, share_left=False))
+    assert scans == 0
     assert placed == ["s3", "s3"]
 
 
-def test_a_report_of_a_full_server_leads_to_no_look():
-    """Symptom: 536 choices for 63 requests placed, in one entry in 12 s.
+def test_a_report_of_a_full_server_triggers_no_dispatch():
+    """Guards against a dispatch for every report, whatever its content.
 
-    Sequence: requests wait; each server tells some times a second that it is
-    full. Cause: every report led to a look, whatever it said.
+    While requests wait, each server reports several times a second that it is
+    full. One entry made 536 selections in 12 s to place 63 requests.
     """
 
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
         place = shared_types.Place("r", "d1")
-        chooser = Counting(backends, place, {}, random.Random(1), loop.time)
-        finder = placement.Placer(
+        balancer = CountingBalancer(
+            backends, place, {}, random.Random(1), loop.time
+        )
+        placer = placement.Placer(
             admit.ConfigView(None, lambda: 0.0, 1.0, 1.0),
-            chooser,
+            balancer,
             version_policy.VersionPolicy(8.0, loop.time),
             random.Random(1),
             loop.time,
         )
-        looks = []
-        finder.dispatch = lambda: looks.append("all")
-        finder._queue("engine").dispatch = lambda: looks.append("engine")
+        dispatched = []
+        placer.dispatch = lambda: dispatched.append("all")
+        placer._queue("engine").dispatch = lambda: dispatched.append("engine")
         for running in (16, 14):
             backend = backends.find("s3")
-            told = reports.Report("s3", running, 0, 16, entries=1)
-            backend.apply_report(told, loop.time())
-            finder.dispatch_for(backend)
-        return looks
+            report = reports.Report("s3", running, 0, 16, entries=1)
+            backend.apply_report(report, loop.time())
+            placer.dispatch_for(backend)
+        return dispatched
 
-    assert clocks.run(play()) == ["engine"]
+    assert clocks.run(scenario()) == ["engine"]
 
 
-def test_who_needs_more_does_not_keep_others_from_room():
-    """One request wanted a version that no server had yet.
+def test_a_request_with_special_requirements_does_not_block_others():
+    """Tests that requirements are matched per request.
 
-    What it could not have must not be taken for what the others could not
-    have either.
+    One request needs a version that no server has yet. That no server fits it
+    must not be taken to mean that none fits the other requests.
     """
 
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
         place = shared_types.Place("r", "d1")
-        chooser = Counting(backends, place, {}, random.Random(1), loop.time)
-        line = queue.Queue("engine", chooser, TERMS, loop.time)
-        tell(backends, 16, loop.time())
+        balancer = CountingBalancer(
+            backends, place, {}, random.Random(1), loop.time
+        )
+        request_queue = queue.Queue("engine", balancer, POLICY, loop.time)
+        report_load(backends, 16, loop.time())
         newer = balance.Requirements("engine", layers=4, least_version=2)
         now = loop.time()
-        picky = asyncio.ensure_future(
-            line.reserve(lambda: newer, frozenset(), now + 0.5, now + 1.0)
+        demanding = asyncio.ensure_future(
+            request_queue.reserve(
+                lambda: newer, frozenset(), now + 0.5, now + 1.0
+            )
         )
-        plain = asyncio.ensure_future(wait_in(line))
+        ordinary = asyncio.ensure_future(wait_for_server(request_queue))
         await asyncio.sleep(0.001)
-        tell(backends, 8, loop.time())
-        line.dispatch()
+        report_load(backends, 8, loop.time())
+        request_queue.dispatch()
         await asyncio.sleep(0)
-        done = (picky.done(), plain.done())
-        picky.cancel()
-        await asyncio.gather(picky, plain, return_exceptions=True)
+        done = (demanding.done(), ordinary.done())
+        demanding.cancel()
+        await asyncio.gather(demanding, ordinary, return_exceptions=True)
         return done
 
-    assert clocks.run(play()) == (False, True)
+    assert clocks.run(scenario()) == (False, True)
 
 
 @pytest.mark.parametrize("role", ["agent", "entry"])
-def test_a_daemon_loads_no_library_that_it_does_not_use(role):
-    """Agents started slowly, and took 54 MB where entries took 34.
+def test_a_daemon_imports_no_library_that_it_does_not_use(role):
+    """Guards against imports that slow the start and cost memory.
 
-    They shared modules with a part that calls over aiohttp and reads JSON with
-    pydantic. Both were loaded at each start and never called.
+    Agents started slowly and took 54 MB, where entries took 34 MB. They shared
+    modules with code that uses aiohttp and pydantic, so that both were imported
+    at each start and never used.
     """
     code = (
         f"import sys, clementinegw.direct.{role}\n"
         "print([m for m in ('aiohttp', 'pydantic') if m in sys.modules])"
     )
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     )
-    assert ran.stdout.strip() == "[]"
+    assert completed.stdout.strip() == "[]"
