--- a/tests/shared_domain.py
+++ b/tests/shared_domain.py
@@ -1,4 +1,4 @@
-"""Processes of a failure domain that share topics, without connections."""
+"""Simulates processes of a failure domain that share topics."""
 
 import asyncio
 import math
@@ -15,7 +15,7 @@
 
 _TIMING = topic_watch.PollTiming(2.0, 0.0)
 _LATENCY_S = 0.004
-_TURN_BYTES = 8_192
+_CHUNK_BYTES = 8_192
 
 
 def address(number):
@@ -23,16 +23,16 @@
 
 
 class Store:
-    """A topic's log that turns away whom a test says."""
+    """The log of a topic, and the link over which it is read."""
 
     def __init__(self):
         self.log = []
         self.put_at = []
         self.down = False
         self.reads = 0
-        self.wholes = 0
-        # The link that all processes share on their way to the store; none
-        # where a test sets no rate.
+        self.snapshots = 0
+        # The rate of the link that all processes share on the way to the store;
+        # it is not simulated unless a test sets a rate.
         self.bytes_per_s = math.inf
         self.bytes_out = 0
         self._sending = 0
@@ -42,21 +42,21 @@
         self.put_at.append(asyncio.get_running_loop().time())
 
     async def send(self, items):
-        """Sends an answer over the link, beside all others under way."""
-        left = sum(len(item.value) for item in items)
+        """Sends an answer over the link, which all answers share equally."""
+        remaining = sum(len(item.value) for item in items)
         self._sending += 1
         try:
-            while left > 0 and self.bytes_per_s < math.inf:
-                part = min(left, _TURN_BYTES)
-                await asyncio.sleep(part * self._sending / self.bytes_per_s)
-                left -= part
-                self.bytes_out += part
+            while remaining > 0 and self.bytes_per_s < math.inf:
+                chunk = min(remaining, _CHUNK_BYTES)
+                await asyncio.sleep(chunk * self._sending / self.bytes_per_s)
+                remaining -= chunk
+                self.bytes_out += chunk
         finally:
             self._sending -= 1
 
 
 class Topic:
-    """The store as one process reaches it."""
+    """The store as one process reaches it, with faults that a test sets."""
 
     def __init__(self, store):
         self._store = store
@@ -64,7 +64,7 @@
         self.silent = False
 
     async def snapshot(self):
-        self._store.wholes += 1
+        self._store.snapshots += 1
         await self._reach(0.0)
         newest = dict(self._store.log)
         end = len(self._store.log)
@@ -84,8 +84,8 @@
             # Its query had reached the store; the answer is lost.
             await asyncio.sleep(max(0.0, until + 1.2 - loop.time()))
             raise exceptions.PlatformUnavailable("silent", "timeout")
-        found = self._store.log[offset:]
-        items = [raw.Item(k, v, offset + n) for n, (k, v) in enumerate(found)]
+        changes = self._store.log[offset:]
+        items = [raw.Item(k, v, offset + n) for n, (k, v) in enumerate(changes)]
         await asyncio.sleep(_LATENCY_S)
         await self._store.send(items)
         return raw.Batch(tuple(items), offset + len(items))
@@ -107,7 +107,7 @@
 
 
 class Process:
-    """One process: its way to the store and what it knows."""
+    """One process, its access to the store and its copy of the topic."""
 
     def __init__(self, domain, number):
         clock = asyncio.get_running_loop().time
@@ -118,7 +118,7 @@
         self.lag_s = 0.0
         self.selector = reader_selector.ReaderSelector(clock)
         self.selector.own_address = address(number)
-        self.shared = shared_topic.SharedTopic(
+        self.shared_topic = shared_topic.SharedTopic(
             "t",
             self.topic,
             domain,
@@ -129,19 +129,19 @@
             counters_lib.Counters(),
             clock,
         )
-        self.follower = topic_watch.TopicWatcher(
+        self.watcher = topic_watch.TopicWatcher(
             "t",
-            self.shared,
+            self.shared_topic,
             _TIMING,
-            self._take,
+            self._on_batch,
             logs.Log(),
             counters_lib.Counters(),
             clock,
         )
 
-    def _take(self, batch, whole):
-        self.lag_s = self.follower.lag_s
-        if whole:
+    def _on_batch(self, batch, is_snapshot):
+        self.lag_s = self.watcher.lag_s
+        if is_snapshot:
             self.known = {}
         for record in batch.records:
             if record.value is None:
@@ -151,23 +151,23 @@
 
 
 class Domain:
-    """Processes that ask each other, over calls that a test may harm."""
+    """Processes that query each other, with faults that a test sets."""
 
     def __init__(self, count):
         self.store = Store()
         self.processes = [Process(self, n) for n in range(count)]
 
     async def __aenter__(self):
-        self.elect(range(len(self.processes)))
+        self.set_readers(range(len(self.processes)))
         for process in self.processes:
-            await process.follower.start()
+            await process.watcher.start()
         return self
 
     async def __aexit__(self, *_):
         for process in self.processes:
-            await process.follower.stop()
+            await process.watcher.stop()
 
-    def elect(self, order):
+    def set_readers(self, order):
         for process in self.processes:
             process.selector.set_candidates(tuple(address(n) for n in order))
 
@@ -178,41 +178,41 @@
             raise peer_queries.Unable("gone", "broken")
 
         clock = asyncio.get_running_loop().time
-        patient_until = clock() + query.wait_s + query.grace_s
+        give_up_at = clock() + query.wait_s + query.grace_s
 
         async def send_keep_alive():
-            nonlocal patient_until
+            nonlocal give_up_at
             if not process.frozen:
-                patient_until = clock() + query.grace_s
+                give_up_at = clock() + query.grace_s
 
         answering = asyncio.ensure_future(
-            process.shared.answer(query, send_keep_alive)
+            process.shared_topic.answer(query, send_keep_alive)
         )
         try:
             while not answering.done() or process.frozen:
                 await asyncio.sleep(0.01)
-                if process.gone or clock() > patient_until:
+                if process.gone or clock() > give_up_at:
                     raise peer_queries.Unable("silent", "broken")
             return answering.result()
         finally:
             answering.cancel()
 
     def ages(self):
-        return [process.follower.age_s for process in self.processes]
+        return [process.watcher.age_s for process in self.processes]
 
-    def prove(self):
-        """Checks that nobody claims to know what he does not know."""
+    def check_ages(self):
+        """Checks that no copy is older than its process claims."""
         now = asyncio.get_running_loop().time()
         for process in self.processes:
-            if not process.follower.has_snapshot:
+            if not process.watcher.has_snapshot:
                 continue
-            proved_at = now - process.follower.age_s
+            current_at = now - process.watcher.age_s
             state = {}
             for (key, value), put_at in zip(
                 self.store.log, self.store.put_at, strict=True
             ):
-                # Later changes of a key may be known already.
-                former = [] if put_at < proved_at else state.get(key, [b""])
-                state[key] = [*former, value]
+                # The copy may or may not include later changes.
+                earlier = [] if put_at < current_at else state.get(key, [b""])
+                state[key] = [*earlier, value]
             for key, values in state.items():
                 assert process.known.get(key, b"") in values
