--- a/tests/test_direct_follow.py
+++ b/tests/test_direct_follow.py
@@ -1,4 +1,4 @@
-"""How old a process's knowledge is, and what it does when history is lost."""
+"""Tests the age of a watched topic, polling, and the length of outages."""
 
 import asyncio
 
@@ -13,17 +13,17 @@
 
 
 class Topic:
-    """A topic that answers a waiting question at the wait's end or at news."""
+    """A topic that holds a poll until the end of its wait or a change."""
 
     def __init__(self):
         self.records = []
-        self.first = 0
+        self.first_offset = 0
         self.down = False
-        self.wholes = 0
+        self.snapshots = 0
 
     async def snapshot(self):
         self._check()
-        self.wholes += 1
+        self.snapshots += 1
         return topic_watch.Batch(tuple(self.records[-1:]), len(self.records))
 
     async def changes(self, offset, wait_s):
@@ -34,7 +34,7 @@
             await asyncio.sleep(min(0.01, until - loop.time()))
         self._check()
         await asyncio.sleep(0.004)
-        if offset < self.first:
+        if offset < self.first_offset:
             raise topic_watch.HistoryLost("gone")
         return topic_watch.Batch(
             tuple(self.records[offset:]), len(self.records)
@@ -48,119 +48,122 @@
             raise exceptions.PlatformUnavailable("down")
 
 
-async def following(topic, pace, taken):
-    follower = topic_watch.TopicWatcher(
+async def start_watcher(topic, timing, batches):
+    watcher = topic_watch.TopicWatcher(
         "t",
         topic,
-        pace,
-        lambda batch, whole: taken.append((batch, whole)),
+        timing,
+        lambda batch, is_snapshot: batches.append((batch, is_snapshot)),
         logs.Log(),
         counters_lib.Counters(),
         asyncio.get_running_loop().time,
     )
-    await follower.start()
-    return follower
+    await watcher.start()
+    return watcher
 
 
-@pytest.mark.parametrize("news_at", [0.5, 1.9])
-def test_news_do_not_make_the_knowledge_old(news_at):
-    """Symptom: a process takes no callers for a while after each change.
+@pytest.mark.parametrize("change_at", [0.5, 1.9])
+def test_a_change_does_not_age_the_copy(change_at):
+    """Guards against a process that rejects callers after each change.
 
-    Sequence: a question waits for two seconds, brings a change at its end, and
-    the next one waits for two seconds more. Cause: an answer with news proves
-    only the time of its question.
+    A poll is held for two seconds and brings a change at its end, and the next
+    poll is held for two seconds more. An answer with records only shows that
+    the copy was current when the poll was sent, so the copy seemed too old.
     """
 
-    async def play():
+    async def scenario():
         topic = Topic()
         topic.put("a")
-        follower = await following(topic, topic_watch.PollTiming(2.0, 0.0), [])
-        await asyncio.sleep(4.0 + news_at)
+        watcher = await start_watcher(
+            topic, topic_watch.PollTiming(2.0, 0.0), []
+        )
+        await asyncio.sleep(4.0 + change_at)
         topic.put("b")
-        oldest = 0.0
+        max_age_s = 0.0
         for _ in range(500):
             await asyncio.sleep(0.01)
-            oldest = max(oldest, follower.age_s)
-        await follower.stop()
-        return oldest
+            max_age_s = max(max_age_s, watcher.age_s)
+        await watcher.stop()
+        return max_age_s
 
-    assert clocks.run(play()) < 2.3
+    assert clocks.run(scenario()) < 2.3
 
 
-def test_the_age_grows_while_the_platform_is_away():
-    async def play():
+def test_the_age_grows_during_an_outage():
+    async def scenario():
         topic = Topic()
-        follower = await following(topic, topic_watch.PollTiming(2.0, 0.0), [])
+        watcher = await start_watcher(
+            topic, topic_watch.PollTiming(2.0, 0.0), []
+        )
         await asyncio.sleep(3.0)
         topic.down = True
         await asyncio.sleep(5.0)
-        old, settled = follower.age_s, follower.available_s
+        outage_age_s, available_s = watcher.age_s, watcher.available_s
         topic.down = False
         await asyncio.sleep(2.0)
-        young, again = follower.age_s, follower.available_s
-        await follower.stop()
-        return old, settled, young, again
+        fresh_age_s, recovered_s = watcher.age_s, watcher.available_s
+        await watcher.stop()
+        return outage_age_s, available_s, fresh_age_s, recovered_s
 
-    old, settled, young, again = clocks.run(play())
-    assert old > 4.9
-    assert settled == 0.0
-    assert young < 2.2
-    assert 0.0 < again < 2.1
+    outage_age_s, available_s, fresh_age_s, recovered_s = clocks.run(scenario())
+    assert outage_age_s > 4.9
+    assert available_s == 0.0
+    assert fresh_age_s < 2.2
+    assert 0.0 < recovered_s < 2.1
 
 
-def test_lost_history_is_made_good_by_a_whole_reading():
-    async def play():
-        topic, taken = Topic(), []
+def test_lost_history_is_replaced_by_a_snapshot():
+    async def scenario():
+        topic, batches = Topic(), []
         topic.put("a")
-        follower = await following(
-            topic, topic_watch.PollTiming(0.5, 0.0), taken
+        watcher = await start_watcher(
+            topic, topic_watch.PollTiming(0.5, 0.0), batches
         )
         await asyncio.sleep(1.2)
         topic.put("b")
         topic.put("c")
-        topic.first = len(topic.records)
+        topic.first_offset = len(topic.records)
         await asyncio.sleep(1.2)
-        await follower.stop()
-        return topic.wholes, taken[-1]
+        await watcher.stop()
+        return topic.snapshots, batches[-1]
 
-    wholes, (batch, whole) = clocks.run(play())
-    assert wholes == 2
-    assert whole
+    snapshots, (batch, is_snapshot) = clocks.run(scenario())
+    assert snapshots == 2
+    assert is_snapshot
     assert [record.key for record in batch.records] == ["c"]
 
 
 @pytest.mark.parametrize(
     ("fault", "outage_s"),
     [
-        ("broke at once", 0.3),
+        ("broken at once", 0.3),
         ("hung", 3.5),
-        ("broke while it waited", 0.3),
-        ("the history is gone", 0.0),
+        ("broken while held", 0.3),
+        ("history lost", 0.0),
     ],
 )
-def test_a_connection_that_broke_is_told_from_a_platform_that_was_away(
-    fault, outage_s
-):
-    """A removal was not believed for seconds after one connection broke.
+def test_a_broken_connection_is_distinguished_from_an_outage(fault, outage_s):
+    """Guards against removals that are ignored after a broken connection.
 
-    Whether a listing may have run out for want of its server's news depends on
-    how long the platform may have been away, and no failed call alone tells.
+    Whether a listing may have expired without a renewal depends on how long the
+    platform may have been unavailable, which a single failed call does not
+    tell. Removals were ignored for seconds after one connection broke.
     """
-    lasted_s = {
-        "broke at once": 0.01,
+    durations_s = {
+        "broken at once": 0.01,
         "hung": 3.2,
-        "broke while it waited": 1.9,
-        "the history is gone": 0.01,
+        "broken while held": 1.9,
+        "history lost": 0.01,
     }
-    lasts_s = lasted_s[fault]
-    lost_history = fault == "the history is gone"
+    duration_s = durations_s[fault]
+    lost_history = fault == "history lost"
 
-    async def play():
+    async def scenario():
         clock = asyncio.get_running_loop().time
         tracker = outage.OutageTracker(clock)
         tracker.record_answer()
         asked_at = clock()
-        await asyncio.sleep(lasts_s)
+        await asyncio.sleep(duration_s)
         if lost_history:
             tracker.record_answer()
         else:
@@ -169,11 +172,11 @@
         tracker.record_answer()
         assert tracker.outage_s == pytest.approx(outage_s, abs=0.01)
 
-    clocks.run(play())
+    clocks.run(scenario())
 
 
-def test_an_outage_that_ends_in_fits_is_one():
-    async def play():
+def test_an_outage_with_single_answers_near_its_end_is_one_outage():
+    async def scenario():
         clock = asyncio.get_running_loop().time
         tracker = outage.OutageTracker(clock)
         for down in (True, False, True, False):
@@ -184,52 +187,53 @@
             await asyncio.sleep(1.0)
         assert tracker.outage_s == pytest.approx(3.0, abs=0.01)
 
-    clocks.run(play())
+    clocks.run(scenario())
 
 
-@pytest.mark.parametrize("fault", ["history is lost", "nothing, at once"])
-def test_answers_in_vain_are_not_asked_for_without_a_pause(fault):
-    """A process asked the platform five hundred times a second.
+@pytest.mark.parametrize("fault", ["history lost", "empty at once"])
+def test_polls_with_useless_answers_are_paused(fault):
+    """Guards against polling the platform five hundred times a second.
 
-    The platform said over and over that the history was lost, or answered at
-    once and without records though it was asked to wait. Only failed calls were
-    followed by a pause.
+    The platform kept reporting lost history, or answered at once and without
+    records though it was asked to wait. Only failed calls were followed by a
+    pause.
     """
     calls = []
 
     class Source:
         async def snapshot(self):
-            calls.append("newest")
+            calls.append("snapshot")
             await asyncio.sleep(0.002)
             return topic_watch.Batch((), 5)
 
         async def changes(self, offset, wait_s):
             calls.append("changes")
             await asyncio.sleep(0.002)
-            if fault == "history is lost":
+            if fault == "history lost":
                 raise topic_watch.HistoryLost("gone")
             return topic_watch.Batch((), offset)
 
-    async def play():
-        follower = await following(
+    async def scenario():
+        watcher = await start_watcher(
             Source(), topic_watch.PollTiming(2.0, 0.0), []
         )
         await asyncio.sleep(10.0)
-        await follower.stop()
+        await watcher.stop()
 
-    clocks.run(play())
+    clocks.run(scenario())
     assert len(calls) < 50
 
 
-def test_news_of_another_process_are_not_taken_for_answers_in_vain():
-    """Processes heard late of versions and servers that a reader passed on.
+def test_changes_from_a_peer_do_not_count_as_useless_answers():
+    """Guards against delayed changes of versions and servers from a reader.
 
-    Its answers cost nothing, so no pause follows them; they were taken for
-    answers that bring nothing, and after four in a row a pause of up to 0.8 s
-    followed each. Agents heard 0.2 s late of a version, and began late.
+    Answers of a reader are not billed, so that no pause is needed after them.
+    They were counted as empty, and after four in a row each was followed by a
+    pause of up to 0.8 s. Agents learned of a version 0.2 s late and started
+    late.
     """
 
-    class Reader:
+    class PeerSource:
         async def snapshot(self):
             return topic_watch.Batch((), 0)
 
@@ -238,13 +242,13 @@
             record = topic_watch.Record(str(offset), offset)
             return topic_watch.Batch((record,), offset + 1, billed=False)
 
-    async def play():
-        taken = []
-        follower = await following(
-            Reader(), topic_watch.PollTiming(2.0, 0.0), taken
+    async def scenario():
+        batches = []
+        watcher = await start_watcher(
+            PeerSource(), topic_watch.PollTiming(2.0, 0.0), batches
         )
         await asyncio.sleep(1.0)
-        await follower.stop()
-        return len(taken)
+        await watcher.stop()
+        return len(batches)
 
-    assert clocks.run(play()) > 80
+    assert clocks.run(scenario()) > 80
--- a/tests/test_direct_readers.py
+++ b/tests/test_direct_readers.py
@@ -1,4 +1,4 @@
-"""Whom a process asks about topics, and what is kept for those who ask."""
+"""Tests the selection of readers and the copy kept for queries of peers."""
 
 import pytest
 
@@ -18,7 +18,7 @@
     return raw.Batch(tuple(items), offset + len(items))
 
 
-def test_a_storm_of_changes_is_told_as_the_newest_of_each_key():
+def test_many_changes_are_compacted_to_the_newest_of_each_key():
     compacted = compacted_log.CompactedLog()
     compacted.replace(batch(0, ("a", b"0")), 0.0)
     for number in range(1, 50):
@@ -31,7 +31,7 @@
     assert (compacted.added_after(1), compacted.added_after(50)) == (1.0, 2.0)
 
 
-def test_who_is_too_far_behind_takes_everything():
+def test_history_is_lost_for_peers_that_are_too_far_behind():
     compacted = compacted_log.CompactedLog()
     compacted.replace(batch(7, ("a", b"0")), 0.0)
     with pytest.raises(topic_watch.HistoryLost):
@@ -44,7 +44,7 @@
     assert len(compacted._log) < 2_100
 
 
-def test_few_are_asked_before_the_store_and_none_that_failed_just_now():
+def test_few_peers_precede_the_store_and_none_in_backoff_is_queried():
     now = [0.0]
     selector = reader_selector.ReaderSelector(lambda: now[0])
     now[0] = 2.0
@@ -67,8 +67,8 @@
     assert selector.order(serving=False) == first
 
 
-def orders_while_the_store_is_away(unreachable):
-    """Returns whom the third reader asks at first, and a moment later."""
+def orders_during_an_outage(unreachable):
+    """Returns the first order of the third reader, and that 0.5 s later."""
     now = [10.0]
     selector = reader_selector.ReaderSelector(lambda: now[0])
     now[0] = 20.0
@@ -83,13 +83,16 @@
     return first, selector.order(serving=False)
 
 
-def test_a_store_that_is_back_is_found_though_the_first_readers_are_dead():
-    """Recovery took seconds: only two dead readers were to go on trying it."""
-    asked = [None, address(3)]
-    assert orders_while_the_store_is_away(unreachable=True) == (asked, asked)
+def test_a_returned_store_is_found_although_the_first_readers_are_dead():
+    """Guards against a recovery that takes seconds.
 
+    Only the first two readers kept trying the store, and both were dead.
+    """
+    order = [None, address(3)]
+    assert orders_during_an_outage(unreachable=True) == (order, order)
 
-def test_the_first_readers_alone_try_a_store_that_is_away():
-    others = [address(0), address(1)]
-    found = orders_while_the_store_is_away(unreachable=False)
-    assert found == ([None, *others], others)
+
+def test_only_the_first_readers_keep_trying_an_unavailable_store():
+    peers = [address(0), address(1)]
+    found = orders_during_an_outage(unreachable=False)
+    assert found == ([None, *peers], peers)
