--- a/src/clementinegw/direct/shared_topic.py
+++ b/src/clementinegw/direct/shared_topic.py
@@ -92,7 +92,7 @@
         peers: peer_queries.Peers,
         selector: reader_selector.ReaderSelector,
         poll_timing: topic_watch.PollTiming,
-        notify_freshness: bool,
+        needs_freshness: bool,
         log: logs.Log,
         counters: counters_lib.Counters,
         clock: Callable[[], float],
@@ -107,8 +107,8 @@
           peers: Queries other processes.
           selector: Selects the readers; shared by all topics of a process.
           poll_timing: How long a query may be held.
-          notify_freshness: Whether this process queries for freshness, so that
-            peers also answer when only their freshness has changed.
+          needs_freshness: Whether the age of the copy matters, so that peers
+            should also answer when only their freshness has changed.
           log: Receives events.
           counters: Counts queries by target and result.
           clock: Returns seconds, including time while suspended.
@@ -128,7 +128,7 @@
         self._peers = peers
         self._selector = selector
         self._poll_timing = poll_timing
-        self._notify_freshness = notify_freshness
+        self._needs_freshness = needs_freshness
         self._hedges = hedges
         self._log = log
         self._counters = counters
@@ -202,7 +202,7 @@
             overdue_s = self._store_wait_s(wait_s) + _OVERDUE_S
         else:
             margin_s = (
-                _FRESHNESS_OVERDUE_S if self._notify_freshness else _OVERDUE_S
+                _FRESHNESS_OVERDUE_S if self._needs_freshness else _OVERDUE_S
             )
             overdue_s = self._peer_wait_s(offset) + margin_s
         return hedged_call.HedgeTiming(overdue_s, _HEDGE_INTERVAL_S)
@@ -213,7 +213,7 @@
             # The copy from the previous reader has aged by now, and peers may
             # be waiting for a first answer, so this poll must not be held.
             return 0.0
-        if self.serving and self._notify_freshness:
+        if self.serving and self._needs_freshness:
             return min(wait_s, self._serving_wait_s)
         return wait_s
 
@@ -291,7 +291,7 @@
             return 0.0
         return (
             self._freshness_wait_s
-            if self._notify_freshness
+            if self._needs_freshness
             else self._poll_timing.wait_s
         )
 
@@ -304,7 +304,7 @@
         asked_at = self._clock()
         freshness_id = (
             self._seen_freshness.get(reader, 0)
-            if self._notify_freshness
+            if self._needs_freshness
             else None
         )
         wait_s = self._peer_wait_s(offset)
