--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -1,4 +1,9 @@
-"""The agent of the direct path: weights onto the server beside it."""
+"""The agent of the direct path, which updates the weights of one server.
+
+An agent runs on the same host as its backend server. It fetches new versions
+of the weights, orders the server to load them, and reports the server's load
+and state to the entries.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -28,36 +33,36 @@
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
 
-# Entries pass a new declaration on within a second, so a connection to the
-# platform that went silent may go unnoticed for a while.
+# Entries forward a new declaration to agents within a second, so an agent can
+# afford to notice late that its own connection to the platform is stalled.
 _POLL_PACES = follow.Paces(
     operators=follow.Pace(wait_s=6.0, pause_s=0.0),
     servers=follow.Pace(wait_s=10.0, pause_s=3.0),
 )
-# How often the server beside is asked, and a step is taken towards the wanted
-# version, in seconds. A question costs nothing there and bounds the age of what
-# entries balance by. All wake up at the same moments: on their own, each of the
-# three cost a question to the kernel of its own.
+# How often the local server is polled and the update loops run, in seconds. A
+# poll is cheap for the server and bounds the age of the load that entries
+# balance by. The three loops wake up at the same moments: separate timers cost
+# a kernel poll each.
 _TICK_INTERVAL_S = 0.1
-# How often entries are told of requests that crash servers, in seconds: each
-# must know before such a request has come again some times.
+# How often entries are told of requests that crash servers, in seconds. Every
+# entry must know of such a request before it has been repeated a few times.
 _SUSPICIONS_INTERVAL_S = 0.5
 
 
 class Platform(raw.Platform, Protocol):
-    """What the daemon needs of the platform."""
+    """The platform calls that an agent makes."""
 
     def local_server(
         self, address: places.Address, model: str
     ) -> agent_interfaces.LocalServer:
-        """Returns the server beside the agent."""
+        """Returns a client of the backend server that the agent serves."""
 
     def origin(self, address: places.Address) -> agent_interfaces.Origin:
-        """Returns the origin of weights."""
+        """Returns a client of the origin, which stores the weights."""
 
 
 class Agent(mode.Service):
-    """One agent."""
+    """The agent process of one backend server."""
 
     def __init__(
         self,
@@ -69,7 +74,7 @@
         clock: clocks.Clock | None = None,
         boot_clock: Callable[[], float] = follow.boot_time,
     ):
-        """Prepares the daemon; see `entry.Entry`."""
+        """Creates the agent; see `entry.Entry` for the arguments."""
         super().__init__()
         assert instance.backend is not None
         self._instance = instance
@@ -131,7 +136,7 @@
         self._starts = starts.Starts(log)
 
     async def on_start(self) -> None:
-        """Listens for peers and entries, and follows the platform."""
+        """Starts to listen for agents and entries and follows the platform."""
         await self._fetcher.listen()
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
@@ -145,29 +150,29 @@
         self._log.write(events.PROCESS_STARTED)
 
     def reload(self, instance: instances.Instance) -> None:
-        """Takes over a changed instance file; addresses stay as they are."""
+        """Applies a changed instance file; its addresses are not re-read."""
         self._instance = instance
         self._context.instance = instance
         self._declared.due_s = instance.bounds.weights_ms / 1e3
 
     async def drain(self) -> None:
-        """Has nothing to finish: what it brought lies with the server."""
+        """Logs that the process stops; staged pieces stay with the server."""
         self._log.write(events.PROCESS_STOPPING)
 
     async def on_shutdown(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         self._reporter.close()
         await self._fetcher.close()
         self._log.write(events.PROCESS_STOPPED)
 
-    # What the platform says.
+    # Records from the platform.
 
     def _on_operators(self, batch: follow.Batch, whole: bool) -> None:
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
                 self._apply_configuration(record.value)
-        # Only now: the configuration says which model this server is for.
+        # Declarations come second: the configuration names the server's model.
         for record in batch.records:
             if isinstance(record.value, types.Declared):
                 declared = record.value
@@ -179,9 +184,9 @@
                 )
 
     def _apply_configuration(self, configuration: types.Configuration) -> None:
-        mine = configuration.services.get(self._instance.service)
-        if mine is not None and mine.engine is not None:
-            self._context.engine = mine.engine
+        own_service = configuration.services.get(self._instance.service)
+        if own_service is not None and own_service.engine is not None:
+            self._context.engine = own_service.engine
         for service in configuration.services.values():
             if service.origin is not None:
                 address = service.origin.address
@@ -192,15 +197,16 @@
         self._update_initialized()
 
     def _on_declared(self, declared: reports.Declared) -> None:
-        """Takes in what an entry knows."""
+        """Merges the declarations that an entry knows."""
         entry = declarations.Source.ENTRY
         for model, ages_s in declared.ages_s.items():
             changes = self._declared.merge_ages(model, ages_s, entry)
             self._publish_changes(changes)
         newest = self._declared.newest()
         for model, version in declared.newest.items():
-            # The entry knows no age, and this process has read of no version:
-            # it may have been named since its own last proof.
+            # The entry reported no age, and this process has not read the
+            # version itself, so it may have been declared at any time since
+            # this process last knew that it had read every record.
             if version > newest.get(model, 0):
                 age_s = self._operators.age_s
                 self._apply_declared(model, version, age_s, entry)
@@ -216,7 +222,7 @@
         self._publish_changes([change] if change else [])
 
     def _publish_changes(self, changes: list[declarations.Change]) -> None:
-        """Logs what changed, and tells the entries at once."""
+        """Logs significant changes and reports them to the entries at once."""
         significant = [change for change in changes if change.is_significant]
         for change in significant:
             if change.model == self._context.model:
@@ -230,7 +236,7 @@
             self._reporter.news()
 
     def _ages_report(self) -> reports.Report | None:
-        """Returns a report of ages only; None while none is known."""
+        """Returns a report with ages only; None if no age is known."""
         model = self._context.model
         ages_s = self._declared.ages_s(model)
         if not ages_s:
@@ -243,7 +249,7 @@
         self._suspects.take(suspicions, self._clock())
 
     def _suspicions(self) -> tuple[suspects.Suspicion, ...]:
-        """Returns what entries are told this time of bad requests."""
+        """Returns the suspicions to send now; empty if some were just sent."""
         now = self._clock()
         if now - self._suspicions_sent_at < _SUSPICIONS_INTERVAL_S:
             return ()
@@ -277,7 +283,7 @@
             return
         server = self._starts.take(record.value)
         if server is not None and server.service == self._instance.service:
-            # The one that was heard of last stands last.
+            # Re-inserted so that the most recently listed server comes last.
             self._context.servers.pop(record.key, None)
             self._context.servers[record.key] = server
 
@@ -301,10 +307,10 @@
             places.Address(host, self._instance.peer_ports[0]),
         )
 
-    # The server beside.
+    # The local server.
 
     @mode.Service.task
-    async def _watch_server(self) -> None:
+    async def _poll_loop(self) -> None:
         while not self.should_stop:
             await self._tick()
             if self._context.local_server is not None:
@@ -382,14 +388,14 @@
             await self._step(self._updater.load_newest)
 
     async def _step(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Takes a step, then waits for a change or a while."""
+        """Runs one step of a loop, then sleeps until the next tick."""
         try:
             await step()
         except exceptions.ClementineError as error:
             self._log.write(_events.WEIGHTS_WAIT, reason=error.message)
         except Exception as error:
-            # A defect in one step must not end the loop in silence: the
-            # process would live on and never load anything again.
+            # An unexpected error in one step must not end the loop silently:
+            # the process would keep running and never load anything again.
             self._log.write(
                 _events.STEP_FAILED,
                 step=step.__name__,
@@ -398,7 +404,7 @@
         await self._tick()
 
     async def _tick(self) -> None:
-        """Sleeps until the next moment at which all parts wake up."""
+        """Sleeps until the next tick, at which all loops wake up."""
         left_s = _TICK_INTERVAL_S - self._clock() % _TICK_INTERVAL_S
         if left_s < _TICK_INTERVAL_S / 2:
             left_s += _TICK_INTERVAL_S
--- a/src/clementinegw/direct/fetcher.py
+++ b/src/clementinegw/direct/fetcher.py
@@ -1,4 +1,8 @@
-"""Brings a version's pieces to an agent and to the server beside it."""
+"""Fetches a version's pieces and stages them at the agent's server.
+
+Pieces come from other agents and from the origin; `weights.transfer` runs the
+exchange.
+"""
 
 import asyncio
 import hashlib
@@ -21,60 +25,63 @@
 from clementinegw.wire import auth
 from clementinegw.wire import connection as connections
 
-# Versions of which pieces are kept in memory: the one served, the one on its
-# way, and one more that was named meanwhile.
+# Versions whose pieces are kept in memory: the one served, the one being
+# fetched, and one more that was declared meanwhile.
 _VERSIONS_KEPT = 3
 _MIN_STORE_BYTES = 8 << 20
-# The part of the machine's link that pieces may take; the rest is for the live
-# answers of the server beside, for new connections to it, and for reports.
+# The share of the machine's link that pieces may use. The rest is for the local
+# server's answers, new connections to it, and reports.
 _LINK_SHARE = 0.87
-# What is asked for at once: at a small machine's link a live event waits for
-# about two of them, well under what makes a stream late. Bytes.
+# The size of one request for a part of a piece, in bytes. On a small machine's
+# link a streamed event waits for about two parts, well below the delay at which
+# a stream counts as late.
 _PART_BYTES = 8 << 10
-# Pieces asked of one agent at once. In a failure domain of two, all that is
-# left near the end lies with one other; asked one by one, the turnaround of
-# each leaves two fifths of the link idle.
+# Concurrent requests to one agent. In a failure domain of two agents, only one
+# peer has the last missing pieces; one request at a time would leave two fifths
+# of the link idle during the round trips.
 _REQUESTS_PER_PEER = 2
-# Agents of the own failure domain that each is connected to: all of a dozen.
-# An agent sees only what its neighbours hold, and takes from other regions what
-# is near but out of its sight.
+# Connections to agents of the same failure domain, enough for all of a dozen.
+# An agent only knows what its neighbours hold, and would otherwise fetch pieces
+# from other regions that an unconnected agent nearby holds.
 _LOCAL_NEIGHBOURS = 16
-# Draws are spread as if the origin's link were this many of a machine's while
-# its rate is not known, and then by this many times that rate. The sooner all
-# pieces are out, the less an origin that is cut off can hold back; but those
-# asked for sooner than its link carries them all come late, and new connections
-# do not come up behind them.
-_UNKNOWN_ORIGIN_LINKS = 3.0
+# Requests to the origin are spread over time. While the origin's rate is
+# unknown, its link is assumed to be this many times a machine's link; once the
+# rate is known, requests are made at this many times that rate. The sooner all
+# pieces have left the origin, the less is lost if it becomes unreachable, but
+# requests beyond the link's rate all finish late and block new connections.
+_DEFAULT_ORIGIN_LINKS = 3.0
 _ORIGIN_RATE_FACTOR = 1.1
-# Up to so many agents each ask the origin what a version consists of: less than
-# half of the connections that an origin takes.
+# The largest fleet in which every agent requests the manifest from the origin:
+# less than half of the connections that an origin accepts.
 _MAX_FLEET_ASKING_ORIGIN = 16
-# In a larger fleet the others ask those who do so first, so often and for so
-# long: the answer is there after two trips, and some kilobytes. Seconds.
+# In a larger fleet a few agents ask the origin, and the others ask these few at
+# this interval and for at most this time, both in seconds. The answer takes two
+# round trips and a few kilobytes.
 _ASK_INTERVAL_S = 0.05
 _ASK_TIMEOUT_S = 0.4
-# All agents of a deployment stand in the platform's own network; the key only
-# keeps a stray connection of something else out.
+# All agents of a deployment are in the platform's private network. The key only
+# rejects connections that other software opens by mistake.
 _KEY = b"clementinegw agents of one platform"
-# Copies that may enter a failure domain besides the first one, by agents that
-# help out: bytes between places are paid for.
+# Copies of a version that may enter a failure domain in addition to the first
+# one, fetched by agents that assist. Traffic between domains is paid for.
 _CROSS_DOMAIN_COPIES = 0.4
-# How often agents tell each other of new pieces, in seconds.
+# How often agents announce new pieces to each other, in seconds.
 _ADVERT_INTERVAL_S = 0.1
-# How often agents elsewhere are told that only help a chunk into their failure
-# domain, in seconds: they wait for the first of their own for longer than that.
+# The same for agents of other failure domains that only assist in importing a
+# piece there, in seconds. They wait longer than that for the agent of their
+# domain that is first in line.
 _FAR_ADVERT_INTERVAL_S = 0.3
-# A sign of life is asked for once before a peer is given up.
+# Allows for one ping before a silent peer is dropped.
 _TIMING = connections.Timing(connect_s=1.0, ping_s=1.0, silent_s=2.1)
 
 
 def digest_of(data: bytes) -> bytes:
-    """Returns the SHA-256 digest that pieces are named by."""
+    """Returns the SHA-256 digest that identifies a piece."""
     return hashlib.sha256(data).digest()
 
 
 class _OriginBlobStore:
-    """The origin as the exchange asks it: a piece by its digest."""
+    """Adapts the origin to a blob store that returns a piece by its digest."""
 
     def __init__(self, counters: counters_lib.Counters, clock: clocks.Clock):
         self.failing_since: float | None = None
@@ -89,7 +96,7 @@
         origin: agent_interfaces.Origin,
         manifest: agent_interfaces.VersionManifest,
     ) -> None:
-        """Says of which version pieces are asked for."""
+        """Sets the version whose pieces are requested."""
         self._origin = origin
         self._manifest = manifest
         self._numbers = {
@@ -104,7 +111,9 @@
         del offset, length
         number = self._numbers.get(name)
         if self._origin is None or self._manifest is None or number is None:
-            raise exceptions.BlobMissing(f"origin: no {name}")
+            raise exceptions.BlobMissing(
+                f"the origin has no piece {name} of the target"
+            )
         self._counters.add("weights.origin.calls")
         try:
             data = await self._origin.piece(
@@ -118,8 +127,8 @@
         return data
 
     async def put(self, name: str, data: bytes) -> None:
-        """See `platform.blobs.BlobStore`; nothing is published here."""
-        raise exceptions.PlatformRefused("the origin takes nothing")
+        """See `platform.blobs.BlobStore`; always refused."""
+        raise exceptions.PlatformRefused("the origin is read-only")
 
     async def size(self, name: str) -> int:
         """See `platform.blobs.BlobStore`."""
@@ -127,7 +136,13 @@
 
 
 class Fetcher:
-    """The pieces of the wanted version, by exchange with other agents."""
+    """Fetches the pieces of the target version.
+
+    Attributes:
+      transfer: Exchanges pieces with other agents and the origin.
+      origin_bytes_per_s: The rate of the origin's link; an estimate until
+        `set_origin_rate` is called.
+    """
 
     def __init__(
         self,
@@ -138,11 +153,11 @@
         counters: counters_lib.Counters,
         clock: clocks.Clock,
     ):
-        """Does nothing before `start`.
+        """Creates a fetcher; it accepts no connections before `listen`.
 
         Args:
           me: This agent.
-          link_bytes_per_s: The machine's link.
+          link_bytes_per_s: The capacity of the machine's link.
           rng: Breaks ties.
           log: Where events go.
           counters: Counts bytes, refusals and retries.
@@ -170,7 +185,7 @@
             counters=counters,
             part_bytes=_PART_BYTES,
         )
-        self.origin_bytes_per_s = _UNKNOWN_ORIGIN_LINKS * link_bytes_per_s
+        self.origin_bytes_per_s = _DEFAULT_ORIGIN_LINKS * link_bytes_per_s
         self._manifest: agent_interfaces.VersionManifest | None = None
         self._manifest_cache = manifest_cache.ManifestCache(
             self._endpoint, rng, counters
@@ -178,12 +193,12 @@
 
     @property
     def manifest(self) -> agent_interfaces.VersionManifest | None:
-        """The version that is being brought, or is here."""
+        """The target version, complete or not; None before the first one."""
         return self._manifest
 
     @property
     def missing_fraction(self) -> float:
-        """The part of that version's pieces that is missing."""
+        """The fraction of the target's pieces that this agent lacks."""
         progress = self.transfer.progress
         if not progress.total:
             return 1.0
@@ -191,65 +206,67 @@
 
     @property
     def unspread_fraction(self) -> float:
-        """The part of its pieces that no agent in sight holds."""
+        """The fraction that neither this agent nor a neighbour holds."""
         total = self.transfer.progress.total
         return self.transfer.unspread / total if total else 1.0
 
     @property
     def origin_failing_s(self) -> float:
-        """How long the origin has given no piece to this agent, in seconds."""
+        """How long requests to the origin have been failing, in seconds."""
         since = self._origin.failing_since
         return 0.0 if since is None else self._clock.now() - since
 
     async def fetch_manifest(
         self, origin: agent_interfaces.Origin, model: str, version: int
     ) -> agent_interfaces.VersionManifest:
-        """Returns what a version consists of, by the origin or other agents.
+        """Returns a version's manifest from the cache, an agent or the origin.
 
         Raises:
-          exceptions.PlatformError: Nobody told.
+          exceptions.PlatformError: Neither the origin nor an agent answered.
         """
-        known = self._manifest_cache.get(model, version)
-        if known is not None:
-            return known
+        cached = self._manifest_cache.get(model, version)
+        if cached is not None:
+            return cached
         found = await self._manifest_from_agents(model, version)
         if found is not None:
             return found
         try:
             found = await origin.manifest(model, version)
         except exceptions.PlatformError:
-            told = await self._manifest_cache.fetch(model, version)
-            if told is None:
+            from_agent = await self._manifest_cache.fetch(model, version)
+            if from_agent is None:
                 raise
-            found = told
+            found = from_agent
         if found.version != version or not found.digests:
-            raise exceptions.PlatformUnavailable("another manifest")
+            raise exceptions.PlatformUnavailable(
+                f"manifest of {model} is empty or not of version {version}"
+            )
         self._manifest_cache.add(found)
         return found
 
     async def _manifest_from_agents(
         self, model: str, version: int
     ) -> agent_interfaces.VersionManifest | None:
-        """Returns a version as those know it that ask the origin first.
+        """Returns the manifest from the agents that ask the origin.
 
-        None where this agent is one of them, or none has told soon.
+        Returns None if this agent is one of them or none answers in time.
         """
-        first = self._agents_asking_origin(model, version)
-        if not first or self._me.instance_id in first:
+        askers = self._agents_asking_origin(model, version)
+        if not askers or self._me.instance_id in askers:
             return None
-        until = self._clock.now() + _ASK_TIMEOUT_S
-        while self._clock.now() < until:
-            told = await self._manifest_cache.fetch(model, version, first)
-            if told is not None:
-                self._manifest_cache.add(told)
-                return told
+        deadline = self._clock.now() + _ASK_TIMEOUT_S
+        while self._clock.now() < deadline:
+            found = await self._manifest_cache.fetch(model, version, askers)
+            if found is not None:
+                self._manifest_cache.add(found)
+                return found
             await asyncio.sleep(_ASK_INTERVAL_S)
         return None
 
     def _agents_asking_origin(
         self, model: str, version: int
     ) -> tuple[str, ...]:
-        """Returns who asks the origin; nobody in a fleet where all do."""
+        """Returns the agents that ask the origin; empty if all of them do."""
         fleet = self.transfer.fleet
         if len(fleet) <= _MAX_FLEET_ASKING_ORIGIN:
             return ()
@@ -257,25 +274,25 @@
         return fleet.ranked(name, drawers.DrawPolicy.FLEET, "")
 
     def holds_all(self, manifest: agent_interfaces.VersionManifest) -> bool:
-        """Returns whether every piece of a version is here."""
+        """Returns whether this agent holds every piece of a version."""
         return all(self._store.holds(digest) for digest in manifest.digests)
 
     async def listen(self) -> None:
-        """Takes connections of other agents."""
+        """Starts to accept connections from other agents."""
         await self._endpoint.listen(self._me.address)
 
     async def close(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         await self._endpoint.close()
 
     def set_origin_rate(self, bytes_per_s: float) -> None:
-        """Says how fast the origin's link is; 0 where nobody knows."""
+        """Sets the rate of the origin's link; ignored if it is 0, unknown."""
         if bytes_per_s > 0:
             self.origin_bytes_per_s = bytes_per_s
             self.transfer.set_origin_rate(_ORIGIN_RATE_FACTOR * bytes_per_s)
 
     def set_fleet(self, others: list[types.Instance]) -> None:
-        """Says which other agents there are."""
+        """Sets the other agents of the deployment."""
         self.transfer.set_fleet(others)
 
     def set_target(
@@ -284,12 +301,13 @@
         manifest: agent_interfaces.VersionManifest,
         is_new: bool = False,
     ) -> None:
-        """Brings a version; one that was wanted before is abandoned.
+        """Starts to fetch a version and abandons the former target.
 
         Args:
-          origin: Where its pieces are drawn.
-          manifest: What it consists of.
-          is_new: Whether it was declared only now: nobody has any piece.
+          origin: The origin of its pieces.
+          manifest: The version's manifest.
+          is_new: Whether it has just been declared, so that no agent has any
+            piece.
         """
         if manifest == self._manifest:
             return
@@ -303,7 +321,7 @@
     def assigned_pieces(
         self, manifest: agent_interfaces.VersionManifest
     ) -> list[int]:
-        """Returns the pieces that this agent draws first, and does not hold."""
+        """Returns the missing pieces that this agent fetches first of all."""
         firsts = self.transfer.first_draws(
             manifest_cache.to_swarm_manifest(manifest)
         )
@@ -315,12 +333,12 @@
         manifest: agent_interfaces.VersionManifest,
         number: int,
     ) -> bool:
-        """Draws one piece outside the exchange; returns whether it is kept.
+        """Fetches one piece outside the exchange; returns whether it was kept.
 
         Raises:
-          exceptions.PlatformError: The origin gave no whole piece.
+          exceptions.PlatformError: The origin did not return the whole piece.
         """
-        # Last in the order: what the link carries for the exchange goes first.
+        # Lowest priority: traffic of the exchange uses the link first.
         await self.transfer.take_pace(manifest.chunk_bytes)
         data = await origin.piece(manifest.model, manifest.version, number)
         return await self._store.put(manifest.digests[number], data)
@@ -330,8 +348,8 @@
         local_server: agent_interfaces.LocalServer,
         manifest: agent_interfaces.VersionManifest,
     ) -> int:
-        """Keeps the staged pieces that are of a version; returns how many."""
-        found = 0
+        """Stores staged pieces that match a version; returns how many did."""
+        stored = 0
         for number in sorted(await local_server.staged()):
             if number >= len(manifest.digests):
                 continue
@@ -339,26 +357,29 @@
             if data is not None and await self._store.put(
                 manifest.digests[number], data
             ):
-                found += 1
-        return found
+                stored += 1
+        return stored
 
     async def stage(
         self,
         local_server: agent_interfaces.LocalServer,
         manifest: agent_interfaces.VersionManifest,
     ) -> bool:
-        """Puts every piece beside and reads it back; False when one is gone.
+        """Stages every piece at the server and verifies it by reading it back.
+
+        Staged data may become corrupt or belong to an older version, and the
+        server does not check it: it would generate tokens with corrupt layers.
+        So every piece is compared with its digest right before the load order.
 
-        What lies staged may rot, or be of an older version, and the server
-        does not check it: a load would then make tokens with spoilt layers.
-        So every piece is compared with its digest right before the order.
+        Returns:
+          Whether all pieces are staged; False if one was missing or corrupt.
         """
-        # As a rule nothing lies there yet. Asked for one by one, what is not
-        # there took a third of all calls between the last piece and the order.
-        there = await local_server.staged()
+        # Usually nothing is staged yet. Reading every missing piece took a
+        # third of all calls between the last piece and the order.
+        staged = await local_server.staged()
         for number, digest in enumerate(manifest.digests):
             existing = None
-            if number in there:
+            if number in staged:
                 existing = await local_server.read_staged(number)
             if existing is not None and digest_of(existing) == digest:
                 continue
@@ -371,15 +392,16 @@
             if existing is None or digest_of(existing) != digest:
                 self._log.write(_events.STAGED_SPOILT, piece=number)
                 return False
-        # A server that started again meanwhile has lost what was compared.
+        # A server that restarted meanwhile has lost the verified pieces.
         return set(range(len(manifest.digests))) <= await local_server.staged()
 
 
 def _swarm_limits(link_bytes_per_s: float) -> swarm.Limits:
-    """Returns the exchange's limits for a few agents and a short deadline.
+    """Returns limits of the exchange for few agents and a short deadline.
 
-    A version must serve within seconds of its declaration, so stalls are
-    given up after one and the next drawer steps in as soon.
+    A version must serve within seconds of its declaration, so a stalled
+    request is given up after about a second, and the agent that is next in line
+    for a piece requests it from the origin just as soon.
     """
     return swarm.Limits(
         outstanding=4,
@@ -390,7 +412,7 @@
         remote_neighbours=4,
         draws=1,
         draw_deadline_s=0.8,
-        origin_bytes_per_s=_UNKNOWN_ORIGIN_LINKS * link_bytes_per_s,
+        origin_bytes_per_s=_DEFAULT_ORIGIN_LINKS * link_bytes_per_s,
         cut_off_s=3.0,
         settle_s=0.15,
         link_bytes_per_s=link_bytes_per_s,
