--- a/src/clementinegw/direct/agent_interfaces.py
+++ b/src/clementinegw/direct/agent_interfaces.py
@@ -1,4 +1,7 @@
-"""What an agent asks of the server beside it and of the origin."""
+"""Interfaces of the services that an agent calls.
+
+These are its local backend server and the origin of the weights.
+"""
 
 import dataclasses
 from typing import Protocol
@@ -8,17 +11,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerState:
-    """What the server says of itself.
+    """The state that a backend server reports.
 
     Attributes:
       held: The weights it has loaded.
-      busy: Whether an order is in progress.
-      sequence: Orders that it has accepted since it started.
-      running: Requests that it works on.
-      waiting: Requests in its queue.
-      pace: How many times slower than usual it works.
-      started_ms: When it started, in Unix milliseconds; 0 where that is not
-        said.
+      busy: Whether a load order is in progress.
+      sequence: The number of orders accepted since it started.
+      running: The number of requests that it processes.
+      waiting: The number of requests in its queue.
+      pace: How many times slower than usual it runs.
+      started_ms: When it started, in Unix milliseconds; 0 if unreported.
     """
 
     held: tuple[types.Held, ...]
@@ -32,12 +34,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionManifest:
-    """What a version of a model consists of.
+    """The pieces of one version of a model's weights.
 
     Attributes:
       model: The model's name.
       version: The version's number.
-      chunk_bytes: The size of a piece.
+      chunk_bytes: The size of a piece, in bytes.
       digests: The SHA-256 digest of each piece.
     """
 
@@ -48,50 +50,52 @@
 
 
 class LocalServer(Protocol):
-    """The server beside the agent.
+    """The backend server on the agent's host.
 
-    Every method raises `exceptions.BackendError` when no answer comes; the
-    call may have taken effect all the same.
+    Every method raises `exceptions.BackendError` if there is no answer; the
+    call may have taken effect nevertheless.
     """
 
     async def state(self) -> ServerState:
-        """Returns what it says of itself."""
+        """Returns the server's current state."""
 
     async def staged(self) -> frozenset[int]:
-        """Returns the numbers of the pieces that lie there."""
+        """Returns the numbers of the staged pieces."""
 
     async def read_staged(self, number: int) -> bytes | None:
-        """Returns a piece as it lies there, unverified; None when missing."""
+        """Returns a staged piece, unverified; None if it is missing."""
 
     async def stage(self, number: int, data: bytes) -> None:
-        """Puts a piece there, over the one that lay there."""
+        """Stages a piece, replacing any with the same number."""
 
     async def load(
         self, model: str, version: int, sequence: int, abort_running: bool
     ) -> bool:
-        """Orders it to load what is staged.
+        """Orders the server to load the staged pieces.
 
         Args:
-          model: The model.
+          model: The model's name.
           version: The version that is staged.
-          sequence: Orders it must have accepted so far, else it refuses.
-          abort_running: Whether what runs is broken off; else it ends first.
+          sequence: The number of orders that the server must have accepted so
+            far; it refuses the order otherwise.
+          abort_running: Whether running requests are aborted; otherwise the
+            load waits until they end.
 
         Returns:
-          Whether the order has begun or is in effect already.
+          Whether the server has accepted the order or already carried it out.
         """
 
 
 class Origin(Protocol):
-    """Where weights come from first.
+    """The service that stores the weights of every version.
 
-    Every method raises `exceptions.PlatformError` when no answer comes.
+    Every method raises `exceptions.PlatformError` if there is no answer.
     """
 
     async def manifest(
         self, model: str, version: int | None
     ) -> VersionManifest:
-        """Returns what a version consists of; of the newest without one."""
+        """Returns a version's manifest; the newest one's for version None."""
 
     async def piece(self, model: str, version: int, number: int) -> bytes:
         """Returns a piece, unverified."""
--- a/src/clementinegw/direct/manifest_cache.py
+++ b/src/clementinegw/direct/manifest_cache.py
@@ -1,13 +1,13 @@
-"""What versions consist of, told between agents.
+"""Caches the manifests of versions and shares them between agents.
 
-The digests of a version come from the origin. An agent that starts while the
-origin is down got them only when it was back, and then had all pieces still to
-take: six servers that were replaced then served four seconds after the others,
-though every agent beside them held nine tenths of the pieces.
+Manifests come from the origin. Without sharing, an agent that starts while the
+origin is down gets one only after the origin recovers, and then still has to
+fetch all pieces: six replaced servers served four seconds after the others,
+although every other agent nearby held nine tenths of the pieces.
 
-In a large fleet a few agents ask the origin, and the others ask these. Asked by
-102 agents at the same moment, an origin that takes 48 connections reset the
-rest, and draws among them.
+In a large fleet a few agents ask the origin and the others ask them. When 102
+agents asked at once, an origin that accepts 48 connections reset the other
+connections, including some that were transferring pieces.
 """
 
 from collections.abc import Collection
@@ -22,16 +22,18 @@
 from clementinegw.wire import connection as connections
 from clementinegw.wire.gen.weights import ttypes
 
-# Agents that are asked one after the other, and how long each may take in
-# seconds: all that have begun a version know it, and a frozen one answers not.
+# How many agents are asked in turn, and how long each may take to answer, in
+# seconds. Every agent that has started on a version has its manifest, but a
+# suspended one does not answer.
 _MAX_ASKED = 3
 _ANSWER_TIMEOUT_S = 0.3
-# Versions that are told of: those whose pieces are kept, and one more.
+# The number of cached manifests: one more than the versions whose pieces are
+# kept.
 _MAX_CACHED = 4
 
 
 class ManifestCache:
-    """The digests of versions that one agent knows, and asks others for."""
+    """The manifests that one agent has, and its requests for others."""
 
     def __init__(
         self,
@@ -39,12 +41,12 @@
         rng: random.Random,
         counters: counters_lib.Counters,
     ):
-        """Registers with the endpoint.
+        """Creates an empty cache that answers requests at the endpoint.
 
         Args:
-          endpoint: Where agents connect.
-          rng: Draws whom to ask.
-          counters: Counts what others told, and what they could not.
+          endpoint: Connects to other agents.
+          rng: Orders the agents to ask.
+          counters: Counts answered, unanswered and unreadable requests.
         """
         self._endpoint = endpoint
         self._rng = rng
@@ -53,7 +55,7 @@
         endpoint.on_call(connections.Kind.MANIFEST_GET, self._on_get)
 
     def add(self, manifest: agent_interfaces.VersionManifest) -> None:
-        """Remembers a version, to tell others."""
+        """Caches a manifest so that other agents can request it."""
         self._manifests[_key(manifest.model, manifest.version)] = manifest
         while len(self._manifests) > _MAX_CACHED:
             del self._manifests[next(iter(self._manifests))]
@@ -61,20 +63,20 @@
     def get(
         self, model: str, version: int
     ) -> agent_interfaces.VersionManifest | None:
-        """Returns a version that this agent knows."""
+        """Returns the cached manifest of a version; None if there is none."""
         return self._manifests.get(_key(model, version))
 
     async def fetch(
         self, model: str, version: int, preferred: Collection[str] = ()
     ) -> agent_interfaces.VersionManifest | None:
-        """Returns a version as another agent knows it; None when none does.
+        """Returns a manifest from another agent; None if no agent has it.
 
-        Wrong digests do no harm beyond delay: no piece would match them.
+        Wrong digests cause no harm beyond a delay, as no piece matches them.
 
         Args:
           model: The model's name.
           version: The version.
-          preferred: The ids of agents that are asked before all others.
+          preferred: The ids of the agents to ask first.
         """
         agents = [
             connection
@@ -104,7 +106,7 @@
     def decode(
         self, body: bytes, model: str, version: int
     ) -> agent_interfaces.VersionManifest | None:
-        """Returns what another agent told; None when it tells nothing."""
+        """Returns the manifest in an answer; None if it is empty or invalid."""
         if not body:
             return None
         try:
@@ -115,9 +117,9 @@
         if (found.model, found.version) != (model, str(version)):
             self._counters.add("weights.digests.unreadable")
             return None
-        names = tuple(chunk.digest for chunk in found.chunks)
+        digests = tuple(chunk.digest for chunk in found.chunks)
         return agent_interfaces.VersionManifest(
-            model, version, found.chunk_bytes, names
+            model, version, found.chunk_bytes, digests
         )
 
     async def _on_get(
@@ -127,8 +129,8 @@
         frame: connections.Frame,
     ) -> None:
         del connection
-        asked = codec.decode(ttypes.ManifestGet, frame.body)
-        cached = self._manifests.get(asked.digest)
+        request = codec.decode(ttypes.ManifestGet, frame.body)
+        cached = self._manifests.get(request.digest)
         body = to_swarm_manifest(cached).encode() if cached is not None else b""
         await exchange.send(connections.Kind.MANIFEST_DATA, body)
 
@@ -136,7 +138,7 @@
 def to_swarm_manifest(
     manifest: agent_interfaces.VersionManifest,
 ) -> manifests.Manifest:
-    """Returns the product's manifest of a version."""
+    """Returns a version's manifest in the format of the piece exchange."""
     size = manifest.chunk_bytes * len(manifest.digests)
     return manifests.Manifest(
         model=manifest.model,
--- a/src/clementinegw/direct/prefetch.py
+++ b/src/clementinegw/direct/prefetch.py
@@ -1,8 +1,9 @@
-"""Draws pieces of a newer version while an older one still comes.
+"""Fetches pieces of a newer version while an older one is still exchanged.
 
-The origin's link is idle as soon as one copy is out, long before the agents
-have exchanged it. Drawn meanwhile, the pieces of the next version are spread
-over the agents when its turn comes, and outlive an origin that is cut off then.
+The origin's link is idle once it has sent one copy, long before the agents have
+exchanged it. Pieces of the next version that are fetched meanwhile are already
+distributed over the agents when that version becomes the target, and stay
+available if the origin becomes unreachable by then.
 """
 
 import asyncio
@@ -16,7 +17,7 @@
 
 
 class Prefetcher:
-    """An agent's own part of one version, fetched before its turn."""
+    """Fetches the pieces of a later version that are assigned to this agent."""
 
     def __init__(
         self,
@@ -24,12 +25,12 @@
         log: logs.Log,
         counters: counters_lib.Counters,
     ):
-        """Draws nothing before `start`.
+        """Creates an idle prefetcher.
 
         Args:
-          fetcher: Keeps the pieces.
+          fetcher: Fetches and stores the pieces.
           log: Where events go.
-          counters: Counts the pieces.
+          counters: Counts the fetched pieces.
         """
         self._fetcher = fetcher
         self._log = log
@@ -41,7 +42,7 @@
     def start(
         self, origin: agent_interfaces.Origin, model: str, version: int
     ) -> None:
-        """Begins to draw a version; each is begun once."""
+        """Starts to fetch a version, unless busy or started for it before."""
         if version <= self._version or self._busy:
             return
         self._version = version
@@ -49,9 +50,9 @@
         self._task = asyncio.ensure_future(self._fetch(origin, model, version))
 
     async def stop(self) -> None:
-        """Ends the drawing; a piece under way is awaited.
+        """Stops after the current piece and waits for it.
 
-        The exchange would else draw that piece a second time.
+        Otherwise the exchange would fetch that piece from the origin again.
         """
         self._stopping = True
         if self._task is not None:
--- a/src/clementinegw/direct/updater.py
+++ b/src/clementinegw/direct/updater.py
@@ -1,4 +1,4 @@
-"""One server's weights: what to bring, when to yield, when to load."""
+"""Decides which weights one server gets, and when it drains and loads."""
 
 import asyncio
 from collections.abc import Sequence
@@ -18,49 +18,53 @@
 from clementinegw.telemetry import histograms as histograms_lib
 from clementinegw.telemetry import logs
 
-# After an order until the server's state shows it, in seconds.
+# How long after a load order the server's state reflects it, in seconds.
 _ORDER_VISIBLE_S = 0.3
-# Servers swap in groups, so that most serve at any time: the parts that go one
-# after the other, the time between them, and how long a server gets no new
-# requests before it loads.
+# Servers swap weights in groups, so that most of them serve at any time.
 _SWAP_POLICY = swap_schedule.SwapPolicy(
     groups=3, step_s=0.8, drain_s=1.0, min_drain_s=0.3
 )
-# How long a server takes to load and to be known to serve again, in seconds.
+# The time from a load order until entries know that the server serves again, in
+# seconds.
 _LOAD_S = 0.6
-# The same where there is no time left to wait for requests that run.
+# The same if there is no time left to wait for running requests: the shortest
+# drain and the load, in seconds.
 _SWAP_S = _SWAP_POLICY.min_drain_s + _LOAD_S
-# How much longer than at the links' limit a version takes to come.
+# The time to fetch a version, relative to the time that the link needs at its
+# full rate.
 _FETCH_TIME_FACTOR = 1.22
 _VERSIONS_KEPT = 3
-# Without any new piece for so long, a version that was begun before is taken
-# up again, and the one that stalled is left aside for so long. Agents give the
-# newest one up within a second of each other; who gave up the older one as soon
-# would leave it just as the others come, and none would ever be whole. Seconds.
+# How long a version may get no new piece before it counts as stalled and
+# another declared version is fetched, in seconds. Agents abandon the newest
+# version within a second of each other. An agent that abandoned an older one as
+# quickly would leave it just as the others switch to it, and no version would
+# ever be complete.
 _STALL_TIMEOUT_S = 1.0
 _OLDER_STALL_TIMEOUT_S = 3.0
-# The newest one is given up after so long of failed draws: they mean that
-# pieces are missing everywhere, while those that are out go on arriving.
+# How long requests to the origin may fail before the newest version counts as
+# stalled, in seconds. Pieces that have left the origin still arrive then, but
+# others are missing at every agent.
 _ORIGIN_FAILURE_TIMEOUT_S = 0.5
+# How long a stalled version is excluded, in seconds.
 _STALL_COOLDOWN_S = 4.0
 
 
-# A version that was declared so short a time ago lies with no agent yet: the
-# first pieces are drawn a tenth of a second later. Seconds.
+# No agent has pieces of a version that was declared less than this ago, in
+# seconds: the first piece is requested from the origin after 0.1 s.
 _NEW_VERSION_S = 0.3
 
 
 @dataclasses.dataclass(slots=True)
 class Context:
-    """What an agent knows of its surroundings.
+    """What an agent knows of its server, its service and the origin.
 
     Attributes:
-      instance: What it knows of itself.
-      engine: How the server beside works; None before the configuration.
-      origin: Where weights come from first.
-      servers: The listed servers of its service by id.
-      state: What the server beside last said; None while it is silent.
-      local_server: The server beside.
+      instance: The agent's own instance file.
+      engine: The engine of the local server; None before the configuration.
+      origin: The origin of the weights; None before the configuration.
+      servers: The listed servers of the agent's service by id.
+      state: The local server's last state; None while it does not answer.
+      local_server: Calls the local server; None before the configuration.
     """
 
     instance: instances.Instance
@@ -72,17 +76,17 @@
 
     @property
     def model(self) -> str:
-        """The model that the server beside serves; empty when unknown."""
+        """The model that the local server serves; empty if unknown."""
         if self.engine is None or not self.engine.models:
             return ""
         return self.engine.models[0]
 
     @property
     def start(self) -> types.Start:
-        """The present start of the server beside; its id empty when unlisted.
+        """The current start of the local server; without an id if unlisted.
 
-        A start that crashed stays listed for seconds beside the next one, with
-        the same address. The server itself says first when it was born.
+        A crashed start stays listed for seconds next to its successor, with the
+        same address. The server's own report is the first to tell them apart.
         """
         here = [
             server
@@ -90,8 +94,8 @@
             if server.address == self.instance.backend
         ]
         started_ms = self.state.started_ms if self.state is not None else 0
-        # Of those that are born at the same time, or say nothing of it, the
-        # one that was heard of last.
+        # Prefers the start that the server reports, then the latest start, then
+        # the most recently listed one.
         newest = max(
             enumerate(here),
             key=lambda found: (
@@ -108,12 +112,12 @@
 
     @property
     def server_id(self) -> str:
-        """The id of the server beside; empty when it is not listed."""
+        """The id of the local server; empty if it is not listed."""
         return self.start.server_id
 
 
 class WeightsUpdater:
-    """The weights of the server beside an agent."""
+    """Fetches weights for the local server and orders it to load them."""
 
     def __init__(
         self,
@@ -124,23 +128,23 @@
         histograms: histograms_lib.Histograms,
         declared: declarations.Declarations,
     ):
-        """Knows of no version.
+        """Creates an updater without any version.
 
         Args:
-          context: What the agent knows.
+          context: What the agent knows; the agent keeps it up to date.
           fetcher: Fetches pieces.
           log: Where events go.
-          counters: Counts orders.
-          histograms: Keeps how long orders took.
-          declared: What operators named, in boot time.
+          counters: Counts load orders.
+          histograms: Records the time from a declaration to the load order.
+          declared: The declared versions, in boot time.
         """
         self._context = context
         self._fetcher = fetcher
         self._log = log
         self._counters = counters
         self._histograms = histograms
-        # Stalls are counted by a clock that stands still with the machine: no
-        # piece could come. Due times are not.
+        # Stalls are measured with a clock that stops while the machine is
+        # suspended, as no piece can arrive then. Due times use boot time.
         self._clock = asyncio.get_running_loop().time
         self._declared = declared
         self._prefetcher = prefetch.Prefetcher(fetcher, log, counters)
@@ -155,23 +159,23 @@
 
     @property
     def yielding(self) -> bool:
-        """Whether the server is about to load and others are preferred."""
+        """Whether the server drains before a load: others are preferred."""
         return self._yielding
 
     def on_server_restart(self) -> None:
-        """Forgets what was begun with the start before."""
+        """Discards the drain that was begun before the server restarted."""
         self._yielding = False
 
     def ready_in_s(self, serves: bool) -> float:
-        """Returns about when the server serves; negative when unknown.
+        """Returns when the server will serve, in seconds; negative if unknown.
 
-        Of a version that is on its way, if there is one: callers who may begin
-        on the present one find a server without asking. Told to be ready at
-        once all the same, callers were held for 1.5 s and then turned away,
-        500 of them while the origin was down.
+        If a version is being fetched, this is the time until that version
+        serves: a caller that may use the current version finds a server without
+        this estimate. When 0 was returned in that case, callers were held for
+        1.5 s and then rejected, 500 of them while the origin was down.
 
         Args:
-          serves: Whether it has all layers of any version now.
+          serves: Whether the server has all layers of any version now.
         """
         manifest = self._fetcher.manifest
         if serves and (manifest is None or self._serves(manifest.version)):
@@ -184,7 +188,7 @@
 
     @property
     def _halted(self) -> bool:
-        """Whether pieces are missing and none comes."""
+        """Whether pieces are missing and none is arriving."""
         if self._fetcher.missing_fraction <= 0:
             return False
         quiet_s = self._clock() - self._progress_at
@@ -194,10 +198,10 @@
         )
 
     def _versions(self) -> Sequence[plan.Declaration]:
-        """Returns what is to be served: declared, or what others have.
+        """Returns the newest declared versions, or the one that others hold.
 
-        Before the first declaration the servers that were there from the
-        start hold the first version, and an empty one must get it.
+        Before the first declaration, the initial servers hold the first version
+        already, and an empty server must get the same one.
         """
         declared = self._declared.for_model(self._context.model)
         if declared:
@@ -211,7 +215,7 @@
         return [plan.Declaration(max(held, default=1), -math.inf)]
 
     def is_complete(self, held: types.Held) -> bool:
-        """Returns whether all layers of a model are there."""
+        """Returns whether all layers of the held weights are loaded."""
         return (
             self._context.engine is not None
             and held.layers >= self._context.engine.layers
@@ -226,7 +230,7 @@
         )
 
     async def bring(self) -> None:
-        """Begins to bring the version that the plan names."""
+        """Starts to fetch the version that `plan.choose` selects."""
         manifest = self._fetcher.manifest
         current = None
         if manifest is not None:
@@ -297,7 +301,10 @@
         self._fetcher.set_target(self._context.origin, found, is_new)
 
     def _must_finish_spreading(self, version: int, newer: int) -> bool:
-        """Returns whether a version's last pieces go before a newer version."""
+        """Returns whether to finish a version's last pieces before a newer one.
+
+        See `plan.should_finish_spreading`.
+        """
         if (
             newer <= version
             or self._fetcher.origin_failing_s > _ORIGIN_FAILURE_TIMEOUT_S
@@ -312,14 +319,14 @@
         )
 
     def _origin_copy_s(self) -> float:
-        """Returns how long the origin takes to send a version once."""
+        """Returns how long the origin takes to send one copy, in seconds."""
         if self._context.engine is None:
             return math.inf
         size = self._context.engine.chunks * self._context.engine.chunk_bytes
         return size / self._fetcher.origin_bytes_per_s
 
     def _stalled(self) -> bool:
-        """Returns whether no piece has come for a while."""
+        """Returns whether the target has stalled, and records its progress."""
         missing = self._fetcher.missing_fraction
         now = self._clock()
         if missing != self._last_missing:
@@ -337,9 +344,10 @@
         return missing > 0 and now - self._progress_at > timeout_s
 
     def _excluded_versions(self) -> set[int]:
-        """Returns the versions that stall, and those that are served.
+        """Returns the versions not to fetch: the stalled and the served ones.
 
-        None stalls for good: where no other is left, they are tried again.
+        Empty if none is stalled. Exclusion is temporary: if no other version is
+        left, `plan.choose` selects a stalled one again.
         """
         now = self._clock()
         stalled = {v for v, until in self._stalled_until.items() if until > now}
@@ -352,7 +360,7 @@
         )
 
     def _fetch_s(self) -> float:
-        """Returns how long the links take to bring a version everywhere."""
+        """Returns how long the agents take to fetch a version, in seconds."""
         if self._context.engine is None:
             return 0.0
         size = self._context.engine.chunks * self._context.engine.chunk_bytes
@@ -361,7 +369,7 @@
         )
 
     async def load_newest(self) -> None:
-        """Orders the newest version that is here, if it is not served."""
+        """Orders a load of the newest version that is complete and unserved."""
         if (
             self._context.state is None
             or self._context.local_server is None
@@ -391,13 +399,14 @@
         times: swap_schedule.SwapTimes,
     ) -> None:
         assert self._context.local_server is not None
-        decided = self._context.state
+        observed = self._context.state
         former = await self._context.local_server.state()
         if not await self._fetcher.stage(self._context.local_server, manifest):
             return
         state = await self._context.local_server.state()
-        # Another start may not have what lies staged, nor what was decided on.
-        if state.busy or not _same_start(decided, former, state):
+        # After a restart, the staged pieces and the state that led to this load
+        # are gone.
+        if state.busy or not _same_start(observed, former, state):
             return
         now = self._declared.now
         yielded_s = now - self._yielding_since
@@ -405,10 +414,10 @@
             manifest.version, times
         ):
             return
-        # Streams last for seconds; what is left of them goes on at another
-        # server, which takes a quarter of a second.
-        # The orders counted are those before pieces were staged: a start since
-        # then has accepted none, and refuses to load without them.
+        # Running streams are aborted: they last for seconds, while resuming
+        # them at another server takes a quarter of a second.
+        # The sequence is the one from before the pieces were staged: a server
+        # that restarted since has accepted no order and refuses this one.
         begun = await self._context.local_server.load(
             self._context.model,
             manifest.version,
@@ -437,15 +446,15 @@
         await asyncio.sleep(_ORDER_VISIBLE_S)
 
     def _declared_at(self, version: int) -> float:
-        """Returns when a version was declared; now when it never was."""
+        """Returns when a version was declared; now if it never was."""
         for declared in self._declared.for_model(self._context.model):
             if declared.version == version:
                 return declared.declared_at
         return self._declared.now
 
     def _swap_times(self, version: int) -> swap_schedule.SwapTimes:
-        """Returns when this server yields and loads for a version."""
-        same = [
+        """Returns when this server drains and loads for a version."""
+        server_ids = [
             server.server_id
             for server in self._context.servers.values()
             if not server.leaving
@@ -458,16 +467,16 @@
         latest_at = self._latest_load_at(version)
         server_id = self._context.server_id
         return swap_schedule.swap_times(
-            server_id, same, version, complete_at, latest_at, _SWAP_POLICY
+            server_id, server_ids, version, complete_at, latest_at, _SWAP_POLICY
         )
 
     def _drain_deadline(
         self, version: int, times: swap_schedule.SwapTimes
     ) -> float:
-        """Returns until when requests that run are waited for.
+        """Returns the time at which the load no longer waits for requests.
 
-        The pieces may have come sooner than was thought, and the server have
-        yielded later than its turn says.
+        This may be later than planned: if the pieces arrived earlier than
+        estimated, the server started to drain later than its schedule says.
         """
         yielded_at = self._yielding_since + times.load_at - times.yield_at
         return max(
@@ -475,10 +484,10 @@
         )
 
     def _latest_load_at(self, version: int) -> float:
-        """Returns when a load must begin so that the server serves in time."""
+        """Returns the latest time to load for the version to serve when due."""
         return self._declared_at(version) + self._declared.due_s - _LOAD_S
 
 
 def _same_start(*states: agent_interfaces.ServerState | None) -> bool:
-    """Returns whether states are of one start that took no order meanwhile."""
+    """Returns whether all states are of one start with the same orders."""
     return len({s and (s.started_ms, s.sequence) for s in states}) == 1
