--- a/src/clementinegw/direct/declarations.py
+++ b/src/clementinegw/direct/declarations.py
@@ -1,15 +1,16 @@
-"""When each version of weights was declared, as far as that can be known.
-
-A bound on a version runs from its declaration. A process that starts, is cut
-off or is suspended learns of one late, alone among its neighbours; counting
-from then it serves the former version seconds too long. So each process keeps
-an estimate of the moment itself, and neighbours tell each other theirs.
-
-A process that learned earlier is nearer to the truth, so the earliest estimate
-wins, in whatever order they come and however often. What is told is an age, and
-ages need no common clock. The way of a datagram makes an estimate late by as
-much, a few milliseconds; nothing makes it early but the guess about records
-that lay unread, by `MAX_UNREAD_S` at most.
+"""Estimates when each version of the weights was declared.
+
+The deadline of a version runs from its declaration. A process that starts, is
+disconnected or is suspended may learn of a declaration later than all others.
+If it counted from then, it would use the former version for seconds too long.
+So each process estimates the time of the declaration, and entries and agents
+exchange their estimates.
+
+A process that learned of a declaration earlier has the better estimate, so the
+earliest one wins, regardless of the order and number of messages. Estimates are
+sent as ages, which need no common clock. A datagram's transit time makes an
+estimate late by a few milliseconds. An estimate can only be early because of
+records that may have been unread for a while, by at most `MAX_UNREAD_S`.
 """
 
 from collections.abc import Callable, Mapping
@@ -20,22 +21,23 @@
 from clementinegw.direct import _events
 from clementinegw.telemetry import logs
 
-# Records that came at once may have lain unread since the last proof, where a
-# connection had gone silent. After an outage of the platform for everybody the
-# time counts anew: all servers would load at once else. So no more than what a
-# silent connection takes to be noticed is taken off, in seconds.
+# The maximum time by which a declaration is dated back, in seconds. New records
+# may have been unread since this process last had them all, if its connection
+# was stalled; this is how long a stalled connection takes to be noticed. After
+# an outage of the platform for all processes the time starts anew, as otherwise
+# all servers would load at once.
 MAX_UNREAD_S = 1.2
-# A process is up about so long after it was started, in seconds.
+# The time that a process takes to start, in seconds.
 _STARTUP_S = 0.5
-# What is not worth a line, in seconds.
+# Smaller changes of an estimate are not logged or reported, in seconds.
 _MIN_LOGGED_SHIFT_S = 0.1
-# Versions of a model that are kept. Older ones are of no use: each that was
-# declared since is due soon after.
+# How many versions are kept for each model. Older ones are not needed, as all
+# versions declared since are due soon after them.
 _MAX_VERSIONS = 8
 
 
 class Source(enum.StrEnum):
-    """Who told of a version."""
+    """Where a process learned of a version."""
 
     STORE = "store"
     AGENT = "agent"
@@ -44,14 +46,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Declaration:
-    """A version that operators named.
+    """A version that operators declared.
 
     Attributes:
-      version: Its number.
-      declared_at: When it was named, in boot time, in seconds.
-      time_known: Whether that is known. Else the process found it declared
-        when it started, and `declared_at` is the moment that makes it due as
-        soon as the process is bound.
+      version: The version's number.
+      declared_at: When it was declared, in seconds of boot time.
+      time_known: Whether that time is an estimate of the declaration. If not,
+        the process found the version declared at its start, and `declared_at`
+        is set so that it is due once deadlines apply to the process.
     """
 
     version: int
@@ -61,14 +63,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What was learned.
+    """A new version or a new estimate of its declaration time.
 
     Attributes:
       model: The model's name.
-      declaration: The estimate now.
-      source: Who told.
-      moved_s: How much later it was thought to be declared before; negative
-        when earlier; None for a version that is new here.
+      declaration: The declaration with the new estimate.
+      source: Where the estimate came from.
+      moved_s: The new estimate minus the former one, in seconds; None for a new
+        version.
     """
 
     model: str
@@ -78,37 +80,39 @@
 
     @property
     def is_new(self) -> bool:
-        """Whether the version was not known here."""
+        """Whether the version was unknown before."""
         return self.moved_s is None
 
     @property
     def is_significant(self) -> bool:
-        """Whether it is worth a line."""
+        """Whether to log and report the change."""
         return self.moved_s is None or abs(self.moved_s) > _MIN_LOGGED_SHIFT_S
 
 
 class Declarations:
-    """The declared versions of every model."""
+    """The declared versions of each model, as far as a process knows them."""
 
     def __init__(
         self, due_s: float, settled_s: float, clock: Callable[[], float]
     ):
-        """Starts without any, as the process does.
+        """Creates an empty collection; called when the process starts.
 
         Args:
-          due_s: How long after its declaration a version must serve.
-          settled_s: How long a process must have run in calm to be bound.
-          clock: Seconds that also count while the machine is suspended.
+          due_s: The time after its declaration by which a version must serve,
+            in seconds.
+          settled_s: How long a process must have run undisturbed before
+            deadlines apply to it, in seconds.
+          clock: Returns seconds that also count while the machine is suspended.
         """
         self.due_s = due_s
         self._clock = clock
         self._enforced_at = clock() + max(0.0, settled_s - _STARTUP_S)
-        # Of each model the versions in order.
+        # By model, its versions in ascending order.
         self._models: dict[str, tuple[Declaration, ...]] = {}
 
     @property
     def now(self) -> float:
-        """The boot time, in seconds."""
+        """The current boot time, in seconds."""
         return self._clock()
 
     def record(
@@ -118,25 +122,27 @@
         unread_s: float,
         source: Source = Source.STORE,
     ) -> Change | None:
-        """Takes in a version that was found declared.
+        """Records that a version was found to be declared.
 
         Args:
           model: The model's name.
-          version: Its number.
-          unread_s: How long it may have been declared before, in seconds;
+          version: The version's number.
+          unread_s: For how long it may have been declared already, in seconds;
             infinite at the first reading.
           source: Where it was found.
 
         Returns:
-          What changed; None when nothing did.
+          The change; None if there is none.
         """
         known = {d.version: d.time_known for d in self.for_model(model)}
         if not math.isinf(unread_s) and not known.get(version, True):
-            # Read once more, as after lost history: it was there at the start.
+            # The store was read anew, for example after it lost its history.
+            # The version had been declared before the process started.
             return None
         if math.isinf(unread_s):
-            # Nobody may be able to tell, as after a loss of all power. It may
-            # be due already; but the process isn't bound from its start on.
+            # Perhaps no process knows the time, for example after a power
+            # failure. The version may be due already, but deadlines do not
+            # apply to this process right from its start.
             found = Declaration(version, self._enforced_at - self.due_s, False)
         else:
             at = self._clock() - min(unread_s, MAX_UNREAD_S)
@@ -146,12 +152,12 @@
     def merge_ages(
         self, model: str, ages_s: Mapping[int, float], source: Source
     ) -> list[Change]:
-        """Takes in what a neighbour knows; returns what changed.
+        """Merges the ages that another process reported; returns the changes.
 
         Args:
           model: The model's name.
           ages_s: By version, how long ago it was declared, in seconds.
-          source: Who told.
+          source: The kind of process that reported them.
         """
         now = self._clock()
         changes = [
@@ -181,18 +187,18 @@
         return Change(model, found, source, moved_s)
 
     def for_model(self, model: str) -> tuple[Declaration, ...]:
-        """Returns a model's versions, the newest last."""
+        """Returns the declared versions of a model, the newest last."""
         return self._models.get(model, ())
 
     def newest(self) -> dict[str, int]:
-        """Returns the newest version of every model."""
+        """Returns the newest declared version of each model."""
         return {name: found[-1].version for name, found in self._models.items()}
 
     def ages_s(self, model: str) -> dict[int, float]:
-        """Returns what neighbours are told: ages by version.
+        """Returns the ages to report to other processes, in seconds by version.
 
-        That is the newest one, and those that are not due yet. Ages that are
-        not known would be taken for known ones.
+        These are the ages of the newest version and of versions not due yet.
+        Unknown ages are left out, as the receiver would take them for known.
         """
         now = self._clock()
         found = self.for_model(model)
@@ -204,7 +210,7 @@
         }
 
     def all_ages_s(self) -> dict[str, dict[int, float]]:
-        """Returns what neighbours are told, by model."""
+        """Returns the ages to report, in seconds by model and version."""
         found = {model: self.ages_s(model) for model in self._models}
         return {model: ages for model, ages in found.items() if ages}
 
@@ -212,13 +218,13 @@
 def log_change(
     log: logs.Log, change: Change, now: float, required_at: float
 ) -> None:
-    """Writes a line about a change.
+    """Logs a change.
 
     Args:
-      log: Where it goes.
-      change: What was learned.
-      now: Boot seconds.
-      required_at: From when on the former version no longer serves.
+      log: The log to write to.
+      change: The change.
+      now: The current boot time, in seconds.
+      required_at: When the former version stops being served, in boot seconds.
     """
     found = change.declaration
     event = _events.WEIGHTS_REDATED
@@ -237,9 +243,9 @@
 
 
 def _relevant(versions: Mapping[int, Declaration]) -> tuple[Declaration, ...]:
-    """Returns the versions that count, the newest last.
+    """Returns the versions to keep, the newest last.
 
-    One that is due no sooner than a newer one is of no use.
+    A version that is not due before a newer one has no effect.
     """
     kept: list[Declaration] = []
     earliest_at = math.inf
@@ -253,7 +259,7 @@
 
 
 def _supersedes(found: Declaration, former: Declaration) -> bool:
-    """Returns whether an estimate takes the place of another one."""
+    """Returns whether an estimate replaces the former one."""
     if found.time_known != former.time_known:
         return found.time_known
     return found.declared_at < former.declared_at
--- a/src/clementinegw/direct/plan.py
+++ b/src/clementinegw/direct/plan.py
@@ -1,4 +1,4 @@
-"""Which of several declared versions to bring next."""
+"""Chooses which of several declared versions to fetch next."""
 
 from collections.abc import Collection, Mapping, Sequence
 import dataclasses
@@ -10,18 +10,19 @@
 
 _NO_ABANDONED: Mapping[int, float] = builtin_types.MappingProxyType({})
 
-# By how much an agent's own progress may differ from what links usually bring
-# by then and be taken for it: single pieces and their order make 0.1 to 0.2.
+# How far an agent's own missing fraction may differ from the estimate for all
+# agents before its own is used. The order of pieces and single late pieces
+# account for differences of 0.1 to 0.2.
 _MAX_PROGRESS_DEVIATION = 0.35
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """The version that is being brought.
+    """The progress of the version that is being fetched.
 
     Attributes:
-      version: Its number.
-      missing: The part of its pieces that is missing.
+      version: The version's number.
+      missing: The fraction of its pieces that is missing.
     """
 
     version: int
@@ -30,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RolloutTiming:
-    """What a rollout takes here.
+    """The durations of a rollout in this deployment, all in seconds.
 
     Attributes:
-      fetch_s: How long the links take for a whole version, in seconds.
-      swap_s: How long servers take from the last piece to service.
-      due_s: How long after its declaration a version must serve.
+      fetch_s: The time to fetch a whole version over the links.
+      swap_s: The time from the last piece until servers serve the version.
+      due_s: The time after its declaration by which a version must serve.
     """
 
     fetch_s: float
@@ -51,30 +52,34 @@
     excluded: Collection[int] = (),
     abandoned_missing: Mapping[int, float] = _NO_ABANDONED,
 ) -> int:
-    """Returns the version to bring; 0 when none is declared.
+    """Returns the version to fetch; 0 if none is declared.
 
-    A newer version serves for an older one as well, so the newest is brought
-    where it can come in time for both. Where it cannot, that one goes first
-    which leaves the shorter time without a server that may begin anything.
+    A newer version satisfies the deadline of an older one as well, so the
+    newest is fetched if it can meet both deadlines. Otherwise the order is the
+    one with the shorter outage, that is, time without any server on a version
+    that may start requests.
 
     Args:
-      declared: What was named, by version.
-      current: What is under way.
-      timing: What a rollout takes.
-      now: Boot seconds.
-      excluded: Versions that stall, and those that are served already.
-      abandoned_missing: The part that was missing of versions that were under
-        way before, when another one took over.
+      declared: The declared versions, the newest last.
+      current: The version that is being fetched; None if there is none.
+      timing: The durations of a rollout.
+      now: The current boot time, in seconds.
+      excluded: Versions that have stalled or are served already.
+      abandoned_missing: For versions that were replaced as the target before
+        they were complete, the fraction of pieces missing at that time.
     """
     if not declared:
         return 0
-    # The origin may be cut off right after a newer version was named. The
-    # pieces of the one before lie with all agents; without it nothing could
-    # serve from its due time on. Where all stall, the newest is tried again.
-    useful = _servable_before_next(
+    # The origin may become unreachable right after a newer version is declared,
+    # while the agents hold the pieces of the older one between them. Without
+    # the older one no server could serve from its due time on. If all versions
+    # stall, the newest is tried again.
+    servable = _servable_before_next(
         declared, current, abandoned_missing, timing, now
     )
-    declared = [d for d in useful if d.version not in excluded] or useful[-1:]
+    declared = [d for d in servable if d.version not in excluded] or servable[
+        -1:
+    ]
     newest = declared[-1]
     older = [d for d in declared if current and d.version == current.version]
     if not older or current is None or current.version >= newest.version:
@@ -86,7 +91,7 @@
     dropped_s = _outage_if_dropped_s(older[0], timing, now)
     finished_s = _outage_if_finished_s(older[0], newest, current, timing, now)
     if finished_s == dropped_s:
-        # Links seldom bring what they could: what has time to spare goes first.
+        # Links rarely reach their full rate, so the order with more slack wins.
         dropped_s = -_slack_if_dropped_s(older[0], timing, now)
         finished_s = -_slack_if_finished_s(
             older[0], newest, current, timing, now
@@ -103,25 +108,28 @@
 ) -> bool:
     """Returns whether an older version's last pieces go before the newest.
 
-    Left a moment before, it is of no use to anybody if the origin is cut off
-    before the newest one is out: neither comes, and nothing may begin.
+    If the older version is abandoned just before its last pieces leave the
+    origin, and the origin becomes unreachable before it has sent the newest,
+    neither version can be completed and no server may start requests.
 
     Args:
-      older: The version under way.
-      newest: The one that it would hold up.
-      unspread_s: How long the origin takes to send what no agent has of it.
-      timing: What a rollout takes.
-      now: Boot seconds.
+      older: The version that is being fetched.
+      newest: The version that would be delayed.
+      unspread_s: How long the origin takes to send the pieces of the older
+        version that no agent has, in seconds.
+      timing: The durations of a rollout.
+      now: The current boot time, in seconds.
     """
-    # An origin that has not sent them for as long as a version takes will not.
+    # An origin that has not sent them within the time for a whole version is
+    # not expected to.
     if not unspread_s or now - older.declared_at >= timing.fetch_s:
         return False
-    # It serves alone from its own due time to the newest one's. Of two that
-    # were named while the platform was away, and became known together, the
-    # older one serves nobody, and would hold the newest one up.
+    # The older version is needed from its due time until the newest one's. If
+    # both became known together after an outage of the platform, the older one
+    # serves no requests and would only delay the newest.
     if unspread_s > newest.declared_at - older.declared_at:
         return False
-    # Not where the newest one would come late by it, and neither be in time.
+    # Otherwise the delay could make both versions late.
     return unspread_s <= _slack_if_dropped_s(older, timing, now)
 
 
@@ -132,16 +140,17 @@
     timing: RolloutTiming,
     now: float,
 ) -> list[Declaration]:
-    """Returns the versions that can serve before a newer one is due.
+    """Returns the versions that can serve before the next newer one is due.
 
-    One that is ended behind that time is of no use, and the newest comes later
-    than it could.
+    Finishing a version after that time is useless and delays the newest one.
+    The newest version is always included.
     """
     found = []
     for version, newer in zip(declared, declared[1:], strict=False):
-        # What lies here of one that was never under way is not known. One that
-        # was left counts by what it lacked then: held to be whole, it would be
-        # taken up at once, and left at the next look.
+        # A version that was never the target counts as complete, as it is
+        # unknown which of its pieces are missing. An abandoned version counts
+        # with the fraction that was missing then: if it counted as complete, it
+        # would be resumed at once and abandoned again in the next step.
         missing = abandoned_missing.get(version.version, 0.0)
         if current is not None and current.version == version.version:
             missing = current.missing
@@ -154,12 +163,12 @@
 def _expected_missing(
     older: Declaration, current: Progress, timing: RolloutTiming, now: float
 ) -> float:
-    """Returns the part that is missing, as all agents will count it.
+    """Returns the missing fraction, estimated alike by all agents.
 
-    Agents that are a few pieces apart must not decide otherwise: half of them
-    would drop a version that the others end, which then takes longer. All know
-    when it was named; an agent's own count goes first only where it is far
-    behind or ahead.
+    Agents whose progress differs by a few pieces must not decide differently:
+    half of them would drop a version that the others finish, which then takes
+    longer. So the fraction is derived from the declaration time, which all of
+    them know. An agent uses its own fraction only if it is far off.
     """
     expected = 1.0 - (now - older.declared_at) / timing.fetch_s
     expected = min(1.0, max(0.0, expected))
@@ -171,9 +180,9 @@
 def _slack_if_dropped_s(
     older: Declaration, timing: RolloutTiming, now: float
 ) -> float:
-    """Returns how long before the first due time the newest one serves.
+    """Returns the slack until the older due time if the older is dropped.
 
-    Negative where it comes later; where the older one is dropped.
+    Negative if the newest version serves only after that due time, in seconds.
     """
     newest_at = now + timing.fetch_s + timing.swap_s
     return older.declared_at + timing.due_s - newest_at
@@ -186,9 +195,9 @@
     timing: RolloutTiming,
     now: float,
 ) -> float:
-    """Returns the time to spare at the tighter of both due times.
+    """Returns the smaller slack of both due times if the older is finished.
 
-    Where the older one is ended.
+    Negative if one of the versions serves too late, in seconds.
     """
     older_at, newest_at = _serving_times(current, timing, now)
     older_s = older.declared_at + timing.due_s - older_at
@@ -198,7 +207,7 @@
 def _serving_times(
     current: Progress, timing: RolloutTiming, now: float
 ) -> tuple[float, float]:
-    """Returns when both versions serve where the older one is ended."""
+    """Returns when older and newest serve if the older one is finished."""
     finished_at = now + current.missing * timing.fetch_s
     newest_at = finished_at + timing.fetch_s + timing.swap_s
     return finished_at + timing.swap_s, newest_at
@@ -207,7 +216,7 @@
 def _outage_if_dropped_s(
     older: Declaration, timing: RolloutTiming, now: float
 ) -> float:
-    """Returns how long nothing may begin where the older one is dropped."""
+    """Returns the outage in seconds if the older version is dropped."""
     return max(0.0, -_slack_if_dropped_s(older, timing, now))
 
 
@@ -218,16 +227,16 @@
     timing: RolloutTiming,
     now: float,
 ) -> float:
-    """Returns for how long nothing may begin where the older one is ended.
+    """Returns the outage in seconds if the older version is finished.
 
-    Two gaps: from the older one's due time until it serves, and from the
-    newest one's until that does. An older one that comes late still ends the
-    first gap: dropped because it would be late by a moment, it leaves a longer
-    one.
+    It has two parts: from the older version's due time until it serves, and
+    from the newest one's due time until that serves. An older version that is
+    slightly late still ends the first part, whereas dropping it would make the
+    outage longer.
     """
     older_at, newest_at = _serving_times(current, timing, now)
     older_due = older.declared_at + timing.due_s
     newest_due = newest.declared_at + timing.due_s
-    # What the older one serves between its arrival and the newest one's time.
+    # How long the older version serves before the newest one is required.
     served_s = min(newest_due, newest_at) - max(older_at, older_due)
     return max(0.0, newest_at - older_due) - max(0.0, served_s)
--- a/src/clementinegw/direct/swap_schedule.py
+++ b/src/clementinegw/direct/swap_schedule.py
@@ -1,10 +1,11 @@
-"""When a server may leave service to load: a turn that nobody has to grant.
-
-Every agent knows the same servers and the same declaration, and so computes
-the same order. The first group loads as soon as it has the weights, the others
-a step later each, so that most servers serve at any time. A turn comes in any
-case, whatever is cut off: waiting longer would leave a server on weights that
-nothing may begin on any more.
+"""Computes when each server drains and loads a version.
+
+Every agent knows the same servers and the same declaration, so all of them
+compute the same order without any coordination. The first group loads as soon
+as it has the weights, and each further group one step later, so that most
+servers serve at any time. A server loads at its time even if other processes
+are unreachable: waiting longer would leave it on weights that may no longer
+start requests.
 """
 
 from collections.abc import Iterable
@@ -14,13 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SwapPolicy:
-    """How a swap is spread.
+    """How the loads of all servers are spread over time.
 
     Attributes:
-      groups: Parts of the servers that load one after the other.
-      step_s: How much later each further group loads, in seconds.
-      drain_s: How long a server yields before it loads, in seconds.
-      min_drain_s: The same where there is little time left.
+      groups: The number of groups that load one after the other.
+      step_s: The time between two groups' loads, in seconds.
+      drain_s: How long a server gets no new requests before it loads, in
+        seconds.
+      min_drain_s: The same if there is little time left, in seconds.
     """
 
     groups: int
@@ -31,11 +33,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SwapTimes:
-    """One server's turn.
+    """When one server swaps weights.
 
     Attributes:
-      yield_at: From when on others are preferred, in monotonic seconds.
-      load_at: When it loads, whatever still runs.
+      yield_at: When other servers become preferred, in boot seconds.
+      load_at: When it loads even if requests are running, in boot seconds.
     """
 
     yield_at: float
@@ -50,20 +52,21 @@
     latest_at: float,
     policy: SwapPolicy,
 ) -> SwapTimes:
-    """Returns a server's turn.
+    """Returns when a server drains and loads.
 
-    The first group yields while the last pieces come, so that its requests
-    have ended when they are there. Where the pieces come late, the groups move
-    together and yield for less: all of them yielding for the whole time left
-    no server for a second.
+    The first group drains while its last pieces arrive, so that its requests
+    have ended by then. If pieces arrive late, the groups load at shorter
+    intervals and drain for a shorter time: when all groups drained for the
+    whole time, no server was left for a second.
 
     Args:
       server_id: The server's id.
-      servers: All servers' ids.
-      version: The version, so that another one goes first each time.
-      complete_at: When every piece is here, in monotonic seconds.
-      latest_at: When the last group must load to serve in time.
-      policy: How the swap is spread.
+      servers: The ids of all servers.
+      version: The version; the order of the servers differs between versions.
+      complete_at: When the server has every piece, in boot seconds.
+      latest_at: When the last group must load to serve in time, in boot
+        seconds.
+      policy: How the loads are spread over time.
     """
     ranked = sorted(
         {server_id, *servers}, key=lambda name: _score(name, version)
