--- a/src/clementinegw/direct/version_policy.py
+++ b/src/clementinegw/direct/version_policy.py
@@ -18,7 +18,7 @@
 _STABLE_LEAD_S = 1.3
 # How long before a newer version is due a request that has not started is
 # withdrawn from a server with an older one, in seconds: a few round trips.
-_CANCEL_LEAD_S = 0.15
+_WITHDRAW_LEAD_S = 0.15
 
 
 class VersionPolicy:
@@ -143,7 +143,7 @@
             for found in self._declared.for_model(model)
             if found.version > held
         ]
-        grace_s = _DISPATCH_MARGIN_S - _CANCEL_LEAD_S
+        grace_s = _DISPATCH_MARGIN_S - _WITHDRAW_LEAD_S
         return min(newer, default=math.inf) + grace_s
 
     def expected(self, model: str, held: int, now: float) -> int | None:
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -1,4 +1,4 @@
-"""Agents bring versions to the servers beside them, whatever spoils."""
+"""Agents update the weights of their servers despite faults."""
 
 import asyncio
 import dataclasses
@@ -28,8 +28,8 @@
 PIECES = 12
 PIECE_BYTES = 4096
 PORT = 17_731
-# Agents of one deployment have one port and an address each. Tests run in many
-# processes at once, so each process has a loopback network of its own.
+# Agents of one deployment share a port and have an address each. Tests run in
+# several processes at once, so each process has its own loopback network.
 NETWORK = f"127.{1 + os.getpid() // 256 % 200}.{os.getpid() % 256}"
 MODEL = "m"
 
@@ -43,19 +43,19 @@
 
 
 class LocalServer:
-    """A model server: takes what lies staged, checks nothing."""
+    """A model server that loads staged pieces without checking them."""
 
     def __init__(self):
         self.staged_pieces = {}
         self.held = ()
         self.busy_until = 0.0
         self.sequence = 0
-        self.born = 0
+        self.started_ms = 0
         self.loads = []
-        self.whole = []
-        self.rot = False
-        self.restart = False
-        self.restart_with = 0
+        self.loads_intact = []
+        self.corrupt_one_piece = False
+        self.restart_while_staging = False
+        self.restart_when_staged = 0
         self.lose_answer = False
 
     async def state(self):
@@ -63,14 +63,14 @@
         busy = now < self.busy_until
         held = () if busy else self.held
         return agent_interfaces.ServerState(
-            held, busy, self.sequence, 0, 0, 1.0, self.born
+            held, busy, self.sequence, 0, 0, 1.0, self.started_ms
         )
 
     async def staged(self):
         found = frozenset(self.staged_pieces)
-        wanted = [piece(self.restart_with, n) for n in range(PIECES)]
+        wanted = [piece(self.restart_when_staged, n) for n in range(PIECES)]
         if wanted == [self.staged_pieces.get(n) for n in range(PIECES)]:
-            self.restart_with = 0
+            self.restart_when_staged = 0
             self.staged_pieces.clear()
             self.sequence = 0
             self.held = ()
@@ -80,11 +80,11 @@
         return self.staged_pieces.get(number)
 
     async def stage(self, number, data):
-        if self.rot and number == 3:
-            self.rot = False
+        if self.corrupt_one_piece and number == 3:
+            self.corrupt_one_piece = False
             data = b"rotten" + data[6:]
-        if self.restart and number == 3:
-            self.restart = False
+        if self.restart_while_staging and number == 3:
+            self.restart_while_staging = False
             self.staged_pieces.clear()
         self.staged_pieces[number] = data
 
@@ -95,7 +95,7 @@
         self.loads.append(version)
         expected = [piece(version, n) for n in range(PIECES)]
         found = [self.staged_pieces.get(n) for n in range(PIECES)]
-        self.whole.append(expected == found)
+        self.loads_intact.append(expected == found)
         self.busy_until = asyncio.get_running_loop().time() + 0.3
         self.held = (types.Held(model, version, 4),)
         if self.lose_answer:
@@ -111,15 +111,15 @@
         self.sent = 0
         self.asked = 0
         self.down = False
-        self.spoil = 0
+        self.corrupt_pieces = 0
 
     async def manifest(self, model, version):
         self.asked += 1
         if self.down:
             raise exceptions.PlatformUnavailable("down")
-        names = tuple(digest(piece(version, n)) for n in range(PIECES))
+        digests = tuple(digest(piece(version, n)) for n in range(PIECES))
         return agent_interfaces.VersionManifest(
-            model, version, PIECE_BYTES, names
+            model, version, PIECE_BYTES, digests
         )
 
     async def piece(self, model, version, number):
@@ -127,8 +127,8 @@
         if self.down:
             raise exceptions.PlatformUnavailable("down")
         self.sent += 1
-        if self.spoil:
-            self.spoil -= 1
+        if self.corrupt_pieces:
+            self.corrupt_pieces -= 1
             return b"spoilt" * 100
         return piece(version, number)
 
@@ -138,7 +138,7 @@
 
 
 class Topic:
-    """A topic whose records a test adds."""
+    """A topic to which tests add records."""
 
     def __init__(self):
         self.records = []
@@ -161,14 +161,14 @@
 
 
 class NoReaders:
-    """A platform without groups: each agent reads by itself, at once."""
+    """A platform without reader groups: each agent reads by itself at once."""
 
     async def candidates(self):
         raise exceptions.PlatformUnavailable("no groups here")
 
 
 class Site:
-    """Three agents in three failure domains."""
+    """Agents and servers, by default three, each in its own failure domain."""
 
     def __init__(self, count=3, link_bytes_per_s=50_000.0):
         self.link_bytes_per_s = link_bytes_per_s
@@ -292,32 +292,34 @@
     return clocks.run(coroutine, grace_s=0.002)
 
 
-def test_a_version_comes_to_every_server_with_about_one_copy_drawn():
-    async def play():
+def test_a_version_reaches_every_server_with_about_one_copy_from_the_origin():
+    async def scenario():
         async with Site() as site:
             await site.until_all_hold(1)
             site.origin.sent = 0
             site.declare(2)
             took = await site.until_all_hold(2)
-            wholes = [local_server.whole for local_server in site.local_servers]
-            return took, site.origin.sent, wholes
+            intact = [
+                local_server.loads_intact for local_server in site.local_servers
+            ]
+            return took, site.origin.sent, intact
 
-    took, sent, wholes = run(play())
+    took, sent, intact = run(scenario())
     assert took < 8.0
     assert sent <= PIECES + 3
-    assert all(all(whole) for whole in wholes)
+    assert all(all(loads) for loads in intact)
 
 
-def test_a_newer_version_is_drawn_while_the_older_one_comes():
-    """Symptom: of two versions the second is late.
+def test_a_newer_version_is_prefetched_while_the_older_is_exchanged():
+    """Guards against the second of two versions being late.
 
-    Sequence: version 3 is named while 2 comes; the origin has sent 2 long
-    before the agents have exchanged it. Cause: nothing of 3 was drawn until
-    its turn came, and then all of its pieces one after the other.
+    Version 3 is declared while 2 is exchanged, which the origin has sent long
+    before. No piece of 3 was fetched until 2 was complete, and then one piece
+    after the other.
     """
 
-    async def play():
-        # Among three, a piece may reach its second holder as the last of all.
+    async def scenario():
+        # With three agents, a piece may be the last one to be replicated.
         async with Site(5, link_bytes_per_s=14_000.0) as site:
             await site.until_all_hold(1)
             site.origin.sent = 0
@@ -328,89 +330,89 @@
             counted = [a._counters for a in site.agents]
             return sum(c.value("weights.drawn_ahead") for c in counted)
 
-    assert run(play()) >= 1
+    assert run(scenario()) >= 1
 
 
-def test_what_rots_while_it_lies_staged_is_put_right_before_the_order():
-    """Symptom: a server makes tokens with a spoilt layer.
+def test_a_corrupt_staged_piece_is_replaced_before_the_order():
+    """Guards against a server that generates tokens with a corrupt layer.
 
-    Sequence: a piece that was staged rots; the server takes it unchecked.
-    Cause: pieces were checked only as they arrived.
+    A staged piece becomes corrupt, and the server loads it unchecked. Pieces
+    were only checked when they arrived at the agent.
     """
 
-    async def play():
+    async def scenario():
         async with Site(1) as site:
-            site.local_servers[0].rot = True
+            site.local_servers[0].corrupt_one_piece = True
             await site.until_all_hold(1)
-            return site.local_servers[0].whole
+            return site.local_servers[0].loads_intact
 
-    assert run(play()) == [True]
+    assert run(scenario()) == [True]
 
 
-def test_a_server_that_starts_again_while_pieces_are_staged_loads_them_all():
-    """A server loaded a version of which three pieces were missing.
+def test_a_server_that_restarts_during_staging_loads_every_piece():
+    """Guards against a load of a version with missing pieces.
 
-    It started again, with nothing, while its agent staged piece after piece,
-    each of which was in order as it was compared; the order named the number
-    of orders that a new start has accepted, none.
+    The server restarts and loses its staged pieces while the agent stages and
+    compares one after the other. The order named a sequence of 0, which is also
+    that of the restarted server, so it was accepted with three pieces missing.
     """
 
-    async def play():
+    async def scenario():
         async with Site(1) as site:
-            site.local_servers[0].restart = True
+            site.local_servers[0].restart_while_staging = True
             await site.until_all_hold(1)
-            return site.local_servers[0].whole
+            return site.local_servers[0].loads_intact
 
-    assert run(play()) == [True]
+    assert run(scenario()) == [True]
 
 
-def test_a_server_that_starts_again_right_before_the_order_refuses_it():
-    """A server loaded a version of which every piece was missing.
+def test_a_server_that_restarts_right_before_the_order_refuses_it():
+    """Guards against a load of a version without any staged piece.
 
-    It started again between the last look at what lies staged and the order,
-    which named the orders that the new start had accepted.
+    The server restarts between the last check of the staged pieces and the
+    order, which named the sequence of the restarted server.
     """
 
-    async def play():
+    async def scenario():
         async with Site(1) as site:
             await site.until_all_hold(1)
-            site.local_servers[0].restart_with = 2
+            site.local_servers[0].restart_when_staged = 2
             site.declare(2)
             await site.until_all_hold(2)
-            return site.local_servers[0].whole
+            return site.local_servers[0].loads_intact
 
-    assert run(play()) == [True, True]
+    assert run(scenario()) == [True, True]
 
 
-def test_what_the_origin_spoils_is_never_staged():
-    async def play():
+def test_corrupt_pieces_from_the_origin_are_never_staged():
+    async def scenario():
         async with Site(1) as site:
-            site.origin.spoil = 3
+            site.origin.corrupt_pieces = 3
             await site.until_all_hold(1, most_s=30.0)
-            return site.local_servers[0].whole
+            return site.local_servers[0].loads_intact
 
-    assert run(play()) == [True]
+    assert run(scenario()) == [True]
 
 
-def test_an_order_whose_answer_is_lost_is_not_given_twice():
-    """Symptom: a server loads twice and serves nothing meanwhile.
+def test_an_order_whose_answer_is_lost_is_not_repeated():
+    """Guards against a server that loads twice and serves nothing meanwhile.
 
-    Sequence: an order begins and its answer is lost; the agent orders again.
-    Cause: no answer was taken for a refusal.
+    The server accepts an order, but the answer is lost. The agent treated the
+    missing answer as a refusal and ordered again.
     """
 
-    async def play():
+    async def scenario():
         async with Site(1) as site:
             site.local_servers[0].lose_answer = True
             await site.until_all_hold(1)
             await asyncio.sleep(2.0)
             return site.local_servers[0].loads
 
-    assert run(play()) == [1]
+    assert run(scenario()) == [1]
 
 
-def test_an_agent_that_starts_again_takes_what_lies_staged():
-    async def play():
+def test_a_restarted_agent_reuses_staged_pieces():
+    async def scenario():
         async with Site(1) as site:
             await site.until_all_hold(1)
             site.origin.sent = 0
@@ -420,25 +422,27 @@
             await site.until_all_hold(1)
             return site.origin.sent
 
-    assert run(play()) == 0
+    assert run(scenario()) == 0
 
 
 @pytest.mark.parametrize("gap_s", [1.0, 4.0])
-def test_of_versions_named_in_a_row_the_newest_is_everywhere(gap_s):
-    async def play():
+def test_the_newest_of_successive_versions_reaches_every_server(gap_s):
+    async def scenario():
         async with Site() as site:
             await site.until_all_hold(1)
             site.declare(2)
             await asyncio.sleep(gap_s)
             site.declare(3)
             await site.until_all_hold(3)
-            return [local_server.whole for local_server in site.local_servers]
+            return [
+                local_server.loads_intact for local_server in site.local_servers
+            ]
 
-    assert all(all(whole) for whole in run(play()))
+    assert all(all(loads) for loads in run(scenario()))
 
 
-def test_an_origin_that_is_down_is_waited_for():
-    async def play():
+def test_agents_wait_for_an_origin_that_is_down():
+    async def scenario():
         async with Site() as site:
             await site.until_all_hold(1)
             site.origin.down = True
@@ -447,18 +451,18 @@
             site.origin.down = False
             return await site.until_all_hold(2)
 
-    assert run(play()) < 8.0
+    assert run(scenario()) < 8.0
 
 
-def test_an_origin_that_dies_behind_a_newer_name_leaves_the_older_version():
-    """Symptom: every server is out from the older version's due time on.
+def test_the_older_version_completes_if_the_origin_fails():
+    """Guards against an outage of all servers from the older due time on.
 
-    Sequence: version 2 is on its way and version 3 is named two seconds
-    later; then the origin is cut off for good. Cause: the agents dropped 2,
-    whose pieces they held, for 3, of which they had none.
+    Version 2 is being fetched when version 3 is declared, and then the origin
+    fails permanently. The agents dropped 2, whose pieces they held, for 3, of
+    which they had none.
     """
 
-    async def play():
+    async def scenario():
         async with Site(link_bytes_per_s=20_000.0) as site:
             await site.until_all_hold(1)
             site.origin.sent = 0
@@ -470,23 +474,23 @@
             site.origin.down = True
             took = await site.until_all_hold(2)
             return took, [
-                local_server.whole for local_server in site.local_servers
+                local_server.loads_intact for local_server in site.local_servers
             ]
 
-    took, wholes = run(play())
+    took, intact = run(scenario())
     assert took < 8.0
-    assert all(all(whole) for whole in wholes)
+    assert all(all(loads) for loads in intact)
 
 
-def test_an_agent_that_starts_while_the_origin_is_down_serves_all_the_same():
-    """Symptom: servers that were replaced serve seconds after all others.
+def test_an_agent_that_starts_while_the_origin_is_down_gets_the_weights():
+    """Guards against replaced servers that serve seconds after all others.
 
-    Sequence: a version is with all agents; the origin goes down, and one server
-    is replaced, its agent with it. Cause: what the version consists of was
-    asked of the origin alone, though every other agent knows it.
+    All agents hold a version, the origin goes down, and a server is replaced
+    together with its agent. The new agent requested the manifest from the
+    origin only, although every other agent had it.
     """
 
-    async def play():
+    async def scenario():
         async with Site() as site:
             await site.until_all_hold(1)
             site.declare(2)
@@ -499,18 +503,18 @@
             await site.start(0, f"{NETWORK}.11")
             return await site.until_all_hold(2, most_s=6.0)
 
-    assert run(play()) < 5.0
+    assert run(scenario()) < 5.0
 
 
-def test_few_of_a_large_fleet_ask_the_origin_what_a_version_consists_of():
-    """Symptom: the origin resets connections, of draws as well.
+def test_few_agents_of_a_large_fleet_ask_the_origin_for_a_manifest():
+    """Guards against connections that the origin resets, also for pieces.
 
-    Sequence: a version is named; 102 agents ask an origin that takes 48
-    connections what it consists of, in the same tenth of a second. Cause: each
-    asked the origin first, and the other agents only when that failed.
+    A version is declared, and 102 agents request its manifest within 0.1 s from
+    an origin that accepts 48 connections. Each agent asked the origin first and
+    other agents only if that failed.
     """
 
-    async def play():
+    async def scenario():
         async with Site(20, link_bytes_per_s=500_000.0) as site:
             await site.until_all_hold(1)
             site.origin.asked = 0
@@ -518,11 +522,11 @@
             await site.until_all_hold(2)
             return site.origin.asked
 
-    assert run(play()) <= drawers.RANKED
+    assert run(scenario()) <= drawers.RANKED
 
 
-def test_what_another_agent_tells_of_a_version_is_checked():
-    """An unreadable or another version's description names nothing."""
+def test_a_manifest_from_another_agent_is_validated():
+    """A manifest that is unreadable or of another version is ignored."""
     manifest = agent_interfaces.VersionManifest(
         MODEL, 2, PIECE_BYTES, (digest(b"p"),)
     )
@@ -537,7 +541,7 @@
 
 
 class Endpoint:
-    """Takes handlers; nobody is connected."""
+    """An endpoint without connections."""
 
     def on_call(self, kind, handler):
         del kind, handler
@@ -548,7 +552,7 @@
 
 @dataclasses.dataclass
 class FakeFetcher:
-    """What is brought, as `updater.WeightsUpdater` asks it."""
+    """The state of a fetcher that `updater.WeightsUpdater` reads."""
 
     manifest: agent_interfaces.VersionManifest
     origin_failing_s: float
@@ -561,15 +565,17 @@
     ("version", "failing_s", "given_up"),
     [(3, 0.0, False), (3, 0.3, False), (3, 0.6, True), (2, 0.6, False)],
 )
-def test_failed_draws_give_the_newest_version_up(version, failing_s, given_up):
-    """Symptom: no server serves between two due times.
+def test_the_newest_version_stalls_if_the_origin_fails(
+    version, failing_s, given_up
+):
+    """Guards against an outage between two due times.
 
-    Sequence: version 3 is named, and the origin dies when few pieces of it are
-    out; those go on arriving for a second, and then it takes another one until
-    2 is taken up again. Cause: only a stall of all pieces counted.
+    Version 3 is declared, and the origin fails when it has sent a few pieces.
+    These keep arriving for a second, and the agents took one more second to
+    resume 2. Only the absence of all pieces counted as a stall.
     """
 
-    async def play():
+    async def scenario():
         manifest = agent_interfaces.VersionManifest(
             MODEL, version, PIECE_BYTES, (b"d",)
         )
@@ -589,7 +595,7 @@
         weights._progress_at = asyncio.get_running_loop().time()
         return weights._stalled()
 
-    assert run(play()) == given_up
+    assert run(scenario()) == given_up
 
 
 @pytest.mark.parametrize(
@@ -597,26 +603,26 @@
     [
         (0.1, 0.0, 0.5, True),
         (0.0, 0.0, 0.5, False),
-        # Waiting for all of the older one would make the newer one late.
+        # Waiting for the whole older version would make the newer one late.
         (0.5, 0.0, 0.5, False),
         (1.0, 0.0, 0.1, False),
-        # An origin that is gone sends the last pieces to nobody.
+        # An origin that fails does not send the last pieces.
         (0.1, 0.6, 0.5, False),
-        # Nor does one that has not sent them for as long as a version takes.
+        # Nor does one that has not sent them in the time for a whole version.
         (0.1, 0.0, 7.0, False),
     ],
 )
-def test_a_version_is_left_once_its_last_pieces_are_out(
+def test_a_version_is_fetched_until_its_last_pieces_are_out(
     unspread, failing_s, since_s, waits
 ):
-    """Symptom: of two versions two seconds apart neither ever serves.
+    """Guards against neither of two versions being completed.
 
-    Sequence: version 3 is named 0.4 s before the origin goes; version 2 is left
-    at once, with four of 48 pieces still to be drawn. Cause: the newer one was
-    expected to come in time for both.
+    Version 3 is declared two seconds after 2 and 0.4 s before the origin fails.
+    Version 2 was abandoned at once, with four of 48 pieces still at the origin,
+    as version 3 was expected to meet both deadlines.
     """
 
-    async def play():
+    async def scenario():
         clock = asyncio.get_running_loop().time
         manifest = agent_interfaces.VersionManifest(
             MODEL, 2, PIECE_BYTES, (b"d",)
@@ -636,24 +642,24 @@
         await asyncio.sleep(since_s)
         return weights._must_finish_spreading(2, 3)
 
-    assert run(play()) == waits
+    assert run(scenario()) == waits
 
 
 @pytest.mark.parametrize(
     ("failing_s", "quiet_s", "known"),
     [(0.0, 0.0, True), (0.6, 0.0, False), (0.0, 1.5, False)],
 )
-def test_an_agent_promises_no_server_while_no_piece_comes(
+def test_the_ready_time_is_unknown_while_no_piece_arrives(
     failing_s, quiet_s, known
 ):
-    """Symptom: callers wait for 1.5 s and are turned away all the same.
+    """Guards against callers that wait for 1.5 s before they are rejected.
 
-    Sequence: the server holds all layers of a version that may begin nothing
-    any more; the next one is on its way, and its origin is down. Cause: the
-    agent told that the server was ready at once, as it held a whole version.
+    The server holds a complete version that may no longer start requests, and
+    the origin is down while the next one is fetched. The agent reported the
+    server as ready, as it held a complete version.
     """
 
-    async def play():
+    async def scenario():
         clock = asyncio.get_running_loop().time
         manifest = agent_interfaces.VersionManifest(
             MODEL, 3, PIECE_BYTES, (b"d",)
@@ -669,31 +675,27 @@
         weights._progress_at = clock() - quiet_s
         return weights.ready_in_s(serves=True)
 
-    found = run(play())
+    found = run(scenario())
     assert (found > 0.0) == known
 
 
-def test_a_server_that_starts_again_under_its_id_is_loaded_again():
-    """A server stayed empty after it had come back under its former id.
+def test_a_server_that_restarts_under_its_id_is_loaded_again():
+    """Guards against a server that stays empty after a restart.
 
-    It forgets its layers and how many orders it has accepted; what its agent
-    knew of the start before must not stand in the way of the next order.
+    It restarts under the same id and loses its layers and its count of orders.
+    The agent's knowledge of the previous start must not prevent the next order.
     """
 
-    async def play():
+    async def scenario():
         async with Site() as site:
             await site.until_all_hold(1)
-            local_server = site.local_servers[0]
-            local_server.held, local_server.sequence, local_server.born = (
-                (),
-                0,
-                7,
-            )
-            loads = len(local_server.loads)
+            server = site.local_servers[0]
+            server.held, server.sequence, server.started_ms = (), 0, 7
+            loads = len(server.loads)
             await asyncio.sleep(5.0)
-            assert len(local_server.loads) == loads + 1
-            assert all(local_server.whole)
-            told = site.agents[0]._context.start
-            assert told == types.Start("i-0", 7)
+            assert len(server.loads) == loads + 1
+            assert all(server.loads_intact)
+            start = site.agents[0]._context.start
+            assert start == types.Start("i-0", 7)
 
-    run(play())
+    run(scenario())
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -1,4 +1,4 @@
-"""What each process knows of when a version was named, and how it is told."""
+"""Estimates of when a version was declared, and how they are exchanged."""
 
 import asyncio
 import itertools
@@ -23,7 +23,7 @@
 FIRST = float("inf")
 
 
-def new(now=100.0):
+def new_declarations(now=100.0):
     return declarations.Declarations(8.0, 3.0, lambda: now)
 
 
@@ -31,36 +31,36 @@
     return lambda known: known.record("m", version, unread_s)
 
 
-def told(version, age_s):
+def reported(version, age_s):
     return lambda known: known.merge_ages("m", {version: age_s}, AGENT)
 
 
 @pytest.mark.parametrize(
-    "news",
+    "messages",
     [
-        [read(2, FIRST), told(2, 4.0), told(2, 3.9), read(2, 0.0)],
-        [read(2, FIRST), read(3, FIRST), told(2, 4.0), told(3, 1.0)],
-        [read(2, 0.5), told(2, 4.0), told(3, 1.0), read(3, 0.2)],
-        [told(2, 4.0), told(3, 5.0), read(2, 0.0)],
+        [read(2, FIRST), reported(2, 4.0), reported(2, 3.9), read(2, 0.0)],
+        [read(2, FIRST), read(3, FIRST), reported(2, 4.0), reported(3, 1.0)],
+        [read(2, 0.5), reported(2, 4.0), reported(3, 1.0), read(3, 0.2)],
+        [reported(2, 4.0), reported(3, 5.0), read(2, 0.0)],
     ],
 )
-def test_estimates_are_the_same_in_whatever_order_news_come(news):
-    """Symptom: two entries believe in different due times.
+def test_estimates_do_not_depend_on_the_order_of_messages(messages):
+    """Guards against entries that assume different due times.
 
-    Sequence: both hear the same of several neighbours, some of it twice, in
-    another order. Cause: the last word counted, or each was added up.
+    Both get the same messages from several processes, some of them twice, in a
+    different order. The last message counted, or each message had an effect.
     """
     found = set()
-    for order in itertools.permutations(news):
-        known = new()
-        for say in (*order, *order[::-1]):
-            say(known)
+    for order in itertools.permutations(messages):
+        known = new_declarations()
+        for deliver in (*order, *order[::-1]):
+            deliver(known)
         found.add(known.for_model("m"))
     assert len(found) == 1
 
 
-def test_who_learned_earlier_is_nearer_to_the_truth():
-    known = new()
+def test_the_earliest_estimate_wins():
+    known = new_declarations()
     known.record("m", 2, 0.0)
     (change,) = known.merge_ages("m", {2: 3.0}, AGENT)
     assert (change.is_new, change.is_significant, change.moved_s) == (
@@ -72,50 +72,50 @@
     assert known.for_model("m") == (declarations.Declaration(2, 97.0),)
 
 
-def test_what_is_known_takes_the_place_of_what_was_assumed_at_the_start():
-    """Symptom: callers are refused for five seconds beside idle servers.
+def test_a_known_time_replaces_the_one_assumed_at_the_start():
+    """Guards against requests that are refused for 5 s while servers are idle.
 
-    Sequence: an entry starts a second after a version was named, and holds it
-    to be due in three seconds; a neighbour knows better. Cause: the earlier
-    moment stayed, though it was only assumed.
+    An entry starts a second after a version was declared and assumes that it is
+    due in three seconds, and another process knows better. The earlier time
+    was kept although it was only assumed.
     """
-    known = new()
+    known = new_declarations()
     known.record("m", 2, FIRST)
     assert known.for_model("m")[0].declared_at < 96.0
     known.merge_ages("m", {2: 1.0}, AGENT)
     assert known.for_model("m") == (declarations.Declaration(2, 99.0),)
 
 
-def test_what_is_only_assumed_is_not_told():
-    """Symptom: one entry that starts makes all others refuse callers.
+def test_an_assumed_time_is_not_reported():
+    """Guards against one starting entry that makes all others refuse requests.
 
-    Sequence: it holds a version to be due soon as nobody told it the age, and
-    tells its neighbours. Cause: an assumption was told like knowledge.
+    It assumes that a version is due soon, as it got no age, and reports that to
+    other processes. Assumed times were reported like known ones.
     """
-    known = new()
+    known = new_declarations()
     known.record("m", 2, FIRST)
     assert known.all_ages_s() == {}
     known.record("m", 3, 0.0)
     assert known.all_ages_s() == {"m": {3: 0.0}}
 
 
-def test_the_newest_and_those_not_due_yet_are_told():
-    known = new()
+def test_the_newest_version_and_those_not_due_yet_are_reported():
+    known = new_declarations()
     known.merge_ages("m", {2: 9.0, 3: 7.0, 4: 1.0}, AGENT)
     assert known.ages_s("m") == {3: 7.0, 4: 1.0}
-    old = new()
+    old = new_declarations()
     old.merge_ages("m", {2: 60.0}, AGENT)
     assert old.ages_s("m") == {2: 60.0}
 
 
 @pytest.mark.parametrize("ages_s", [{0: 1.0}, {-1: 1.0}, {2: -1.0}])
-def test_what_cannot_be_is_left_aside(ages_s):
-    known = new()
+def test_impossible_versions_and_ages_are_ignored(ages_s):
+    known = new_declarations()
     assert known.merge_ages("m", ages_s, AGENT) == []
     assert known.newest() == {}
 
 
-def test_a_version_that_nobody_can_date_is_due_when_the_process_is_bound():
+def test_a_version_of_unknown_age_is_due_when_deadlines_apply():
     now = [100.0]
     known = version_policy.VersionPolicy(8.0, lambda: now[0], settled_s=3.0)
     known.record_declared(types.Declared("m", 2), unread_s=FIRST)
@@ -123,11 +123,11 @@
     assert known.required("m", 103.0 - 0.5) == 2
 
 
-# What is told.
+# Reports of ages.
 
 
 class Sent:
-    """A transport that keeps what was sent."""
+    """A transport that records what was sent."""
 
     def __init__(self):
         self.reports = []
@@ -145,18 +145,18 @@
     return codec.encode(ttypes.Subscribe(name, {}))
 
 
-def test_an_entry_hears_of_ages_at_once_and_then_about_once_a_second():
-    """Symptom: an entry that starts counts a version's time from its start.
+def test_an_entry_gets_ages_at_once_and_then_about_once_a_second():
+    """Guards against an entry that counts a version's age from its own start.
 
-    Sequence: it asks the agents for reports; they know the age, and their
-    servers may be silent. Cause: agents told only of their servers, or the age
-    in each of ten reports a second.
+    It subscribes to agents that know the age, even if their servers do not
+    answer. Agents only reported the state of their servers, or the ages in each
+    of ten reports a second.
     """
     ages_s = {2: 4.0}
 
-    async def play():
-        told = reports.Report("", 0, 0, 1, "m", ages_s=ages_s)
-        reporter = reports.Reporter(lambda declared: None, lambda: told)
+    async def scenario():
+        ages_report = reports.Report("", 0, 0, 1, "m", ages_s=ages_s)
+        reporter = reports.Reporter(lambda declared: None, lambda: ages_report)
         sent = Sent()
         reporter.connection_made(sent)
         reporter.datagram_received(subscription("e1"), ("e1",))
@@ -172,7 +172,7 @@
         reporter.datagram_received(subscription("e1"), ("e1",))
         return at_once, regular, news, sent.ages()
 
-    at_once, regular, news, silent = clocks.run(play())
+    at_once, regular, news, silent = clocks.run(scenario())
     assert at_once == news == silent == [{2: 4000}]
     assert len(regular) in (2, 3)
 
@@ -186,11 +186,11 @@
     assert len(codec.encode(plain)) - short <= 8
 
 
-# Before a send.
+# Before a request is sent.
 
 
-def name_a_version(site):
-    """Names version 2 while the server has 1."""
+def declare_version(site):
+    """Declares version 2 while the server holds version 1."""
     engine = {"slots": 8, "step_ms": 7.0, "models": [{"name": "m"}]}
     service = {"name": "plain", "engine": engine}
     change = sites.config(2, services=[service])
@@ -200,17 +200,19 @@
     site.store.put("keyed.op", "version/m", version)
 
 
-def test_a_send_is_given_up_when_the_machine_slept_before_it(monkeypatch):
-    """Symptom: a request begins on a former version long after the due time.
+def test_a_send_is_abandoned_if_the_machine_was_suspended_before_it(
+    monkeypatch,
+):
+    """Guards against a request on a former version long after the due time.
 
-    Sequence: an entry connects to a server on that version; the machine is
-    suspended, wakes when the newer one is due, and the request goes out. Cause:
-    the version was looked at before the connection came up only.
+    An entry connects to a server on that version, the machine is suspended and
+    resumes when the newer version is due, and the request is sent. The version
+    was only checked before the connection was established.
     """
 
-    async def play():
+    async def scenario():
         async with sites.Site("i-1") as site:
-            name_a_version(site)
+            declare_version(site)
             await asyncio.sleep(4.0)
             connect = client.connect
 
@@ -223,36 +225,38 @@
             count = site.counters.value("direct.attempt.too_old")
             return answer.status, len(site.servers[0].calls), count
 
-    assert sites.run(play()) == (503, 0, 1)
+    assert sites.run(scenario()) == (503, 0, 1)
 
 
-def test_a_request_that_waits_for_its_connection_is_told_not_run(monkeypatch):
-    """Symptom: a caller is told that its request may have run; it never left.
+def test_a_request_that_waits_for_its_connection_is_reported_not_run(
+    monkeypatch,
+):
+    """Guards against an unsent request being reported as perhaps run.
 
-    Sequence: a connection does not come up while a version falls due, and the
-    request is taken back. Cause: what is taken back was taken for sent.
+    A connection is not established before a version is due, and the request is
+    withdrawn. A withdrawn request was always assumed to have been sent.
     """
 
     async def never(address, timeout_s):
         del address, timeout_s
         await asyncio.sleep(10.0)
 
-    async def play():
+    async def scenario():
         async with sites.Site("i-1") as site:
-            name_a_version(site)
+            declare_version(site)
             await asyncio.sleep(7.0)
             monkeypatch.setattr(client, "connect", never)
             answer = await site.ask(headers=["X-Clementinegw-Model: m"])
             return answer.status, "retry-after" in answer.headers
 
-    assert sites.run(play()) == (503, True)
+    assert sites.run(scenario()) == (503, True)
 
 
-# How long records lay unread.
+# How long records were unread.
 
 
 class Topic:
-    """A topic that answers a waiting question at news, or after the wait."""
+    """A topic that answers a long poll on new records or after the wait."""
 
     def __init__(self):
         self.records = []
@@ -281,8 +285,8 @@
             raise exceptions.PlatformUnavailable("down")
 
 
-def unread(happens):
-    async def play():
+def unread_times(action):
+    async def scenario():
         topic, found = Topic(), []
         topic.put("first")
         follower = follow.Follower(
@@ -296,28 +300,28 @@
         )
         await follower.start()
         await asyncio.sleep(0.5)
-        await happens(topic)
+        await action(topic)
         await follower.stop()
         return found
 
-    return clocks.run(play())
+    return clocks.run(scenario())
 
 
-def test_what_a_process_finds_at_its_start_may_be_of_any_age():
+def test_records_found_at_the_start_may_be_of_any_age():
     async def nothing(topic):
         del topic
 
-    assert unread(nothing) == [FIRST]
+    assert unread_times(nothing) == [FIRST]
 
 
-def test_a_slow_answer_after_a_failure_has_not_waited_for_its_records():
-    """Symptom: an entry that was cut off holds an old version to be new.
+def test_a_slow_answer_after_a_failure_did_not_wait_for_records():
+    """Guards against an entry that dates an old version as new after an outage.
 
-    Sequence: the first answer after the cut comes after 0.1 s, as the store is
-    slow. Cause: an answer that took long was taken for one that had waited.
+    The first answer after the outage takes 0.1 s, as the store is slow. An
+    answer that took long was assumed to have waited for new records.
     """
 
-    async def cut(topic):
+    async def outage(topic):
         topic.down = True
         await asyncio.sleep(2.0)
         topic.put("named")
@@ -325,35 +329,36 @@
         topic.down = False
         await asyncio.sleep(2.0)
 
-    assert unread(cut)[-1] > 1.9
+    assert unread_times(outage)[-1] > 1.9
 
 
 @pytest.mark.parametrize("after_s", [3.0, 5.49, 5.52])
-def test_what_comes_as_a_question_is_asked_anew_has_not_lain(after_s):
-    """Symptom: all entries demand a version 0.3 s before they must.
+def test_a_record_added_between_two_polls_was_not_unread(after_s):
+    """Guards against entries that require a version 0.3 s too early.
 
-    Sequence: one process of many ends a wait and asks again just as a version
-    is named, takes it for as old as its last proof, and the earliest estimate
-    wins. Cause: a proof leans to the safe side, by a twentieth of the wait.
+    One process of many ends a poll and sends the next just as a version is
+    declared. It dated the version back to its last proof of having all records,
+    and the earliest estimate wins. Proofs are dated conservatively, by a
+    twentieth of the wait.
     """
 
-    async def calm(topic):
+    async def add_records(topic):
         await asyncio.sleep(after_s)
         topic.put("one")
         await asyncio.sleep(1.0)
 
-    assert unread(calm)[-1] < 0.1
+    assert unread_times(add_records)[-1] < 0.1
 
 
-def test_what_comes_right_behind_another_change_has_not_lain():
-    """Symptom: all entries demand a version a second before they must.
+def test_a_record_right_after_another_change_was_not_unread():
+    """Guards against entries that require a version a second too early.
 
-    Sequence: a configuration is read, and a version is named before the next
-    question; the process takes it for as old as the question before the
-    configuration. Cause: an answer with news proves no more than that.
+    A configuration is read, and a version is declared before the next poll. The
+    process dated it back to the poll before the configuration, as an answer
+    with records proves only that the process had all records at that poll.
     """
 
-    async def calm(topic):
+    async def add_records(topic):
         topic.takes_s = 0.1
         await asyncio.sleep(3.0)
         topic.put("one")
@@ -361,17 +366,18 @@
         topic.put("two")
         await asyncio.sleep(1.0)
 
-    found = unread(calm)
+    found = unread_times(add_records)
     assert len(found) == 3
     assert found[-1] < 0.2
 
 
-def test_what_was_found_at_the_start_is_not_named_anew_by_reading_it_again():
-    """An entry served the former version for seven seconds more.
+def test_a_version_found_at_the_start_is_not_dated_anew_when_read_again():
+    """Guards against an entry that serves a former version for 7 s too long.
 
-    All had lost power, so nobody could tell when the version was named, and
-    each demanded it as soon as it was bound. Then the store dropped its history
-    and everything was read anew: the same version seemed to be named just now.
+    After a power failure of all processes none knew the time of a declaration,
+    and each required the version as soon as deadlines applied to it. Then the
+    store dropped its history and everything was read anew, so that the same
+    version seemed to be declared just now.
     """
     now = [100.0]
     known = declarations.Declarations(8.0, 3.0, lambda: now[0])
@@ -380,9 +386,9 @@
     now[0] = 110.0
     assert known.record("m", 2, 2.0) is None
     assert known.for_model("m") == (found,)
-    # A neighbour that did not start then may still tell.
+    # A process that did not restart may still know the age.
     known.merge_ages("m", {2: 30.0}, AGENT)
     assert known.for_model("m")[0].declared_at == 80.0
-    # What comes after the first reading was named since.
+    # A version that appears after the first reading was declared since.
     known.record("m", 3, 0.5)
     assert known.for_model("m")[-1] == declarations.Declaration(3, 109.5)
--- a/tests/test_direct_due.py
+++ b/tests/test_direct_due.py
@@ -1,4 +1,4 @@
-"""Versions are due from their naming on, whenever a process learns of them."""
+"""Due times run from a declaration, whenever a process learns of it."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Site(sites.Site):
-    """An entry before a server that stays on version 1 when 2 is named."""
+    """An entry with a server that stays on version 1 when 2 is declared."""
 
     async def __aenter__(self):
         await super().__aenter__()
@@ -21,7 +21,7 @@
         change = sites.config(2, services=[service])
         self.store.put("keyed.op", "config", change)
         self.hold(self.servers[0], 1)
-        # Lists are read about once a second.
+        # The list of servers is read about once a second.
         await asyncio.sleep(1.5)
         return self
 
@@ -29,16 +29,16 @@
         version = {"model": "m", "version": 2}
         self.store.put("keyed.op", "version/m", version)
 
-    async def start_again(self):
-        """Returns when the process started, which may read some time later."""
+    async def restart(self):
+        """Restarts the entry; returns when it started, before any read."""
         await self.entry.stop()
         started_at = asyncio.get_running_loop().time()
         await self.start_entry()
         await asyncio.sleep(0.1)
         return started_at
 
-    def tell(self, age_s):
-        """Lets an agent tell how long ago the version was named."""
+    def report_age(self, age_s):
+        """Delivers an agent's report of the age of version 2, in seconds."""
         report = ttypes.BackendReport(
             "", 0, 0, 1, "m", 0, False, False, 1.0, False, 0, -1.0
         )
@@ -55,37 +55,37 @@
     await asyncio.sleep(at - asyncio.get_running_loop().time())
 
 
-async def starts_and_nobody_can_tell():
-    """The process isn't bound for three seconds, and for no longer."""
+async def restarts_and_no_process_knows_the_age():
+    """Deadlines apply to the process after three seconds."""
     async with Site("i-1") as site:
         site.name()
         await asyncio.sleep(4.0)
-        started_at = await site.start_again()
+        started_at = await site.restart()
         await until(started_at + 1.9)
         early = await site.serves()
         await until(started_at + 2.9)
         return early, await site.serves()
 
 
-async def starts_and_an_agent_tells():
+async def restarts_and_an_agent_reports_the_age():
     async with Site("i-1") as site:
         site.name()
         await asyncio.sleep(3.9)
-        await site.start_again()
-        site.tell(4.0)
+        await site.restart()
+        site.report_age(4.0)
         await asyncio.sleep(3.3)
         early = await site.serves()
         await asyncio.sleep(0.5)
         return early, await site.serves()
 
 
-async def is_cut_off_from_the_store_alone():
+async def is_disconnected_from_the_store_alone():
     async with Site("i-1") as site:
         site.store.silent = True
         await asyncio.sleep(2.5)
         site.name()
         await asyncio.sleep(1.0)
-        site.tell(1.0)
+        site.report_age(1.0)
         await asyncio.sleep(4.0)
         site.store.silent = False
         await asyncio.sleep(2.3)
@@ -105,7 +105,7 @@
         return early, await site.serves()
 
 
-async def _waits_at_a_server(change):
+async def _serves_waiting_request(change):
     async def slow(call):
         await asyncio.sleep(1.0)
         call.begin_stream()
@@ -121,15 +121,15 @@
         return len(site.servers[0].calls) == 1, answer.status == 200
 
 
-async def learns_while_a_request_waits_at_a_server():
+async def learns_the_age_while_a_request_waits():
     async def told(site, asking):
         if asking is not None:
-            site.tell(7.5)
+            site.report_age(7.5)
 
-    return await _waits_at_a_server(told)
+    return await _serves_waiting_request(told)
 
 
-async def is_suspended_while_a_request_waits_at_a_server():
+async def is_suspended_while_a_request_waits():
     async def slept(site, asking):
         if asking is None:
             site.name()
@@ -137,38 +137,38 @@
         else:
             site.slept_s = 3.3
 
-    return await _waits_at_a_server(slept)
+    return await _serves_waiting_request(slept)
 
 
-def test_an_entry_sends_to_a_former_version_until_it_is_due_and_no_longer():
-    """Symptom: a request begins on version 1 after version 2 was due.
+def test_an_entry_uses_the_former_version_until_the_new_one_is_due():
+    """Guards against a request on version 1 after version 2 was due.
 
-    Sequence: an entry starts, is cut off from the store alone, or stands still
-    while a version is in its eight seconds; its neighbours keep the time, and
-    it alone sends to a server on the former version. Cause: the time counted
-    from the moment at which the process learned of the version, by a clock
-    that stands still with the machine.
+    An entry restarts, is the only one disconnected from the store, or is
+    suspended within the eight seconds after a declaration, and keeps sending to
+    a server on the former version. The due time was counted from when the
+    process learned of the version, by a clock that stops while the machine is
+    suspended.
     """
-    plays = [
-        starts_and_nobody_can_tell,
-        starts_and_an_agent_tells,
-        is_cut_off_from_the_store_alone,
+    scenarios = [
+        restarts_and_no_process_knows_the_age,
+        restarts_and_an_agent_reports_the_age,
+        is_disconnected_from_the_store_alone,
         is_suspended,
-        learns_while_a_request_waits_at_a_server,
-        is_suspended_while_a_request_waits_at_a_server,
+        learns_the_age_while_a_request_waits,
+        is_suspended_while_a_request_waits,
     ]
-    found = {play.__name__: sites.run(play()) for play in plays}
+    found = {scenario.__name__: sites.run(scenario()) for scenario in scenarios}
     assert found == dict.fromkeys(found, (True, False))
 
 
-def test_a_request_that_names_no_model_is_held_to_the_version_too():
-    """A request began on a former version long after the next one was due.
+def test_a_request_without_a_model_requires_the_version_too():
+    """Guards against a request on a former version long after the due time.
 
-    It named no model, so no version of one was demanded for it; its service has
-    engines for one model only.
+    The request named no model, so no version was required for it, although all
+    engines of its service have the same model.
     """
 
-    async def play():
+    async def scenario():
         async with Site("i-1") as site:
             site.name()
             await asyncio.sleep(7.0)
@@ -176,13 +176,13 @@
             await asyncio.sleep(1.2)
             return early, (await site.ask()).status
 
-    assert sites.run(play()) == (200, 503)
+    assert sites.run(scenario()) == (200, 503)
 
 
 # Agents.
 
 
-async def agents_start_and_nobody_can_tell(site):
+async def agents_restart_and_no_process_knows_the_age(site):
     await asyncio.sleep(2.0)
     for agent in site.agents:
         await agent.stop()
@@ -194,9 +194,9 @@
     return again_at + 3.0
 
 
-async def agents_start_and_an_entry_tells(site):
+async def agents_restart_and_an_entry_reports_the_age(site):
     due_at = site.boot_time() + 8.0
-    await agents_start_and_nobody_can_tell(site)
+    await agents_restart_and_no_process_knows_the_age(site)
     for agent in site.agents:
         age_ms = round(1e3 * (site.boot_time() - due_at + 8.0))
         told = ttypes.Subscribe("entry", {agent_sites.MODEL: 2})
@@ -212,30 +212,32 @@
     return due_at
 
 
-def test_an_agent_knows_when_a_version_is_due_from_its_naming_on():
-    """Symptom: a server loads seconds later than it had to.
+def test_an_agent_dates_the_due_time_from_the_declaration():
+    """Guards against a server that loads seconds too late.
 
-    Sequence: the agent beside it starts again, or stands still, while a
-    version is in its eight seconds, and leaves itself eight more. Cause: the
-    time counted from the moment at which the agent learned of the version.
+    Its agent restarts or is suspended within the eight seconds after a
+    declaration. The due time was counted from when the agent learned of the
+    version.
     """
 
-    async def play(happens):
+    async def scenario(action):
         async with agent_sites.Site() as site:
             await site.until_all_hold(1)
             site.origin.down = True
             site.declare(2)
             await asyncio.sleep(0.1)
-            due_at = await happens(site)
+            due_at = await action(site)
             await asyncio.sleep(0.5)
-            # When a load must begin at the latest.
-            lasts = [agent._updater._latest_load_at(2) for agent in site.agents]
-            return all(-1.5 < last - due_at < -0.5 for last in lasts)
-
-    plays = [
-        agents_start_and_nobody_can_tell,
-        agents_start_and_an_entry_tells,
+            # The latest times at which the servers must load.
+            latest_loads = [
+                agent._updater._latest_load_at(2) for agent in site.agents
+            ]
+            return all(-1.5 < latest - due_at < -0.5 for latest in latest_loads)
+
+    scenarios = [
+        agents_restart_and_no_process_knows_the_age,
+        agents_restart_and_an_entry_reports_the_age,
         agents_are_suspended,
     ]
-    found = {p.__name__: agent_sites.run(play(p)) for p in plays}
+    found = {p.__name__: agent_sites.run(scenario(p)) for p in scenarios}
     assert found == dict.fromkeys(found, True)
