--- a/src/clementinegw/direct/plan.py
+++ b/src/clementinegw/direct/plan.py
@@ -74,12 +74,10 @@
     # while the agents hold the pieces of the older one between them. Without
     # the older one no server could serve from its due time on. If all versions
     # stall, the newest is tried again.
-    servable = _servable_before_next(
+    usable = _servable_before_next(
         declared, current, abandoned_missing, timing, now
     )
-    declared = [d for d in servable if d.version not in excluded] or servable[
-        -1:
-    ]
+    declared = [d for d in usable if d.version not in excluded] or usable[-1:]
     newest = declared[-1]
     older = [d for d in declared if current and d.version == current.version]
     if not older or current is None or current.version >= newest.version:
--- a/src/clementinegw/direct/updater.py
+++ b/src/clementinegw/direct/updater.py
@@ -88,7 +88,7 @@
         A crashed start stays listed for seconds next to its successor, with the
         same address. The server's own report is the first to tell them apart.
         """
-        here = [
+        same_address = [
             server
             for server in self.servers.values()
             if server.address == self.instance.backend
@@ -97,7 +97,7 @@
         # Prefers the start that the server reports, then the latest start, then
         # the most recently listed one.
         newest = max(
-            enumerate(here),
+            enumerate(same_address),
             key=lambda found: (
                 found[1].born == started_ms,
                 found[1].born,
@@ -230,7 +230,11 @@
         )
 
     async def bring(self) -> None:
-        """Starts to fetch the version that `plan.choose` selects."""
+        """Starts to fetch the version that `plan.choose` selects.
+
+        The names of this method and of `load_newest` are logged as the step of
+        `step_failed`.
+        """
         manifest = self._fetcher.manifest
         current = None
         if manifest is not None:
