--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -14,18 +14,18 @@
 
 from clementinegw import clock as clocks
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import agent_interfaces
 from clementinegw.direct import declarations
 from clementinegw.direct import fetcher as fetcher_lib
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import raw
 from clementinegw.direct import relay
 from clementinegw.direct import reports
-from clementinegw.direct import starts
+from clementinegw.direct import server_records
 from clementinegw.direct import suspects
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import updater
 from clementinegw.telemetry import counters as counters_lib
@@ -35,9 +35,9 @@
 
 # Entries forward a new declaration to agents within a second, so an agent can
 # afford to notice late that its own connection to the platform is stalled.
-_POLL_PACES = follow.Paces(
-    operators=follow.Pace(wait_s=6.0, pause_s=0.0),
-    servers=follow.Pace(wait_s=10.0, pause_s=3.0),
+_POLL_PACES = topic_watch.PollTimings(
+    operators=topic_watch.PollTiming(wait_s=6.0, pause_s=0.0),
+    servers=topic_watch.PollTiming(wait_s=10.0, pause_s=3.0),
 )
 # How often the local server is polled and the update loops run, in seconds. A
 # poll is cheap for the server and bounds the age of the load that entries
@@ -53,11 +53,11 @@
     """The platform calls that an agent makes."""
 
     def local_server(
-        self, address: places.Address, model: str
+        self, address: shared_types.Address, model: str
     ) -> agent_interfaces.LocalServer:
         """Returns a client of the backend server that the agent serves."""
 
-    def origin(self, address: places.Address) -> agent_interfaces.Origin:
+    def origin(self, address: shared_types.Address) -> agent_interfaces.Origin:
         """Returns a client of the origin, which stores the weights."""
 
 
@@ -72,27 +72,27 @@
         counters: counters_lib.Counters,
         rng: random.Random | None = None,
         clock: clocks.Clock | None = None,
-        boot_clock: Callable[[], float] = follow.boot_time,
+        boot_clock: Callable[[], float] = topic_watch.boot_time,
     ):
         """Creates the agent; see `entry.Entry` for the arguments."""
         super().__init__()
-        assert instance.backend is not None
+        assert instance.backend_address is not None
         self._instance = instance
         self._platform = platform
         self._log = log
         self._counters = counters
-        self._backend = instance.backend
+        self._backend = instance.backend_address
         self._clock = asyncio.get_running_loop().time
         self._relay = relay.Relay(
             instance,
-            places.Role.AGENT,
+            shared_types.Role.AGENT,
             platform,
             _POLL_PACES,
             log,
             counters,
             boot_clock,
         )
-        topics = follow.Topics(
+        topics = topic_watch.TopicWatchers(
             self._relay,
             _POLL_PACES,
             self._on_operators,
@@ -116,13 +116,13 @@
             instance.bounds.settled_ms / 1e3,
             boot_clock,
         )
-        self._suspects = suspects.Suspects()
+        self._suspects = suspects.SuspectTracker()
         self._suspicions_sent_at = 0.0
         self._reporter = reports.Reporter(
             self._on_declared, self._ages_report, self._on_suspicions
         )
         self.histograms = histograms.Histograms()
-        self._origin_address: places.Address | None = None
+        self._origin_address: shared_types.Address | None = None
         self._context = updater.Context(instance)
         self._updater = updater.WeightsUpdater(
             self._context,
@@ -133,7 +133,7 @@
             self._declared,
         )
         self._initialized = asyncio.Event()
-        self._starts = starts.Starts(log)
+        self._server_records = server_records.ServerRecords(log)
 
     async def on_start(self) -> None:
         """Starts to listen for agents and entries and follows the platform."""
@@ -167,19 +167,19 @@
 
     # Records from the platform.
 
-    def _on_operators(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
                 self._apply_configuration(record.value)
         # Declarations come second: the configuration names the server's model.
         for record in batch.records:
-            if isinstance(record.value, types.Declared):
+            if isinstance(record.value, types.DeclaredVersion):
                 declared = record.value
                 self._apply_declared(
                     declared.model,
                     declared.version,
-                    self._operators.unread_s,
+                    self._operators.lag_s,
                     declarations.Source.STORE,
                 )
 
@@ -196,7 +196,7 @@
                 self._fetcher.set_origin_rate(service.origin.link_bytes_per_s)
         self._update_initialized()
 
-    def _on_declared(self, declared: reports.Declared) -> None:
+    def _on_declared(self, declared: reports.DeclaredVersions) -> None:
         """Merges the declarations that an entry knows."""
         entry = declarations.Source.ENTRY
         for model, ages_s in declared.ages_s.items():
@@ -233,7 +233,7 @@
                     change.declaration.declared_at + self._declared.due_s,
                 )
         if significant:
-            self._reporter.news()
+            self._reporter.send_ages_now()
 
     def _ages_report(self) -> reports.Report | None:
         """Returns a report with ages only; None if no age is known."""
@@ -246,7 +246,7 @@
     def _on_suspicions(
         self, suspicions: tuple[suspects.Suspicion, ...]
     ) -> None:
-        self._suspects.take(suspicions, self._clock())
+        self._suspects.merge(suspicions, self._clock())
 
     def _suspicions(self) -> tuple[suspects.Suspicion, ...]:
         """Returns the suspicions to send now; empty if some were just sent."""
@@ -254,9 +254,9 @@
         if now - self._suspicions_sent_at < _SUSPICIONS_INTERVAL_S:
             return ()
         self._suspicions_sent_at = now
-        return self._suspects.proved(now)
+        return self._suspects.confirmed_suspicions(now)
 
-    def _on_servers(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
         if whole:
             listed = {record.key for record in batch.records}
             for key in set(self._context.servers) - listed:
@@ -266,7 +266,7 @@
         others = {
             server.address.host: self._agent_instance(
                 server.address.host,
-                places.Place(
+                shared_types.Place(
                     self._instance.regions.get(server.failure_domain, ""),
                     server.failure_domain,
                 ),
@@ -277,11 +277,11 @@
         self._fetcher.set_fleet(list(others.values()))
         self._update_initialized()
 
-    def _apply_server(self, record: follow.Record) -> None:
+    def _apply_server(self, record: topic_watch.Record) -> None:
         if not isinstance(record.value, types.Server):
             self._context.servers.pop(record.key, None)
             return
-        server = self._starts.take(record.value)
+        server = self._server_records.accept(record.value)
         if server is not None and server.service == self._instance.service:
             # Re-inserted so that the most recently listed server comes last.
             self._context.servers.pop(record.key, None)
@@ -294,17 +294,17 @@
             self._context.local_server = self._platform.local_server(
                 self._backend, self._context.model
             )
-        if self._context.origin is not None and self._server_list.known:
+        if self._context.origin is not None and self._server_list.has_snapshot:
             self._initialized.set()
 
     def _agent_instance(
-        self, host: str, place: places.Place
-    ) -> places.Instance:
-        return places.Instance(
+        self, host: str, place: shared_types.Place
+    ) -> shared_types.Instance:
+        return shared_types.Instance(
             f"agent-{host}",
-            places.Role.AGENT,
+            shared_types.Role.AGENT,
             place,
-            places.Address(host, self._instance.peer_ports[0]),
+            shared_types.Address(host, self._instance.peer_ports[0]),
         )
 
     # The local server.
@@ -350,10 +350,10 @@
         start = self._context.start
         held = [h for h in state.held if h.model == self._context.model]
         best = max(held, key=lambda h: h.version, default=None)
-        self._reporter.tell(
+        self._reporter.send(
             reports.Report(
                 server_id=start.server_id,
-                born=start.born,
+                started_ms=start.started_ms,
                 running=state.running,
                 waiting=state.waiting,
                 slots=self._context.engine.slots if self._context.engine else 1,
--- a/src/clementinegw/direct/agent_interfaces.py
+++ b/src/clementinegw/direct/agent_interfaces.py
@@ -23,7 +23,7 @@
       started_ms: When it started, in Unix milliseconds; 0 if unreported.
     """
 
-    held: tuple[types.Held, ...]
+    held: tuple[types.HeldWeights, ...]
     busy: bool
     sequence: int
     running: int
--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one backend server: send, await the answer, pass it on."""
+"""Runs one attempt: sends a request to a server and relays the answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,220 +7,230 @@
 from clementinegw.direct import backend as backend_lib
 from clementinegw.direct import catalog
 from clementinegw.direct import client
-from clementinegw.direct import dialect as dialects
-from clementinegw.direct import events
+from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
-from clementinegw.direct import recalls
 from clementinegw.direct import server as servers
+from clementinegw.direct import sse
 from clementinegw.direct import types
+from clementinegw.direct import version_timeouts
 
-# The most bytes of an answer that is kept until it is whole, so that a broken
-# one never looks like an answer. Streams are passed on event by event.
+# Answers other than streams are buffered until they are complete, so that a
+# caller never receives a truncated one. Bytes.
 _MAX_BODY_BYTES = 16 << 20
-# A server that has sent nothing on any connection for so long, while it owes
-# an answer, is taken for dark where the request may run again. In seconds; at
-# least this, and a multiple of what is on time.
-_LEAST_SILENCE_S = 0.6
-_SILENT_OBJECTIVES = 2.0
-_SILENT_GAPS = 3.0
-# How often it is looked whether a server has fallen silent, in seconds.
-_LOOK_S = 0.2
-_MISDIRECTED = 421
-# What promises a caller that a request was not run.
-_PROMISES = frozenset({408, 421, 429, 503})
+# A server that owes an answer to a repeatable request, and has sent nothing on
+# any connection for this long, counts as unreachable. The limit is a multiple
+# of the route's objective or of its longest gap between events, and at least
+# the minimum, in seconds.
+_MIN_SILENCE_S = 0.6
+_SILENCE_PER_OBJECTIVE = 2.0
+_SILENCE_PER_GAP = 3.0
+# Interval between checks for a silent server, in seconds.
+_SILENCE_CHECK_S = 0.2
+_MISDIRECTED_REQUEST = 421
+# Statuses that promise the caller that its request was not run.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
-class _Silent(Exception):  # noqa: N818
-    """The server is taken for dark."""
+class _ServerSilent(Exception):  # noqa: N818
+    """The server sent nothing for too long and counts as unreachable."""
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """One request on its way.
+    """The state of one request from its admission to its final answer.
 
     Attributes:
-      request: As it came.
-      facts: What its head says.
-      match: Its route and customer.
+      request: The caller's request.
+      metadata: What the request's headers say.
+      match: The request's route and customer.
       service: The service that serves it.
-      responder: Answers it.
-      deadline: When its final answer is due, in monotonic seconds.
-      spent_s: How long its caller has been at it before, in seconds.
-      sends: Times that it was handed to a server.
-      runs: Times that it may have begun to run.
-      unsent: Times that it was given up right before it was handed over.
-      last_event: The last event that the caller has got in this answer.
-      first_answer_at: When the caller got the first part of its answer.
-      waited_s: How long it waited for room in the entry, in seconds.
+      responder: Sends the answer to the caller.
+      deadline: When the final answer is due, in monotonic seconds.
+      spent_s: How long the caller has been trying before, in seconds.
+      sends: How often it was sent to a server.
+      runs: How often it may have begun to run.
+      withdrawals: How often it was withdrawn right before it was sent.
+      last_event_id: The id of the last event that the caller received.
+      first_event_at: When the first event was received from a server, in
+        monotonic seconds.
+      waited_s: How long it waited in the entry's queue, in seconds.
       placed_at: When its last server was chosen, in monotonic seconds.
-      permitted: Whether it has a slot of that server's rate limit.
-      unreached_s: How long connections took that did not come up, in seconds.
-      busy: The part of the last server's slots that seemed taken.
-      server_id: The last server that it was handed to.
+      permitted: Whether it holds a slot of that server's rate limit.
+      failed_connect_s: Time spent on connections that failed, in seconds.
+      utilization: The estimated share of the last server's slots in use.
+      server_id: The last server that was chosen for it.
+      tried: The server starts where it may have run without success.
     """
 
     request: servers.Request
-    facts: types.RequestFacts
-    match: catalog.Match
+    metadata: types.RequestMetadata
+    match: catalog.RouteMatch
     service: str
     responder: servers.Responder
     deadline: float
     spent_s: float = 0.0
     sends: int = 0
     runs: int = 0
-    unsent: int = 0
-    last_event: str | None = None
-    first_answer_at: float | None = None
+    withdrawals: int = 0
+    last_event_id: str | None = None
+    first_event_at: float | None = None
     waited_s: float = 0.0
     placed_at: float = 0.0
     permitted: bool = False
-    unreached_s: float = 0.0
-    busy: float = 0.0
+    failed_connect_s: float = 0.0
+    utilization: float = 0.0
     server_id: str = ""
-    tried: set[types.Start] = dataclasses.field(default_factory=set)
+    tried: set[types.ServerStart] = dataclasses.field(default_factory=set)
 
     @property
-    def caller(self) -> str:
-        """The customer's name; empty for an anonymous caller."""
+    def customer_name(self) -> str:
+        """The name of the customer; empty for an anonymous caller."""
         return self.match.customer.name if self.match.customer else ""
 
     @property
     def streaming(self) -> bool:
-        """Whether its answer is a stream."""
-        return self.match.route.repeat is types.Repeat.STREAM
+        """Whether the answer is a stream."""
+        return self.match.route.repeat_policy is types.RepeatPolicy.STREAM
 
 
-class Attempts:
-    """Makes attempts; knows nothing of when and where to."""
+class AttemptRunner:
+    """Runs attempts; the caller decides on the server and on retries."""
 
     def __init__(
         self,
-        dialect: dialects.Dialect,
+        codec: header_codec.HeaderCodec,
         clock: Callable[[], float],
-        began: Callable[[Job], None] = lambda job: None,
+        on_first_event: Callable[[Job], None] = lambda job: None,
     ):
-        """Makes none before `run`.
+        """Stores its collaborators; `run` makes the attempts.
 
         Args:
-          dialect: Knows the platform's headers.
-          clock: Monotonic seconds.
-          began: Told of each request whose first event has come.
+          codec: Translates the platform's headers.
+          clock: Returns monotonic seconds.
+          on_first_event: Called when a request's first event has arrived.
         """
-        self._dialect = dialect
+        self._codec = codec
         self._clock = clock
-        self._began = began
+        self._on_first_event = on_first_event
 
     async def run(
         self,
         job: Job,
         backend: backend_lib.Backend,
-        sending: types.Sending,
-        elsewhere: Callable[[], bool],
-        recall: recalls.Recall,
-    ) -> outcomes.Attempt:
-        """Makes one attempt.
+        sending: types.ForwardMetadata,
+        has_alternative: Callable[[], bool],
+        version_timeout: version_timeouts.VersionTimeout,
+    ) -> outcomes.AttemptOutcome:
+        """Makes one attempt and returns its outcome.
 
         Args:
           job: The request.
           backend: The server.
-          sending: What it is told besides the request.
-          elsewhere: Returns whether another server could take the request
+          sending: What the entry adds to the request.
+          has_alternative: Returns whether another server could take the request
             over now. While none can, a silent server is waited for.
-          recall: Takes it back before the server is too old for it.
+          version_timeout: Withdraws the request before the server's weights
+            become too old for it.
 
         Raises:
           channel.ChannelClosed: The caller has left.
         """
         sends = job.sends
-        backend.unread_tokens += job.facts.prompt_tokens
-        unread = _Unread(backend, job.facts.prompt_tokens, recall)
+        backend.unread_tokens += job.metadata.prompt_tokens
+        unread = _UnreadTokens(
+            backend, job.metadata.prompt_tokens, version_timeout
+        )
         try:
-            hearing = _Hearing(backend, elsewhere, self._clock)
-            async with asyncio.timeout(None) as waiting:
-                recall.watch(waiting)
+            receiver = _AnswerReceiver(backend, has_alternative, self._clock)
+            async with asyncio.timeout(None) as timeout:
+                version_timeout.start(timeout)
                 try:
-                    return await self._run(job, hearing, sending, unread)
+                    return await self._run(job, receiver, sending, unread)
                 finally:
-                    recall.end()
+                    version_timeout.stop()
         except TimeoutError:
             if job.sends == sends:
-                # Its connection was still coming up: nobody may have run it.
+                # The connection was still being opened: nothing was sent.
                 return outcomes.NotRun(outcomes.NotRunReason.TOO_OLD)
             return outcomes.Lost(outcomes.LostReason.OUTDATED)
         finally:
-            unread.done()
+            unread.release()
 
     async def _run(
         self,
         job: Job,
-        hearing: "_Hearing",
-        sending: types.Sending,
-        unread: "_Unread",
-    ) -> outcomes.Attempt:
-        backend = hearing.backend
+        receiver: "_AnswerReceiver",
+        sending: types.ForwardMetadata,
+        unread: "_UnreadTokens",
+    ) -> outcomes.AttemptOutcome:
+        backend = receiver.backend
         began = self._clock()
         try:
-            connection, _ = await backend.pool.take()
+            connection, _ = await backend.pool.acquire()
         except client.ConnectFailed:
-            job.unreached_s += self._clock() - began
-            hearing.unreachable()
+            job.failed_connect_s += self._clock() - began
+            receiver.record_unreachable()
             return outcomes.NotRun(outcomes.NotRunReason.UNREACHABLE)
-        reason = self._withdrawn(job, backend, unread.recall)
+        reason = self._withdrawal_reason(job, backend, unread.version_timeout)
         if reason is not None:
             backend.pool.discard(connection)
             return outcomes.NotRun(reason)
-        whole = False
+        complete = False
         try:
             outcome = await self._call(
-                job, hearing, sending, connection, unread
+                job, receiver, sending, connection, unread
             )
-            whole = not isinstance(outcome, outcomes.Lost)
+            complete = not isinstance(outcome, outcomes.Lost)
             return outcome
         except client.AnswerBroken:
             if not backend.yielding:
-                backend.failed()
+                backend.record_failure()
             return outcomes.Lost(outcomes.LostReason.BROKEN)
-        except _Silent:
-            hearing.unreachable()
+        except _ServerSilent:
+            receiver.record_unreachable()
             return outcomes.Lost(outcomes.LostReason.SILENT)
         finally:
-            # Closing is also how a server learns that its caller has left.
-            if whole:
-                backend.pool.give_back(connection)
+            # Closing also tells the server that the caller has left.
+            if complete:
+                backend.pool.release(connection)
             else:
                 backend.pool.discard(connection)
 
-    def _withdrawn(
-        self, job: Job, backend: backend_lib.Backend, recall: recalls.Recall
+    def _withdrawal_reason(
+        self,
+        job: Job,
+        backend: backend_lib.Backend,
+        version_timeout: version_timeouts.VersionTimeout,
     ) -> outcomes.NotRunReason | None:
-        """Returns why a request that was placed is not sent after all.
+        """Returns why a request is not sent after all; None if it may be sent.
 
-        Its connection took time to come up, or the machine was suspended.
-        Without this a server that has reported something of itself meanwhile
-        would get requests against it.
+        Between the choice of the server and now the connection had to be
+        opened, or the machine was suspended. Without this check a server that
+        has meanwhile reported that it leaves, limits or backs off would get
+        requests all the same.
         """
         checks = (
-            (backend.left, outcomes.NotRunReason.LEFT),
-            (backend.backs_off(self._clock()), outcomes.NotRunReason.BACKOFF),
+            (backend.retired, outcomes.NotRunReason.LEFT),
+            (backend.in_backoff(self._clock()), outcomes.NotRunReason.BACKOFF),
             (
                 backend.signals.limited and not job.permitted,
                 outcomes.NotRunReason.LIMITED,
             ),
-            (recall.late, outcomes.NotRunReason.TOO_OLD),
+            (version_timeout.outdated, outcomes.NotRunReason.TOO_OLD),
         )
         return next((reason for holds, reason in checks if holds), None)
 
     async def _call(
         self,
         job: Job,
-        hearing: "_Hearing",
-        sending: types.Sending,
+        receiver: "_AnswerReceiver",
+        sending: types.ForwardMetadata,
         connection: client.Connection,
-        unread: "_Unread",
-    ) -> outcomes.Attempt:
-        backend = hearing.backend
+        unread: "_UnreadTokens",
+    ) -> outcomes.AttemptOutcome:
+        backend = receiver.backend
         request = job.request
-        headers = self._dialect.sent_on(request.headers, sending)
+        headers = self._codec.to_server_headers(request.headers, sending)
         job.sends += 1
         sent_at = self._clock()
         await connection.send(
@@ -228,44 +238,50 @@
         )
         route = job.match.route
         silence_s = max(
-            _LEAST_SILENCE_S, _SILENT_OBJECTIVES * route.objective_s
+            _MIN_SILENCE_S, _SILENCE_PER_OBJECTIVE * route.objective_s
         )
-        patience = silence_s if route.idempotent else None
-        head = await hearing.head(connection, patience)
-        facts = self._dialect.answer_facts(head)
-        connection.keep_s = facts.keep_s
+        silence_limit_s = silence_s if route.idempotent else None
+        head = await receiver.receive_head(connection, silence_limit_s)
+        metadata = self._codec.answer_metadata(head)
+        connection.keep_alive_s = metadata.keep_alive_s
         now = self._clock()
-        if facts.load is not None:
-            backend.take_load(facts.load, now)
-        if facts.attempt_id and facts.attempt_id != job.facts.attempt_id:
+        if metadata.load is not None:
+            backend.update_load(metadata.load, now)
+        if (
+            metadata.attempt_id
+            and metadata.attempt_id != job.metadata.attempt_id
+        ):
             return outcomes.Lost(outcomes.LostReason.CROSSED)
-        if head.status != _MISDIRECTED:
-            # Another start of a server may answer with that status.
-            backend.signals.take(facts, sent_at, now)
-        if facts.not_run or head.status == _MISDIRECTED:
-            if head.status == _MISDIRECTED and facts.server_id:
-                backend.met(facts.server_id)
-            return await self._not_run(connection, backend, head)
-        if facts.version is not None:
-            backend.take_version(facts.version)
+        if head.status != _MISDIRECTED_REQUEST:
+            # That status may come from another start of the server.
+            backend.signals.apply(metadata, sent_at, now)
+        if metadata.not_run or head.status == _MISDIRECTED_REQUEST:
+            if head.status == _MISDIRECTED_REQUEST and metadata.server_id:
+                backend.record_identity(metadata.server_id)
+            return await self._read_not_run(connection, backend, head)
+        if metadata.version is not None:
+            backend.set_version(metadata.version)
         if 200 <= head.status < 300:
-            if not facts.sealed:
+            if not metadata.sealed:
                 return outcomes.Lost(outcomes.LostReason.UNSEALED)
             if job.streaming:
-                await self._stream(job, hearing, connection, head, unread)
+                await self._deliver_stream(
+                    job, receiver, connection, head, unread
+                )
             else:
-                await self._whole(job, hearing, connection, head)
-            backend.answered(self._clock())
+                await self._deliver_body(job, receiver, connection, head)
+            backend.record_success(self._clock())
             return outcomes.Delivered(head.status)
-        if head.status in _PROMISES:
-            # Passed on, it would promise what this server did not.
+        if head.status in _NOT_RUN_STATUSES:
+            # Relayed, it would promise that the request was not run, which
+            # this server did not say.
             return outcomes.Lost(outcomes.LostReason.FALSE_PROMISE)
         body = await connection.body(_MAX_BODY_BYTES)
         if head.status >= 500:
-            backend.failed()
+            backend.record_failure()
         return outcomes.Failed(head, body)
 
-    async def _not_run(
+    async def _read_not_run(
         self,
         connection: client.Connection,
         backend: backend_lib.Backend,
@@ -273,160 +289,185 @@
     ) -> outcomes.NotRun:
         await connection.body(_MAX_BODY_BYTES)
         backend.heard_at = self._clock()
-        if head.status == _MISDIRECTED:
+        if head.status == _MISDIRECTED_REQUEST:
             return outcomes.NotRun(outcomes.NotRunReason.WRONG_SERVER)
         return outcomes.NotRun(outcomes.NotRunReason.SHED)
 
-    async def _whole(
+    async def _deliver_body(
         self,
         job: Job,
-        hearing: "_Hearing",
+        receiver: "_AnswerReceiver",
         connection: client.Connection,
         head: client.Head,
     ) -> None:
         async def read() -> bytes:
             return await connection.body(_MAX_BODY_BYTES)
 
-        body = await hearing.hear(read, None)
+        body = await receiver.receive(read, None)
         await job.responder.answer(
-            head.status, self._dialect.handed_back(head), body
+            head.status, self._codec.to_caller_headers(head), body
         )
 
-    async def _stream(
+    async def _deliver_stream(
         self,
         job: Job,
-        hearing: "_Hearing",
+        receiver: "_AnswerReceiver",
         connection: client.Connection,
         head: client.Head,
-        unread: "_Unread",
+        unread: "_UnreadTokens",
     ) -> None:
-        """Passes events on as they come, whole ones only.
+        """Relays complete events as they arrive.
 
-        A server may break off inside an event. Only whole ones are passed on,
-        so that another server can go on behind the last of them.
+        A server may fail in the middle of an event. Only complete events are
+        relayed, so that another server can resume after the last one.
         """
-        splitter = events.Splitter()
+        splitter = sse.Splitter()
         route = job.match.route
-        silence_s = max(_LEAST_SILENCE_S, _SILENT_GAPS * route.max_gap_s)
-        patience = silence_s if route.idempotent else None
+        silence_s = max(_MIN_SILENCE_S, _SILENCE_PER_GAP * route.max_gap_s)
+        silence_limit_s = silence_s if route.idempotent else None
         while True:
-            data = await hearing.hear(connection.data, patience)
+            data = await receiver.receive(connection.data, silence_limit_s)
             if data is None:
                 break
-            whole = [e for e in splitter.feed(data) if _new(e, job.last_event)]
-            if not whole:
+            new_events = [
+                e for e in splitter.feed(data) if _is_new(e, job.last_event_id)
+            ]
+            if not new_events:
                 continue
-            unread.done()
-            if job.first_answer_at is None:
-                job.first_answer_at = self._clock()
-                self._began(job)
-            await self._begin(job, head)
-            await job.responder.send(b"".join(e.data for e in whole))
-            if whole[-1].event_id is not None:
-                job.last_event = whole[-1].event_id
-        if splitter.rest.strip():
-            raise client.AnswerBroken("ends inside an event")
-        await self._begin(job, head)
+            unread.release()
+            if job.first_event_at is None:
+                job.first_event_at = self._clock()
+                self._on_first_event(job)
+            await self._begin_answer(job, head)
+            await job.responder.send(b"".join(e.data for e in new_events))
+            if new_events[-1].event_id is not None:
+                job.last_event_id = new_events[-1].event_id
+        if splitter.remainder.strip():
+            raise client.AnswerBroken("stream ends in the middle of an event")
+        await self._begin_answer(job, head)
         await job.responder.end()
 
-    async def _begin(self, job: Job, head: client.Head) -> None:
-        # A stream that goes on at another server keeps the head of its first.
+    async def _begin_answer(self, job: Job, head: client.Head) -> None:
+        # A stream resumed at another server keeps the head of the first one.
         if not job.responder.begun:
             await job.responder.begin(
-                head.status, self._dialect.handed_back(head)
+                head.status, self._codec.to_caller_headers(head)
             )
 
 
-class _Hearing:
-    """Awaits bytes of one server, for as long as it is worth while."""
+class _AnswerReceiver:
+    """Receives the answer of one server and detects when it falls silent."""
 
     def __init__(
         self,
         backend: backend_lib.Backend,
-        elsewhere: Callable[[], bool],
+        has_alternative: Callable[[], bool],
         clock: Callable[[], float],
     ):
         self.backend = backend
-        self._elsewhere = elsewhere
+        self._has_alternative = has_alternative
         self._clock = clock
-        self._trying = backend.rest_until > clock()
+        self._probing = backend.cooldown_until > clock()
 
-    async def head(
-        self, connection: client.Connection, silence_s: float | None
+    async def receive_head(
+        self, connection: client.Connection, silence_limit_s: float | None
     ) -> client.Head:
-        """Returns an answer's head; ends the rest of a server that was tried.
+        """Returns the answer's head; ends the cooldown of a probed server.
+
+        Args:
+          connection: The connection that the request was sent on.
+          silence_limit_s: As in `receive`.
 
         Raises:
-          _Silent: See `hear`.
-          client.AnswerBroken: None came.
+          _ServerSilent: As in `receive`.
+          client.AnswerBroken: No valid head arrived.
         """
-        head = await self.hear(connection.head, silence_s)
-        if self._trying:
+        head = await self.receive(connection.head, silence_limit_s)
+        if self._probing:
             now = self._clock()
-            self.backend.rest_until = min(self.backend.rest_until, now)
+            self.backend.cooldown_until = min(self.backend.cooldown_until, now)
         return head
 
-    def unreachable(self) -> None:
-        """Counts a failure to reach the server.
+    def record_unreachable(self) -> None:
+        """Records a failure to reach the server.
 
-        What began before the server went to rest tells nothing new: ten
-        connections that fail together would make it rest for the longest time.
+        An attempt that began before the server's current cooldown does not
+        prolong it: ten connections that fail together would raise the cooldown
+        to its maximum.
         """
         now = self._clock()
-        if self._trying or self.backend.rest_until <= now:
-            self.backend.unreachable(now)
+        if self._probing or self.backend.cooldown_until <= now:
+            self.backend.record_unreachable(now)
         else:
-            self.backend.failed()
+            self.backend.record_failure()
+
+    async def receive(self, read, silence_limit_s: float | None):
+        """Returns the result of `read`, which reads from the server.
 
-    async def hear(self, receive, silence_s: float | None):
-        """Returns what `receive` does.
+        Args:
+          read: Reads a part of the answer; may be cancelled and called again.
+          silence_limit_s: For how long the server may send nothing on any
+            connection, in seconds; None waits without a limit.
 
         Raises:
-          _Silent: The server sent nothing on any connection for `silence_s`,
-            or the agent beside it is silent too, and another server can take
-            over.
+          _ServerSilent: The server exceeded the limit, or it and its agent are
+            both silent, and another server can take over.
         """
         since = self._clock()
-        look_s = None if silence_s is None else min(silence_s, _LOOK_S)
+        check_interval_s = (
+            None
+            if silence_limit_s is None
+            else min(silence_limit_s, _SILENCE_CHECK_S)
+        )
         while True:
             try:
-                async with asyncio.timeout(look_s):
-                    result = await receive()
+                async with asyncio.timeout(check_interval_s):
+                    result = await read()
                 self.backend.heard_at = self._clock()
                 return result
             except TimeoutError as error:
-                if self._is_silent(since, silence_s) and self._elsewhere():
-                    raise _Silent from error
+                if (
+                    self._is_silent(since, silence_limit_s)
+                    and self._has_alternative()
+                ):
+                    raise _ServerSilent from error
 
-    def _is_silent(self, since: float, silence_s: float | None) -> bool:
+    def _is_silent(self, since: float, silence_limit_s: float | None) -> bool:
         now = self._clock()
         heard_at = max(since, self.backend.heard_at)
-        late = silence_s is not None and now - heard_at >= silence_s
-        return late or self.backend.silent(now)
+        late = silence_limit_s is not None and now - heard_at >= silence_limit_s
+        return late or self.backend.is_silent(now)
 
 
-class _Unread:
-    """The tokens that a server still has to read, until its first event."""
+class _UnreadTokens:
+    """Counts a request's prompt tokens as unread until its first event.
+
+    Attributes:
+      version_timeout: Withdraws the request as long as it has not begun.
+    """
 
     def __init__(
-        self, backend: backend_lib.Backend, tokens: int, recall: recalls.Recall
+        self,
+        backend: backend_lib.Backend,
+        tokens: int,
+        version_timeout: version_timeouts.VersionTimeout,
     ):
-        self.recall = recall
+        self.version_timeout = version_timeout
         self._backend = backend
         self._tokens = tokens
 
-    def done(self) -> None:
-        """Counts them as read, once."""
+    def release(self) -> None:
+        """Counts the tokens as read and stops the timeout; may be repeated."""
         self._backend.unread_tokens -= self._tokens
         self._tokens = 0
-        self.recall.end()
+        self.version_timeout.stop()
 
 
-def _new(event: events.Event, last_event: str | None) -> bool:
-    """Returns whether the caller has not got an event yet."""
-    if event.event_id is None or last_event is None:
+def _is_new(event: sse.Event, last_event_id: str | None) -> bool:
+    """Returns whether the caller has not received an event yet."""
+    if event.event_id is None or last_event_id is None:
         return True
     try:
-        return int(event.event_id) > int(last_event)
+        return int(event.event_id) > int(last_event_id)
     except ValueError:
-        return event.event_id != last_event
+        return event.event_id != last_event_id
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -1,4 +1,4 @@
-"""A request from its head to its final answer: admit, send, repeat, answer."""
+"""Forwards requests to servers: admission, sending, retries and answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,27 +11,29 @@
 from clementinegw.direct import balance
 from clementinegw.direct import budget as budgets
 from clementinegw.direct import channel
-from clementinegw.direct import dialect as dialects
-from clementinegw.direct import finals
+from clementinegw.direct import finisher
+from clementinegw.direct import header_codec
 from clementinegw.direct import outcomes
-from clementinegw.direct import placing
-from clementinegw.direct import recalls
+from clementinegw.direct import placement
 from clementinegw.direct import server as servers
 from clementinegw.direct import suspects as suspects_lib
 from clementinegw.direct import types
 from clementinegw.direct import version_policy
+from clementinegw.direct import version_timeouts
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import histograms as histograms_lib
 from clementinegw.telemetry import logs
 
 Reason = outcomes.RefusalReason
 
-# Refusals before a server has run a request are repeated this often at most:
-# each is an arrival that the retry budget pays for.
-_MOST_SENDS = 4
-# What ends an attempt right before its request is sent. Nobody pays for such a
-# one, so only its number keeps a request from choosing servers without a pause.
-_UNSENT = frozenset(
+# The most times that one request is sent. It also bounds the retries of a
+# request that servers reject without running it, though each of them is charged
+# to the retry budget.
+_MAX_SENDS = 4
+# Reasons to withdraw a request right before it is sent. The retry budget is not
+# charged for these, so that only counting them keeps a request from choosing
+# servers in a tight loop.
+_WITHDRAWN_REASONS = frozenset(
     {
         outcomes.NotRunReason.BACKOFF,
         outcomes.NotRunReason.LEFT,
@@ -39,85 +41,108 @@
         outcomes.NotRunReason.TOO_OLD,
     }
 )
-# A server that said it is full is passed over for this long, in seconds.
-_FULL_S = 0.15
-# One that is another start than the list says, for this long, in seconds.
-_WRONG_SERVER_S = 0.3
-# A server stops at the time that it is given; the answer needs the way back.
-_WAY_BACK_S = 0.02
+# A server that rejected a request unrun is skipped for this long, in seconds.
+_FULL_BACKOFF_S = 0.15
+# A server whose start differs from the listed one is skipped for this long, in
+# seconds.
+_WRONG_SERVER_BACKOFF_S = 0.3
+# A server works until the deadline that it is given; this is set aside for its
+# answer's way back, in seconds.
+_ANSWER_TRANSIT_S = 0.02
 _GATEWAY_TIMEOUT = 504
 
 
 class Forwarder:
-    """Serves requests."""
+    """Forwards callers' requests to backend servers and answers the callers."""
 
     def __init__(
         self,
-        dialect: dialects.Dialect,
-        knowledge: admit.Knowledge,
+        codec: header_codec.HeaderCodec,
+        config_view: admit.ConfigView,
         balancer: balance.Balancer,
         versions: version_policy.VersionPolicy,
-        terms: budgets.Terms,
+        retry_limits: budgets.Limits,
         rng: random.Random,
         clock: Callable[[], float],
         log: logs.Log,
         counters: counters_lib.Counters,
         histograms: histograms_lib.Histograms,
     ):
-        self._dialect = dialect
-        self._knowledge = knowledge
+        """Stores its collaborators; `handle` serves the requests.
+
+        Args:
+          codec: Translates the platform's headers.
+          config_view: The configuration and its age.
+          balancer: Ranks the servers.
+          versions: Say which versions of weights may serve.
+          retry_limits: What the operators allow of retries.
+          rng: Draws services and servers.
+          clock: Returns monotonic seconds.
+          log: Takes the log events.
+          counters: Count attempts, answers and refusals by reason.
+          histograms: Take the times of answers.
+        """
+        self._codec = codec
+        self._config_view = config_view
         self._balancer = balancer
         self._versions = versions
-        self._terms = terms
+        self._retry_limits = retry_limits
         self._rng = rng
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._placing = placing.Placing(
-            knowledge, balancer, versions, rng, clock
+        self._placer = placement.Placer(
+            config_view, balancer, versions, rng, clock
+        )
+        self._attempt_runner = attempts.AttemptRunner(
+            codec, clock, self._placer.record_first_event
+        )
+        self._version_timeouts = version_timeouts.VersionTimeouts(
+            versions, clock
         )
-        self._attempts = attempts.Attempts(dialect, clock, self._placing.began)
-        self._recalls = recalls.Recalls(versions, clock)
-        self._finals = finals.Finals(
-            dialect, knowledge, clock, log, counters, histograms
+        self._finisher = finisher.RequestFinisher(
+            codec, config_view, clock, log, counters, histograms
         )
         self._budgets: dict[str, budgets.RetryBudget] = {}
-        self._callers_time = admit.CallersTime()
-        self._suspects = suspects_lib.Suspects()
+        self._caller_timeouts = admit.CallerTimeouts()
+        self._suspects = suspects_lib.SuspectTracker()
 
     async def handle(
         self, request: servers.Request, responder: servers.Responder
     ) -> None:
-        """Answers one request."""
+        """Forwards one request and answers its caller."""
         admitted = self._admit(request, responder)
         if isinstance(admitted, outcomes.Refusal):
-            await self._finals.refuse(request, responder, admitted, None)
+            await self._finisher.refuse(request, responder, admitted, None)
             return
-        serving = asyncio.ensure_future(self._serve(admitted))
+        task = asyncio.ensure_future(self._serve(admitted))
         await asyncio.wait(
-            {serving, responder.gone}, return_when=asyncio.FIRST_COMPLETED
+            {task, responder.disconnected},
+            return_when=asyncio.FIRST_COMPLETED,
         )
-        if not serving.done():
-            serving.cancel()
+        if not task.done():
+            task.cancel()
         try:
-            outcome = await serving
+            outcome = await task
         except (asyncio.CancelledError, channel.ChannelClosed):
             responder.abort()
-            self._finals.done(admitted, "caller_left", 0)
-            if responder.gone.done():
+            self._finisher.record_done(admitted, "caller_left", 0)
+            if responder.disconnected.done():
                 return
             raise
         if isinstance(outcome, outcomes.Refusal):
-            await self._finals.refuse(request, responder, outcome, admitted)
+            await self._finisher.refuse(request, responder, outcome, admitted)
         elif isinstance(outcome, outcomes.Failed):
             await responder.answer(
                 outcome.head.status,
-                self._dialect.handed_back(outcome.head),
+                self._codec.to_caller_headers(outcome.head),
                 outcome.body,
             )
-            self._finals.done(admitted, "failed_at_server", outcome.head.status)
+            self._finisher.record_done(
+                admitted, "failed_at_server", outcome.head.status
+            )
         else:
-            self._finals.done(admitted, "answered", outcome.status)
+            self._finisher.record_done(admitted, "answered", outcome.status)
 
     # Admission.
 
@@ -125,24 +150,24 @@
         self, request: servers.Request, responder: servers.Responder
     ) -> attempts.Job | outcomes.Refusal:
         try:
-            facts = self._dialect.request_facts(request.headers)
+            metadata = self._codec.request_metadata(request.headers)
         except ValueError:
             return outcomes.Refusal(400, Reason.MALFORMED)
-        if not facts.attempt_id:
+        if not metadata.attempt_id:
             return outcomes.Refusal(400, Reason.MALFORMED)
-        matched = admit.match(self._knowledge, request, facts)
+        matched = admit.match(self._config_view, request, metadata)
         if isinstance(matched, outcomes.Refusal):
             return matched
         route = matched.route
         timeout_s = route.timeout_s
-        if facts.timeout_s is not None:
-            timeout_s = min(timeout_s, facts.timeout_s)
-        spent_s = self._callers_time.spent_s(route.name, facts.timeout_s)
+        if metadata.timeout_s is not None:
+            timeout_s = min(timeout_s, metadata.timeout_s)
+        spent_s = self._caller_timeouts.spent_s(route.name, metadata.timeout_s)
         service = balance.draw_service(route, self._rng)
-        self._budget(service).request(self._clock())
+        self._budget(service).record_request(self._clock())
         return attempts.Job(
             request,
-            facts,
+            metadata,
             matched,
             service,
             responder,
@@ -159,171 +184,186 @@
         try:
             async with asyncio.timeout_at(job.deadline):
                 while True:
-                    outcome = await self._once(job)
+                    outcome = await self._attempt_once(job)
                     if isinstance(outcome, outcomes.Failed):
                         failed = outcome
                     if isinstance(
                         outcome, (outcomes.Refusal, outcomes.Delivered)
                     ):
                         break
-                    if not self._again(job, outcome):
+                    if not self._may_retry(job, outcome):
                         outcome = self._give_up(job, outcome)
                         break
         except TimeoutError:
             outcome = outcomes.Refusal(_GATEWAY_TIMEOUT, Reason.TIMEOUT)
         if isinstance(outcome, outcomes.Refusal) and failed is not None:
-            # The server's own failure says more than ours would.
+            # The server's own error tells the caller more than a refusal.
             return failed
         return outcome
 
-    async def _once(
+    async def _attempt_once(
         self, job: attempts.Job
-    ) -> outcomes.Attempt | outcomes.Refusal:
-        if self._suspects.refused(job.request, job.caller, self._clock()):
-            return self._placing.unserved(job, Reason.CRASHES_SERVERS)
-        place = await self._placing.choose(job)
+    ) -> outcomes.AttemptOutcome | outcomes.Refusal:
+        if self._suspects.is_refused(
+            job.request, job.customer_name, self._clock()
+        ):
+            return self._placer.refuse(job, Reason.CRASHES_SERVERS)
+        place = await self._placer.reserve(job)
         if isinstance(place, outcomes.Refusal):
             return place
         try:
             return await self._send(job, place.backend)
         finally:
-            place.free()
+            place.release()
 
     async def _send(
         self, job: attempts.Job, backend: backend_lib.Backend
-    ) -> outcomes.Attempt | outcomes.Refusal:
-        if job.sends and not self._budget(job.service).allow(self._clock()):
-            return self._placing.unserved(job, Reason.NO_BUDGET)
+    ) -> outcomes.AttemptOutcome | outcomes.Refusal:
+        if job.sends and not self._budget(job.service).try_acquire(
+            self._clock()
+        ):
+            return self._placer.refuse(job, Reason.NO_BUDGET)
         now = self._clock()
-        model = self._placing.model(job)
-        held = backend.held(self._placing.layers(job.service))
-        sending = types.Sending(
+        model = self._placer.model(job)
+        held = backend.held_version(self._placer.layers(job.service))
+        sending = types.ForwardMetadata(
             backend.server.server_id,
-            max(0.001, job.deadline - now - _WAY_BACK_S),
-            job.caller,
+            max(0.001, job.deadline - now - _ANSWER_TRANSIT_S),
+            job.customer_name,
             self._versions.expected(model, held, self._versions.now),
             None,
-            job.last_event,
+            job.last_event_id,
         )
-        outcome = await self._attempts.run(
+        outcome = await self._attempt_runner.run(
             job,
             backend,
             sending,
-            lambda: self._placing.elsewhere(job, backend),
-            self._recalls.new(model, held, job.match.route.idempotent),
+            lambda: self._placer.has_alternative(job, backend),
+            self._version_timeouts.create(
+                model, held, job.match.route.idempotent
+            ),
         )
         if isinstance(outcome, outcomes.Delivered):
-            self._suspects.outlived(backend.server.start.text, now)
-            self._suspects.completed(job.request, job.caller, self._clock())
+            self._suspects.record_survival(backend.server.start.text, now)
+            self._suspects.record_completion(
+                job.request, job.customer_name, self._clock()
+            )
         else:
-            self._note(job, backend, outcome)
+            self._record_failure(job, backend, outcome)
         return outcome
 
-    def look(self) -> None:
-        """Looks for room for those who wait; servers told of their load."""
-        self._placing.look()
+    def dispatch(self) -> None:
+        """Sends waiting requests on after several servers reported load."""
+        self._placer.dispatch()
 
-    def look_at(self, backend: backend_lib.Backend) -> None:
-        """Looks for room for those who wait; one server told of its load."""
-        self._placing.look_at(backend)
+    def dispatch_for(self, backend: backend_lib.Backend) -> None:
+        """Sends waiting requests on after one server reported its load."""
+        self._placer.dispatch_for(backend)
 
-    def redate(self) -> None:
-        """Takes requests back by what is known of versions now."""
-        self._recalls.look()
-        self.look()
+    def on_versions_changed(self) -> None:
+        """Reschedules withdrawals and sends waiting requests on."""
+        self._version_timeouts.reschedule_all()
+        self.dispatch()
 
     def check_clock(self) -> None:
-        """Takes requests back that a suspended machine left at servers."""
-        self._recalls.check()
+        """Withdraws requests that became overdue while the machine slept."""
+        self._version_timeouts.check_clock()
 
     def suspicions(self) -> tuple[suspects_lib.Suspicion, ...]:
-        """Returns what was seen here of requests that crash servers."""
-        return self._suspects.told(self._clock())
+        """Returns what this entry observed of requests that crash servers."""
+        return self._suspects.local_suspicions(self._clock())
 
-    def take_suspicions(
+    def merge_suspicions(
         self, suspicions: tuple[suspects_lib.Suspicion, ...]
     ) -> None:
-        """Takes in what other entries saw of requests that crash servers."""
-        self._suspects.take(suspicions, self._clock())
+        """Merges what other entries observed of requests that crash servers."""
+        self._suspects.merge(suspicions, self._clock())
 
-    def set_terms(self, terms: budgets.Terms) -> None:
-        """Takes over what the operators allow of repeated sends."""
-        self._terms = terms
-        for found in self._budgets.values():
-            found.terms = terms
+    def set_retry_limits(self, retry_limits: budgets.Limits) -> None:
+        """Applies changed limits to all retry budgets."""
+        self._retry_limits = retry_limits
+        for budget in self._budgets.values():
+            budget.limits = retry_limits
 
-    def _note(
+    def _record_failure(
         self,
         job: attempts.Job,
         backend: backend_lib.Backend,
-        outcome: outcomes.Attempt,
+        outcome: outcomes.AttemptOutcome,
     ) -> None:
         now = self._clock()
         reason = getattr(outcome, "reason", "failed")
         self._counters.add(f"direct.attempt.{reason}")
         if isinstance(outcome, outcomes.NotRun):
             if outcome.reason is outcomes.NotRunReason.SHED:
-                backend.full_until = now + _FULL_S
+                backend.full_until = now + _FULL_BACKOFF_S
             if outcome.reason is outcomes.NotRunReason.WRONG_SERVER:
-                # Another start of a server, or of its weights: the list is
-                # behind, and catches up within a heartbeat.
-                backend.rest_until = now + _WRONG_SERVER_S
+                # The server or its weights were started anew: the list is out
+                # of date and catches up within a heartbeat.
+                backend.cooldown_until = now + _WRONG_SERVER_BACKOFF_S
         else:
             job.tried.add(backend.server.start)
         if not isinstance(outcome, outcomes.NotRun):
             job.runs += 1
         if isinstance(outcome, outcomes.Lost):
-            # A server that loads breaks off what it runs, by our own order.
+            # A server that was ordered to load weights drops what it runs.
             broken = outcome.reason is outcomes.LostReason.BROKEN
             if broken and not (backend.yielding or backend.loading):
-                self._suspects.crashed(
-                    job.request, job.caller, backend.server.start.text, now
+                self._suspects.record_crash(
+                    job.request,
+                    job.customer_name,
+                    backend.server.start.text,
+                    now,
                 )
         self._log.write(
             _events.ATTEMPT_ENDED,
-            request=job.facts.attempt_id,
+            request=job.metadata.attempt_id,
             server=backend.server.server_id,
             outcome=type(outcome).__name__,
             reason=str(reason),
             sends=job.sends,
-            doubt=round(backend.doubt, 2),
+            doubt=round(backend.failure_rate, 2),
         )
 
-    def _again(self, job: attempts.Job, outcome: outcomes.Attempt) -> bool:
-        """Returns whether another attempt may be made."""
-        if job.responder.begun and job.last_event is None:
+    def _may_retry(
+        self, job: attempts.Job, outcome: outcomes.AttemptOutcome
+    ) -> bool:
+        """Returns whether another attempt may be made; counts withdrawals."""
+        if job.responder.begun and job.last_event_id is None:
             return False
-        if job.sends >= _MOST_SENDS:
+        if job.sends >= _MAX_SENDS:
             return False
-        if _unreached(outcome):
-            return self._placing.may_try(job)
+        if _is_unreachable(outcome):
+            return self._placer.may_reconnect(job)
         if isinstance(outcome, outcomes.NotRun):
-            job.unsent += outcome.reason in _UNSENT
-            return job.unsent < _MOST_SENDS
+            job.withdrawals += outcome.reason in _WITHDRAWN_REASONS
+            return job.withdrawals < _MAX_SENDS
         if isinstance(outcome, outcomes.Failed) and outcome.head.status < 500:
             return False
         route = job.match.route
         return route.idempotent and job.runs < route.max_attempts
 
     def _give_up(
-        self, job: attempts.Job, outcome: outcomes.Attempt
+        self, job: attempts.Job, outcome: outcomes.AttemptOutcome
     ) -> outcomes.Failed | outcomes.Refusal:
         if isinstance(outcome, outcomes.Failed):
             return outcome
-        if _unreached(outcome):
-            return self._placing.out_of_reach(job)
-        return self._placing.unserved(job, Reason.ATTEMPTS_USED)
+        if _is_unreachable(outcome):
+            return self._placer.refuse_unreachable(job)
+        return self._placer.refuse(job, Reason.ATTEMPTS_USED)
 
     def _budget(self, service: str) -> budgets.RetryBudget:
-        found = self._budgets.get(service)
-        if found is None:
-            found = self._budgets[service] = budgets.RetryBudget(self._terms)
-        found.entries = self._balancer.entries
-        return found
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = self._budgets[service] = budgets.RetryBudget(
+                self._retry_limits
+            )
+        budget.entries = self._balancer.entries
+        return budget
 
 
-def _unreached(outcome: outcomes.Attempt) -> bool:
-    """Returns whether an attempt ended before anything was handed over."""
+def _is_unreachable(outcome: outcomes.AttemptOutcome) -> bool:
+    """Returns whether an attempt failed to connect: nothing was sent."""
     return (
         isinstance(outcome, outcomes.NotRun)
         and outcome.reason is outcomes.NotRunReason.UNREACHABLE
--- a/src/clementinegw/direct/reading.py
+++ b/src/clementinegw/direct/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads whole requests from one connection, within limits."""
+"""Reads complete requests from one connection, within limits."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,119 +9,132 @@
 from clementinegw.direct import channel as channels
 from clementinegw.direct import types
 
-# How long one body may take to arrive, in seconds.
-_BODY_S = 20.0
+# How long a body may take to arrive, in seconds.
+_BODY_TIMEOUT_S = 20.0
 _BAD_REQUEST = 400
 _TOO_LARGE = 413
 _UNAVAILABLE = 503
 
 
-class Refused(Exception):  # noqa: N818
-    """The request is not taken; the connection ends."""
+class RequestRefused(Exception):  # noqa: N818
+    """The request is invalid or too large; the connection is to be closed.
+
+    Attributes:
+      status: The HTTP status to answer with.
+    """
 
     def __init__(self, status: int):
         super().__init__(status)
         self.status = status
 
 
-class Memory(Protocol):
-    """What the bodies of all requests may take."""
+class BodyMemory(Protocol):
+    """Bounds the memory that the bodies of all requests take together."""
 
     def reserve(self, count: int) -> bool:
-        """Counts bytes of bodies; False when all bodies are too many."""
+        """Reserves bytes for a body; returns False if they exceed the bound."""
 
     def release(self, count: int) -> None:
-        """Gives counted bytes back."""
+        """Releases reserved bytes."""
 
 
-class Reader:
-    """Reads one request after the other."""
+class RequestReader:
+    """Reads one request after the other from a connection."""
 
     def __init__(
         self,
         channel: channels.Channel,
         http: h11.Connection,
-        memory: Memory,
+        memory: BodyMemory,
         send: Callable[[h11.Event], Awaitable[None]],
     ):
-        """Reads nothing yet.
+        """Stores its collaborators; reads nothing yet.
 
         Args:
           channel: The connection.
-          http: Its state; who answers has it too.
-          memory: Counts the bytes of bodies.
-          send: Sends to the caller.
+          http: Its HTTP state, shared with the code that sends answers.
+          memory: Bounds the bytes of all bodies.
+          send: Sends an event to the caller.
         """
         self._channel = channel
         self._http = http
         self._memory = memory
         self._send = send
-        self._held_bytes = 0
+        self._reserved_bytes = 0
 
-    def release(self) -> None:
-        """Gives back what the last body took."""
-        self._memory.release(self._held_bytes)
-        self._held_bytes = 0
+    def release_body(self) -> None:
+        """Releases the memory that was reserved for the last body."""
+        self._memory.release(self._reserved_bytes)
+        self._reserved_bytes = 0
 
     async def head(self, limits: types.Limits) -> h11.Request | None:
-        """Returns the next request's head; None when no more follows.
+        """Returns the next request's head; None if none arrives in time.
 
         Raises:
-          Refused: What came is none.
+          RequestRefused: What arrived is not the head of a request.
           channels.ChannelClosed: The connection broke.
         """
         event = self._http.next_event()
         if event is h11.NEED_DATA:
-            # Nothing of a head has come: the connection is idle until then.
-            if not await self._more(limits.idle_timeout_s):
+            # Nothing of a head has arrived: the connection is idle until then.
+            if not await self._receive(limits.idle_timeout_s):
                 return None
             deadline = asyncio.get_running_loop().time()
             deadline += limits.header_timeout_s
             event = self._http.next_event()
             while event is h11.NEED_DATA:
-                left = deadline - asyncio.get_running_loop().time()
-                if left <= 0 or not await self._more(left):
+                remaining_s = deadline - asyncio.get_running_loop().time()
+                if remaining_s <= 0 or not await self._receive(remaining_s):
                     return None
                 event = self._http.next_event()
         if isinstance(event, h11.ConnectionClosed):
             return None
         if not isinstance(event, h11.Request):
-            raise Refused(_BAD_REQUEST)
+            raise RequestRefused(_BAD_REQUEST)
         return event
 
     async def body(self, limits: types.Limits) -> bytes:
-        """Returns the whole body; its bytes count until `release`.
+        """Returns the complete body; its memory stays reserved.
+
+        `release_body` releases it.
 
         Raises:
-          Refused: It is too large, or all bodies together are.
-          channels.ChannelClosed: It did not come whole.
+          RequestRefused: This body or all bodies together are too large.
+          channels.ChannelClosed: The body did not arrive completely or in time.
         """
         if self._http.they_are_waiting_for_100_continue:
             await self._send(
                 h11.InformationalResponse(status_code=100, headers=[])
             )
         body = bytearray()
-        deadline = asyncio.get_running_loop().time() + _BODY_S
+        deadline = asyncio.get_running_loop().time() + _BODY_TIMEOUT_S
         while True:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
-                left = deadline - asyncio.get_running_loop().time()
-                if left <= 0 or not await self._more(left):
+                remaining_s = deadline - asyncio.get_running_loop().time()
+                if remaining_s <= 0 or not await self._receive(remaining_s):
                     raise channels.ChannelClosed(clean=False)
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > limits.body_bytes:
-                    raise Refused(_TOO_LARGE)
+                    raise RequestRefused(_TOO_LARGE)
                 if not self._memory.reserve(len(event.data)):
-                    raise Refused(_UNAVAILABLE)
-                self._held_bytes += len(event.data)
+                    raise RequestRefused(_UNAVAILABLE)
+                self._reserved_bytes += len(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             else:
                 raise channels.ChannelClosed(clean=False)
 
-    async def _more(self, timeout_s: float) -> bool:
-        """Reads on; False at the end of the connection or the time."""
+    async def _receive(self, timeout_s: float) -> bool:
+        """Feeds received bytes to the HTTP state.
+
+        Args:
+          timeout_s: How long to wait for bytes, in seconds.
+
+        Returns:
+          False at the end of the connection or after the timeout.
+        """
         try:
             async with asyncio.timeout(timeout_s):
                 data = await self._channel.read()
--- a/src/clementinegw/direct/updater.py
+++ b/src/clementinegw/direct/updater.py
@@ -82,7 +82,7 @@
         return self.engine.models[0]
 
     @property
-    def start(self) -> types.Start:
+    def start(self) -> types.ServerStart:
         """The current start of the local server; without an id if unlisted.
 
         A crashed start stays listed for seconds next to its successor, with the
@@ -91,7 +91,7 @@
         same_address = [
             server
             for server in self.servers.values()
-            if server.address == self.instance.backend
+            if server.address == self.instance.backend_address
         ]
         started_ms = self.state.started_ms if self.state is not None else 0
         # Prefers the start that the server reports, then the latest start, then
@@ -99,16 +99,18 @@
         newest = max(
             enumerate(same_address),
             key=lambda found: (
-                found[1].born == started_ms,
-                found[1].born,
+                found[1].started_ms == started_ms,
+                found[1].started_ms,
                 found[0],
             ),
             default=None,
         )
         if newest is None:
-            return types.Start("")
+            return types.ServerStart("")
         listed = newest[1].start
-        return types.Start(listed.server_id, started_ms or listed.born)
+        return types.ServerStart(
+            listed.server_id, started_ms or listed.started_ms
+        )
 
     @property
     def server_id(self) -> str:
@@ -214,7 +216,7 @@
         ]
         return [plan.Declaration(max(held, default=1), -math.inf)]
 
-    def is_complete(self, held: types.Held) -> bool:
+    def is_complete(self, held: types.HeldWeights) -> bool:
         """Returns whether all layers of the held weights are loaded."""
         return (
             self._context.engine is not None
--- a/src/clementinegw/direct/version_policy.py
+++ b/src/clementinegw/direct/version_policy.py
@@ -61,7 +61,7 @@
         return self._clock()
 
     def record_declared(
-        self, declared: types.Declared, unread_s: float = 0.0
+        self, declared: types.DeclaredVersion, unread_s: float = 0.0
     ) -> declarations.Change | None:
         """Records a declaration; returns the change or None if there is none.
 
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -14,17 +14,17 @@
 import statistics
 import types as builtin_types
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import admit
 from clementinegw.direct import attempt as attempts
 from clementinegw.direct import balance
 from clementinegw.direct import catalog
 from clementinegw.direct import fleet as fleets
-from clementinegw.direct import follow
-from clementinegw.direct import following
-from clementinegw.direct import placing
+from clementinegw.direct import placement
 from clementinegw.direct import queue
 from clementinegw.direct import reports
+from clementinegw.direct import subsetting
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import version_policy
 from clementinegw.telemetry import logs
@@ -110,34 +110,38 @@
         )
         self.place = site.place(number)
         balancer = balance.Balancer(self.fleet, self.place, REGIONS, rng, clock)
-        knowledge = admit.Knowledge(
+        config_view = admit.ConfigView(
             catalog.Catalog(site.configuration), lambda: 0.0, 5.0, 3.0
         )
-        self.callers_time = admit.CallersTime()
-        more = {} if terms is None else {"engine_terms": terms}
-        self.placing = placing.Placing(
-            knowledge,
+        self.caller_timeouts = admit.CallerTimeouts()
+        more = {} if terms is None else {"engine_policy": terms}
+        self.placer = placement.Placer(
+            config_view,
             balancer,
             version_policy.VersionPolicy(8.0, clock),
             rng,
             clock,
             **more,
         )
-        records = [follow.Record(f"s{n}", site.server(n)) for n in site.engines]
-        batch = follow.Batch(tuple(records), len(records))
+        records = [
+            topic_watch.Record(f"s{n}", site.server(n)) for n in site.engines
+        ]
+        batch = topic_watch.Batch(tuple(records), len(records))
         self.fleet.apply(batch, True, 10.0)
 
     def follow(self):
         """Follows some servers only, as the daemon does."""
         candidates = [
-            following.Candidate(
+            subsetting.Candidate(
                 backend.server.server_id,
                 backend.server.failure_domain == self.place.failure_domain,
                 True,
             )
             for backend in self.fleet.of(SERVICE)
         ]
-        self.fleet.follow(following.followed(self.name, candidates), 0.0)
+        self.fleet.set_followed(
+            subsetting.select_followed(self.name, candidates), 0.0
+        )
 
 
 class Site:
@@ -206,16 +210,16 @@
     def place(self, number):
         """Returns where the entry or engine of a number stands."""
         domain = number % self._domains
-        return places.Place(f"r{domain}", f"d{domain}")
+        return shared_types.Place(f"r{domain}", f"d{domain}")
 
     def server(self, number):
         return types.Server(
             f"s{number}",
             SERVICE,
-            places.Address(f"10.0.{number // 250}.{number % 250}", 1_000),
+            shared_types.Address(f"10.0.{number // 250}.{number % 250}", 1_000),
             self.place(number).failure_domain,
             self.figures.slots,
-            held=(types.Held("m", 1, 1),),
+            held=(types.HeldWeights("m", 1, 1),),
         )
 
     async def play(self, seconds, strength: Callable[[float], float]):
@@ -288,25 +292,25 @@
     async def _ask(self, caller, entry, left_s):
         """Returns when to come back; None when that is no question."""
         now = self._clock()
-        facts = types.RequestFacts(
+        facts = types.RequestMetadata(
             timeout_s=left_s, prompt_tokens=caller.prompt
         )
         route = _route(caller.kind)
         job = attempts.Job(
             builtin_types.SimpleNamespace(arrived_at=now),
             facts,
-            catalog.Match(route, None),
+            catalog.RouteMatch(route, None),
             SERVICE,
             None,
             now + left_s,
-            entry.callers_time.spent_s(route.name, left_s),
+            entry.caller_timeouts.spent_s(route.name, left_s),
         )
         try:
             async with asyncio.timeout(min(left_s, PATIENCE_S)):
-                place = await entry.placing.choose(job)
+                place = await entry.placer.reserve(job)
         except TimeoutError:
             return None
-        if not isinstance(place, queue.Place):
+        if not isinstance(place, queue.Reservation):
             return place.retry_after_s
         await self._run(caller, entry, job, place, left_s)
         return None
@@ -327,12 +331,12 @@
             if caller.first_at == math.inf:
                 caller.first_at = self.now + TRIP_S
                 backend.unread_tokens -= caller.prompt
-                job.first_answer_at = self._clock()
-                entry.placing.began(job)
-                facts = types.AnswerFacts(
+                job.first_event_at = self._clock()
+                entry.placer.record_first_event(job)
+                facts = types.AnswerMetadata(
                     "a", True, False, limit_per_s=self.limits.get(number)
                 )
-                backend.signals.take(facts, sent_at, self._clock())
+                backend.signals.apply(facts, sent_at, self._clock())
             else:
                 caller.gap_s = max(caller.gap_s, self.now - last[0])
             last[0] = self.now
@@ -351,7 +355,7 @@
             engine.drop(work)
             if caller.first_at == math.inf:
                 backend.unread_tokens -= caller.prompt
-        place.free()
+        place.release()
 
     async def _hear(self, heard, ended):
         while not ended.is_set():
@@ -373,9 +377,9 @@
                 limit
                 for entry in self.entries
                 if (
-                    limit := entry.fleet.find(f"s{number}").signals.observed(
-                        self._clock()
-                    )
+                    limit := entry.fleet.find(
+                        f"s{number}"
+                    ).signals.recent_observation(self._clock())
                 )
             ]
             told_to = [
@@ -418,8 +422,8 @@
         )
         reading_s /= self.figures.prefill_tokens_per_s
         backend = entry.fleet.find(f"s{number}")
-        backend.take_report(report, self._clock(), reading_s)
-        entry.placing.look_at(backend)
+        backend.apply_report(report, self._clock(), reading_s)
+        entry.placer.dispatch_for(backend)
 
     def _spawn(self, coroutine):
         task = asyncio.ensure_future(coroutine)
@@ -437,11 +441,11 @@
         name=kind.name,
         host="h",
         prefix=f"/{kind.name}/",
-        repeat=types.Repeat.STREAM,
+        repeat_policy=types.RepeatPolicy.STREAM,
         targets=(types.Target(SERVICE, 1.0),),
         timeout_s=DEADLINE_S,
         objective_s=kind.objective_s,
-        rank=1,
+        priority=1,
         max_attempts=2,
         resumable=True,
         max_gap_s=LARGEST_GAP_S,
@@ -459,8 +463,8 @@
         1,
         96,
         24_576,
-        usual_prompt=980.0,
-        usual_answer=95.0,
+        typical_prompt_tokens=980.0,
+        typical_answer_tokens=95.0,
     )
     service = types.Service(SERVICE, 274, engine)
     return types.Configuration(
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -45,17 +45,17 @@
     ),
     "revoked_keys": (
         "src/clementinegw/direct/entry.py",
-        "_KEYS_SHARE = 0.9",
-        "_KEYS_SHARE = 900.0",
+        "_MAX_KEY_PROOF_SHARE = 0.9",
+        "_MAX_KEY_PROOF_SHARE = 900.0",
     ),
     "retry_of_all": (
         "src/clementinegw/direct/types.py",
-        "return self.repeat is Repeat.SAFE",
+        "return self.repeat_policy is RepeatPolicy.SAFE",
         "return True",
     ),
     "budget": (
         "src/clementinegw/direct/budget.py",
-        "if len(self._repeats) + 1 > limit:",
+        "if len(self._retries) + 1 > limit:",
         "if False:",
     ),
     "digest_check": (
@@ -80,7 +80,7 @@
         "return False",
     ),
     "true_refusal": (
-        "src/clementinegw/direct/placing.py",
+        "src/clementinegw/direct/placement.py",
         "if job.runs:\n            return outcomes.Refusal(_BAD_GATEWAY",
         "if False:\n            return outcomes.Refusal(_BAD_GATEWAY",
     ),
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -9,14 +9,14 @@
 import pytest
 
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import agent as agents
 from clementinegw.direct import agent_interfaces
 from clementinegw.direct import declarations
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
 from clementinegw.direct import manifest_cache
 from clementinegw.direct import raw
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import updater
 from clementinegw.telemetry import counters as counters_lib
@@ -97,7 +97,7 @@
         found = [self.staged_pieces.get(n) for n in range(PIECES)]
         self.loads_intact.append(expected == found)
         self.busy_until = asyncio.get_running_loop().time() + 0.3
-        self.held = (types.Held(model, version, 4),)
+        self.held = (types.HeldWeights(model, version, 4),)
         if self.lose_answer:
             self.lose_answer = False
             raise exceptions.BackendLost("the answer was lost")
@@ -143,7 +143,7 @@
     def __init__(self):
         self.records = []
 
-    async def newest(self):
+    async def snapshot(self):
         newest = {record.key: n for n, record in enumerate(self.records)}
         return raw.Batch(_items(newest.values()), len(self.records))
 
@@ -195,30 +195,32 @@
         return self.origin
 
     def declare(self, version):
-        record = follow.Record("v", types.Declared(MODEL, version))
+        record = topic_watch.Record("v", types.DeclaredVersion(MODEL, version))
         self.topics[0].records.append(record)
 
     async def __aenter__(self):
         engine = types.Engine(
             (MODEL,), 16, 0.01, 0.0, 1e4, 6, 4, PIECES, PIECE_BYTES
         )
-        origin = types.Origin(places.Address("127.0.0.1", 1), 8, 1e6)
+        origin = types.Origin(shared_types.Address("127.0.0.1", 1), 8, 1e6)
         services = {
             "engine": types.Service("engine", 64, engine),
             "origin": types.Service("origin", 8, None, origin),
         }
         configuration = types.Configuration(1, (), services, {})
-        self.topics[0].records.append(follow.Record("c", configuration))
+        self.topics[0].records.append(topic_watch.Record("c", configuration))
         hosts = [f"{NETWORK}.{11 + n}" for n in range(len(self.local_servers))]
         for number, host in enumerate(hosts):
             server = types.Server(
                 f"i-{number}",
                 "engine",
-                places.Address(host, 1),
+                shared_types.Address(host, 1),
                 f"d{number}",
                 16,
             )
-            self.topics[1].records.append(follow.Record(f"i-{number}", server))
+            self.topics[1].records.append(
+                topic_watch.Record(f"i-{number}", server)
+            )
         for number, host in enumerate(hosts):
             await self.start(number, host)
         return self
@@ -265,14 +267,14 @@
     """Returns the instance of an agent, one of as many as there are domains."""
     return instances.Instance(
         name=f"agent-{number}",
-        place=places.Place(f"r{number}", f"d{number}"),
+        place=shared_types.Place(f"r{number}", f"d{number}"),
         regions={f"d{n}": f"r{n}" for n in range(domains)},
         host=host,
         peer_ports=(PORT, PORT + 1),
-        store=places.Address("127.0.0.1", 1),
-        callers=None,
-        ready=None,
-        backend=places.Address(host, 1),
+        store_address=shared_types.Address("127.0.0.1", 1),
+        callers_address=None,
+        ready_address=None,
+        backend_address=shared_types.Address(host, 1),
         service="engine",
         link_bytes_per_s=link_bytes_per_s,
         bounds=instances.Bounds(),
@@ -283,7 +285,7 @@
     def __init__(self, site):
         self.operators = site.operators
         self.servers = site.servers
-        self.readers = lambda me: NoReaders()
+        self.reader_group = lambda me: NoReaders()
         self.local_server = site.local_server
         self.origin = site.origin_at
 
@@ -696,6 +698,6 @@
             assert len(server.loads) == loads + 1
             assert all(server.loads_intact)
             start = site.agents[0]._context.start
-            assert start == types.Start("i-0", 7)
+            assert start == types.ServerStart("i-0", 7)
 
     run(scenario())
--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -7,21 +7,23 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import admit
 from clementinegw.direct import balance
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
-from clementinegw.direct import placing
+from clementinegw.direct import placement
 from clementinegw.direct import queue
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import version_policy
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
 
-WANTED = balance.Wanted("engine")
-TERMS = queue.Terms(most_busy=1.0, most_busy_late=0.9, least_busy_late=0.3)
+REQUIREMENTS = balance.Requirements("engine")
+TERMS = queue.Policy(
+    max_utilization=1.0, late_limit_high=0.9, late_limit_low=0.3
+)
 SERVERS = 20
 WAITING = 100
 
@@ -31,27 +33,27 @@
 
     passes = 0
 
-    def candidates(self, wanted):
+    def candidates(self, requirements):
         self.passes += 1
-        return super().candidates(wanted)
+        return super().candidates(requirements)
 
 
 def new_fleet():
     backends = fleet.Fleet(logs.Log(), lambda service: 640, random.Random(1))
     records = tuple(
-        follow.Record(
+        topic_watch.Record(
             f"s{number}",
             types.Server(
                 server_id=f"s{number}",
                 service="engine",
-                address=places.Address("127.0.0.1", 9),
+                address=shared_types.Address("127.0.0.1", 9),
                 failure_domain="d1",
                 slots=16,
             ),
         )
         for number in range(SERVERS)
     )
-    backends.apply(follow.Batch(records, len(records)), True, 60.0)
+    backends.apply(topic_watch.Batch(records, len(records)), True, 60.0)
     return backends
 
 
@@ -60,13 +62,13 @@
         told = reports.Report(
             backend.server.server_id, running, 0, 16, entries=1
         )
-        backend.take_report(told, now)
+        backend.apply_report(told, now)
 
 
 async def wait_in(line, tried=()):
     now = asyncio.get_running_loop().time()
-    return await line.place(
-        lambda: WANTED, frozenset(tried), now + 0.5, now + 1.0
+    return await line.reserve(
+        lambda: REQUIREMENTS, frozenset(tried), now + 0.5, now + 1.0
     )
 
 
@@ -81,13 +83,13 @@
     async def play():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
-        place = places.Place("r", "d1")
+        place = shared_types.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         line = queue.Queue("engine", chooser, TERMS, loop.time)
         tell(backends, 16, loop.time())
         if share_left:
             refusing = backends.find("s2")
-            refusing.free()
+            refusing.end_request()
             refusing.full_until = loop.time() + 1.0
         tried = ("s1",) if with_tried else ()
         tasks = [
@@ -95,11 +97,11 @@
         ]
         await asyncio.sleep(0.001)
         chooser.passes = 0
-        line.look()
+        line.dispatch()
         passes = chooser.passes
         free = reports.Report("s3", 14, 0, 16, entries=1)
-        backends.find("s3").take_report(free, loop.time())
-        line.look()
+        backends.find("s3").apply_report(free, loop.time())
+        line.dispatch()
         await asyncio.sleep(0)
         placed = [t.result().backend for t in tasks if t.done()]
         for task in tasks:
@@ -145,23 +147,23 @@
     async def play():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
-        place = places.Place("r", "d1")
+        place = shared_types.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
-        finder = placing.Placing(
-            admit.Knowledge(None, lambda: 0.0, 1.0, 1.0),
+        finder = placement.Placer(
+            admit.ConfigView(None, lambda: 0.0, 1.0, 1.0),
             chooser,
             version_policy.VersionPolicy(8.0, loop.time),
             random.Random(1),
             loop.time,
         )
         looks = []
-        finder.look = lambda: looks.append("all")
-        finder._queue("engine").look = lambda: looks.append("engine")
+        finder.dispatch = lambda: looks.append("all")
+        finder._queue("engine").dispatch = lambda: looks.append("engine")
         for running in (16, 14):
             backend = backends.find("s3")
             told = reports.Report("s3", running, 0, 16, entries=1)
-            backend.take_report(told, loop.time())
-            finder.look_at(backend)
+            backend.apply_report(told, loop.time())
+            finder.dispatch_for(backend)
         return looks
 
     assert clocks.run(play()) == ["engine"]
@@ -177,19 +179,19 @@
     async def play():
         loop = asyncio.get_running_loop()
         backends = new_fleet()
-        place = places.Place("r", "d1")
+        place = shared_types.Place("r", "d1")
         chooser = Counting(backends, place, {}, random.Random(1), loop.time)
         line = queue.Queue("engine", chooser, TERMS, loop.time)
         tell(backends, 16, loop.time())
-        newer = balance.Wanted("engine", layers=4, least_version=2)
+        newer = balance.Requirements("engine", layers=4, least_version=2)
         now = loop.time()
         picky = asyncio.ensure_future(
-            line.place(lambda: newer, frozenset(), now + 0.5, now + 1.0)
+            line.reserve(lambda: newer, frozenset(), now + 0.5, now + 1.0)
         )
         plain = asyncio.ensure_future(wait_in(line))
         await asyncio.sleep(0.001)
         tell(backends, 8, loop.time())
-        line.look()
+        line.dispatch()
         await asyncio.sleep(0)
         done = (picky.done(), plain.done())
         picky.cancel()
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import budget
 from clementinegw.direct import catalog
-from clementinegw.direct import events
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import plan
 from clementinegw.direct import reports
+from clementinegw.direct import sse
 from clementinegw.direct import swap_schedule
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import version_policy
 from clementinegw.telemetry import logs
@@ -25,11 +25,11 @@
 def route(prefix, name="r", **fields):
     values = {
         "host": "h",
-        "repeat": types.Repeat.SAFE,
+        "repeat_policy": types.RepeatPolicy.SAFE,
         "targets": (types.Target("plain", 1.0),),
         "timeout_s": 6.0,
         "objective_s": 0.4,
-        "rank": 0,
+        "priority": 0,
         "max_attempts": 2,
     }
     return types.Route(name=name, prefix=prefix, **{**values, **fields})
@@ -38,7 +38,7 @@
 def server(name, **fields):
     values = {
         "service": "engine",
-        "address": places.Address("127.0.0.1", 9),
+        "address": shared_types.Address("127.0.0.1", 9),
         "failure_domain": "d1",
         "slots": 16,
     }
@@ -50,8 +50,8 @@
 
 
 def batch(*records):
-    found = tuple(follow.Record(key, value) for key, value in records)
-    return follow.Batch(found, len(found))
+    found = tuple(topic_watch.Record(key, value) for key, value in records)
+    return topic_watch.Batch(found, len(found))
 
 
 # Which version to bring.
@@ -269,7 +269,7 @@
 def test_a_version_is_demanded_shortly_before_it_is_due():
     now = [100.0]
     known = version_policy.VersionPolicy(8.0, lambda: now[0])
-    assert known.record_declared(types.Declared("m", 2))
+    assert known.record_declared(types.DeclaredVersion("m", 2))
     assert known.preferred("m", 107.3) == 0
     assert known.preferred("m", 107.6) == 2
     assert known.required("m", 107.6) is None
@@ -283,7 +283,7 @@
     version, waits there for 1.1 s and begins. Cause: nobody took it back.
     """
     known = version_policy.VersionPolicy(8.0, lambda: 0.0)
-    known.record_declared(types.Declared("m", 2))
+    known.record_declared(types.DeclaredVersion("m", 2))
     assert 8.0 - 0.2 < known.withdraw_at("m", held=1) < 8.0 - 0.1
     assert known.withdraw_at("m", held=2) == math.inf
     assert known.withdraw_at("other", held=1) == math.inf
@@ -296,7 +296,7 @@
     version a second after the others. Cause: the time counted from there.
     """
     known = version_policy.VersionPolicy(8.0, lambda: 0.0)
-    known.record_declared(types.Declared("m", 2), unread_s=1.0)
+    known.record_declared(types.DeclaredVersion("m", 2), unread_s=1.0)
     assert known.required("m", 8.0 - 1.2) == 2
 
 
@@ -307,7 +307,7 @@
     every process reads of it afterwards, and holds it to be overdue.
     """
     known = version_policy.VersionPolicy(8.0, lambda: 0.0)
-    known.record_declared(types.Declared("m", 2), unread_s=8.0)
+    known.record_declared(types.DeclaredVersion("m", 2), unread_s=8.0)
     assert known.required("m", 6.0) is None
 
 
@@ -319,7 +319,7 @@
     a new request, and its attempts were used up.
     """
     known = version_policy.VersionPolicy(8.0, lambda: 0.0)
-    known.record_declared(types.Declared("m", 2))
+    known.record_declared(types.DeclaredVersion("m", 2))
     assert known.stable("m", 5.0) == 0
     assert known.stable("m", 6.6) == 2
     assert known.required("m", 6.6) is None
@@ -327,9 +327,9 @@
 
 def test_a_repeated_or_older_declaration_changes_nothing():
     known = version_policy.VersionPolicy(8.0, lambda: 0.0)
-    assert known.record_declared(types.Declared("m", 3))
-    assert not known.record_declared(types.Declared("m", 3))
-    assert not known.record_declared(types.Declared("m", 2))
+    assert known.record_declared(types.DeclaredVersion("m", 3))
+    assert not known.record_declared(types.DeclaredVersion("m", 3))
+    assert not known.record_declared(types.DeclaredVersion("m", 2))
     assert known.newest_declared("m") == 3
 
 
@@ -342,9 +342,9 @@
     """
     now = [0.0]
     known = version_policy.VersionPolicy(8.0, lambda: now[0])
-    known.record_declared(types.Declared("m", 2))
+    known.record_declared(types.DeclaredVersion("m", 2))
     now[0] = 4.0
-    known.record_declared(types.Declared("m", 3))
+    known.record_declared(types.DeclaredVersion("m", 3))
     assert known.expected("m", held=3, now=8.0) == 3
     assert known.expected("m", held=2, now=8.0) == 2
     assert known.expected("m", held=1, now=8.0) == 2
@@ -366,9 +366,9 @@
     servers.apply(batch(("a", None), ("b", None)), False, 0.3)
     assert len(servers.of("engine")) == 2
     servers.apply(batch(("a", server("a"))), False, 1.5)
-    servers.settle(1.9)
+    servers.drop_missing(1.9)
     assert len(servers.of("engine")) == 2
-    servers.settle(3.0)
+    servers.drop_missing(3.0)
     assert [b.server.server_id for b in servers.of("engine")] == ["a"]
 
 
@@ -406,24 +406,24 @@
     for name in names:
         servers.apply(batch((name, None)), False, 0.3)
     assert len(servers.of("engine")) == 6
-    servers.settle(3.0)
+    servers.drop_missing(3.0)
     assert servers.of("engine") == []
 
 
 def test_records_of_one_start_are_ordered_and_leaving_is_for_good():
     backends = new_fleet()
     listed = (
-        (server("a", born=5, sequence=3), False),
-        (server("a", born=5, sequence=7, leaving=True), True),
-        (server("a", born=5, sequence=6), True),
-        (server("a", born=5, sequence=8), True),
-        (server("a", born=4, sequence=90), True),
-        (server("a", born=6, sequence=1), False),
+        (server("a", started_ms=5, sequence=3), False),
+        (server("a", started_ms=5, sequence=7, leaving=True), True),
+        (server("a", started_ms=5, sequence=6), True),
+        (server("a", started_ms=5, sequence=8), True),
+        (server("a", started_ms=4, sequence=90), True),
+        (server("a", started_ms=6, sequence=1), False),
     )
     for record, leaving in listed:
         backends.apply(batch(("a", record)), False, 60.0)
         assert backends.find("a").server.leaving == leaving
-    assert backends.find("a").server.born == 6
+    assert backends.find("a").server.started_ms == 6
 
 
 def report(**fields):
@@ -443,7 +443,7 @@
         backends = fleet.Fleet(logs.Log(), lambda s: 64, random.Random(seed))
         backends.apply(batch(("a", server("a"))), True, 60.0)
         backend = backends.find("a")
-        backend.take_report(report(running=15, entries=8), 1.0)
+        backend.apply_report(report(running=15, entries=8), 1.0)
         taken += backend.has_share(1.0)
     # One slot among eight.
     assert 0.075 < taken / 800 < 0.175
@@ -463,9 +463,9 @@
         backend = backends.find("a")
         for now in (1.0, 1.1):
             empty = report(running=0, entries=8)
-            backend.take_report(empty, now, reading_s=0.03)
+            backend.apply_report(empty, now, reading_s=0.03)
         while backend.has_share(1.1):
-            backend.take()
+            backend.begin_request()
             taken += 1
     # Each of eight entries: 0.1 s are 3.3 prompts.
     assert 2.2 < 8 * taken / 400 < 4.7
@@ -475,7 +475,7 @@
     backends = new_fleet()
     backends.apply(batch(("a", server("a"))), True, 60.0)
     backend = backends.find("a")
-    backend.take_report(report(running=16, entries=8), 1.0)
+    backend.apply_report(report(running=16, entries=8), 1.0)
     assert not backend.has_share(1.1)
     assert backend.has_share(3.0)
 
@@ -498,11 +498,11 @@
 
 def test_a_server_without_layers_serves_nothing_whatever_the_list_says():
     backends = new_fleet()
-    held = (types.Held("m", 1, 16),)
+    held = (types.HeldWeights("m", 1, 16),)
     backends.apply(batch(("a", server("a", held=held))), True, 60.0)
     backend = backends.find("a")
     assert backend.serves(1, 16)
-    backend.take_report(report(version=0, whole=False), 1.0)
+    backend.apply_report(report(version=0, whole=False), 1.0)
     assert not backend.serves(1, 16)
 
 
@@ -515,28 +515,28 @@
     Sequence: every send of eight entries fails and each repeats as often as
     its budget allows. Cause: each entry used the whole slack.
     """
-    terms = budget.Terms(ratio=0.2, slack=104.0, window_s=10.0)
+    terms = budget.Limits(ratio=0.2, slack=104.0, window_s=10.0)
     repeats, requests = 0, 0
     for _ in range(8):
         one = budget.RetryBudget(terms)
         one.entries = 8
         for number in range(100):
             now = number * 0.1
-            one.request(now)
+            one.record_request(now)
             requests += 1
-            while one.allow(now):
+            while one.try_acquire(now):
                 repeats += 1
     assert repeats <= 0.2 * requests + 104.0
     assert repeats > 0.15 * requests
 
 
 def test_the_budget_comes_back_after_its_window():
-    one = budget.RetryBudget(budget.Terms(0.0, 100.0, 10.0))
+    one = budget.RetryBudget(budget.Limits(0.0, 100.0, 10.0))
     one.entries = 10
-    while one.allow(0.0):
+    while one.try_acquire(0.0):
         pass
-    assert not one.allow(9.9)
-    assert one.allow(10.1)
+    assert not one.try_acquire(9.9)
+    assert one.try_acquire(10.1)
 
 
 # Routes.
@@ -567,13 +567,13 @@
 def test_events_are_whole_whatever_the_bytes_come_in():
     stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
     for cut in range(len(stream) + 1):
-        splitter = events.Splitter()
+        splitter = sse.Splitter()
         found = splitter.feed(stream[:cut]) + splitter.feed(stream[cut:])
-        assert b"".join(e.data for e in found) + splitter.rest == stream
+        assert b"".join(e.data for e in found) + splitter.remainder == stream
         assert [e.event_id for e in found][:2] == ["1", "2"]
 
 
 def test_an_event_that_has_not_ended_is_kept_back():
-    splitter = events.Splitter()
+    splitter = sse.Splitter()
     assert splitter.feed(b"id: 1\ndata: a\n") == []
-    assert splitter.rest == b"id: 1\ndata: a\n"
+    assert splitter.remainder == b"id: 1\ndata: a\n"
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -9,8 +9,8 @@
 from clementinegw import exceptions
 from clementinegw.direct import client
 from clementinegw.direct import declarations
-from clementinegw.direct import follow
 from clementinegw.direct import reports
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
 from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
@@ -118,7 +118,7 @@
 def test_a_version_of_unknown_age_is_due_when_deadlines_apply():
     now = [100.0]
     known = version_policy.VersionPolicy(8.0, lambda: now[0], settled_s=3.0)
-    known.record_declared(types.Declared("m", 2), unread_s=FIRST)
+    known.record_declared(types.DeclaredVersion("m", 2), unread_s=FIRST)
     assert known.required("m", 101.5) is None
     assert known.required("m", 103.0 - 0.5) == 2
 
@@ -164,9 +164,9 @@
         report = reports.Report("a", 1, 0, 16, "m", ages_s=ages_s)
         for _ in range(30):
             await asyncio.sleep(0.1)
-            reporter.tell(report)
+            reporter.send(report)
         regular = [ages for ages in sent.ages() if ages]
-        reporter.news()
+        reporter.send_ages_now()
         news = sent.ages()
         await asyncio.sleep(2.5)
         reporter.datagram_received(subscription("e1"), ("e1",))
@@ -195,7 +195,7 @@
     service = {"name": "plain", "engine": engine}
     change = sites.config(2, services=[service])
     site.store.put("keyed.op", "config", change)
-    site.hold(site.servers[0], 1)
+    site.list_version(site.servers[0], 1)
     version = {"model": "m", "version": 2}
     site.store.put("keyed.op", "version/m", version)
 
@@ -217,7 +217,7 @@
             connect = client.connect
 
             async def slowly(address, timeout_s):
-                site.slept_s = 4.0
+                site.suspended_s = 4.0
                 return await connect(address, timeout_s)
 
             monkeypatch.setattr(client, "connect", slowly)
@@ -263,8 +263,8 @@
         self.down = False
         self.takes_s = 0.004
 
-    async def newest(self):
-        return follow.Batch(tuple(self.records), len(self.records))
+    async def snapshot(self):
+        return topic_watch.Batch(tuple(self.records), len(self.records))
 
     async def changes(self, offset, wait_s):
         loop = asyncio.get_running_loop()
@@ -275,10 +275,10 @@
         self._check()
         found = tuple(self.records[offset:])
         await asyncio.sleep(self.takes_s)
-        return follow.Batch(found, offset + len(found))
+        return topic_watch.Batch(found, offset + len(found))
 
     def put(self, key):
-        self.records.append(follow.Record(key, key))
+        self.records.append(topic_watch.Record(key, key))
 
     def _check(self):
         if self.down:
@@ -289,11 +289,11 @@
     async def scenario():
         topic, found = Topic(), []
         topic.put("first")
-        follower = follow.Follower(
+        follower = topic_watch.TopicWatcher(
             "t",
             topic,
-            follow.Pace(6.0, 0.0),
-            lambda batch, whole: found.append(follower.unread_s),
+            topic_watch.PollTiming(6.0, 0.0),
+            lambda batch, whole: found.append(follower.lag_s),
             logs.Log(),
             counters_lib.Counters(),
             asyncio.get_running_loop().time,
--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import backend as backends
 from clementinegw.direct import rate_limit
 from clementinegw.direct import reports
@@ -17,10 +17,10 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.reports import ttypes
 
-START = types.Start("s1", 7)
-NEXT_START = types.Start("s1", 8)
-NONE = types.AnswerFacts("a", True, False)
-LIMITED = types.AnswerFacts("a", True, False, limit_per_s=2.0)
+START = types.ServerStart("s1", 7)
+NEXT_START = types.ServerStart("s1", 8)
+NONE = types.AnswerMetadata("a", True, False)
+LIMITED = types.AnswerMetadata("a", True, False, limit_per_s=2.0)
 
 
 class Wire:
@@ -46,9 +46,9 @@
     def tell(self, start=START):
         """Returns the limit that each entry is told with a report."""
         report = reports.Report(
-            start.server_id, 1, 0, 8, "m", 1, True, born=start.born
+            start.server_id, 1, 0, 8, "m", 1, True, started_ms=start.started_ms
         )
-        self.reporter.tell(report)
+        self.reporter.send(report)
         return {name: told[-1].limit for name, told in self.told.items()}
 
 
@@ -64,9 +64,10 @@
 
 
 def subscribe(listener, limit=None):
-    asking = reports.Asking(False, False, limit)
+    asking = reports.Subscription(False, False, limit)
     listener.subscribe(
-        {places.Address("10.0.0.1", 1): asking}, reports.Declared({}, {})
+        {shared_types.Address("10.0.0.1", 1): asking},
+        reports.DeclaredVersions({}, {}),
     )
 
 
@@ -140,25 +141,27 @@
 
 def test_the_newest_observation_of_any_entry_is_in_force():
     signals = new_signals()
-    signals.take(LIMITED, 9.0, 10.0)
-    signals.take_relayed(rate_limit.Observation(START, None, 9.5))
+    signals.apply(LIMITED, 9.0, 10.0)
+    signals.apply_relayed(rate_limit.Observation(START, None, 9.5))
     assert signals.limiter.per_s == 2.0
-    signals.take_relayed(rate_limit.Observation(NEXT_START, None, 11.0))
+    signals.apply_relayed(rate_limit.Observation(NEXT_START, None, 11.0))
     assert signals.limiter.per_s == 2.0
-    signals.take_relayed(rate_limit.Observation(START, None, 11.0))
+    signals.apply_relayed(rate_limit.Observation(START, None, 11.0))
     assert signals.limiter.per_s is None
 
 
 def test_only_what_a_server_told_an_entry_itself_is_passed_on():
     """Relayed twice it would seem newer each time, and never end."""
     signals = new_signals()
-    signals.take_relayed(rate_limit.Observation(START, 2.0, 10.0))
+    signals.apply_relayed(rate_limit.Observation(START, 2.0, 10.0))
     assert signals.limiter.per_s == 2.0
-    assert signals.observed(10.1) is None
-    signals.take(NONE, 10.2, 10.4)
+    assert signals.recent_observation(10.1) is None
+    signals.apply(NONE, 10.2, 10.4)
     assert signals.limiter.per_s is None
-    assert signals.observed(10.5) == rate_limit.Observation(START, None, 10.4)
-    assert signals.observed(60.0) is None
+    assert signals.recent_observation(10.5) == rate_limit.Observation(
+        START, None, 10.4
+    )
+    assert signals.recent_observation(60.0) is None
 
 
 def test_a_place_outside_the_entries_is_ignored():
@@ -166,6 +169,6 @@
     signals = new_signals()
     backend = backends.Backend(None, None, None, signals)
     told = reports.Report("s1", 0, 0, 1, rank=3, follower_rank=0, entries=2)
-    backend._share_room = lambda report, reads: None
-    backend.take_report(told, 1.0)
+    backend._update_share = lambda report, reads: None
+    backend.apply_report(told, 1.0)
     assert (signals.position, signals.entry_position) == (None, None)
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -10,7 +10,7 @@
 import pytest
 
 from clementinegw import exceptions
-from clementinegw import types as places
+from clementinegw import types as shared_types
 from clementinegw.direct import _events
 from clementinegw.direct import types
 from clementinegw.telemetry import counters as counters_lib
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("name", UNREADABLE)
 def test_an_entry_that_cannot_be_read_is_refused_with_a_reason(name):
     with pytest.raises((ValueError, RecursionError)):
-        records.server_record("i-1", UNREADABLE[name])
+        records.decode_server_record("i-1", UNREADABLE[name])
 
 
 @pytest.mark.parametrize("key", ["", "a b", "a\r\nx: y", "ä", "a" * 300])
@@ -83,12 +83,18 @@
     The id of the server goes into a header of each request.
     """
     with pytest.raises(ValueError, match="id"):
-        records.server_record(key, changed())
+        records.decode_server_record(key, changed())
 
 
 def test_an_entry_may_say_more_than_we_know():
-    found = records.server_record("i-1", changed(born=178, odd={"x": [1]}))
-    assert (found.service, found.born, found.sequence) == ("plain", 178, 1)
+    found = records.decode_server_record(
+        "i-1", changed(born=178, odd={"x": [1]})
+    )
+    assert (found.service, found.started_ms, found.sequence) == (
+        "plain",
+        178,
+        1,
+    )
 
 
 class Log(logs.Log):
@@ -120,7 +126,7 @@
             site.store.put_raw(TOPIC, b"\xff\xfe", changed())
             site.store.put_raw(TOPIC, b"", changed())
             site.store.put_raw(TOPIC, spoilt.name.encode(), b"{")
-            site.store.put(TOPIC, well.name, well.entry(sequence=2))
+            site.store.put(TOPIC, well.name, well.record(sequence=2))
             await asyncio.sleep(3.0)
             before = len(spoilt.calls)
             for _ in range(20):
@@ -143,7 +149,7 @@
             found = {b.server.server_id for b in site.entry._fleet.all()}
             assert found == {"b"}
             assert not site.entry.crashed
-            site.store.put(TOPIC, spoilt.name, spoilt.entry(sequence=3))
+            site.store.put(TOPIC, spoilt.name, spoilt.record(sequence=3))
             await asyncio.sleep(3.0)
             found = {b.server.server_id for b in site.entry._fleet.all()}
             assert found == {"a", "b"}
@@ -163,7 +169,7 @@
             assert (await site.ask()).status == 200
             site.store.put("keyed.op", "config", platform_site.config(7))
             await asyncio.sleep(1.0)
-            assert site.entry._knowledge.catalog.version == 7
+            assert site.entry._config_view.catalog.version == 7
             assert not site.entry.crashed
 
     platform_site.run(play())
@@ -182,7 +188,7 @@
         topic = stores.Topic(
             stores.Store(store.address),
             TOPIC,
-            records.server_record,
+            records.decode_server_record,
             log,
             counters,
         )
@@ -192,10 +198,10 @@
                 store.put_raw(TOPIC, b"i-1", value or b"")
                 batch = await topic.changes(offset, 0.0)
                 topic.decoded(batch.items)
-                offset = batch.end
+                offset = batch.next_offset
         for _ in range(3):
             store.put_raw(TOPIC, b"i-2", b"7")
-            found = topic.decoded((await topic.newest()).items)
+            found = topic.decoded((await topic.snapshot()).items)
         await store.stop()
         assert [record.key for record in found] == ["i-2"]
         assert isinstance(found[0].value, types.Unreadable)
@@ -230,7 +236,7 @@
         server = platform_site.Server("a", lambda call: call.answer(body))
         await server.start()
         host, port = server.address.split(":")
-        beside = weights.Beside(places.Address(host, int(port)), "m")
+        beside = weights.LocalServer(shared_types.Address(host, int(port)), "m")
         with pytest.raises(exceptions.BackendError):
             await beside.state()
         await server.stop()
@@ -244,7 +250,7 @@
         server = platform_site.Server("a", lambda call: call.answer(body))
         await server.start()
         host, port = server.address.split(":")
-        beside = weights.Beside(places.Address(host, int(port)), "m")
+        beside = weights.LocalServer(shared_types.Address(host, int(port)), "m")
         state = await beside.state()
         await server.stop()
         return state.sequence, state.started_ms
