--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -35,7 +35,7 @@
 
 # Entries forward a new declaration to agents within a second, so an agent can
 # afford to notice late that its own connection to the platform is stalled.
-_POLL_PACES = topic_watch.PollTimings(
+_POLL_TIMINGS = topic_watch.PollTimings(
     operators=topic_watch.PollTiming(wait_s=6.0, pause_s=0.0),
     servers=topic_watch.PollTiming(wait_s=10.0, pause_s=3.0),
 )
@@ -87,14 +87,14 @@
             instance,
             shared_types.Role.AGENT,
             platform,
-            _POLL_PACES,
+            _POLL_TIMINGS,
             log,
             counters,
             boot_clock,
         )
         topics = topic_watch.TopicWatchers(
             self._relay,
-            _POLL_PACES,
+            _POLL_TIMINGS,
             self._on_operators,
             self._on_servers,
             log,
@@ -167,8 +167,10 @@
 
     # Records from the platform.
 
-    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
-        del whole
+    def _on_operators(
+        self, batch: topic_watch.Batch, is_snapshot: bool
+    ) -> None:
+        del is_snapshot
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
                 self._apply_configuration(record.value)
@@ -256,8 +258,8 @@
         self._suspicions_sent_at = now
         return self._suspects.confirmed_suspicions(now)
 
-    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
-        if whole:
+    def _on_servers(self, batch: topic_watch.Batch, is_snapshot: bool) -> None:
+        if is_snapshot:
             listed = {record.key for record in batch.records}
             for key in set(self._context.servers) - listed:
                 del self._context.servers[key]
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -177,10 +177,10 @@
         self.topics = (Topic(), Topic())
         self.agents = []
         # How long the machines have been suspended, in seconds.
-        self.slept_s = 0.0
+        self.suspended_s = 0.0
 
     def boot_time(self):
-        return asyncio.get_running_loop().time() + self.slept_s
+        return asyncio.get_running_loop().time() + self.suspended_s
 
     def operators(self):
         return self.topics[0]
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -289,19 +289,19 @@
     async def scenario():
         topic, found = Topic(), []
         topic.put("first")
-        follower = topic_watch.TopicWatcher(
+        watcher = topic_watch.TopicWatcher(
             "t",
             topic,
             topic_watch.PollTiming(6.0, 0.0),
-            lambda batch, whole: found.append(follower.lag_s),
+            lambda batch, is_snapshot: found.append(watcher.lag_s),
             logs.Log(),
             counters_lib.Counters(),
             asyncio.get_running_loop().time,
         )
-        await follower.start()
+        await watcher.start()
         await asyncio.sleep(0.5)
         await action(topic)
-        await follower.stop()
+        await watcher.stop()
         return found
 
     return clocks.run(scenario())
--- a/tests/test_direct_due.py
+++ b/tests/test_direct_due.py
@@ -130,14 +130,14 @@
 
 
 async def is_suspended_while_a_request_waits():
-    async def slept(site, asking):
+    async def suspend(site, asking):
         if asking is None:
             site.name()
             await asyncio.sleep(4.0)
         else:
             site.suspended_s = 3.3
 
-    return await _serves_waiting_request(slept)
+    return await _serves_waiting_request(suspend)
 
 
 def test_an_entry_uses_the_former_version_until_the_new_one_is_due():
