--- a/src/clementinegw/direct/__init__.py
+++ b/src/clementinegw/direct/__init__.py
@@ -1,1 +1,1 @@
-"""Requests straight from the entry to backend servers, without agents."""
+"""Direct path: the entry sends requests to backend servers without agents."""
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon of the direct path: wiring only."""
+"""The entry daemon of the direct path, which connects its components."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,39 +33,42 @@
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
 
-# How topics are read. The platform answers as soon as something changes, so
-# the wait only bounds how long a connection that went silent goes unnoticed,
-# and how old a key's proof grows; each call is paid for.
+# Timing of the long polls of the topics. The platform answers as soon as
+# something changes, so the wait only bounds how long a silent connection goes
+# unnoticed and how old the proof of a key's validity gets. Calls are billed, so
+# the wait is not shorter.
 _PACES = follow.Paces(
     operators=follow.Pace(wait_s=2.0, pause_s=0.0),
     servers=follow.Pace(wait_s=2.0, pause_s=0.9),
 )
-# The part of the time in which a key that was taken away must stop that its
-# last proof may be old, and the part after which the process takes no new
-# callers: others may have heard from the platform since.
+# Shares of the time within which a revoked key must be refused. A key is
+# accepted while the last read of the configuration is younger than the first
+# share. After the second one the process is not ready for new callers, since
+# other entries may have heard from the platform more recently.
 _MAX_KEY_PROOF_SHARE = 0.9
 _MAX_READY_SHARE = 0.55
-# Unknown routes are refused for good while the last answer is younger, in
-# seconds.
+# While the platform's last answer is younger than this, an unknown route is
+# refused as final, in seconds.
 _ROUTES_FRESH_S = 1.9
 _MAINTENANCE_INTERVAL_S = 0.2
-# How often agents are asked for reports, in seconds.
+# How often subscriptions to agents' reports are renewed, in seconds.
 _SUBSCRIBE_INTERVAL_S = 1.0
-# After SIGTERM the process still takes connections until the balancer has
-# asked twice, in seconds; and the rest before it must end.
+# After SIGTERM the process still accepts connections, in seconds, until the
+# load balancer has checked its readiness twice.
 _ACCEPT_WHILE_LEAVING_S = 2.4
+# Draining ends this long before the process must end, in seconds.
 _SHUTDOWN_MARGIN_S = 0.4
 
 
 class Platform(raw.Platform, Protocol):
-    """What the daemon needs of the platform."""
+    """What the daemon needs from the platform adapter."""
 
     def dialect(self) -> dialects.Dialect:
-        """Returns what knows the platform's headers."""
+        """Returns the codec for the platform's headers."""
 
 
 class Entry(mode.Service):
-    """One entry."""
+    """An entry: accepts callers' requests and forwards them to servers."""
 
     def __init__(
         self,
@@ -77,16 +80,17 @@
         boot_clock: Callable[[], float] = follow.boot_time,
         wall_clock: Callable[[], float] = time.time,
     ):
-        """Prepares the daemon.
+        """Creates the components of the daemon without starting them.
 
         Args:
-          instance: What it knows of itself.
-          platform: Speaks to the platform.
-          log: Where events go.
+          instance: The settings of the instance.
+          platform: The adapter to the platform.
+          log: Receives the log events.
           counters: Counts refusals and retries.
           rng: Breaks ties.
-          boot_clock: Seconds that also count while the machine is suspended.
-          wall_clock: The time of day, in seconds.
+          boot_clock: Returns seconds that include the time in which the
+            machine was suspended.
+          wall_clock: Returns Unix time, in seconds.
         """
         super().__init__()
         assert instance.callers_address is not None
@@ -174,7 +178,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it takes new callers."""
+        """Whether the entry accepts new callers."""
         keys_s = self._instance.bounds.keys_ms / 1e3
         return (
             not self._leaving
@@ -184,7 +188,7 @@
         )
 
     async def on_start(self) -> None:
-        """Listens at once: a caller hears "not yet" rather than nothing."""
+        """Starts listening at once, so that early callers get a refusal."""
         await self._server.listen(self._callers_address)
         if self._instance.ready_address is not None:
             await self._health.listen(self._instance.ready_address)
@@ -199,7 +203,7 @@
         self._log.write(events.PROCESS_STARTED)
 
     def reload(self, instance: instances.Instance) -> None:
-        """Takes over a changed instance file; addresses stay as they are."""
+        """Applies a changed instance file, except for its addresses."""
         self._instance = instance
         bounds = instance.bounds
         self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE
@@ -208,13 +212,13 @@
         self._forwarder.set_terms(_retry_limits(bounds))
 
     async def drain(self) -> None:
-        """Takes no new callers and finishes what it has."""
+        """Stops accepting callers and finishes the requests in progress."""
         self._log.write(events.PROCESS_STOPPING, busy=self._server.busy)
         self._leaving = True
         started = self._clock()
         end = started + self._instance.bounds.grace_s - _SHUTDOWN_MARGIN_S
         self._server.refuse_new()
-        # The balancer goes on sending callers until it has asked twice.
+        # The load balancer sends callers until it has checked twice.
         await asyncio.sleep(_ACCEPT_WHILE_LEAVING_S)
         self._server.close_idle()
         try:
@@ -224,7 +228,7 @@
             self._log.write(_events.CUT_OFF, busy=self._server.busy)
 
     async def on_shutdown(self) -> None:
-        """Ends what is left."""
+        """Closes the remaining connections and servers."""
         self._reports.close()
         await self._server.stop()
         await self._health.stop()
@@ -263,7 +267,7 @@
         self._forwarder.look_at(backend)
 
     def _typical_prefill_s(self, service: str) -> float:
-        """Returns how long a usual prompt is read; 0 when that is unknown."""
+        """Returns the prefill time of a typical prompt; 0 if it is unknown."""
         engine = self._knowledge.engine(service)
         if engine is None or not engine.prefill_tokens_per_s:
             return 0.0
@@ -312,8 +316,8 @@
         catalog = self._knowledge.catalog
         if catalog is not None and configuration.version <= catalog.version:
             if configuration.version < catalog.version:
-                # Records may be read twice after the platform lost its
-                # history; going back would serve routes that are gone.
+                # After the platform lost its history, records may be read
+                # again; going back would serve routes that were removed.
                 self._log.write(
                     _events.CONFIGURATION_OLD,
                     found=configuration.version,
--- a/src/clementinegw/direct/instance.py
+++ b/src/clementinegw/direct/instance.py
@@ -1,4 +1,4 @@
-"""The instance file of a daemon on the direct path: JSON, checked once."""
+"""The JSON instance file of a daemon on the direct path."""
 
 import pathlib
 
@@ -14,21 +14,23 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What the operators of the platform hold the system to.
+    """The bounds that the platform's operators set for the system.
 
     Attributes:
-      keys_ms: A key that was taken away stops within this, in milliseconds.
-      weights_ms: A declared version serves within this, in milliseconds.
-      drain_ms: A server that leaves gets its last request within this, in
+      keys_ms: A revoked key is refused within this time, in milliseconds.
+      weights_ms: A declared version is served within this time, in
         milliseconds.
-      listing_ms: How often a server writes to the list, about, in
-        milliseconds; it runs out after some of these without news.
-      settled_ms: Bounds hold for a machine once it has run for so long without
-        any trouble, in milliseconds.
-      grace_s: What a process has to end, in seconds.
-      repeat_ratio: Repeated sends for each request, over all entries.
-      repeat_slack: Repeated sends in a window besides those.
-      repeat_window_s: The window's length, in seconds.
+      drain_ms: A leaving server gets its last request within this time, in
+        milliseconds.
+      listing_ms: The approximate interval at which a server renews its entry
+        on the platform's list, in milliseconds; the entry expires after some
+        intervals without renewal.
+      settled_ms: The bounds apply to a machine after it has run for this time
+        without a fault, in milliseconds.
+      grace_s: The time that a process has for its shutdown, in seconds.
+      repeat_ratio: The allowed resends per request, over all entries.
+      repeat_slack: The resends allowed in a window in addition.
+      repeat_window_s: The length of the window, in seconds.
     """
 
     keys_ms: float = 5_000.0
@@ -58,21 +60,23 @@
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """What a daemon knows of itself.
+    """The settings of a daemon.
 
     Attributes:
-      name: A name that no two live processes share.
-      place: Where it stands.
+      name: A name that is unique among the live processes.
+      place: Its region and failure domain.
       regions: The region of each failure domain.
       host: Its IP address.
       peer_ports: The first and the last port for its peers.
-      store_address: The platform's store.
-      callers_address: Where an entry takes requests; None for an agent.
-      ready_address: Where an entry says whether it takes callers.
-      backend_address: The backend server beside an agent; None for an entry.
-      service: That server's service.
-      link_bytes_per_s: The machine's link.
-      bounds: What the operators of the platform hold the system to.
+      store_address: The address of the platform's store.
+      callers_address: Where an entry accepts requests; None for an agent.
+      ready_address: Where an entry reports whether it accepts callers; None
+        if it does not.
+      backend_address: The address of an agent's backend server; None for an
+        entry.
+      service: The service of that server; empty for an entry.
+      link_bytes_per_s: The rate of the machine's link, in bytes per second.
+      bounds: The bounds that the platform's operators set for the system.
     """
 
     name: str
@@ -93,7 +97,7 @@
     """Returns the instance that a file describes.
 
     Raises:
-      exceptions.SettingsError: It cannot be read, or does not fit.
+      exceptions.SettingsError: The file cannot be read or is invalid.
     """
     try:
         file = msgspec.json.decode(path.read_bytes(), type=_File)
@@ -122,10 +126,10 @@
 
 
 def parse_address(text: str) -> types.Address:
-    """Returns an address from IP:PORT.
+    """Returns the address that a text of the form IP:PORT denotes.
 
     Raises:
-      ValueError: It is none.
+      ValueError: The text has a different form.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
--- a/src/clementinegw/direct/run.py
+++ b/src/clementinegw/direct/run.py
@@ -1,4 +1,4 @@
-"""Runs one daemon of the direct path until it is told to stop."""
+"""Runs a daemon of the direct path until it is told to stop."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from clementinegw.telemetry import logs
 from clementinegw.telemetry import output
 
-# How often the instance file is read again, in seconds.
+# How often the instance file is reread, in seconds.
 _RELOAD_INTERVAL_S = 3.0
 _METRICS_PATH = "/metrics"
 
@@ -28,22 +28,22 @@
 async def run(
     args: list[str], path: pathlib.Path, make_platform: MakePlatform
 ) -> int:
-    """Runs a role.
+    """Runs the daemon of a role.
 
     Args:
-      args: The role's name.
+      args: The command line arguments: the name of the role.
       path: The instance file.
-      make_platform: Makes what speaks to the platform.
+      make_platform: Creates the adapter to the platform.
 
     Returns:
       The exit code.
 
     Raises:
-      exceptions.ClementineError: The role or the file does not fit.
+      exceptions.ClementineError: The role is unknown or the file is invalid.
     """
     if len(args) != 1 or args[0] not in _ROLES:
         names = " or ".join(_ROLES)
-        raise exceptions.UsageError(f"name the role: {names}")
+        raise exceptions.UsageError(f"expected one argument, the role: {names}")
     instance = instances.read(path)
     out = output.configure()
     log = logs.Log(instance=instance.name)
@@ -67,7 +67,7 @@
 
 
 class _MetricsHandler:
-    """Answers with the process's metrics."""
+    """Serves the metrics of the process over HTTP."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
     async def answer(
         self, request: servers.Request, responder: servers.Responder
     ) -> None:
-        """Answers one call."""
+        """Answers one request."""
         if request.path != _METRICS_PATH:
             await responder.answer(404, [], b"")
             return
@@ -93,16 +93,16 @@
 
 
 def _metrics_address(instance: instances.Instance, role: str) -> types.Address:
-    """Returns the last peer port; the one before it for an agent."""
+    """Returns the address on the last peer port; the one before for agents."""
     port = instance.peer_ports[1] - (role == "agent")
     return types.Address(instance.host, port)
 
 
 class _InstanceFileWatcher:
-    """Reads the instance file again, at SIGHUP and every few seconds.
+    """Rereads the instance file at SIGHUP and every few seconds.
 
-    The platform may change the file without a signal. A malformed one leaves
-    the former in force.
+    The platform may change the file without sending a signal. If the file is
+    malformed, the previous settings stay in force.
     """
 
     def __init__(
@@ -119,13 +119,13 @@
         self._last_error = ""
 
     async def watch(self) -> None:
-        """Looks again and again."""
+        """Rereads the file periodically, without end."""
         while True:
             await asyncio.sleep(_RELOAD_INTERVAL_S)
             self.reload_if_changed()
 
     def reload_if_changed(self) -> None:
-        """Reads the file; hands it on when it has changed."""
+        """Rereads the file and passes a changed instance to the daemon."""
         try:
             found = instances.read(self._path)
         except exceptions.SettingsError as error:
@@ -151,7 +151,8 @@
     return agent.Agent(instance, platform, log, counters)
 
 
-# Imported by role: what the other one needs would only take memory.
+# Each function imports the module of its role only, which saves the memory of
+# the other role's modules.
 _ROLES: dict[str, Callable[..., Any]] = {
     "entry": _make_entry,
     "agent": _make_agent,
--- a/src/clementinegw/direct/types.py
+++ b/src/clementinegw/direct/types.py
@@ -1,7 +1,7 @@
-"""What the direct path knows of its surroundings: routes, servers, weights.
+"""Data types of the direct path: routes, services, servers and weights.
 
-Whatever speaks to a platform decodes its records into these types; nothing
-here knows how a platform spells them.
+A platform adapter decodes the platform's records and headers into these types,
+which do not depend on the platform's formats.
 """
 
 from collections.abc import Mapping
@@ -12,7 +12,13 @@
 
 
 class RepeatPolicy(enum.StrEnum):
-    """How often a request of a route may run."""
+    """How often a request of a route may be run.
+
+    Attributes:
+      SAFE: Any number of times.
+      ONCE: At most once.
+      STREAM: As `Route.resumable` says.
+    """
 
     SAFE = "safe"
     ONCE = "once"
@@ -21,11 +27,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A service that serves a part of a route's requests.
+    """A service that receives a share of a route's requests.
 
     Attributes:
       service: The service's name.
-      weight: Its part, relative to the other targets' weights.
+      weight: Its share, relative to the weights of the other targets.
     """
 
     service: str
@@ -34,23 +40,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """What the operators say about the requests under a host and prefix.
+    """The operators' settings for requests with a host and path prefix.
 
     Attributes:
       name: The route's name.
-      host: The host that requests name, in lower case.
-      prefix: The beginning of their path; ends with a slash.
-      repeat_policy: How often a request may run.
-      targets: The services that serve it.
+      host: The host of the requests, in lower case.
+      prefix: The prefix of their path; ends with a slash.
+      repeat_policy: How often a request may be run.
+      targets: The services that serve the route.
       timeout_s: The longest time an answer may take, in seconds.
-      objective_s: Within this an answer (a stream: its first event) is on
-        time, in seconds.
-      priority: The urgency; 0 goes first.
+      objective_s: The latency objective of an answer, or of the first event
+        of a stream, in seconds.
+      priority: The priority of the requests; 0 is the highest.
       max_attempts: The most backend servers that one request is sent to.
-      anonymous: Whether it is served without an API key.
-      resumable: Whether a broken stream may go on at another server.
-      max_gap_s: The longest pause between events that is on time, in seconds;
-        0 where none is set.
+      anonymous: Whether requests without an API key are served.
+      resumable: Whether a broken stream may resume at another server.
+      max_gap_s: The latency objective of the gap between two events of a
+        stream, in seconds; 0 if none is set.
     """
 
     name: str
@@ -68,7 +74,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run again after it may have run."""
+        """Whether a request that may have run may be sent again."""
         if self.repeat_policy is RepeatPolicy.STREAM:
             return self.resumable
         return self.repeat_policy is RepeatPolicy.SAFE
@@ -76,21 +82,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """How the model engines of a service work.
+    """The performance model of a service's model engines.
 
     Attributes:
-      models: The names of the models they can hold.
-      slots: Requests that one engine runs at once.
-      step_s: The least time of a token step, in seconds.
-      step_per_request_s: What each running request adds to it, in seconds.
-      prefill_tokens_per_s: How fast prompts are read.
-      steps_per_pass: Token steps in one pass.
-      layers: Layers of a model.
-      chunks: Pieces that a version's weights come in.
-      chunk_bytes: The size of a piece.
-      typical_prompt_tokens: Tokens in a usual prompt.
-      typical_answer_tokens: Tokens in a usual answer.
-      load_s: How long all layers take to load, in seconds.
+      models: The names of the models that an engine can hold.
+      slots: The number of requests that one engine runs concurrently.
+      step_s: The minimum time of a token step, in seconds.
+      step_per_request_s: The time that each running request adds to a step,
+        in seconds.
+      prefill_tokens_per_s: The rate at which prompts are processed, in tokens
+        per second.
+      steps_per_pass: The number of token steps in one pass.
+      layers: The number of layers of a model.
+      chunks: The number of chunks of a version's weights.
+      chunk_bytes: The size of a chunk, in bytes.
+      typical_prompt_tokens: The tokens of a typical prompt.
+      typical_answer_tokens: The tokens of a typical answer.
+      load_s: The time to load all layers, in seconds.
     """
 
     models: tuple[str, ...]
@@ -108,19 +116,19 @@
 
     @property
     def pass_s(self) -> float:
-        """From one event of a stream to the next where all slots are taken."""
+        """The interval between a stream's events if all slots are busy."""
         step_s = self.step_s + self.slots * self.step_per_request_s
         return self.steps_per_pass * step_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Origin:
-    """Where the weights come from first.
+    """The origin from which new weights are fetched.
 
     Attributes:
-      address: Where it takes calls.
-      max_connections: The most connections of all callers together.
-      link_bytes_per_s: The rate of its link.
+      address: The address that it listens on.
+      max_connections: The most connections from all callers together.
+      link_bytes_per_s: The rate of its link, in bytes per second.
     """
 
     address: types.Address
@@ -130,13 +138,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """One service of the configuration.
+    """A service of the configuration.
 
     Attributes:
       name: The service's name.
-      max_connections: Connections that one server takes from all callers.
-      engine: How its model engines work; None for a plain service.
-      origin: Set where the service is an origin of weights.
+      max_connections: The most connections that one server accepts from all
+        callers together.
+      engine: Its model engines; None for a plain service.
+      origin: Set if the service is an origin of weights.
     """
 
     name: str
@@ -147,12 +156,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What bounds callers.
+    """Limits on callers' connections and requests.
 
     Attributes:
-      header_bytes: The most bytes of a request's head.
-      body_bytes: The most bytes of a request's body.
-      header_timeout_s: How long a head may take to arrive, in seconds.
+      header_bytes: The maximum size of a request's headers, in bytes.
+      body_bytes: The maximum size of a request's body, in bytes.
+      header_timeout_s: How long the headers may take to arrive, in seconds.
       idle_timeout_s: How long a connection may stay idle, in seconds.
     """
 
@@ -164,11 +173,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Customer:
-    """Whose requests an API key stands for.
+    """The customer that an API key belongs to.
 
     Attributes:
       name: The customer's name.
-      priority: The urgency of its requests; None leaves it to the route.
+      priority: The priority of its requests; None for that of the route.
     """
 
     name: str
@@ -177,16 +186,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that the operators declared, as one version.
+    """A version of the operators' whole configuration.
 
     Attributes:
-      version: Grows with each change.
-      routes: Every route.
-      services: Every service by name.
-      customers: Every customer by API key.
-      limits: What bounds callers.
-      requires_key: Whether callers need a key: there are customers, even if
-        none of them has a key any more.
+      version: The version's number; increases with each change.
+      routes: All routes.
+      services: All services by name.
+      customers: All customers by API key.
+      limits: Limits on callers.
+      requires_key: Whether callers need an API key. True if there are
+        customers, even if none of them has a key any more.
     """
 
     version: int
@@ -199,11 +208,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeclaredVersion:
-    """The version of a model's weights that operators want served.
+    """The version of a model's weights that the operators want served.
 
     Attributes:
       model: The model's name.
-      version: The version's number; grows.
+      version: The version's number; increases.
     """
 
     model: str
@@ -212,12 +221,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldWeights:
-    """The weights that a server has loaded.
+    """A model's weights that a server has loaded.
 
     Attributes:
       model: The model's name.
-      version: The version of its layers.
-      layers: How many layers from the first on it has, of that version.
+      version: The version of the layers.
+      layers: The number of consecutive layers of that version, from the first
+        one on.
     """
 
     model: str
@@ -227,12 +237,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerStart:
-    """One start of a server: what is learned of it speaks of no other.
+    """Identifies one start of a server.
+
+    State that was learned about one start does not apply to another one.
 
     Attributes:
-      server_id: The server's id; it may come again.
-      started_ms: When it started, in Unix milliseconds; 0 where that is not
-        known, and then the id alone names the start.
+      server_id: The server's id, which a later start may use again.
+      started_ms: The time of the start, in Unix milliseconds; 0 if it is not
+        known, and then the id alone identifies the start.
     """
 
     server_id: str
@@ -240,7 +252,7 @@
 
     @property
     def text(self) -> str:
-        """One word, or two with the birth; ids have no space in them."""
+        """The id, and after a space the time if known; ids have no spaces."""
         return (
             f"{self.server_id} {self.started_ms}"
             if self.started_ms
@@ -249,12 +261,12 @@
 
     @classmethod
     def parse(cls, text: str) -> "ServerStart":
-        """Returns the start that a text names."""
+        """Returns the start that a text, as of `text`, identifies."""
         server_id, _, started_ms = text.partition(" ")
         return cls(server_id, int(started_ms) if started_ms.isdecimal() else 0)
 
     def matches(self, other: "ServerStart") -> bool:
-        """Returns whether two names may be of one start."""
+        """Returns whether both may identify the same start."""
         if self.server_id != other.server_id:
             return False
         return (
@@ -269,16 +281,16 @@
     """A backend server as the platform lists it.
 
     Attributes:
-      server_id: Names the server.
-      service: The service it belongs to.
-      address: Where it takes requests.
-      failure_domain: Where it stands.
-      slots: Requests that it runs at once.
-      leaving: Whether it takes no new requests.
-      held: The weights it has loaded; empty for a plain service.
-      started_ms: When it started, in Unix milliseconds; 0 where that is not
-        known.
-      sequence: Grows with each record of one start; says nothing more.
+      server_id: The server's id.
+      service: The service that it belongs to.
+      address: The address that it accepts requests on.
+      failure_domain: Its failure domain.
+      slots: The number of requests that it runs concurrently.
+      leaving: Whether it is leaving and gets no new requests.
+      held: The weights that it has loaded; empty for a plain service.
+      started_ms: When it started, in Unix milliseconds; 0 if it is not known.
+      sequence: Increases with each record of one start; orders the records
+        and has no other meaning.
     """
 
     server_id: str
@@ -293,14 +305,14 @@
 
     @property
     def start(self) -> ServerStart:
-        """Which start of the server it is."""
+        """Identifies the start of the server that the record describes."""
         return ServerStart(self.server_id, self.started_ms)
 
     def version(self, layers: int) -> int:
-        """Returns the newest version of which it has all layers; 0 for none.
+        """Returns the newest version that is loaded completely; 0 for none.
 
         Args:
-          layers: The layers that a model has.
+          layers: The number of layers of the model.
         """
         whole = (h.version for h in self.held if h.layers >= layers)
         return max(whole, default=0)
@@ -308,10 +320,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreadable:
-    """A record that is there and cannot be read.
+    """A record that exists and cannot be decoded.
 
     Attributes:
-      reason: What is wrong with it.
+      reason: Why it cannot be decoded.
     """
 
     reason: str
@@ -319,12 +331,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What a server says of its own work.
+    """The load that a server reports.
 
     Attributes:
-      running: Requests that it works on.
-      waiting: Requests in its queue.
-      slots: Requests that it runs at once.
+      running: The number of running requests.
+      waiting: The number of queued requests.
+      slots: The number of requests that it runs concurrently.
     """
 
     running: int
@@ -334,18 +346,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a caller's head says beyond method, path and body.
+    """The metadata in a request's headers.
 
     Attributes:
-      attempt_id: Names this attempt of the caller; empty when missing.
-      timeout_s: How long the caller waits, in seconds; None when unsaid.
-      key: The API key; empty when none was sent.
-      model: The model it is for; empty for a plain service.
-      prompt_tokens: Tokens to read.
-      output_tokens: The most tokens to produce.
-      session: The last shared part of the prompt; empty when there is none.
-      last_event_id: The last event that the caller has; None for a new
-        stream.
+      attempt_id: Identifies this attempt of the caller; empty if missing.
+      timeout_s: How long the caller waits, in seconds; None if it does not
+        say.
+      key: The API key; empty if none was sent.
+      model: The requested model; empty for a plain service.
+      prompt_tokens: The number of tokens of the prompt.
+      output_tokens: The maximum number of tokens to generate.
+      session: The id of the prompt's last shared segment; empty if there is
+        none.
+      last_event_id: The id of the last event that the caller received; None
+        for a new stream.
     """
 
     attempt_id: str = ""
@@ -360,24 +374,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerMetadata:
-    """What a server's head says beyond status and body.
+    """The metadata in an answer's headers.
 
     Attributes:
-      attempt_id: The attempt that it answers; empty when it names none.
+      attempt_id: The attempt that the answer belongs to; empty if missing.
       sealed: Whether the server signed the answer.
-      not_run: Whether the server says that it did not run the request.
-      load: What it says of its load; None when it says nothing.
-      version: The version of the weights that answer; None when unsaid.
-      keep_alive_s: How long it keeps the connection when idle; None when
-        unsaid.
-      server_id: Which start of a server answers; empty when it does not say.
-      limit_per_s: The requests a second that the server takes from all entries
-        together; None when it reports no limit.
-      leaving: Whether the server says that it leaves.
-      backoff_s: For how long a server that rejects the request wants no other
-        one of this entry, in seconds; 0 when it does not say.
-      malformed: The names of fields here whose header cannot be read; what the
-        server reported before stays in force.
+      not_run: Whether the server states that it did not run the request.
+      load: The server's load; None if it reports none.
+      version: The version of the weights that produced the answer; None if
+        the server does not report it.
+      keep_alive_s: How long the server keeps an idle connection open, in
+        seconds; None if it does not say.
+      server_id: The id of the server; empty if it does not say.
+      limit_per_s: The requests per second that the server accepts from all
+        entries together; None if it reports no limit.
+      leaving: Whether the server reports that it is leaving.
+      backoff_s: How long a server that rejected the request wants no other
+        request from this entry, in seconds; 0 if it does not say.
+      malformed: The names of those of these fields whose header cannot be
+        parsed; the value that the server reported before stays in force.
     """
 
     attempt_id: str
@@ -395,15 +410,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardMetadata:
-    """What the entry adds to a request that it sends on.
+    """The metadata that the entry adds to a request that it forwards.
 
     Attributes:
-      server_id: The server that must run it and no other.
+      server_id: The only server that may run the request.
       timeout_s: The time that is left, in seconds.
-      customer: Whose request it is; empty when it came without a key.
-      version: The version that the weights must have, exactly; None for any.
-      priority: 0 to 9 where 0 goes first; None leaves it to the server.
-      last_event_id: Where a stream goes on; None as the caller asked.
+      customer: The customer's name; empty for a request without a key.
+      version: The version that the weights must have; None for any.
+      priority: 0 to 9, where 0 is the highest; None leaves it to the server.
+      last_event_id: The event after which a stream resumes; None keeps what
+        the caller sent.
     """
 
     server_id: str
