--- a/src/clementinegw/__init__.py
+++ b/src/clementinegw/__init__.py
@@ -1,1 +1,1 @@
-"""Weight distribution and request routing for bursts, as a library."""
+"""A library for weight distribution and for request routing under bursts."""
--- a/src/clementinegw/clock.py
+++ b/src/clementinegw/clock.py
@@ -1,11 +1,11 @@
-"""The source of time, passed in so that tests run in virtual time."""
+"""The clock, which is injected so that tests can run in virtual time."""
 
 import time
 from typing import Protocol
 
 
 class Clock(Protocol):
-    """Monotonic seconds for decisions, wall seconds for records."""
+    """Monotonic time for decisions and wall time for records."""
 
     def now(self) -> float:
         """Returns monotonic seconds."""
@@ -15,7 +15,7 @@
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The clock of the operating system."""
 
     def now(self) -> float:
         """Returns monotonic seconds."""
--- a/src/clementinegw/exceptions.py
+++ b/src/clementinegw/exceptions.py
@@ -1,16 +1,16 @@
-"""Errors that know their message and the exit code they end a command with.
+"""Exceptions with a message for the user and the exit code of a command.
 
-Expected results of a request, a rollout or a settings change are values, not
-exceptions; see `clementinegw.types`. An exception here ends a command, a
-connection or one call to an outside system.
+Expected results of a request, a rollout or a settings change are values and not
+exceptions; see `clementinegw.types`. An exception ends a command, a connection
+or a call to an external system.
 """
 
 
 class ClementineError(Exception):
-    """Base of every error that is shown to a person.
+    """Base class of the errors that are shown to users.
 
     Attributes:
-      message: One line that names the place and what was expected there.
+      message: One line with the location of the error and what was expected.
     """
 
     exit_code = 1
@@ -21,13 +21,13 @@
 
 
 class UsageError(ClementineError):
-    """A flag or argument is wrong."""
+    """A flag or argument is invalid."""
 
     exit_code = 2
 
 
 class SettingsError(ClementineError):
-    """An instance file or a settings tree does not fit its model."""
+    """An instance file or a settings tree is invalid."""
 
     exit_code = 3
 
@@ -39,13 +39,13 @@
 
 
 class PlatformUnavailable(PlatformError):
-    """The platform could not be reached or refused for now.
+    """The platform could not be reached or refused the call temporarily.
 
-    The action may have taken effect all the same: an answer can be lost after
-    the effect. Callers settle it by reading.
+    The call may have taken effect, since an answer can be lost after the
+    effect. Callers read to find out.
 
     Attributes:
-      reason: A word for the counter, such as `timeout`.
+      reason: The reason in the name of the counter, such as `timeout`.
     """
 
     def __init__(self, message: str, reason: str = ""):
@@ -54,7 +54,7 @@
 
 
 class PlatformRefused(PlatformUnavailable):
-    """The platform refused or was not reached: the action had no effect."""
+    """The platform refused or was not reached; the call had no effect."""
 
 
 class BackendError(ClementineError):
@@ -64,23 +64,23 @@
 
 
 class BackendUnreachable(BackendError):
-    """No connection to the backend server: nothing was handed to it."""
+    """There was no connection to the backend server; nothing was sent."""
 
 
 class BackendLost(BackendError):
-    """The connection broke or the answer was cut: it may have taken effect."""
+    """Connection or answer broke off; the call may have taken effect."""
 
 
 class BackendStalled(BackendLost):
-    """The backend server keeps the connection but sends nothing."""
+    """The backend server keeps the connection open but sends nothing."""
 
 
 class BlobMissing(PlatformError):
-    """The weight store or the origin holds no blob of that name."""
+    """The weight store or the origin has no blob of that name."""
 
 
 class ConnectionLost(ClementineError):
-    """A connection between two processes of the system broke."""
+    """A connection between two processes of the system was lost."""
 
     exit_code = 4
 
@@ -92,12 +92,12 @@
 
 
 class CheckFailed(ClementineError):
-    """A demo, bench, matrix or scenario found a promise broken."""
+    """A demo, benchmark, matrix or scenario found a violated guarantee."""
 
     exit_code = 5
 
 
 class InvariantError(ClementineError):
-    """An invariant of the program is broken; the process must stop."""
+    """An invariant of the program is violated; the process must stop."""
 
     exit_code = 70
--- a/src/clementinegw/lifetime.py
+++ b/src/clementinegw/lifetime.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until it is told to stop, and lets it finish what it has."""
+"""Runs a daemon until it is told to stop, then drains it."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,16 +9,16 @@
 
 
 class Daemon(Protocol):
-    """What `run_until_signal` needs of a daemon."""
+    """A daemon that `run_until_signal` can run."""
 
     async def start(self) -> None:
-        """Starts it."""
+        """Starts the daemon."""
 
     async def drain(self) -> None:
-        """Takes nothing new and finishes what is there."""
+        """Accepts no new work and finishes the work in progress."""
 
     async def stop(self) -> None:
-        """Ends it."""
+        """Stops the daemon."""
 
 
 async def run_until_signal(
@@ -26,11 +26,11 @@
 ) -> int:
     """Runs a daemon until SIGTERM or SIGINT, then drains and stops it.
 
-    A second signal ends it at once.
+    A second signal stops it at once.
 
     Args:
-      daemon: What to run.
-      reload: Called at SIGHUP, which would else end the process.
+      daemon: The daemon to run.
+      reload: Called at SIGHUP, which would otherwise end the process.
 
     Returns:
       The exit code.
--- a/src/clementinegw/platform/__init__.py
+++ b/src/clementinegw/platform/__init__.py
@@ -1,6 +1,6 @@
 """Clients of the platform: the log, the instance list, the weight store.
 
-The platform is run by the operators' own organisation. It may be down, slow,
-lagging or lose an answer after the action took effect; nothing else that the
-system depends on keeps anything.
+The operators' organisation runs the platform. It may be down, slow or lagging,
+or lose an answer after the action took effect. No other dependency of the
+system stores anything.
 """
--- a/src/clementinegw/platform/_events.py
+++ b/src/clementinegw/platform/_events.py
@@ -1,4 +1,4 @@
-"""Numbered events of the platform's clients."""
+"""Log events of the platform's clients."""
 
 from clementinegw.telemetry import events
 
@@ -7,7 +7,7 @@
     "platform_lost",
     events.Level.WARNING,
     "A part of the platform stopped answering; the field `part` names it.",
-    "Nothing at once: what is in force stays so. See the operators' page.",
+    "None at first: what is in force stays in force. See the operators' page.",
 )
 PLATFORM_BACK = events.define(
     701,
@@ -19,6 +19,6 @@
     702,
     "platform_malformed",
     events.Level.ERROR,
-    "A part of the platform gave an answer that does not fit its interface.",
-    "Check the address in the instance file: is it that part?",
+    "A part of the platform sent an answer that does not fit its interface.",
+    "Check that the address in the instance file is the address of that part.",
 )
--- a/src/clementinegw/platform/_http.py
+++ b/src/clementinegw/platform/_http.py
@@ -1,4 +1,4 @@
-"""One HTTP call to the platform: timeout, size bound, retry, counters."""
+"""HTTP calls to the platform with timeout, size limit, retries and counters."""
 
 import asyncio
 from collections.abc import Mapping
@@ -24,10 +24,10 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a call got no answer that can be used.
+    """Why a call got no usable answer.
 
-    Counters: `platform.PART.failed.REASON` for each try that failed and
-    `platform.PART.retry.REASON` for each that was tried again.
+    Each reason has the counters `platform.PART.failed.REASON` for failed
+    attempts and `platform.PART.retry.REASON` for retries.
     """
 
     NOT_REACHED = "not_reached"
@@ -40,18 +40,18 @@
     MALFORMED = "malformed"
 
 
-# After these the platform has certainly not acted on the call.
+# For these the call certainly had no effect on the platform.
 _NO_EFFECT_REASONS = frozenset(
     {Reason.NOT_REACHED, Reason.RATE_LIMITED, Reason.REJECTED}
 )
-# Another try cannot help with these.
+# For these a retry cannot succeed.
 _NOT_RETRIED_REASONS = frozenset({Reason.REJECTED, Reason.TOO_LARGE})
 _STATUS_REASONS = {429: Reason.RATE_LIMITED}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer below status 300, or 404 and 416, which callers interpret.
+    """An answer with a status below 300, or 404 or 416 for callers to handle.
 
     Attributes:
       status: The HTTP status.
@@ -66,14 +66,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Failure:
-    """One try that gave no reply."""
+    """A failed attempt."""
 
     reason: Reason
     detail: str
 
 
 class Client:
-    """Calls one part of the platform."""
+    """A client of one part of the platform."""
 
     def __init__(
         self,
@@ -86,17 +86,19 @@
         policy: retries.RetryPolicy | None = None,
         rng: random.Random | None = None,
     ):
-        """Keeps what every call needs.
+        """Stores the settings of all calls; does not connect yet.
 
         Args:
-          part: The part's name in counters and errors.
-          base_url: Where it is, without a slash at the end.
+          part: The name of the part in counters and errors.
+          base_url: The base URL of the part.
           session: Sends the calls; closed by its owner.
-          timeout_s: How long a call may take, beyond a wait asked for.
+          timeout_s: The timeout of a call in seconds, without the wait of a
+            long poll.
           counters: Counts failures and retries.
-          log: Takes the events of the part going and coming back.
-          policy: How idempotent calls are repeated.
-          rng: The jitter's source.
+          log: Receives the events of the part becoming unavailable and
+            available.
+          policy: The retry policy of idempotent calls.
+          rng: The source of the jitter.
         """
         self._part = part
         self._base_url = base_url.rstrip("/")
@@ -117,22 +119,24 @@
         max_bytes: int = _MAX_BODY_BYTES,
         **options: Any,
     ) -> Reply:
-        """Makes a call, and again if it may be repeated.
+        """Makes a call and retries it if it is idempotent.
 
         Args:
           method: The HTTP method.
-          path: The path below the base address.
+          path: The path, relative to the base URL.
           idempotent: Whether a call without an answer may be sent again.
-          extra_s: Added to the timeout, for a call that waits at the server.
-          max_bytes: The largest body to accept.
-          **options: Passed to the session: `params`, `data`, `headers`, ...
+          extra_s: Added to the timeout of a long poll, in seconds.
+          max_bytes: The maximum size of the answer's body, in bytes.
+          **options: Passed to the session, such as `params`, `data` or
+            `headers`.
 
         Returns:
           The reply.
 
         Raises:
-          exceptions.PlatformRefused: No reply, and certainly no effect.
-          exceptions.PlatformUnavailable: No reply, or none that can be used.
+          exceptions.PlatformRefused: There was no reply and no effect.
+          exceptions.PlatformUnavailable: There was no usable reply; the call
+            may have taken effect.
         """
         attempts = self._policy.attempts if idempotent else 1
         tried = 0
@@ -151,11 +155,11 @@
             await asyncio.sleep(self._policy.pause_s(tried, self._rng))
 
     def parse(self, model: type[M], body: bytes) -> M:
-        """Checks a JSON body against its model.
+        """Returns a JSON body as an instance of its model.
 
         Raises:
-          exceptions.PlatformUnavailable: It does not fit. What was asked for
-            may have taken effect.
+          exceptions.PlatformUnavailable: The body does not fit the model. The
+            call may have taken effect.
         """
         try:
             return model.model_validate_json(body)
@@ -170,12 +174,12 @@
             ) from error
 
     def unexpected_status(self, reply: Reply) -> exceptions.PlatformUnavailable:
-        """Returns the error for a status that the interface does not know."""
+        """Returns the error for a status that the interface does not define."""
         return self._error(
             _Failure(
                 Reason.REJECTED,
-                f"status {reply.status}; is this the address of the "
-                f"platform's {self._part}?",
+                f"status {reply.status}; check that this is the address of the "
+                f"platform's {self._part}",
             )
         )
 
@@ -196,7 +200,9 @@
         except aiohttp.ClientConnectorError as error:
             return _Failure(Reason.NOT_REACHED, str(error))
         except TimeoutError:
-            return _Failure(Reason.TIMEOUT, "no whole answer in time")
+            return _Failure(
+                Reason.TIMEOUT, "no complete answer before the timeout"
+            )
         except aiohttp.ClientError as error:
             return _Failure(
                 Reason.CONNECTION_LOST, str(error) or type(error).__name__
@@ -225,7 +231,7 @@
 async def _read(
     response: aiohttp.ClientResponse, max_bytes: int
 ) -> Reply | _Failure:
-    """Reads a whole answer, or says why it cannot be used."""
+    """Returns the whole answer, or why it cannot be used."""
     if response.status not in _STATUS_OK and response.status not in (404, 416):
         default = (
             Reason.SERVER_ERROR if response.status >= 500 else Reason.REJECTED
@@ -235,7 +241,9 @@
     body = bytearray()
     async for data in response.content.iter_chunked(_READ_BYTES):
         body += data
-        # A part that answers without end would fill this process's memory.
+        # An endless answer would exhaust the memory of this process.
         if len(body) > max_bytes:
-            return _Failure(Reason.TOO_LARGE, f"over {max_bytes} bytes")
+            return _Failure(
+                Reason.TOO_LARGE, f"body larger than {max_bytes} bytes"
+            )
     return Reply(response.status, response.headers, bytes(body))
--- a/src/clementinegw/platform/blobs.py
+++ b/src/clementinegw/platform/blobs.py
@@ -1,7 +1,7 @@
-"""What a store of blobs by name does.
+"""The interface of a store of named blobs.
 
-It stands apart from the client that speaks HTTP: an agent on a users' platform
-has another one, and loading this one's libraries took a third of its memory.
+It is separate from the HTTP client, since an agent on a users' platform uses
+another client, and the libraries of this one took a third of its memory.
 """
 
 from typing import Protocol
@@ -13,26 +13,27 @@
     async def get(
         self, name: str, offset: int = 0, length: int | None = None
     ) -> bytes:
-        """Returns a part of a blob, unverified.
+        """Returns a range of a blob without checking its digest.
 
         Args:
           name: The blob's name, such as `chunks/DIGEST`.
-          offset: The first byte.
-          length: How many bytes; None for all from the offset on.
+          offset: The offset of the first byte.
+          length: The number of bytes; None for all from the offset on.
 
         Returns:
-          The bytes; fewer than asked for at the blob's end.
+          The bytes; fewer than requested at the end of the blob.
 
         Raises:
           exceptions.BlobMissing: There is no such blob.
-          exceptions.PlatformUnavailable: No whole answer came.
+          exceptions.PlatformUnavailable: There was no complete answer.
         """
 
     async def put(self, name: str, data: bytes) -> None:
-        """Keeps a blob; a second put of the same name and bytes is harmless.
+        """Stores a blob; storing the same name and bytes again is harmless.
 
         Raises:
-          exceptions.PlatformUnavailable: No answer came; put it again.
+          exceptions.PlatformUnavailable: There was no answer; the call can be
+            repeated.
         """
 
     async def size(self, name: str) -> int:
@@ -40,5 +41,5 @@
 
         Raises:
           exceptions.BlobMissing: There is no such blob.
-          exceptions.PlatformUnavailable: No answer came.
+          exceptions.PlatformUnavailable: There was no answer.
         """
--- a/src/clementinegw/platform/instances.py
+++ b/src/clementinegw/platform/instances.py
@@ -1,6 +1,7 @@
-"""The platform's list of live and leaving instances, which lags.
+"""The platform's list of live and leaving instances.
 
-It is a seed for membership and a hint about leaving, never a proof of either.
+The list lags. It provides seeds for membership and a hint that an instance is
+leaving, but proves neither.
 """
 
 import dataclasses
@@ -19,7 +20,7 @@
 
 
 class State(enum.StrEnum):
-    """What the platform says of an instance."""
+    """The state of an instance on the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -27,11 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """One line of the list.
+    """An instance on the list.
 
     Attributes:
       instance: The instance as it announced itself.
-      state: What the platform says of it.
+      state: Its state.
     """
 
     instance: types.Instance
@@ -39,28 +40,28 @@
 
 
 class InstanceList(Protocol):
-    """Reads the list and announces to it."""
+    """Reads the list and announces instances to it."""
 
     async def fetch(self) -> list[ListedInstance]:
         """Returns the list.
 
         Raises:
-          exceptions.PlatformUnavailable: No answer came, or no such list.
+          exceptions.PlatformUnavailable: There was no usable answer.
         """
 
     async def announce(
         self, instance: types.Instance, state: State = State.LIVE
     ) -> None:
-        """Tells the platform of an instance or of its new state.
+        """Announces an instance or its new state to the platform.
 
         Raises:
-          exceptions.PlatformUnavailable: No answer came. Announcing again is
-            harmless.
+          exceptions.PlatformUnavailable: There was no answer. Announcing
+            again is harmless.
         """
 
 
 class ListedInstanceModel(pydantic.BaseModel):
-    """A line of the list as the platform writes it."""
+    """An instance on the list, in the platform's format."""
 
     instance_id: str = pydantic.Field(min_length=1)
     role: types.Role
@@ -74,7 +75,7 @@
 
     @classmethod
     def from_listed(cls, listed: ListedInstance) -> "ListedInstanceModel":
-        """Returns the form to send."""
+        """Returns the model of a listed instance."""
         instance = listed.instance
         return cls.model_validate(
             {
@@ -91,7 +92,7 @@
         )
 
     def to_listed(self) -> ListedInstance:
-        """Returns the form used inside."""
+        """Returns the listed instance that the model describes."""
         instance = types.Instance(
             instance_id=self.instance_id,
             role=self.role,
@@ -104,13 +105,13 @@
 
 
 class _ListModel(pydantic.BaseModel):
-    """The list as the platform writes it."""
+    """The list, in the platform's format."""
 
     instances: list[ListedInstanceModel]
 
 
 class HttpInstanceList:
-    """The platform's instance list over HTTP."""
+    """An HTTP client of the platform's instance list."""
 
     def __init__(
         self,
@@ -121,15 +122,16 @@
         log: logs.Log | None = None,
         rng: random.Random | None = None,
     ):
-        """Keeps the address; connects with the first call.
+        """Creates the client; it connects with the first call.
 
         Args:
-          base_url: Where the list is.
+          base_url: The base URL of the list.
           session: Sends the calls; closed by its owner.
-          timeout_s: How long a call may take.
+          timeout_s: The timeout of a call, in seconds.
           counters: Counts failures and retries.
-          log: Takes the events of the list going and coming back.
-          rng: The source of the pauses' jitter.
+          log: Receives the events of the list becoming unavailable and
+            available.
+          rng: The source of the jitter between retries.
         """
         self._client = _http.Client(
             "instances", base_url, session, timeout_s, counters, log, rng=rng
@@ -145,7 +147,7 @@
     async def announce(
         self, instance: types.Instance, state: State = State.LIVE
     ) -> None:
-        """Tells the platform of an instance; see `InstanceList`."""
+        """Announces an instance; see `InstanceList`."""
         model = ListedInstanceModel.from_listed(ListedInstance(instance, state))
         reply = await self._client.call(
             "POST",
--- a/src/clementinegw/platform/log.py
+++ b/src/clementinegw/platform/log.py
@@ -1,7 +1,7 @@
-"""The append-only log: what every process has to agree on goes through it.
+"""A client of the append-only log, through which the processes reach agreement.
 
-Offsets begin at 1, so that 0 can stand for "none" in a revision or a fencing
-number. An offset is never given to two records.
+Offsets begin at 1, so that 0 can mean "none" in a revision or a fencing number.
+Two records never have the same offset.
 """
 
 import dataclasses
@@ -22,12 +22,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """One record of a stream.
+    """A record of a stream.
 
     Attributes:
-      offset: Its place in the stream, 1 or more; it grows with each append.
-      time: When the log took it, epoch seconds by the log's own clock.
-      value: What was appended.
+      offset: Its offset in the stream, 1 or more; increases with each append.
+      time: When the log accepted it, in Unix seconds by the log's clock.
+      value: The appended bytes.
     """
 
     offset: int
@@ -37,18 +37,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """A read's answer.
+    """The answer to a read.
 
-    A reader goes on from the last record's offset plus one. Its place is
-    `next_offset` only when the page holds all that there was to read.
+    A reader continues at the last record's offset plus one. This equals
+    `next_offset` only if the page has all records that there were to read.
 
     Attributes:
-      records: In the order of offsets, all at or after the offset asked for.
-      first_offset: The oldest offset that the log still keeps; equal to
-        `next_offset` when it keeps none. Larger than the offset asked for
-        when records have expired unread.
-      next_offset: The offset the next append will get. Smaller than the
-        offset asked for when the log has gone back to an older state.
+      records: Records in the order of their offsets, from the requested offset
+        on.
+      first_offset: The oldest offset that the log retains; equal to
+        `next_offset` if it retains none. Larger than the requested offset if
+        records have expired unread.
+      next_offset: The offset that the next append will get. Smaller than the
+        requested offset if the log was rolled back to an older state.
     """
 
     records: tuple[Record, ...]
@@ -57,21 +58,21 @@
 
 
 class LogClient(Protocol):
-    """Reads and appends."""
+    """Reads and appends records."""
 
     async def append(self, stream: str, value: bytes) -> int:
         """Appends a record.
 
         Args:
-          stream: Which stream.
-          value: The record.
+          stream: The name of the stream.
+          value: The bytes of the record.
 
         Returns:
-          Its offset.
+          The offset of the record.
 
         Raises:
-          exceptions.PlatformUnavailable: No answer came. The record may be in
-            the log all the same; the caller reads to find out.
+          exceptions.PlatformUnavailable: There was no answer. The record may be
+            in the log nevertheless; the caller reads to find out.
         """
 
     async def read(
@@ -84,21 +85,22 @@
         """Reads records from an offset on.
 
         Args:
-          stream: Which stream; one never appended to is empty.
-          offset: The first offset wanted.
-          limit: The most records to return.
-          wait_s: How long to wait for a record when there is none yet.
+          stream: The name of the stream; one without any append is empty.
+          offset: The first offset to read.
+          limit: The maximum number of records to return.
+          wait_s: How long to wait for a record if there is none yet, in
+            seconds.
 
         Returns:
-          What the log keeps from there on, perhaps nothing.
+          The records that the log retains from there on, possibly none.
 
         Raises:
-          exceptions.PlatformUnavailable: No answer came.
+          exceptions.PlatformUnavailable: There was no answer.
         """
 
 
 class _RecordModel(pydantic.BaseModel):
-    """A record as the platform writes it."""
+    """A record, in the platform's format."""
 
     offset: int = pydantic.Field(ge=1)
     time: float
@@ -106,7 +108,7 @@
 
 
 class _PageModel(pydantic.BaseModel):
-    """A read's answer as the platform writes it."""
+    """The answer to a read, in the platform's format."""
 
     first: int = pydantic.Field(ge=0)
     next: int = pydantic.Field(ge=0)
@@ -114,13 +116,13 @@
 
 
 class _AppendedModel(pydantic.BaseModel):
-    """An append's answer as the platform writes it."""
+    """The answer to an append, in the platform's format."""
 
     offset: int = pydantic.Field(ge=1)
 
 
 class HttpLog:
-    """The platform's log over HTTP."""
+    """An HTTP client of the platform's log."""
 
     def __init__(
         self,
@@ -131,15 +133,17 @@
         log: logs.Log | None = None,
         rng: random.Random | None = None,
     ):
-        """Keeps the address; connects with the first call.
+        """Creates the client; it connects with the first call.
 
         Args:
-          base_url: Where the log is.
+          base_url: The base URL of the log.
           session: Sends the calls; closed by its owner.
-          timeout_s: How long a call may take, beyond a long poll's wait.
+          timeout_s: The timeout of a call in seconds, without the wait of a
+            long poll.
           counters: Counts failures and retries.
-          log: Takes the events of the log going and coming back.
-          rng: The source of the pauses' jitter.
+          log: Receives the events of the log becoming unavailable and
+            available.
+          rng: The source of the jitter between retries.
         """
         self._client = _http.Client(
             "log", base_url, session, timeout_s, counters, log, rng=rng
@@ -150,10 +154,11 @@
 
         Raises:
           exceptions.PlatformRefused: The record is certainly not in the log.
-          exceptions.PlatformUnavailable: It may be there; read to find out.
+          exceptions.PlatformUnavailable: The record may be in the log; the
+            caller reads to find out.
         """
-        # A lost answer shows as a timeout or a broken connection. Sent again,
-        # the record would be in the log twice, so the caller has to read.
+        # After a timeout or a broken connection the record may be in the log. A
+        # retry could append it twice, so the caller reads the log instead.
         reply = await self._client.call(
             "POST", _path(stream), idempotent=False, data=value
         )
@@ -168,9 +173,9 @@
     ) -> Page:
         """Reads records; see `LogClient`.
 
-        A plain read is tried again up to two times, a long poll is not: over
-        a link that stalls, each try takes the whole wait, and the caller,
-        which could ask elsewhere meanwhile, would notice only after the last.
+        A plain read is retried up to two times, a long poll is not retried:
+        over a stalled link each attempt takes the whole wait, and the caller,
+        which could ask elsewhere, would notice only after the last one.
         """
         reply = await self._client.call(
             "GET",
--- a/src/clementinegw/platform/retries.py
+++ b/src/clementinegw/platform/retries.py
@@ -1,4 +1,4 @@
-"""How often and how soon an idempotent call to the platform is repeated."""
+"""The retry policy of idempotent calls to the platform."""
 
 import dataclasses
 import random
@@ -6,12 +6,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """A bounded number of tries with growing pauses.
+    """A bounded number of attempts with exponential backoff.
 
     Attributes:
-      attempts: Tries in all, the first included.
-      base_s: The longest pause before the second try; it doubles from there.
-      max_s: The longest pause.
+      attempts: The number of attempts, including the first one.
+      base_s: The longest pause before the second attempt, in seconds; it
+        doubles with each further attempt.
+      max_s: The maximum pause, in seconds.
     """
 
     attempts: int = 3
@@ -19,10 +20,10 @@
     max_s: float = 2.0
 
     def pause_s(self, tried: int, rng: random.Random) -> float:
-        """Returns the seconds to wait after that many tries.
+        """Returns the pause after `tried` attempts, in seconds.
 
-        Without jitter all processes would come back in step after an outage
-        and meet the log's rate limit together.
+        The pause has jitter. Without it all processes would retry at the same
+        time after an outage and exceed the log's rate limit together.
         """
         longest = min(self.max_s, self.base_s * 2.0 ** (tried - 1))
         return rng.uniform(longest / 2, longest)
--- a/src/clementinegw/platform/store.py
+++ b/src/clementinegw/platform/store.py
@@ -1,6 +1,7 @@
-"""The weight store and the origin of weights: blobs by name.
+"""A client of the weight store and of the origin of weights.
 
-Nothing that comes from here is trusted before its digest was checked.
+Both hold named blobs. Callers check the digest of what they read before they
+use it.
 """
 
 import http
@@ -19,7 +20,7 @@
 
 
 class HttpStore:
-    """The weight store, or the origin, over HTTP."""
+    """An HTTP client of the weight store or of the origin."""
 
     def __init__(
         self,
@@ -32,18 +33,20 @@
         policy: retries.RetryPolicy | None = None,
         rng: random.Random | None = None,
     ):
-        """Keeps the address; connects with the first call.
+        """Creates the client; it connects with the first call.
 
         Args:
-          base_url: Where the store is.
+          base_url: The base URL of the store.
           session: Sends the calls; closed by its owner.
-          timeout_s: How long a call may take. A stalled transfer shows only
-            by this, so that a caller with a deadline of its own sets it.
+          timeout_s: The timeout of a call, in seconds. Only this timeout
+            detects a stalled transfer, so a caller with its own deadline sets
+            it.
           part: The name in counters and errors: `store` or `origin`.
           counters: Counts failures and retries.
-          log: Takes the events of the store going and coming back.
-          policy: How a call is tried again; three tries by default.
-          rng: The source of the pauses' jitter.
+          log: Receives the events of the store becoming unavailable and
+            available.
+          policy: The retry policy; three attempts by default.
+          rng: The source of the jitter between retries.
         """
         self._part = part
         self._client = _http.Client(
@@ -53,12 +56,12 @@
     async def get(
         self, name: str, offset: int = 0, length: int | None = None
     ) -> bytes:
-        """Returns a part of a blob, unverified; see `BlobStore`."""
+        """Returns a range of a blob, unchecked; see `blobs.BlobStore`."""
         if length == 0:
             return b""
         end = "" if length is None else str(offset + length - 1)
-        # A store that ignores the range sends the whole blob, so the bound
-        # is the blob's, not the part's.
+        # A store that ignores the range sends the whole blob, so the size limit
+        # is that of a blob and not that of the range.
         reply = await self._client.call(
             "GET",
             _path(name),
@@ -75,21 +78,21 @@
         return reply.body[offset:stop]
 
     async def put(self, name: str, data: bytes) -> None:
-        """Keeps a blob; see `BlobStore`."""
+        """Stores a blob; see `blobs.BlobStore`."""
         reply = await self._client.call(
             "PUT", _path(name), idempotent=True, data=data
         )
         self._check(reply, name)
 
     async def size(self, name: str) -> int:
-        """Returns a blob's size in bytes; see `BlobStore`."""
+        """Returns a blob's size in bytes; see `blobs.BlobStore`."""
         reply = await self._client.call("HEAD", _path(name), idempotent=True)
         self._check(reply, name)
         try:
             return int(reply.headers["Content-Length"])
         except (KeyError, ValueError) as error:
             raise exceptions.PlatformError(
-                f"{self._part}: no size for {name!r}"
+                f"{self._part}: no valid Content-Length for blob {name!r}"
             ) from error
 
     def _check(self, reply: _http.Reply, name: str) -> None:
--- a/src/clementinegw/telemetry/__init__.py
+++ b/src/clementinegw/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Numbered log events and counters."""
+"""Log events, counters and histograms."""
--- a/src/clementinegw/telemetry/catalogue.py
+++ b/src/clementinegw/telemetry/catalogue.py
@@ -1,7 +1,7 @@
-"""Writes docs/events.md from the catalogue of events.
+"""Generates docs/events.md from the catalogue of events.
 
 `python -m clementinegw.telemetry.catalogue` prints the page; a test compares it
-with the one that is committed.
+with the committed page.
 """
 
 import importlib
--- a/src/clementinegw/telemetry/counters.py
+++ b/src/clementinegw/telemetry/counters.py
@@ -1,7 +1,7 @@
-"""Counters, gauges and timings: kept in memory and sent by statsd.
+"""Counters, gauges and timings, kept in memory and sent to statsd.
 
-Each refusal and retry reason has its own counter. The in-memory values feed
-the `/status` page of a daemon and the tests.
+Each refusal and retry reason has its own counter. The `/status` page of a
+daemon and the tests use the values in memory.
 """
 
 import collections
@@ -12,14 +12,14 @@
 
 
 class Counters:
-    """The metrics of one process."""
+    """The metrics of a process."""
 
     def __init__(self, target: types.Address | None = None, prefix: str = ""):
-        """Starts with every counter at zero.
+        """Creates the metrics with all counters at zero.
 
         Args:
           target: The statsd server; None keeps the metrics in memory only.
-          prefix: Put before each name that is sent.
+          prefix: The prefix of the names sent to statsd.
         """
         self._values: collections.Counter[str] = collections.Counter()
         self._gauges: dict[str, float] = {}
@@ -42,14 +42,14 @@
             self._client.gauge(name, value)
 
     def timing(self, name: str, seconds: float) -> None:
-        """Records a duration in seconds; statsd takes milliseconds."""
+        """Sends a duration, given in seconds, to statsd in milliseconds."""
         if self._client is not None:
             self._client.timing(name, seconds * 1000.0)
 
     def value(self, name: str) -> int:
-        """Returns a counter's value; zero when it was never added to."""
+        """Returns the value of a counter; 0 if nothing was added to it."""
         return self._values[name]
 
     def snapshot(self) -> dict[str, float]:
-        """Returns all counters and gauges by name."""
+        """Returns the values of all counters and gauges by name."""
         return {**self._gauges, **self._values}
--- a/src/clementinegw/telemetry/events.py
+++ b/src/clementinegw/telemetry/events.py
@@ -1,7 +1,7 @@
-"""The catalogue of numbered log events.
+"""The catalogue of log events.
 
-docs/events.md is written from this table by `make pages`. Numbers are never
-reused. Each subsystem owns a block of a hundred.
+`make pages` generates docs/events.md from it. Numbers are never reused, and
+each subsystem has a block of a hundred.
 """
 
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class Level(enum.StrEnum):
-    """How much attention an event needs."""
+    """The log level of an event."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -19,14 +19,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One kind of log line.
+    """A kind of log line.
 
     Attributes:
-      number: Its number in the catalogue.
-      name: Its name, as it stands in the log line.
-      level: How much attention it needs.
+      number: The number in the catalogue.
+      name: The name in the log line.
+      level: The log level.
       meaning: What happened.
-      action: What an operator does about it; empty when nothing.
+      action: What an operator should do; empty for nothing.
     """
 
     number: int
@@ -45,17 +45,17 @@
     """Adds an event to the catalogue.
 
     Args:
-      number: A number that is not taken.
-      name: The event's name in snake case.
-      level: How much attention it needs.
-      meaning: What happened, one sentence.
-      action: What an operator does about it.
+      number: A number that is not in use.
+      name: The name of the event in snake case.
+      level: The log level.
+      meaning: What happened, in one sentence.
+      action: What an operator should do; empty for nothing.
 
     Returns:
       The event.
 
     Raises:
-      ValueError: The number is taken.
+      ValueError: The number is in use.
     """
     if number in _catalogue:
         raise ValueError(f"event {number} is defined twice")
@@ -70,39 +70,41 @@
 
 
 PROCESS_STARTED = define(
-    100, "process_started", Level.INFO, "A daemon accepts work."
+    100, "process_started", Level.INFO, "A daemon started and accepts work."
 )
 PROCESS_STOPPING = define(
     101,
     "process_stopping",
     Level.INFO,
-    "A daemon was told to stop and finishes what it has.",
+    "A daemon was told to stop and finishes the work in progress.",
+)
+PROCESS_STOPPED = define(
+    102, "process_stopped", Level.INFO, "A daemon stopped."
 )
-PROCESS_STOPPED = define(102, "process_stopped", Level.INFO, "A daemon ended.")
 TASK_FAILED = define(
     103,
     "task_failed",
     Level.ERROR,
-    "A background task ended with an error and was started again.",
-    "Report it with the log line: this is a defect.",
+    "A background task failed and was restarted.",
+    "Report it with the log line; this is a bug.",
 )
 CONNECTION_REFUSED = define(
     110,
     "connection_refused",
     Level.WARNING,
     "A peer did not prove that it holds the deployment's key.",
-    "Compare `key_file` of both instances.",
+    "Compare the `key_file` of both instances.",
 )
 FRAME_DROPPED = define(
     111,
     "frame_dropped",
     Level.DEBUG,
-    "A frame came for a call that is no longer open.",
+    "A frame arrived for a call that is no longer open.",
 )
 FRAME_MALFORMED = define(
     112,
     "frame_malformed",
     Level.WARNING,
-    "A peer sent bytes that are no frame; its connection was closed.",
-    "Look for a port that is shared with another program.",
+    "A peer sent bytes that are not a valid frame; its connection was closed.",
+    "Check whether another program uses the same port.",
 )
--- a/src/clementinegw/telemetry/histograms.py
+++ b/src/clementinegw/telemetry/histograms.py
@@ -1,10 +1,10 @@
-"""Latencies in histograms, and a page of all metrics as text."""
+"""Latency histograms and the text page of all metrics."""
 
 from hdrh import histogram
 
 from clementinegw.telemetry import counters as counters_lib
 
-# From a millisecond to ten minutes, to two digits. Milliseconds.
+# The range of a histogram, in milliseconds: one millisecond to ten minutes.
 _MIN_MS = 1
 _MAX_MS = 600_000
 _SIGNIFICANT_DIGITS = 2
@@ -12,7 +12,7 @@
 
 
 class Histograms:
-    """The latencies of one process by name."""
+    """The latency histograms of a process by name."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, histogram.HdrHistogram] = {}
@@ -28,7 +28,7 @@
         found.record_value(min(_MAX_MS, max(_MIN_MS, int(seconds * 1e3))))
 
     def lines(self) -> list[str]:
-        """Returns a line for each quantile and count."""
+        """Returns one line for each quantile and each count."""
         lines = []
         for name, found in sorted(self._by_name.items()):
             for quantile in _QUANTILES:
@@ -44,7 +44,7 @@
 
 
 def page(counters: counters_lib.Counters, histograms: Histograms) -> str:
-    """Returns all metrics, one a line, as name and value."""
+    """Returns all metrics as text, with a name and value per line."""
     values = sorted(counters.snapshot().items())
     lines = [f"{_metric_name(name)} {value:g}" for name, value in values]
     return "\n".join([*lines, *histograms.lines()]) + "\n"
--- a/src/clementinegw/telemetry/logs.py
+++ b/src/clementinegw/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON line an event, with its number."""
+"""Structured logs with one JSON line per event."""
 
 import logging
 import sys
@@ -17,7 +17,7 @@
 
 
 def configure(level: events.Level = events.Level.INFO) -> None:
-    """Sends log lines to standard error from `level` upwards."""
+    """Writes log lines of `level` and above to standard error."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -31,19 +31,19 @@
 
 
 class Log:
-    """Writes numbered events with the fields of one process."""
+    """Writes events with fields that identify the process."""
 
     def __init__(self, **fields: Any):
         self._logger = structlog.get_logger().bind(**fields)
 
     def bind(self, **fields: Any) -> "Log":
-        """Returns a log whose lines carry more fields."""
+        """Returns a log that adds these fields to each line."""
         bound = Log()
         bound._logger = self._logger.bind(**fields)
         return bound
 
     def write(self, event: events.Event, **fields: Any) -> None:
-        """Writes one event. Bodies and keys must never be among the fields."""
+        """Writes an event, whose fields must not contain bodies or keys."""
         self._logger.log(
             _LEVELS[event.level], event.name, number=event.number, **fields
         )
--- a/src/clementinegw/telemetry/output.py
+++ b/src/clementinegw/telemetry/output.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output: bounded, and never in the way of requests."""
+"""Buffered log output that never blocks requests."""
 
 import asyncio
 import collections
@@ -11,17 +11,21 @@
 
 from clementinegw.telemetry import events
 
-# Lines that wait while standard output takes none, and the bytes of one write.
+# Bounds of the buffer in lines and of a write in bytes.
 _MAX_BUFFERED_LINES = 2_000
 _MAX_WRITE_BYTES = 32 << 10
-# Lines are written together after this pause: a write costs more than a line.
-# Seconds.
+# Lines are collected for this time, in seconds, since a write costs more than a
+# line.
 _FLUSH_DELAY_S = 0.1
 _LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
 
 class Output:
-    """Keeps lines until standard output takes them; the oldest go first."""
+    """A bounded buffer of lines in front of standard output.
+
+    Attributes:
+      dropped: The number of lines dropped from the full buffer.
+    """
 
     def __init__(self, fd: int = 1):
         self._fd = fd
@@ -33,10 +37,10 @@
         fcntl.fcntl(fd, fcntl.F_SETFL, flags | os.O_NONBLOCK)
 
     def msg(self, line: str) -> None:
-        """Takes one line."""
+        """Buffers a line."""
         if len(self._lines) >= _MAX_BUFFERED_LINES:
-            # A reader that stands still must not hold requests up, nor may
-            # the lines fill the memory; the count tells of the gap.
+            # A stalled reader of the output must neither block requests nor
+            # let the lines fill the memory. The counter shows the loss.
             self._lines.popleft()
             self.dropped += 1
         self._lines.append(line.encode() + b"\n")
@@ -51,7 +55,7 @@
     debug = info = warning = error = log = msg
 
     def flush(self) -> None:
-        """Writes what standard output takes now."""
+        """Writes as many lines as standard output accepts now."""
         self._timer = None
         while self._lines or self._unwritten:
             data = self._unwritten
@@ -62,7 +66,7 @@
             except BlockingIOError:
                 written = 0
             except OSError:
-                # Nobody reads any more; there is no other place to say so.
+                # The reader is gone, and there is no other place to log to.
                 self._lines.clear()
                 self._unwritten = b""
                 return
@@ -72,9 +76,9 @@
 
 
 def configure(level: events.Level = events.Level.INFO) -> Output:
-    """Sends log lines to standard output from `level` upwards."""
+    """Writes log lines of `level` and above to standard output."""
     output = Output()
-    # What libraries say of a task that failed would else be lost.
+    # Otherwise the libraries' messages about failed tasks would be lost.
     logging.basicConfig(
         level=logging.ERROR, stream=sys.stdout, format="%(message)s"
     )
--- a/src/clementinegw/types.py
+++ b/src/clementinegw/types.py
@@ -1,7 +1,7 @@
-"""Types that every part of the system shares: places, instances, outcomes.
+"""Types that all parts of the system share.
 
-Outcomes are values. A request ends as exactly one of `Answered`, `NotRun` and
-`Unknown`; see docs/why.md for what each one promises.
+The outcome of a request is a value: exactly one of `Answered`, `NotRun` and
+`Unknown`. docs/why.md says what each of them guarantees.
 """
 
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a process of the system does."""
+    """The role of a process of the system."""
 
     ENTRY = "entry"
     AGENT = "agent"
@@ -17,7 +17,7 @@
 
 
 class Priority(enum.IntEnum):
-    """The urgency a caller asks for; a larger value is served first."""
+    """The priority that a caller requests; larger values are served first."""
 
     LOW = 0
     NORMAL = 1
@@ -25,7 +25,7 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """What stands behind an agent."""
+    """The kind of service behind an agent."""
 
     MODEL_ENGINE = "model_engine"
     PLAIN = "plain"
@@ -49,11 +49,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Where an instance stands.
+    """The location of an instance.
 
     Attributes:
-      region: The region's name in the settings tree.
-      failure_domain: The failure domain's name in the settings tree.
+      region: The name of the region in the settings tree.
+      failure_domain: The name of the failure domain in the settings tree.
     """
 
     region: str
@@ -62,14 +62,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instance:
-    """One process of the system as its peers know it.
+    """A process of the system as its peers know it.
 
     Attributes:
-      instance_id: A name that no two live processes share.
-      role: What the process does.
-      place: Where it stands.
-      address: Where it takes connections and datagrams of its peers.
-      incarnation: Grows each time the process starts or refutes a suspicion.
+      instance_id: A name that is unique among the live processes.
+      role: The role of the process.
+      place: The location of the process.
+      address: Where it accepts connections and datagrams from its peers.
+      incarnation: Increases each time the process starts or refutes a
+        suspicion.
       service: The service behind an agent; empty for an entry.
     """
 
@@ -84,7 +85,7 @@
 class NotRunReason(enum.StrEnum):
     """Why a request was not run.
 
-    Each has a counter `requests.not_run.REASON`.
+    Each reason has a counter `requests.not_run.REASON`.
     """
 
     DEADLINE = "deadline"
@@ -108,9 +109,9 @@
 
 
 class UnknownReason(enum.StrEnum):
-    """Why it cannot be said whether a request ran.
+    """Why it is unknown whether a request ran.
 
-    Each has a counter `requests.unknown.REASON`.
+    Each reason has a counter `requests.unknown.REASON`.
     """
 
     CONNECTION_LOST = "connection_lost"
@@ -123,12 +124,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """The backend server's whole answer.
+    """The complete answer of the backend server.
 
     Attributes:
-      status: The HTTP status of the backend server.
-      headers: End-to-end headers, names in lower case.
-      body: The whole body; for a stream, all events that were sent.
+      status: The HTTP status.
+      headers: The end-to-end headers, with names in lower case.
+      body: The whole body; for a stream, all events.
     """
 
     status: int
@@ -138,12 +139,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """Proof that the request was not run.
+    """States that the request was certainly not run.
 
     Attributes:
-      reason: Why.
-      retry_after_s: When the caller should come back, in seconds; None when a
-        repetition cannot help.
+      reason: Why it was not run.
+      retry_after_s: After how long the caller should retry, in seconds; None
+        if a retry cannot help.
       detail: One line for the caller.
     """
 
@@ -154,10 +155,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may or may not have run.
+    """States that the request may or may not have run.
 
     Attributes:
-      reason: Why it cannot be known.
+      reason: Why this is unknown.
       detail: One line for the caller.
     """
 
