--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -82,7 +82,7 @@
 
     The id of the server goes into a header of each request.
     """
-    with pytest.raises(ValueError, match="id"):
+    with pytest.raises(ValueError, match="id is not valid"):
         records.decode_server_record(key, changed())
 
 
