--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What every test starts from."""
+"""Fixtures and hooks for all tests."""
 
 import gc
 import pathlib
@@ -6,10 +6,11 @@
 import pytest
 import structlog
 
-# Symptom: collection ends with "AST constructor recursion depth mismatch".
-# Sequence: a test module imports hypothesis, whose files pytest parses anew;
-# the collector runs a finalizer in the middle of a parse. Cause: a defect of
-# Python 3.11, which counts the finalizer's depth as the parser's.
+# Garbage collection is disabled during this import. Otherwise the collection of
+# the tests can fail with "AST constructor recursion depth mismatch": pytest
+# parses the files of hypothesis again, the garbage collector runs a finalizer
+# during a parse, and a bug of Python 3.11 counts the finalizer's depth as the
+# parser's.
 gc.disable()
 import hypothesis  # noqa: E402, F401
 
@@ -18,19 +19,19 @@
 
 @pytest.fixture(autouse=True)
 def _fresh_logging():
-    """Undoes what a command under test set up for the logs.
+    """Resets the logging configuration after each test.
 
-    Symptom: a test fails with "I/O operation on closed file" or not, by the
-    order of the tests. Sequence: a test runs a command, which sends the logs
-    to the standard error that pytest gave that test; a later test writes a
-    log line. Cause: logging is set up for the process.
+    A command under test configures logging for the whole process, with the
+    standard error that pytest replaced for that test. A later test that wrote
+    a log line would fail with "I/O operation on closed file", depending on the
+    order of the tests.
     """
     yield
     structlog.reset_defaults()
 
 
 def _known_red():
-    """Returns the lines `TEST: cause; issue; seed` by test."""
+    """Returns the lines `TEST: cause; issue; seed` of KNOWN-RED.txt by test."""
     path = pathlib.Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
     if not path.exists():
         return {}
@@ -39,9 +40,9 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Passes over the tests that are known to be red, and only while they are.
+    """Marks the tests in KNOWN-RED.txt as expected failures.
 
-    One that passes again fails the run, so that its line goes.
+    A marked test that passes fails the run, so that its line gets removed.
     """
     red = _known_red()
     for item in items:
@@ -51,6 +52,6 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Prints the tests that were passed over, with their causes."""
+    """Prints the expected failures with their causes."""
     for line in _known_red().values():
         terminalreporter.write_line(f"KNOWN RED {line}")
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,4 +1,4 @@
-"""A store and backend servers of the users' platform, small and in process."""
+"""In-process fakes of the users' platform: its store and backend servers."""
 
 import asyncio
 import base64
@@ -25,19 +25,33 @@
 
 
 def run(coroutine):
-    """Runs a site in virtual time, with time for the loopback."""
+    """Runs a coroutine in virtual time with a grace period for the loopback."""
     return clocks.run(coroutine, grace_s=GRACE_S)
 
 
-# What a narrow link carries of one connection before it is another's turn.
+# The bytes that a limited link sends of one connection before the next one.
 _LINK_TURN_BYTES = 8 << 10
 
 
 class Store:
-    """The topics of operators and servers.
+    """A fake store with the topics of operators and servers.
 
     Attributes:
-      link_bytes_per_s: What the link to all of its callers carries together.
+      topics: The records of each topic as pairs of key and value.
+      status: The status of all answers; 200 answers calls normally.
+      silent: Whether calls hang without an answer.
+      muted: Whether long polls get no new records.
+      calls: The number of calls.
+      hung: The targets of the calls that hang.
+      sessions: The connections that made calls.
+      dead: The connections whose calls hang.
+      malformed_items: Items added to each page of newest records.
+      bytes_out: The bytes of all answers' bodies.
+      reads: The number of calls that read a topic.
+      members: The members of each group.
+      generation: The generation of the groups.
+      link_bytes_per_s: The rate of the link that all callers share; None for
+        an unlimited one.
     """
 
     def __init__(self, link_bytes_per_s=None):
@@ -49,7 +63,7 @@
         self.hung = []
         self.sessions = set()
         self.dead = set()
-        self.odd_items = []
+        self.malformed_items = []
         self._first = dict.fromkeys(self.topics, 0)
         self.bytes_out = 0
         self.reads = 0
@@ -57,7 +71,7 @@
         self.generation = 0
         self.link_bytes_per_s = link_bytes_per_s
         self._link = asyncio.Lock()
-        self._news = asyncio.Event()
+        self._appended = asyncio.Event()
         self._cut = asyncio.Event()
         self._server = servers.Server(self._handle)
 
@@ -72,18 +86,18 @@
         self.put_raw(topic, key.encode(), data)
 
     def put_raw(self, topic, key, data):
-        """Puts a record of any bytes."""
+        """Appends a record with arbitrary bytes."""
         self.topics[topic].append((key, data))
-        self._news.set()
-        self._news = asyncio.Event()
+        self._appended.set()
+        self._appended = asyncio.Event()
 
     def cut(self):
-        """Breaks every connection that waits for news."""
+        """Breaks all connections that wait in a long poll."""
         self._cut.set()
         self._cut = asyncio.Event()
 
     def forget(self, topic):
-        """Drops a topic's history; the newest record of each key stays."""
+        """Drops the history of a topic except each key's newest record."""
         self._first[topic] = len(self.topics[topic])
 
     async def _handle(self, request, responder):
@@ -121,7 +135,7 @@
             await self._send(responder, body)
 
     async def _send(self, responder, body):
-        """Sends a body over the link that all callers share, in turns."""
+        """Sends a body over the shared link, interleaved with others."""
         await responder.begin(200, [])
         for start in range(0, len(body), _LINK_TURN_BYTES):
             part = body[start : start + _LINK_TURN_BYTES]
@@ -154,7 +168,7 @@
             for k, v in newest.items()
             if v
         ]
-        items += self.odd_items
+        items += self.malformed_items
         end = len(self.topics[topic])
         body = json.dumps({"items": items, "end": end}, ensure_ascii=False)
         return body.encode(errors="surrogateescape")
@@ -167,7 +181,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(int(query.get("wait_ms", 0)) / 1e3):
                 while self.muted or len(records) <= start:
-                    await self._wake(cut)
+                    await self._wait_for_record(cut)
                     if cut.is_set():
                         return None
         body = len(records).to_bytes(8, "big")
@@ -176,16 +190,17 @@
         for key, value in records[start:]:
             content = bytes([len(key)]) + key + value
             record = len(content).to_bytes(4, "big") + content
-            # One record is always there, however large.
+            # The first record is always sent, however large it is.
             if len(body) > 16 and len(body) + len(record) > most:
                 break
             body += record
         return body
 
-    async def _wake(self, cut):
+    async def _wait_for_record(self, cut):
         """Waits for a record or until the connections are cut."""
         waits = [
-            asyncio.ensure_future(event.wait()) for event in (self._news, cut)
+            asyncio.ensure_future(event.wait())
+            for event in (self._appended, cut)
         ]
         try:
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -195,31 +210,34 @@
 
 
 async def listen(server):
-    """Listens on a free port of the loopback."""
+    """Listens on a free loopback port and returns its address."""
     await server.listen(shared_types.Address("127.0.0.1", 0))
     host, port = server._server.sockets[0].getsockname()
     return shared_types.Address(host, port)
 
 
 def slow_connections(monkeypatch, by_s):
-    """Lets connections that are opened from now on take longer to come up."""
+    """Delays the opening of new connections by `by_s` seconds."""
     connect = client.connect
 
-    async def slowly(address, timeout_s):
+    async def delayed_connect(address, timeout_s):
         await asyncio.sleep(by_s)
         return await connect(address, timeout_s)
 
-    monkeypatch.setattr(client, "connect", slowly)
+    monkeypatch.setattr(client, "connect", delayed_connect)
 
 
 class Call:
-    """One request at a backend server."""
+    """A request at a backend server.
+
+    Attributes:
+      extra_headers: Headers added to every answer.
+    """
 
     def __init__(self, head, body, writer):
         self.head = head
         self.body = body
         self.writer = writer
-        # Headers that every answer has besides.
         self.extra_headers = ()
         self.headers = {k.decode(): v.decode() for k, v in head.headers}
 
@@ -270,7 +288,12 @@
 
 
 class Server:
-    """A backend server that does with each call what a test says."""
+    """A backend server that handles each call with a test's function.
+
+    Attributes:
+      name: The server's id.
+      on_call: Handles a call; answers it by default.
+    """
 
     def __init__(self, name, on_call=None):
         self.name = name
@@ -341,7 +364,7 @@
 
 
 def config(version=1, **fields):
-    """Returns a configuration as operators write it."""
+    """Returns a configuration in the operators' format."""
     route = {
         "host": "h.example",
         "timeout_ms": 3000,
@@ -372,12 +395,15 @@
 
 
 class Site:
-    """An entry in front of servers."""
+    """An entry with a store and backend servers.
+
+    Attributes:
+      suspended_s: How long the machine was suspended, in seconds.
+    """
 
     def __init__(self, *names, on_call=None):
         self.store = Store()
         self.servers = [Server(name, on_call) for name in names]
-        # How long the machine has been suspended, in seconds.
         self.suspended_s = 0.0
 
     async def __aenter__(self):
@@ -390,7 +416,7 @@
         return self
 
     def boot_time(self):
-        """Returns seconds that also count while the machine is suspended."""
+        """Returns seconds that include the time of suspension."""
         return asyncio.get_running_loop().time() + self.suspended_s
 
     async def start_entry(self):
@@ -431,7 +457,7 @@
         await self.store.stop()
 
     def list_version(self, server, version):
-        """Lists a server with all layers of a version."""
+        """Lists a server that has loaded all layers of a version."""
         layers = {"from": 0, "target": 1, "version": version}
         model = {"name": "m", "version": version, "layers": layers}
         self.store.put(
@@ -439,13 +465,17 @@
         )
 
     async def ask(self, path="/safe/1", **fields):
-        """Sends one request on a connection of its own."""
+        """Sends a request on a new connection and returns the answer."""
         async with Caller(self) as caller:
             return await caller.ask(path, **fields)
 
 
 class Answer:
-    """What a caller got."""
+    """An answer as a caller received it.
+
+    Attributes:
+      complete: Whether the whole answer arrived.
+    """
 
     def __init__(self, status, headers, body, complete):
         self.status = status
@@ -455,7 +485,7 @@
 
 
 class Caller:
-    """One caller's connection."""
+    """A caller's connection to the entry."""
 
     def __init__(self, site):
         self._site = site
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The pages that are written from the code are up to date."""
+"""Tests for the catalogue of events and the page generated from it."""
 
 import pathlib
 
@@ -8,10 +8,10 @@
 
 
 def test_events_page_is_up_to_date():
-    """Symptom: an operator looks a number up and does not find it.
+    """Guards against an event missing from the page.
 
-    Sequence: an event is added to the code; the page is not written again.
-    Cause: two places that say the same.
+    This happens if an event is added to the code and the page is not generated
+    again.
     """
     assert (DOCS / "events.md").read_text() == catalogue.page()
 
--- a/tests/test_histograms.py
+++ b/tests/test_histograms.py
@@ -1,4 +1,4 @@
-"""The page of metrics."""
+"""Tests for the page of metrics."""
 
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import histograms
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP clients against its stand-in, and how each fails."""
+"""Tests for the platform's HTTP clients against the stand-in platform."""
 
 import asyncio
 import random
@@ -32,7 +32,7 @@
 
 
 class Rig:
-    """The stand-in and a client of each part of it."""
+    """The stand-in platform and a client of each of its parts."""
 
     def __init__(self, clock, session, standin):
         self.clock = clock
@@ -55,7 +55,7 @@
 
 
 def over_sockets(test, limits=None):
-    """Runs a test that takes a rig, in virtual time over real sockets."""
+    """Runs a test that takes a `Rig`, in virtual time over real sockets."""
 
     async def main(clock):
         standin = platform.PlatformStandIn(clock, limits, ["zuid-1"])
@@ -76,7 +76,7 @@
 
 
 def narrow(**limits):
-    """The same for a platform with limits of its own."""
+    """Returns `over_sockets` for a platform with these limits."""
     return lambda test: over_sockets(test, platform.Limits(**limits))
 
 
@@ -97,10 +97,10 @@
 
 @over_sockets
 async def test_http_log_lost_answer_is_visible_on_read(rig):
-    """Symptom: an accepted change is reported as failed, and made twice.
+    """Guards against an append that is made twice.
 
-    Sequence: the log takes the append and the connection breaks before the
-    answer. Cause: a client that sends an append again by itself.
+    This happens if the log accepts an append, the connection breaks before the
+    answer, and the client retries.
     """
     rig.standin.log.faults.answer_lost = 1
     with pytest.raises(exceptions.PlatformUnavailable) as failure:
@@ -129,10 +129,9 @@
 
 @narrow(appends_per_s=20.0)
 async def test_http_log_over_its_rate_refuses_without_effect(rig):
-    """Symptom: claims fail in a burst although the log is up.
+    """A refusal by the rate limit proves that an append had no effect.
 
-    Sequence: more appends in a second than the log takes. Cause: its rate; a
-    refusal proves that there was no effect, which a lost answer does not.
+    This distinguishes it from a lost answer, which proves nothing.
     """
     results = await asyncio.gather(
         *(rig.log.append("claims-0", b"%d" % n) for n in range(12)),
@@ -184,10 +183,9 @@
 
 @over_sockets
 async def test_http_long_poll_over_a_stalled_link_is_given_up_once(rig):
-    """Symptom: a process keeps old settings for over a minute.
+    """Guards against a process that keeps old settings for over a minute.
 
-    Sequence: its long poll of the log stalls, times out and is sent again
-    twice, 25 s each. Cause: a retry inside of a call that waits by itself.
+    This happens if a long poll of 25 s that stalls is retried twice.
     """
     rig.standin.log.faults.stalled = True
     start = rig.clock.now()
@@ -203,7 +201,7 @@
 async def test_http_log_that_is_gone_is_told_from_a_lost_answer(rig):
     await rig.log.append("settings", b"one")
     await rig.standin.log.stop()
-    # On the connection kept from before, nobody can say what arrived.
+    # On the reused connection it is unknown whether the append arrived.
     with pytest.raises(exceptions.PlatformUnavailable) as failure:
         await rig.log.append("settings", b"two")
     assert failure.value.reason == "connection_lost"
@@ -218,10 +216,10 @@
 
 @over_sockets
 async def test_one_failure_domain_is_cut_off_and_the_others_go_on(rig):
-    """Symptom: a failure domain hears nothing of new settings.
+    """A network partition drops all packets of one failure domain.
 
-    Sequence: its way to the platform drops every packet, later it is whole
-    again. Cause: a network partition; no connection is refused or closed.
+    No connection is refused or closed, so only a timeout detects it. After the
+    partition the domain reads what it missed.
     """
     address = rig.standin.addresses("zuid-1").log
     async with aiohttp.ClientSession() as session:
@@ -238,10 +236,9 @@
 
 @narrow(list_lag_s=30.0)
 async def test_http_list_lags(rig):
-    """Symptom: work goes to an instance that said it is leaving.
+    """The list shows an agent as live for 30 s after it announced to leave.
 
-    Sequence: an agent announces that it leaves; the list shows it as live for
-    30 s more. Cause: the platform's list lags.
+    Whoever relies on the list alone sends work to a leaving instance.
     """
     await rig.instances.announce(AGENT)
     assert await rig.instances.fetch() == []
@@ -276,10 +273,10 @@
 
 @over_sockets
 async def test_http_store_corrupts_a_blob_without_a_word(rig):
-    """Symptom: an instance would serve from damaged weights.
+    """A chunk arrives complete with one bit flipped.
 
-    Sequence: a chunk arrives whole by HTTP's measure, one bit flipped.
-    Cause: the store or a link; only the chunk's digest can show it.
+    HTTP does not detect this. Without a check of the chunk's digest an instance
+    would serve damaged weights.
     """
     data = bytes(100_000)
     await rig.store.put("chunks/ab", data)
@@ -293,10 +290,10 @@
 
 @over_sockets
 async def test_http_store_that_stalls_in_mid_transfer_times_out(rig):
-    """Symptom: a rollout stands still and no connection is closed.
+    """Guards against a rollout that stalls without a closed connection.
 
-    Sequence: the head of an answer comes and then nothing. Cause: a link that
-    stalls without closing, seen only by a timeout.
+    The headers of an answer arrive and then nothing; only a timeout detects a
+    link that stalls without closing.
     """
     await rig.store.put("chunks/ab", bytes(1_000_000))
     rig.standin.store.faults.stalled = True
@@ -317,16 +314,16 @@
     start = rig.clock.now()
     await asyncio.gather(*(rig.origin.get("chunks/ab") for _ in range(4)))
 
-    # 500,000 bytes, of which the first 250,000 pass at once.
+    # 500,000 bytes, of which the rate limit passes the first 250,000 at once.
     assert rig.clock.now() - start == pytest.approx(0.25, abs=0.01)
     assert rig.standin.origin.drawn == 500_000
 
 
 def test_http_answer_without_end_is_cut_at_its_bound():
-    """Symptom: a process grows until it is killed.
+    """Guards against an endless answer that exhausts the memory.
 
-    Sequence: an address in the instance file is wrong, and what answers there
-    sends without end. Cause: a body that was read without a bound.
+    This happens if an address in the instance file is wrong, the server there
+    sends without end, and the body is read without a limit.
     """
 
     async def check(rig):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's names decoded once, and known nowhere else."""
+"""Tests for the adapter, the only code that knows the platform's names."""
 
 import json
 import pathlib
@@ -25,7 +25,7 @@
 )
 
 
-def test_no_name_of_the_platform_is_known_outside():
+def test_no_name_of_the_platform_is_used_outside_the_adapter():
     found = [
         str(path)
         for path in (ROOT / "src").rglob("*")
@@ -35,10 +35,10 @@
 
 
 def test_the_folder_does_not_hide_the_standard_module():
-    """Symptom: programs fail as they import Python's own `platform`.
+    """Guards against an import of the folder instead of the standard module.
 
-    Sequence: the repository's root, or a package of that name, comes first on
-    the path. Cause: the folder bears the name of a standard module.
+    The folder has the name of the standard module `platform`, and the root of
+    the repository may come first on the import path.
     """
     code = (
         "import sys; sys.path.insert(0, '.'); import platform; "
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("text", ["-1", "1.5", "", "1e3", "9" * 40, "²"])
-def test_a_deadline_that_is_no_number_is_malformed(text):
+def test_a_deadline_that_is_not_a_number_is_malformed(text):
     raw = [(b"X-Clementinegw-Deadline-Ms", text.encode())]
     with pytest.raises(ValueError, match="whole number"):
         headers.Headers().request_facts(raw)
@@ -114,7 +114,7 @@
         ("", None),
     ],
 )
-def test_a_load_that_cannot_be_read_says_nothing(text, load):
+def test_a_malformed_load_is_ignored(text, load):
     head = client.Head(200, ((b"x-clementinegw-server-load", text.encode()),))
     assert headers.Headers().answer_facts(head).load == load
 
@@ -200,11 +200,10 @@
         ([{"from": 0, "target": 0, "version": 2}], False),
     ],
 )
-def test_a_server_is_whole_only_with_every_layer_of_one_version(layers, whole):
-    """Symptom: requests go to a server that lacks layers, and are refused.
+def test_a_server_has_a_version_only_with_all_of_its_layers(layers, whole):
+    """Guards against requests to a server that lacks layers and refuses them.
 
-    Sequence: a server holds a part of the layers, or of two versions. Cause:
-    any layer was taken for all.
+    A server may have loaded only some layers, or layers of two versions.
     """
     entry = {
         "service": "s",
@@ -221,7 +220,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 30))
-def test_a_log_answer_that_is_cut_is_refused(cut):
+def test_a_truncated_log_answer_is_refused(cut):
     content = b"\x01kvalue"
     body = bytes(16) + len(content).to_bytes(4, "big") + content
     assert pages.parse_log_records(body)[0] == [("k", b"value")]
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -1,4 +1,4 @@
-"""Answers of any kind at the platform's HTTP clients."""
+"""Tests for arbitrary answers to the platform's HTTP clients."""
 
 import contextlib
 import json
@@ -37,10 +37,10 @@
     st.lists(JSON.map(json.dumps).map(str.encode) | st.binary(max_size=60))
 )
 def test_http_answers_of_any_kind_end_in_one_error(answers):
-    """Symptom: a process ends with a traceback, or loses its follower.
+    """Guards against an unexpected answer that ends a process or its follower.
 
-    Sequence: an address in the instance file is wrong, and what answers there
-    speaks HTTP of its own. Cause: an answer that was taken as it came.
+    Such answers arrive if an address in the instance file is wrong and an
+    unrelated HTTP server answers there.
     """
 
     async def main(clock):
--- a/tests/test_platform_configurations.py
+++ b/tests/test_platform_configurations.py
@@ -1,4 +1,4 @@
-"""Configurations that come one after the other: what changed is read anew."""
+"""Tests for decoding successive configurations with reuse of routes."""
 
 import json
 import random
@@ -10,7 +10,7 @@
 
 
 def config(version, routes):
-    """Returns a configuration as operators write it."""
+    """Returns a configuration in the operators' format."""
     return json.dumps(
         platform_site.config(version=version, routes=routes)
     ).encode()
@@ -24,23 +24,24 @@
     ]
 
 
-def test_routes_that_did_not_change_are_not_read_again():
-    """A change of one route among 1,900 held an entry's loop up for 18 ms.
+def test_unchanged_routes_are_not_decoded_again():
+    """Guards against blocking an entry's event loop for 18 ms.
 
-    All routes come with each change; none of them was known from before.
+    A change of one route among 1,900 contains all of them; decoding them all
+    again took that long.
     """
     decoder = configurations.Decoder()
     routes = some_routes(50)
-    former = decoder.decode_configuration(config(1, routes)).routes
+    previous = decoder.decode_configuration(config(1, routes)).routes
     routes[7]["timeout_ms"] = 1_000
     found = decoder.decode_configuration(config(2, routes)).routes
-    anew = [n for n in range(50) if found[n] is not former[n]]
-    assert anew == [7]
+    redecoded = [n for n in range(50) if found[n] is not previous[n]]
+    assert redecoded == [7]
     assert found[7].timeout_s == 1.0
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_configuration_is_the_same_whatever_came_before(seed):
+def test_a_configuration_does_not_depend_on_earlier_ones(seed):
     rng = random.Random(seed)
     decoder = configurations.Decoder()
     routes = some_routes(20)
@@ -54,19 +55,19 @@
         assert len(decoder._routes) <= 20
 
 
-def test_a_malformed_configuration_leaves_the_former_routes():
+def test_a_malformed_configuration_keeps_the_previous_routes():
     decoder = configurations.Decoder()
     routes = some_routes(5)
-    former = decoder.decode_configuration(config(1, routes)).routes
+    previous = decoder.decode_configuration(config(1, routes)).routes
     with pytest.raises(ValueError, match="unknown kind"):
         decoder.decode_configuration(config(2, [{**routes[0], "kind": "odd"}]))
     with pytest.raises(ValueError, match="truncated"):
         decoder.decode_configuration(config(2, routes)[:-9])
     found = decoder.decode_configuration(config(3, routes)).routes
-    assert all(a is b for a, b in zip(former, found, strict=True))
+    assert all(a is b for a, b in zip(previous, found, strict=True))
 
 
-def test_other_records_are_read_as_ever():
+def test_other_records_are_decoded_as_without_reuse():
     decoder = configurations.Decoder()
     body = b'{"model":"m","version":3}'
     found = decoder.decode_record("version/m", body)
--- a/tests/test_platform_drain.py
+++ b/tests/test_platform_drain.py
@@ -1,4 +1,4 @@
-"""Servers that leave, on the whole path from the store's record to a send."""
+"""Tests for leaving servers, from the store's record to the last request."""
 
 import asyncio
 
@@ -10,13 +10,13 @@
 from clementinegw.direct import client
 
 DRAIN_S = 2.0
-# A machine that is back counts as in touch after this, in seconds.
-IN_TOUCH_S = 3.0
+# The time after a partition or outage until the bounds apply again, in seconds.
+RECONNECTED_S = 3.0
 TOPIC = "keyed.servers"
 
 
-async def keep_asking(site, until_s):
-    """Sends requests in a row and returns their statuses."""
+async def send_requests(site, until_s):
+    """Sends requests for `until_s` seconds and returns their statuses."""
     end = asyncio.get_running_loop().time() + until_s
     statuses = []
     while asyncio.get_running_loop().time() < end:
@@ -29,14 +29,13 @@
     site.store.put(TOPIC, server.name, server.record(**fields))
 
 
-def test_an_older_write_that_is_executed_late_brings_no_server_back():
-    """An entry sent to a server again that had said it leaves.
+def test_a_delayed_older_write_does_not_restore_a_server():
+    """Guards against requests to a leaving server after a delayed write.
 
-    The server writes that it is ready and gets no answer, then that it leaves,
-    which the store acknowledges. Some seconds later the store executes the
-    first write, and lists the server as ready again. Entries believed whatever
-    was written last and sent to it until it ended. The same befell a server
-    whose listing was taken out in between.
+    The server writes that it is ready and gets no answer, then that it is
+    leaving, which the store acknowledges. Seconds later the store executes the
+    first write and lists the server as ready again. The same holds for a server
+    whose record was removed in between.
     """
 
     async def play(removed):
@@ -48,9 +47,9 @@
             if removed:
                 site.store.put(TOPIC, leaving.name, None)
             left_at = asyncio.get_running_loop().time()
-            await keep_asking(site, 2.0)
+            await send_requests(site, 2.0)
             put(site, leaving, sequence=6)
-            statuses = await keep_asking(site, 3.0)
+            statuses = await send_requests(site, 3.0)
             assert set(statuses) == {200}
             assert leaving.last_call_at < left_at + DRAIN_S
             assert stays.calls
@@ -88,23 +87,23 @@
     return asyncio.get_running_loop().time()
 
 
-def test_a_server_that_is_taken_out_after_a_fault_gets_nothing_too_late():
-    """An entry sent to a server that was gone, beyond the time to drain.
+def test_a_server_removed_after_a_fault_gets_no_late_requests():
+    """Guards against requests to a removed server after the drain time.
 
-    The server ends without saying so: its listing is taken out, and it works
-    on for the time to drain. An entry whose connection to the platform had just
-    broken held the removal for a listing that ran out in an outage, and sent to
-    the server for 2.2 s more, over the 2 s that it has in all.
+    The record of a server is removed without notice, and the server works for
+    the drain time of 2 s. An entry whose connection to the platform had just
+    broken took the removal for an expiry during an outage, and sent requests
+    for 2.2 s more.
     """
 
     async def play(fault):
         async with platform_site.Site("a", "b") as site:
             await asyncio.sleep(3.0)
-            asking = asyncio.ensure_future(keep_asking(site, 13.0))
-            # Long enough that both servers get some.
+            requests = asyncio.ensure_future(send_requests(site, 13.0))
+            # Long enough for both servers to get requests.
             await asyncio.sleep(1.0)
             removed_at = await fault(site)
-            assert set(await asking) == {200}
+            assert set(await requests) == {200}
             gone = site.servers[0]
             assert removed_at - 1.0 < gone.last_call_at
             assert gone.last_call_at < removed_at + DRAIN_S
@@ -114,18 +113,18 @@
     platform_site.run(play(lose_an_answer))
 
 
-def test_a_list_that_ran_out_in_an_outage_still_serves():
-    """No request was served for seconds after an outage of the platform.
+def test_a_list_that_expired_in_an_outage_still_serves():
+    """Guards against failing requests for seconds after an outage.
 
-    Listings run out while the platform is away, and their servers, which are
-    well, are back on the list within about two seconds of its return. An entry
-    that believes the shorter list at once has nobody to send to.
+    Records expire during an outage of the platform, and their servers, which
+    work, are listed again within about two seconds after it. An entry that
+    applies the shorter list at once has no server to send to.
     """
 
     async def play():
         async with platform_site.Site("a", "b") as site:
             await asyncio.sleep(3.0)
-            asking = asyncio.ensure_future(keep_asking(site, 9.0))
+            requests = asyncio.ensure_future(send_requests(site, 9.0))
             site.store.status = 503
             for server in site.servers:
                 site.store.put(TOPIC, server.name, None)
@@ -134,23 +133,23 @@
             site.store.status = 200
             await asyncio.sleep(1.0)
             put(site, site.servers[0], sequence=9)
-            assert set(await asking) == {200}
+            assert set(await requests) == {200}
             assert site.servers[1].last_call_at < site.servers[0].last_call_at
 
     platform_site.run(play())
 
 
-def test_a_platform_that_comes_and_goes_keeps_no_server_for_ever():
-    """A server that was gone got requests for as long as calls failed.
+def test_a_flapping_platform_does_not_keep_a_removed_server():
+    """Guards against requests to a removed server for as long as calls fail.
 
-    Each failure of a call put off when a missing server was given up; a
-    platform that failed every two seconds kept it for ever.
+    Each failed call postponed the removal of a missing server, so a platform
+    that failed every two seconds kept it for ever.
     """
 
     async def play():
         async with platform_site.Site("a", "b") as site:
             await asyncio.sleep(3.0)
-            asking = asyncio.ensure_future(keep_asking(site, 20.0))
+            requests = asyncio.ensure_future(send_requests(site, 20.0))
             site.store.status = 503
             site.store.cut()
             await asyncio.sleep(2.6)
@@ -160,42 +159,42 @@
             for _ in range(10):
                 await asyncio.sleep(1.2)
                 site.store.cut()
-            assert set(await asking) == {200}
-            # A failed call is repeated after 0.8 s at most.
+            assert set(await requests) == {200}
+            # A failed call is retried after 0.8 s at most.
             assert site.servers[0].last_call_at < back_at + 0.8 + DRAIN_S
 
     platform_site.run(play())
 
 
-def test_a_request_that_waits_for_a_connection_misses_who_left(monkeypatch):
-    """A request reached a server long after that had said it leaves.
+def test_a_request_that_waits_to_connect_avoids_a_leaving_server(monkeypatch):
+    """Guards against a request to a server that left during a connect.
 
-    It had chosen the server before, and its connection took 0.2 s to come up;
-    the entry read of the leaving meanwhile, and sent all the same.
+    The request's connection to the chosen server took 0.2 s to open. The entry
+    read meanwhile that the server is leaving and must not send the request.
     """
     connect = client.connect
 
-    async def slowly(address, timeout_s):
-        if str(address) == slow.get("address"):
+    async def delayed_connect(address, timeout_s):
+        if str(address) == delayed.get("address"):
             await asyncio.sleep(0.2)
         return await connect(address, timeout_s)
 
-    slow = {}
-    monkeypatch.setattr(client, "connect", slowly)
+    delayed = {}
+    monkeypatch.setattr(client, "connect", delayed_connect)
 
     async def play():
         async with platform_site.Site("a") as site:
             leaving = site.servers[0]
-            slow["address"] = leaving.address
+            delayed["address"] = leaving.address
             stays = platform_site.Server("b")
             await stays.start()
             site.servers.append(stays)
             await asyncio.sleep(3.0)
-            asking = asyncio.ensure_future(site.ask())
+            request = asyncio.ensure_future(site.ask())
             await asyncio.sleep(0.05)
             put(site, stays)
             put(site, leaving, state="draining", sequence=2)
-            answer = await asking
+            answer = await request
             assert answer.status == 200
             assert not leaving.calls
             assert len(stays.calls) == 1
@@ -203,36 +202,36 @@
     platform_site.run(play())
 
 
-def test_a_poll_that_hangs_over_the_end_of_a_cut_is_given_up_in_time():
-    """A request reached a server 3.2 s after that had said it leaves.
+def test_a_poll_that_hangs_after_a_partition_times_out_soon():
+    """Guards against a request to a server 3.2 s after it announced to leave.
 
-    The machine was cut off from the store for a moment. It had asked for news
-    right before it was back, that question was lost, and it waited for its
-    answer for 3.2 s: longer than the three seconds after which a machine that
-    is back counts as in touch. A server said meanwhile that it leaves.
+    The machine was partitioned from the store for a moment. A long poll sent
+    right before the end of the partition was lost, and its timeout of 3.2 s was
+    longer than the three seconds after which the bounds apply again. Meanwhile
+    a server announced that it is leaving.
     """
 
     async def play():
         async with platform_site.Site("a", "b") as site:
             await asyncio.sleep(3.0)
-            asking = asyncio.ensure_future(keep_asking(site, 12.0))
+            requests = asyncio.ensure_future(send_requests(site, 12.0))
             site.store.silent = True
             while not any(TOPIC in target for target in site.store.hung):
                 await asyncio.sleep(0.01)
             back_at = asyncio.get_running_loop().time()
             site.store.silent = False
             put(site, site.servers[0], state="draining", sequence=2)
-            assert set(await asking) == {200}
-            assert site.servers[0].last_call_at < back_at + IN_TOUCH_S
+            assert set(await requests) == {200}
+            assert site.servers[0].last_call_at < back_at + RECONNECTED_S
 
     platform_site.run(play())
 
 
-def test_a_connection_from_before_a_fault_is_not_asked_again():
-    """A process heard of nothing for 1.2 s more after each of its connections.
+def test_a_connection_from_before_a_fault_is_not_reused():
+    """Guards against a wait of 1.2 s for each connection that a fault broke.
 
-    A cut had broken all of them. Those that lay idle meanwhile were asked one
-    after the other, and each was waited for.
+    The idle connections of the pool were used one after the other, and each
+    call had to time out.
     """
 
     async def play():
@@ -257,22 +256,22 @@
     platform_site.run(play())
 
 
-def test_a_few_that_left_while_a_machine_was_cut_off_are_believed_gone():
-    """A request reached a server that was gone for seconds.
+def test_servers_that_left_during_a_partition_are_removed():
+    """Guards against a request to a server that was gone for seconds.
 
-    The machine was cut off from the store, which was well, and two servers
-    ended without a word meanwhile. Their removal was held as if their listings
-    had run out in an outage: 2.2 s from when it was read, while the machine
-    counted as in touch 3 s after the cut had healed.
+    The machine was partitioned from the store, which worked, and two servers
+    ended without notice meanwhile. Their removal was taken for an expiry in an
+    outage and held for 2.2 s after it was read, while the bounds apply again
+    3 s after the end of the partition.
     """
 
     async def play():
         async with platform_site.Site("a", "b", "c", "d", "e") as site:
-            # Without keys, which are not served so long without news.
+            # No keys, which are refused after so long without the store.
             open_to_all = platform_site.config(2, tenants=[])
             site.store.put("keyed.op", "config", open_to_all)
             await asyncio.sleep(3.0)
-            asking = asyncio.ensure_future(keep_asking(site, 15.0))
+            requests = asyncio.ensure_future(send_requests(site, 15.0))
             site.store.silent = True
             await asyncio.sleep(8.0)
             for server in site.servers[:2]:
@@ -282,8 +281,8 @@
                 await asyncio.sleep(0.01)
             back_at = asyncio.get_running_loop().time()
             site.store.silent = False
-            assert set(await asking) == {200}
+            assert set(await requests) == {200}
             last_at = max(s.last_call_at for s in site.servers[:2])
-            assert last_at < back_at + IN_TOUCH_S
+            assert last_at < back_at + RECONNECTED_S
 
     platform_site.run(play())
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -1,4 +1,4 @@
-"""Records of other writers, and spoilt ones: each harms itself only."""
+"""Tests for unexpected and malformed records, which must not affect others."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 from clementinegw.telemetry import logs
 
 TOPIC = "keyed.servers"
-ENTRY = {
+RECORD = {
     "service": "plain",
     "address": "127.0.0.1:9",
     "zone": "d1",
@@ -30,14 +30,14 @@
 
 
 def changed(**fields):
-    return json.dumps({**ENTRY, **fields}).encode()
+    return json.dumps({**RECORD, **fields}).encode()
 
 
 def without(name):
-    return json.dumps({k: v for k, v in ENTRY.items() if k != name}).encode()
+    return json.dumps({k: v for k, v in RECORD.items() if k != name}).encode()
 
 
-UNREADABLE = {
+MALFORMED = {
     "no service": without("service"),
     "no address": without("address"),
     "no zone": without("zone"),
@@ -70,23 +70,23 @@
 }
 
 
-@pytest.mark.parametrize("name", UNREADABLE)
-def test_an_entry_that_cannot_be_read_is_refused_with_a_reason(name):
+@pytest.mark.parametrize("name", MALFORMED)
+def test_a_malformed_server_record_is_refused(name):
     with pytest.raises((ValueError, RecursionError)):
-        records.decode_server_record("i-1", UNREADABLE[name])
+        records.decode_server_record("i-1", MALFORMED[name])
 
 
 @pytest.mark.parametrize("key", ["", "a b", "a\r\nx: y", "ä", "a" * 300])
-def test_an_id_that_no_header_can_carry_is_refused(key):
-    """Requests were counted as lost that nobody had sent.
+def test_an_id_that_is_not_valid_in_a_header_is_refused(key):
+    """Guards against requests that cannot be sent and count as lost.
 
-    The id of the server goes into a header of each request.
+    The id of the server is sent in a header of each request.
     """
     with pytest.raises(ValueError, match="id is not valid"):
         records.decode_server_record(key, changed())
 
 
-def test_an_entry_may_say_more_than_we_know():
+def test_unknown_fields_of_a_server_record_are_ignored():
     found = records.decode_server_record(
         "i-1", changed(born=178, odd={"x": [1]})
     )
@@ -97,8 +97,8 @@
     )
 
 
-class Log(logs.Log):
-    """Keeps what is written."""
+class RecordingLog(logs.Log):
+    """Records the malformed records that are logged."""
 
     def __init__(self):
         super().__init__()
@@ -109,34 +109,33 @@
             self.lines.append(fields)
 
 
-def test_entries_of_other_writers_harm_nobody_else():
-    """No server was known any more, and the process ended.
+def test_malformed_server_records_do_not_affect_others():
+    """Guards against one malformed record that hides all servers.
 
-    One record of the list had a key that is no text; the whole answer was
-    refused, again at each reading. Another one, nested without end, ended the
-    task that reads.
+    A record with a key that is not valid text made each read of the list fail,
+    and a deeply nested record ended the task that reads.
     """
 
     async def play():
         async with platform_site.Site("a", "b") as site:
-            spoilt, well = site.servers
+            malformed, valid = site.servers
             await asyncio.sleep(3.0)
-            for number, value in enumerate(UNREADABLE.values()):
+            for number, value in enumerate(MALFORMED.values()):
                 site.store.put_raw(TOPIC, b"foreign-%d" % number, value)
             site.store.put_raw(TOPIC, b"\xff\xfe", changed())
             site.store.put_raw(TOPIC, b"", changed())
-            site.store.put_raw(TOPIC, spoilt.name.encode(), b"{")
-            site.store.put(TOPIC, well.name, well.record(sequence=2))
+            site.store.put_raw(TOPIC, malformed.name.encode(), b"{")
+            site.store.put(TOPIC, valid.name, valid.record(sequence=2))
             await asyncio.sleep(3.0)
-            before = len(spoilt.calls)
+            before = len(malformed.calls)
             for _ in range(20):
                 assert (await site.ask()).status == 200
-            assert len(spoilt.calls) == before
+            assert len(malformed.calls) == before
             found = {b.server.server_id for b in site.entry._fleet.all()}
             assert found == {"b"}
-            # All is read anew, page by page.
+            # The newest records are read again, page by page.
             site.store.forget(TOPIC)
-            site.store.odd_items = [
+            site.store.malformed_items = [
                 {"key": 7, "value": "AA==", "offset": 0},
                 {"key": "x", "value": "no base64", "offset": 0},
                 {"key": "y", "value": 3, "offset": 0},
@@ -149,7 +148,7 @@
             found = {b.server.server_id for b in site.entry._fleet.all()}
             assert found == {"b"}
             assert not site.entry.crashed
-            site.store.put(TOPIC, spoilt.name, spoilt.record(sequence=3))
+            site.store.put(TOPIC, malformed.name, malformed.record(sequence=3))
             await asyncio.sleep(3.0)
             found = {b.server.server_id for b in site.entry._fleet.all()}
             assert found == {"a", "b"}
@@ -157,8 +156,8 @@
     platform_site.run(play())
 
 
-def test_declarations_that_cannot_be_read_leave_the_last_good_ones():
-    """A key that is no text kept all later configurations from being read."""
+def test_malformed_operator_records_keep_the_last_valid_ones():
+    """Guards against a malformed key that blocks all later configurations."""
 
     async def play():
         async with platform_site.Site("a") as site:
@@ -175,16 +174,16 @@
     platform_site.run(play())
 
 
-def test_a_record_that_cannot_be_read_is_told_once():
-    """The log of each process filled with one line a heartbeat.
+def test_a_malformed_record_is_logged_once():
+    """Guards against a log line for each heartbeat of a malformed record.
 
-    Whoever writes a record that cannot be read writes it again and again.
+    The writer of such a record usually writes it again and again.
     """
 
     async def play():
         store = platform_site.Store()
         await store.start()
-        log, counters = Log(), counters_lib.Counters()
+        log, counters = RecordingLog(), counters_lib.Counters()
         topic = stores.Topic(
             stores.Store(store.address),
             TOPIC,
@@ -229,29 +228,29 @@
         b'{"x":' * 9_000 + b"1" + b"}" * 9_000,
     ],
 )
-def test_a_report_that_cannot_be_read_is_no_answer(body):
-    """An agent ended over what the server beside it had said of itself."""
+def test_a_malformed_report_is_an_error(body):
+    """Guards against an agent that ends on a malformed report of its server."""
 
     async def play():
         server = platform_site.Server("a", lambda call: call.answer(body))
         await server.start()
         host, port = server.address.split(":")
-        beside = weights.LocalServer(shared_types.Address(host, int(port)), "m")
+        client = weights.LocalServer(shared_types.Address(host, int(port)), "m")
         with pytest.raises(exceptions.BackendError):
-            await beside.state()
+            await client.state()
         await server.stop()
 
     platform_site.run(play())
 
 
-def test_a_report_tells_which_start_speaks():
+def test_a_report_has_the_time_of_the_start():
     async def play():
         body = b'{"models":[],"sequence":3,"born":1780000000123,"odd":{}}'
         server = platform_site.Server("a", lambda call: call.answer(body))
         await server.start()
         host, port = server.address.split(":")
-        beside = weights.LocalServer(shared_types.Address(host, int(port)), "m")
-        state = await beside.state()
+        client = weights.LocalServer(shared_types.Address(host, int(port)), "m")
+        state = await client.state()
         await server.stop()
         return state.sequence, state.born
 
--- a/tests/test_platform_foreign_model.py
+++ b/tests/test_platform_foreign_model.py
@@ -1,4 +1,4 @@
-"""Requests that name a model on a route whose service serves none."""
+"""Tests for requests that name a model on a route to a plain service."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/1", "/once/1"])
-def test_a_model_that_a_plain_service_does_not_serve_changes_nothing(path):
-    """A caller named a model on a route to a service without engines.
+def test_a_model_named_for_a_plain_service_is_ignored(path):
+    """Guards against requests that are never sent because of a named model.
 
-    Its version had become due, the service's servers hold none, and each send
-    was taken back before it was made. A request that may be repeated failed
-    though no server had it; for any other the entry chose the same server
-    again and again without a pause until the caller's time was over.
+    The model's version was due and the servers of the plain service hold no
+    weights, so each send was withdrawn. A repeatable request failed although no
+    server had received it; for others the entry chose the same server in a busy
+    loop until the deadline.
     """
 
     async def play():
@@ -24,17 +24,17 @@
             version = {"model": "m", "version": 2}
             site.store.put("keyed.op", "version/m", version)
             await asyncio.sleep(8.5)
-            # The next one finds a connection that is up.
+            # The next request reuses this connection.
             await site.ask()
             sends = []
             choose = site.entry._forwarder._placing.choose
 
-            async def counted(job):
+            async def counted_choose(job):
                 sends.append(job)
                 assert len(sends) < 50, "no pause between two choices"
                 return await choose(job)
 
-            site.entry._forwarder._placing.choose = counted
+            site.entry._forwarder._placing.choose = counted_choose
             answer = await site.ask(path, headers=MODEL)
             return answer.status, len(sends)
 
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -1,4 +1,4 @@
-"""A reader that stands still or is cut off, seen by those who ask it."""
+"""Tests for a reader that freezes or loses the store while others ask it."""
 
 import asyncio
 
@@ -6,13 +6,14 @@
 import pytest
 import test_platform_relay
 
-# Within this after its acknowledgement a change must be in force, and a server
-# that leaves must get nothing more: the tightest of the platform's sites.
+# The time after its acknowledgement, in seconds, within which a change must be
+# in force and a leaving server must get its last request: the tightest bound of
+# the platform's sites.
 _BOUND_S = 2.0
 
 
-class Mute:
-    """A transport that sends nothing and stays open."""
+class SilentTransport:
+    """A transport that stays open and sends nothing."""
 
     def write(self, data):
         pass
@@ -22,17 +23,17 @@
 
 
 def freeze(entry):
-    """Stops a process: nothing comes from it, and nothing goes out."""
+    """Freezes the relay of an entry: it neither receives nor sends."""
     endpoint = entry._relay._endpoint
     endpoint._keeper.cancel()
     for link in endpoint._links:
         link.data_received = lambda data: None
-        link._transport = Mute()
+        link._transport = SilentTransport()
     endpoint._server.close()
 
 
-class Path:
-    """A process's way to the store, which may be cut."""
+class StorePath:
+    """An entry's path to the store, which can be cut."""
 
     def __init__(self, entry):
         self._pool = entry._relay._platform._store._pool
@@ -44,7 +45,7 @@
         self._cut.set()
 
     async def call(self, *args):
-        """Hangs once the path is cut, as long as the caller has patience."""
+        """Forwards a call, which times out if the path is cut."""
         clock = asyncio.get_running_loop().time
         patient_until = clock() + args[-1].first_s
         call = asyncio.ensure_future(self._call(*args))
@@ -60,13 +61,13 @@
         raise TimeoutError
 
 
-def serves(entry):
-    """Returns whether others ask an entry."""
+def reads_for_others(entry):
+    """Returns whether an entry reads for others."""
     return entry._relay._topics["operators"].serving
 
 
-async def play(harm, phase_s):
-    """Returns how long a change and a server's leaving took to be known."""
+async def play(fault, phase_s):
+    """Returns the delays of a change and of a server's leaving, in seconds."""
     async with test_platform_relay.Domain(4) as domain:
         put = domain.store.put
         put("keyed.op", "config", platform_site.config())
@@ -74,11 +75,11 @@
         await server.start()
         put("keyed.servers", "i-1", server.record())
         await domain.until(1, 5.0)
-        paths = {entry: Path(entry) for entry in domain.entries}
+        paths = {entry: StorePath(entry) for entry in domain.entries}
         await asyncio.sleep(8.0 + phase_s)
-        (reader,) = (e for e in domain.entries if serves(e))
+        (reader,) = (e for e in domain.entries if reads_for_others(e))
         domain.entries.remove(reader)
-        if harm == "frozen":
+        if fault == "frozen":
             freeze(reader)
         else:
             paths[reader].cut()
@@ -87,27 +88,27 @@
         put("keyed.servers", "i-1", leaving)
         clock = asyncio.get_running_loop().time
         started = clock()
-        took = {}
-        while len(took) < 2 and clock() - started < 6.0:
+        durations_s = {}
+        while len(durations_s) < 2 and clock() - started < 6.0:
             await asyncio.sleep(0.01)
             if set(domain.versions()) == {2}:
-                took.setdefault("change", clock() - started)
+                durations_s.setdefault("change", clock() - started)
             found = [e._fleet.find("i-1") for e in domain.entries]
             if all(backend.left for backend in found):
-                took.setdefault("leaving", clock() - started)
+                durations_s.setdefault("leaving", clock() - started)
         domain.entries.append(reader)
         await server.stop()
-        return took
+        return durations_s
 
 
-@pytest.mark.parametrize("harm", ["frozen", "cut"])
-def test_a_change_is_in_force_in_time_though_the_reader_falls_out(harm):
-    """A reader froze or was cut off, and its failure domain heard nothing.
+@pytest.mark.parametrize("fault", ["frozen", "cut"])
+def test_a_change_is_in_force_in_time_if_the_reader_fails(fault):
+    """Guards against late changes if the reader freezes or loses the store.
 
-    Its neighbours are in touch with the platform and are bound as if they read
-    the store themselves.
+    The other processes of its failure domain are connected to the platform, so
+    the bounds apply to them as if they read the store themselves.
     """
     for phase in range(14):
-        took = platform_site.run(play(harm, phase / 10))
-        assert len(took) == 2
-        assert max(took.values()) < 0.9 * _BOUND_S, (phase, took)
+        durations_s = platform_site.run(play(fault, phase / 10))
+        assert len(durations_s) == 2
+        assert max(durations_s.values()) < 0.9 * _BOUND_S, (phase, durations_s)
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -1,4 +1,4 @@
-"""The store over a link that all of its readers share."""
+"""Tests for reads of the store over a link that all readers share."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 from clementinegw.telemetry import logs
 
 _READERS = 8
-# Eight readings of the configuration take five seconds of it.
+# Eight reads of the configuration take five seconds of it.
 _LINK_BYTES_PER_S = 700_000
 _PATIENCE = patience_lib.Patience(
     first_s=1.0, silent_s=0.5, least_bytes_per_s=1_000
@@ -34,7 +34,7 @@
 
 
 def platform_at(store):
-    """Returns a process's way to a store."""
+    """Returns the adapter of a process to a store."""
     instance = instances.Instance(
         name="entry-1",
         place=shared_types.Place("r1", "d1"),
@@ -52,8 +52,8 @@
     return roles.Platform(instance, logs.Log(), counters_lib.Counters())
 
 
-class Alone:
-    """A topic that one process reads for itself."""
+class UnsharedTopic:
+    """A topic that a process reads from the store itself."""
 
     def __init__(self, topic):
         self._topic = topic
@@ -67,13 +67,13 @@
         return follow.Batch(self._topic.decoded(batch.items), batch.end)
 
 
-async def following(store, taken):
-    """Starts a process's follower of what operators declare."""
+async def start_follower(store, batches):
+    """Starts and returns a follower of the operators' topic."""
     follower = follow.Follower(
         "operators",
-        Alone(platform_at(store).operators()),
+        UnsharedTopic(platform_at(store).operators()),
         follow.Pace(2.0, 0.0),
-        lambda batch, whole: taken.append(batch),
+        lambda batch, whole: batches.append(batch),
         logs.Log(),
         counters_lib.Counters(),
         asyncio.get_running_loop().time,
@@ -82,12 +82,13 @@
     return follower
 
 
-def test_a_narrow_link_brings_every_reader_the_whole_configuration():
-    """Eight processes read 400 KB each over one link of 700 KB/s.
+def test_every_reader_gets_the_configuration_over_a_slow_link():
+    """Guards against reads that are given up and restarted for ever.
 
-    Each reading takes five seconds while all go on. A bound of 1.2 s on the
-    whole answer threw away what had come and asked for the same bytes again,
-    so that the link never got free and nobody ever had the configuration.
+    Eight processes read 400 KB each over a link of 700 KB/s, which takes five
+    seconds. With a timeout of 1.2 s for the whole answer each process discarded
+    the received part and requested it again, so the link stayed saturated and
+    no process ever got the configuration.
     """
 
     async def play():
@@ -95,22 +96,28 @@
         await store.start()
         store.put("keyed.op", "config", large_config())
         size = len(store._newest("keyed.op"))
-        taken = []
-        followers = [await following(store, taken) for _ in range(_READERS)]
+        batches = []
+        followers = [
+            await start_follower(store, batches) for _ in range(_READERS)
+        ]
         await asyncio.sleep(1.5 * _READERS * size / _LINK_BYTES_PER_S)
-        known = sum(follower.known for follower in followers)
+        informed = sum(follower.known for follower in followers)
         for follower in followers:
             await follower.stop()
         await store.stop()
-        return known, store.bytes_out / size
+        return informed, store.bytes_out / size
 
-    known, readings = platform_site.run(play())
-    assert known == _READERS
-    assert readings < 1.2 * _READERS
+    informed, reads = platform_site.run(play())
+    assert informed == _READERS
+    assert reads < 1.2 * _READERS
 
 
-async def _answering(parts, pause_s):
-    """Starts a server that sends its answer in parts; returns its address."""
+async def _start_slow_server(parts, pause_s):
+    """Starts a server that sends its answer in parts.
+
+    Returns:
+      The server and its address.
+    """
 
     async def answer(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
@@ -139,16 +146,18 @@
         pytest.param([b"x" * 10] * 900, 0.1, 0.8, id="trickle"),
     ],
 )
-def test_a_call_ends_at_silence_and_at_a_trickle(parts, pause_s, gives_up_s):
-    """An answer takes eight seconds, stops, or comes a few bytes at a time.
+def test_a_call_times_out_if_the_answer_stalls_or_is_too_slow(
+    parts, pause_s, gives_up_s
+):
+    """An answer takes eight seconds, stalls, or arrives a few bytes at a time.
 
-    The first must be taken whole. The others must be given up soon: a reader
-    makes one call at a time, and would be cut off while the connection lasts.
+    The first one must be received completely. The others must be given up soon:
+    a reader makes one call at a time and gets no news during a stalled one.
     """
 
     async def play():
         clock = asyncio.get_running_loop().time
-        server, address = await _answering(parts, pause_s)
+        server, address = await _start_slow_server(parts, pause_s)
         pool = client.Pool(address, 1, 1.0, 1.0)
         started = clock()
         try:
@@ -163,9 +172,9 @@
             server.close()
             pool.close()
 
-    size, after_s, kept = platform_site.run(play())
+    size, gave_up_after_s, open_connections = platform_site.run(play())
     if gives_up_s is None:
-        assert (size, after_s, kept) == (20_000, None, 1)
+        assert (size, gave_up_after_s, open_connections) == (20_000, None, 1)
     else:
-        assert after_s == pytest.approx(gives_up_s, abs=0.3)
-        assert kept == 0
+        assert gave_up_after_s == pytest.approx(gives_up_s, abs=0.3)
+        assert open_connections == 0
--- a/tests/test_platform_narrow.py
+++ b/tests/test_platform_narrow.py
@@ -1,4 +1,4 @@
-"""A large answer between two processes, over a link that carries little."""
+"""Tests for a large answer between two processes over a slow link."""
 
 import asyncio
 import random
@@ -10,8 +10,8 @@
 _TURN_BYTES = 2_048
 
 
-class Narrow:
-    """A transport that sends so many bytes in a second."""
+class RateLimitedTransport:
+    """A transport with a limited rate."""
 
     def __init__(self, transport):
         self._transport = transport
@@ -40,7 +40,7 @@
 
 
 def varied_config(version):
-    """Returns a large configuration of which half is left when packed."""
+    """Returns a large configuration that compresses to half its size."""
     rng = random.Random(version)
     config = platform_site.config(version=version)
     route = config["routes"][0]
@@ -55,11 +55,12 @@
     return config
 
 
-def test_a_large_answer_that_comes_slowly_is_taken_whole():
-    """A configuration came to nobody over the link of the one that reads.
+def test_a_large_answer_that_arrives_slowly_is_received():
+    """Guards against answers that are discarded because they arrive slowly.
 
-    It took longer than a question waits for its answer; what had come was
-    thrown away, and the next reader or the store was asked for the same bytes.
+    If the transfer takes longer than the timeout of a question, the received
+    part must not be discarded and requested again from another reader or the
+    store. Otherwise no process gets the configuration.
     """
 
     async def play():
@@ -70,13 +71,13 @@
             await asyncio.sleep(8.0)
             for entry in domain.entries:
                 for link in entry._relay._endpoint._links:
-                    link._transport = Narrow(link._transport)
+                    link._transport = RateLimitedTransport(link._transport)
             before = domain.store.bytes_out
             put("keyed.op", "config", varied_config(2))
             size = len(domain.store.topics["keyed.op"][-1][1])
-            took = await domain.until(2, 20.0)
-            return took, (domain.store.bytes_out - before) / size
+            took_s = await domain.until(2, 20.0)
+            return took_s, (domain.store.bytes_out - before) / size
 
-    took, readings = platform_site.run(play())
-    assert took > 2.5
-    assert readings < 1.1
+    took_s, reads = platform_site.run(play())
+    assert took_s > 2.5
+    assert reads < 1.1
--- a/tests/test_platform_pages.py
+++ b/tests/test_platform_pages.py
@@ -1,4 +1,4 @@
-"""Answers of the store that do not bring all that there is."""
+"""Tests for answers of the store that contain only some of the records."""
 
 import asyncio
 
@@ -17,19 +17,18 @@
     return found
 
 
-def test_a_part_of_what_was_added_proves_nothing_of_the_rest():
-    """A key that had been taken away was served after a cut, without bound.
+def test_an_incomplete_answer_does_not_prove_a_key_valid():
+    """Guards against serving a revoked key after an outage of the store.
 
-    Two configurations of 600 KB came meanwhile, and the store's answer has a
-    megabyte at most: the first one, with the key. It was taken for a proof
-    that nothing else was new, so the key seemed good while the second was
-    fetched.
+    Two configurations of 600 KB were written during the outage, and an answer
+    of the store has at most a megabyte. The first answer has only the one that
+    still has the key, and must not count as proof that nothing newer exists.
     """
 
     async def play():
         async with sites.Site("i-1") as site:
             first = await site.ask(key=sites.KEY)
-            # The link carries one of them in a second and a half.
+            # The link needs a second and a half for one of them.
             site.store.status = 503
             site.store.cut()
             await asyncio.sleep(0.5)
@@ -38,14 +37,14 @@
             await asyncio.sleep(6.0)
             site.store.link_bytes_per_s = 400_000
             site.store.status = 200
-            told = set()
+            statuses = set()
             for _ in range(50):
                 await asyncio.sleep(0.1)
-                told.add((await site.ask(key=sites.KEY)).status)
+                statuses.add((await site.ask(key=sites.KEY)).status)
             version = site.entry._knowledge.catalog.version
-            return first.status, told, version
+            return first.status, statuses, version
 
-    first, told, version = sites.run(play())
+    first, statuses, version = sites.run(play())
     assert first == 200
     assert version == 3
-    assert 200 not in told
+    assert 200 not in statuses
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -1,4 +1,4 @@
-"""One process of a failure domain reads the store; the others ask it."""
+"""Tests for a failure domain in which one process reads for the others."""
 
 import asyncio
 import zlib
@@ -19,7 +19,7 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.topics import ttypes
 
-# One reading of the large configuration takes six tenths of a second of it.
+# One read of the large configuration takes 0.6 seconds of it.
 _LINK_BYTES_PER_S = 700_000
 ADDRESSES = (
     shared_types.Address("10.0.0.1", 7_000),
@@ -28,7 +28,7 @@
 
 
 class Domain:
-    """The entries of one failure domain and the store."""
+    """The store and the entries of a failure domain."""
 
     def __init__(self, count, link_bytes_per_s=None):
         self.store = platform_site.Store(link_bytes_per_s)
@@ -72,12 +72,12 @@
         )
 
     def versions(self):
-        """Returns which configuration each entry has."""
+        """Returns the version of each entry's configuration."""
         catalogs = [entry._knowledge.catalog for entry in self.entries]
         return [catalog.version if catalog else None for catalog in catalogs]
 
     async def until(self, version, most_s):
-        """Waits until every entry has a version; returns how long it took."""
+        """Waits until all entries have a version and returns the seconds."""
         clock = asyncio.get_running_loop().time
         started = clock()
         while set(self.versions()) != {version}:
@@ -98,11 +98,10 @@
 
 
 def test_a_failure_domain_reads_a_large_configuration_about_once():
-    """Six entries hear of 400 KB more over a link of 700 KB/s.
+    """Guards against each of six entries reading 400 KB over a 700 KB/s link.
 
-    Each used to read them from the store: three and a half seconds of the link
-    in which callers' requests to servers beyond it waited, and the change was
-    in force too late.
+    That takes three and a half seconds, in which requests to servers beyond the
+    link wait, and the change is in force too late.
     """
 
     async def play():
@@ -114,16 +113,16 @@
             config = large_config(2)
             domain.store.put("keyed.op", "config", config)
             size = len(domain.store.topics["keyed.op"][-1][1])
-            took = await domain.until(2, 10.0)
-            return took, (domain.store.bytes_out - before) / size
+            took_s = await domain.until(2, 10.0)
+            return took_s, (domain.store.bytes_out - before) / size
 
-    took, readings = platform_site.run(play())
-    assert took < 2.0
-    assert readings < 2.5
+    took_s, reads = platform_site.run(play())
+    assert took_s < 2.0
+    assert reads < 2.5
 
 
-def test_a_calm_failure_domain_asks_the_store_as_one_process():
-    """Six entries follow two topics in the calm, and all stay ready."""
+def test_an_idle_failure_domain_reads_the_store_as_one_process():
+    """Six entries follow two topics without changes and stay ready."""
 
     async def play():
         async with Domain(6) as domain:
@@ -131,25 +130,25 @@
             await domain.until(1, 5.0)
             await asyncio.sleep(8.0)
             reads = domain.store.reads
-            oldest = 0.0
+            oldest_s = 0.0
             for _ in range(1_000):
                 await asyncio.sleep(0.01)
                 ages = [entry._operators.age_s for entry in domain.entries]
-                oldest = max(oldest, *ages)
-            return domain.store.reads - reads, oldest
+                oldest_s = max(oldest_s, *ages)
+            return domain.store.reads - reads, oldest_s
 
-    reads, oldest = platform_site.run(play())
-    # One process asks twice in 1.6 s; six of them asked 60 times in all.
+    reads, oldest_s = platform_site.run(play())
+    # One process reads twice in 1.6 s; six unshared ones read 60 times in all.
     assert reads <= 20
-    assert oldest < 2.2
+    assert oldest_s < 2.2
 
 
-def test_after_a_loss_of_power_of_all_the_link_carries_few_readings():
-    """Eight entries start at once and know nothing; the link is narrow.
+def test_a_joint_start_of_all_entries_takes_few_reads():
+    """Guards against a slow joint start of eight entries over a slow link.
 
-    Each used to read 400 KB for itself, so that all were ready only after the
-    sum of it. Whoever starts now asks the readers of before, or the first that
-    offers itself.
+    After a power loss all entries start at once without any state. If each
+    reads 400 KB itself, they are ready only after all of these reads.
+    An entry that starts asks the earlier readers or the first one available.
     """
 
     async def play():
@@ -157,15 +156,15 @@
         domain.store.put("keyed.op", "config", large_config(3))
         size = len(domain.store._newest("keyed.op"))
         async with domain:
-            took = await domain.until(3, 10.0)
+            took_s = await domain.until(3, 10.0)
             await asyncio.sleep(1.0)
             ready = [entry.ready for entry in domain.entries]
-            return took, ready, domain.store.bytes_out / size
+            return took_s, ready, domain.store.bytes_out / size
 
-    took, ready, readings = platform_site.run(play())
+    took_s, ready, reads = platform_site.run(play())
     assert all(ready)
-    assert took < 3.5
-    assert readings < 3.5
+    assert took_s < 3.5
+    assert reads < 3.5
 
 
 def test_a_reader_that_stops_is_replaced_without_a_gap():
@@ -176,18 +175,18 @@
             await asyncio.sleep(8.0)
             reader = domain.entries.pop(0)
             await reader.stop()
-            oldest = 0.0
+            oldest_s = 0.0
             for _ in range(300):
                 await asyncio.sleep(0.01)
                 ages = [entry._operators.age_s for entry in domain.entries]
-                oldest = max(oldest, *ages)
+                oldest_s = max(oldest_s, *ages)
             config = platform_site.config(version=2)
             domain.store.put("keyed.op", "config", config)
-            return await domain.until(2, 5.0), oldest
+            return await domain.until(2, 5.0), oldest_s
 
-    took, oldest = platform_site.run(play())
-    assert took < 0.5
-    assert oldest < 2.2
+    took_s, oldest_s = platform_site.run(play())
+    assert took_s < 0.5
+    assert oldest_s < 2.2
 
 
 def items(count, size=100):
@@ -197,7 +196,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 5, 3_000])
-def test_an_answer_comes_out_as_it_went_in(count):
+def test_an_answer_is_unchanged_by_packing(count):
     news = questions.News(
         items(count), 2**40 + count, 7, 1.25, 0.5, 0.75, 1e6, 2.5, ADDRESSES
     )
@@ -207,7 +206,7 @@
     assert relay._unpack(packed, data) == news.items
 
 
-def test_ages_are_told_no_smaller_than_they_are():
+def test_ages_on_the_wire_are_never_rounded_down():
     relayed = relay.Relay.__new__(relay.Relay)
     relayed._packed = {}
     question = questions.Question("operators", 3, 2, 1.4)
@@ -237,6 +236,6 @@
         (False, b"\xff" * 9),
     ],
 )
-def test_items_that_cannot_be_read_are_an_error_of_the_peer(packed, data):
+def test_malformed_items_are_a_decode_error(packed, data):
     with pytest.raises(exceptions.DecodeError):
         relay._unpack(packed, data)
--- a/tests/test_platform_return.py
+++ b/tests/test_platform_return.py
@@ -1,16 +1,16 @@
-"""The store is back after it was silent to everybody for some seconds."""
+"""Tests for the return of the store after an outage of some seconds."""
 
 import asyncio
 
 import platform_site
 import test_platform_relay
 
-# After this the processes are bound again, in seconds.
-_IN_TOUCH_S = 3.0
+# The time after the outage until the bounds apply again, in seconds.
+_RECONNECTED_S = 3.0
 
 
 async def play(silent_s):
-    """Returns how long after the return all are up to date."""
+    """Returns how long after the outage all are up to date, in seconds."""
     async with test_platform_relay.Domain(3) as domain:
         domain.store.put("keyed.op", "config", platform_site.config())
         await domain.until(1, 5.0)
@@ -23,12 +23,14 @@
         return await domain.until(2, 15.0)
 
 
-def test_a_question_that_is_lost_as_the_store_returns_is_soon_given_up():
-    """Two entries served nobody for four seconds after the store was back.
+def test_a_call_lost_as_the_store_returns_times_out_soon():
+    """Guards against entries that serve nobody for seconds after an outage.
 
-    Each call without an answer had made the next one wait twice as long, for
-    the sake of large answers on a narrow link; the one that was on its way as
-    the store came back was lost, and waited for.
+    This happened as each call without an answer doubled the timeout of the next
+    one, for large answers on a slow link: the call in flight at the end of the
+    outage was lost, and its long timeout had to pass.
     """
-    took = [platform_site.run(play(6.0 + moment / 2)) for moment in range(12)]
-    assert max(took) < 0.95 * _IN_TOUCH_S, took
+    delays_s = [
+        platform_site.run(play(6.0 + moment / 2)) for moment in range(12)
+    ]
+    assert max(delays_s) < 0.95 * _RECONNECTED_S, delays_s
