--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -15,10 +15,9 @@
 from clementinegw.direct import budget
 from clementinegw.direct import catalog as catalogs
 from clementinegw.direct import declarations
-from clementinegw.direct import dialect as dialects
 from clementinegw.direct import fleet as fleets
-from clementinegw.direct import follow
 from clementinegw.direct import forward
+from clementinegw.direct import header_codec as header_codec_lib
 from clementinegw.direct import instance as instances
 from clementinegw.direct import outage
 from clementinegw.direct import raw
@@ -26,8 +25,9 @@
 from clementinegw.direct import reports
 from clementinegw.direct import server as servers
 from clementinegw.direct import subscriptions
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
-from clementinegw.direct import versions as versions_lib
+from clementinegw.direct import version_policy
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import events
 from clementinegw.telemetry import histograms
@@ -37,9 +37,9 @@
 # something changes, so the wait only bounds how long a silent connection goes
 # unnoticed and how old the proof of a key's validity gets. Calls are billed, so
 # the wait is not shorter.
-_PACES = follow.Paces(
-    operators=follow.Pace(wait_s=2.0, pause_s=0.0),
-    servers=follow.Pace(wait_s=2.0, pause_s=0.9),
+_PACES = topic_watch.PollTimings(
+    operators=topic_watch.PollTiming(wait_s=2.0, pause_s=0.0),
+    servers=topic_watch.PollTiming(wait_s=2.0, pause_s=0.9),
 )
 # Shares of the time within which a revoked key must be refused. A key is
 # accepted while the last read of the configuration is younger than the first
@@ -63,7 +63,7 @@
 class Platform(raw.Platform, Protocol):
     """What the daemon needs from the platform adapter."""
 
-    def dialect(self) -> dialects.Dialect:
+    def header_codec(self) -> header_codec_lib.HeaderCodec:
         """Returns the codec for the platform's headers."""
 
 
@@ -77,7 +77,7 @@
         log: logs.Log,
         counters: counters_lib.Counters,
         rng: random.Random | None = None,
-        boot_clock: Callable[[], float] = follow.boot_time,
+        boot_clock: Callable[[], float] = topic_watch.boot_time,
         wall_clock: Callable[[], float] = time.time,
     ):
         """Creates the components of the daemon without starting them.
@@ -111,7 +111,7 @@
             counters,
             boot_clock,
         )
-        topics = follow.Topics(
+        topics = topic_watch.TopicWatchers(
             self._relay,
             _PACES,
             self._on_operators,
@@ -121,7 +121,7 @@
             boot_clock,
         )
         self._operators, self._server_list = topics.operators, topics.servers
-        self._knowledge = admit.Knowledge(
+        self._config_view = admit.ConfigView(
             None,
             lambda: self._operators.age_s,
             bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE,
@@ -136,7 +136,7 @@
             wall_clock=wall_clock,
             counters=counters,
         )
-        self._versions = versions_lib.Versions(
+        self._versions = version_policy.VersionPolicy(
             bounds.weights_ms / 1e3, boot_clock, bounds.settled_ms / 1e3
         )
         self._balancer = balance.Balancer(
@@ -144,8 +144,8 @@
         )
         self.histograms = histograms.Histograms()
         self._forwarder = forward.Forwarder(
-            platform.dialect(),
-            self._knowledge,
+            platform.header_codec(),
+            self._config_view,
             self._balancer,
             self._versions,
             _retry_limits(bounds),
@@ -160,11 +160,11 @@
         self._reports = reports.Listener(
             instance.name,
             self._on_report,
-            on_suspicions=self._forwarder.take_suspicions,
+            on_suspicions=self._forwarder.merge_suspicions,
         )
         self._subscriptions = subscriptions.Subscriptions(
             instance,
-            self._knowledge,
+            self._config_view,
             self._fleet,
             self._versions,
             self._reports,
@@ -182,8 +182,8 @@
         keys_s = self._instance.bounds.keys_ms / 1e3
         return (
             not self._leaving
-            and self._knowledge.catalog is not None
-            and self._server_list.known
+            and self._config_view.catalog is not None
+            and self._server_list.has_snapshot
             and self._operators.age_s < keys_s * _MAX_READY_SHARE
         )
 
@@ -206,18 +206,22 @@
         """Applies a changed instance file, except for its addresses."""
         self._instance = instance
         bounds = instance.bounds
-        self._knowledge.revoke_s = bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE
+        self._config_view.max_key_age_s = (
+            bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE
+        )
         self._versions.due_s = bounds.weights_ms / 1e3
-        self._fleet.ran_out.terms = _fleet_terms(bounds)
-        self._forwarder.set_terms(_retry_limits(bounds))
+        self._fleet.listing_expiry.times = _fleet_terms(bounds)
+        self._forwarder.set_retry_limits(_retry_limits(bounds))
 
     async def drain(self) -> None:
         """Stops accepting callers and finishes the requests in progress."""
-        self._log.write(events.PROCESS_STOPPING, busy=self._server.busy)
+        self._log.write(
+            events.PROCESS_STOPPING, busy=self._server.open_requests
+        )
         self._leaving = True
         started = self._clock()
         end = started + self._instance.bounds.grace_s - _SHUTDOWN_MARGIN_S
-        self._server.refuse_new()
+        self._server.announce_close()
         # The load balancer sends callers until it has checked twice.
         await asyncio.sleep(_ACCEPT_WHILE_LEAVING_S)
         self._server.close_idle()
@@ -225,7 +229,7 @@
             async with asyncio.timeout_at(end):
                 await self._server.wait_idle()
         except TimeoutError:
-            self._log.write(_events.CUT_OFF, busy=self._server.busy)
+            self._log.write(_events.CUT_OFF, busy=self._server.open_requests)
 
     async def on_shutdown(self) -> None:
         """Closes the remaining connections and servers."""
@@ -238,37 +242,39 @@
     async def _run_maintenance(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
-            self._fleet.settle(self._server_list.settled_s, self._clock())
+            self._fleet.drop_missing(
+                self._server_list.available_s, self._clock()
+            )
             self._fleet.prune()
-            self._fleet.count_entries()
+            self._fleet.update_position()
             self._counters.gauge("direct.servers.limited", self._fleet.limited)
             self._forwarder.check_clock()
-            self._subscriptions.look()
+            self._subscriptions.refresh()
             self._log_readiness()
 
     @mode.Service.task
     async def _subscribe(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(_SUBSCRIBE_INTERVAL_S)
-            self._subscriptions.ask_all()
+            self._subscriptions.renew()
 
     def _on_report(self, host: str, report: reports.Report) -> None:
         if report.ages_s:
-            changes = self._versions.told(report.model, report.ages_s)
+            changes = self._versions.merge_ages(report.model, report.ages_s)
             self._log_declarations(changes)
-        backend = self._fleet.reported(report, host)
+        backend = self._fleet.match_report(report, host)
         if backend is None:
             return
-        backend.take_report(
+        backend.apply_report(
             report,
             self._clock(),
             self._typical_prefill_s(backend.server.service),
         )
-        self._forwarder.look_at(backend)
+        self._forwarder.dispatch_for(backend)
 
     def _typical_prefill_s(self, service: str) -> float:
         """Returns the prefill time of a typical prompt; 0 if it is unknown."""
-        engine = self._knowledge.engine(service)
+        engine = self._config_view.engine(service)
         if engine is None or not engine.prefill_tokens_per_s:
             return 0.0
         return engine.typical_prompt_tokens / engine.prefill_tokens_per_s
@@ -290,7 +296,7 @@
         del request
         await responder.answer(200 if self.ready else 503, [], b"")
 
-    def _on_operators(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
         del whole
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
@@ -299,21 +305,21 @@
                 self._apply_declared_version(record.value)
 
     def _apply_declared_version(self, declared: types.DeclaredVersion) -> None:
-        unread_s = self._operators.unread_s
-        change = self._versions.declare(declared, unread_s)
+        unread_s = self._operators.lag_s
+        change = self._versions.record_declared(declared, unread_s)
         self._log_declarations([change] if change else [])
 
     def _log_declarations(self, changes: list[declarations.Change]) -> None:
         for change in changes:
-            if not change.matters:
+            if not change.is_significant:
                 continue
-            at = self._versions.demanded_at(change.declaration)
-            declarations.note(self._log, change, self._versions.now, at)
+            at = self._versions.required_at(change.declaration)
+            declarations.log_change(self._log, change, self._versions.now, at)
         if changes:
-            self._forwarder.redate()
+            self._forwarder.on_versions_changed()
 
     def _apply_configuration(self, configuration: types.Configuration) -> None:
-        catalog = self._knowledge.catalog
+        catalog = self._config_view.catalog
         if catalog is not None and configuration.version <= catalog.version:
             if configuration.version < catalog.version:
                 # After the platform lost its history, records may be read
@@ -324,7 +330,7 @@
                     in_force=catalog.version,
                 )
             return
-        self._knowledge.catalog = catalogs.Catalog(configuration)
+        self._config_view.catalog = catalogs.Catalog(configuration)
         self._server.limits = configuration.limits
         self._log.write(
             _events.CONFIGURATION_TAKEN,
@@ -334,26 +340,26 @@
             was=catalog.version if catalog else None,
         )
 
-    def _on_servers(self, batch: follow.Batch, whole: bool) -> None:
+    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
         self._fleet.apply(
             batch,
             whole,
-            self._server_list.settled_s,
-            self._server_list.away_s,
+            self._server_list.available_s,
+            self._server_list.outage_s,
             self._clock(),
         )
-        self._subscriptions.ask_new()
+        self._subscriptions.subscribe_changed()
 
     def _max_connections(self, service: str) -> int:
-        known = self._knowledge.service(service)
+        known = self._config_view.service(service)
         return known.max_connections if known else 32
 
 
-def _fleet_terms(bounds: instances.Bounds) -> outage.Terms:
-    return outage.Terms(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
+def _fleet_terms(bounds: instances.Bounds) -> outage.ListingTimes:
+    return outage.ListingTimes(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
-def _retry_limits(bounds: instances.Bounds) -> budget.Terms:
-    return budget.Terms(
+def _retry_limits(bounds: instances.Bounds) -> budget.Limits:
+    return budget.Limits(
         bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
     )
--- a/src/clementinegw/direct/raw.py
+++ b/src/clementinegw/direct/raw.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from clementinegw import types
-from clementinegw.direct import follow
+from clementinegw.direct import topic_watch
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,20 +30,20 @@
 
     Attributes:
       items: In the order of the log.
-      end: The offset to go on from.
-      more: Whether more was there than one answer holds. Then it proves
+      next_offset: The offset to go on from.
+      has_more: Whether more was there than one answer holds. Then it proves
         nothing of what it leaves out.
     """
 
     items: tuple[Item, ...]
-    end: int
-    more: bool = False
+    next_offset: int
+    has_more: bool = False
 
 
 class Topic(Protocol):
     """One topic of the platform's store."""
 
-    async def newest(self) -> Batch:
+    async def snapshot(self) -> Batch:
         """Returns the newest value of each key.
 
         Raises:
@@ -58,15 +58,15 @@
           wait_s: How long the platform may wait for a first record, in seconds.
 
         Raises:
-          follow.HistoryLost: Those records are deleted.
+          topic_watch.HistoryLost: Those records are deleted.
           exceptions.PlatformError: No whole answer came.
         """
 
-    def decoded(self, items: Iterable[Item]) -> tuple[follow.Record, ...]:
+    def decoded(self, items: Iterable[Item]) -> tuple[topic_watch.Record, ...]:
         """Returns the records that can be read."""
 
 
-class Readers(Protocol):
+class ReaderGroup(Protocol):
     """Who reads the store for the processes of a failure domain."""
 
     async def join(self) -> int:
@@ -96,9 +96,10 @@
     def servers(self) -> Topic:
         """Returns the list of backend servers."""
 
-    def readers(self, me: types.Address | None) -> Readers:
+    def reader_group(self, own_address: types.Address | None) -> ReaderGroup:
         """Returns the readers of this process's failure domain.
 
         Args:
-          me: Where this process answers others; None when it only asks.
+          own_address: Where this process answers others; None when it only
+            asks.
         """
--- a/tests/test_direct_entry.py
+++ b/tests/test_direct_entry.py
@@ -353,8 +353,8 @@
                 await asyncio.sleep(0.1)
                 assert len(site.servers[0].calls) == 1
             await asyncio.sleep(0.1)
-            busy = site.entry._server.busy
-            return busy, site.entry._fleet.find("i-1").in_flight
+            open_requests = site.entry._server.open_requests
+            return open_requests, site.entry._fleet.find("i-1").in_flight
 
     assert sites.run(play()) == (0, 0)
 
@@ -487,7 +487,7 @@
 def test_a_process_that_knows_no_configuration_says_not_yet():
     async def play():
         async with sites.Site("i-1") as site:
-            site.entry._knowledge.catalog = None
+            site.entry._config_view.catalog = None
             return (await site.ask()).status, site.entry.ready
 
     assert sites.run(play()) == (503, False)
@@ -590,7 +590,7 @@
                     raise exceptions.InvariantError("over and over")
                 return outcomes.NotRun(reason)
 
-            site.entry._forwarder._attempts.run = give_up
+            site.entry._forwarder._attempt_runner.run = give_up
             answer = await site.ask()
             return answer.status, len(tries)
 
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -7,18 +7,18 @@
 import pytest
 
 from clementinegw import types as shared_types
-from clementinegw.direct import backing
+from clementinegw.direct import agent_interfaces
 from clementinegw.direct import balance
 from clementinegw.direct import channel
 from clementinegw.direct import client
 from clementinegw.direct import declarations
 from clementinegw.direct import fleet
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
-from clementinegw.direct import keep
 from clementinegw.direct import reports
 from clementinegw.direct import suspects
+from clementinegw.direct import topic_watch
 from clementinegw.direct import types
+from clementinegw.direct import updater
 from clementinegw.telemetry import counters
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
@@ -42,8 +42,8 @@
 
 
 def listed(backends, *servers):
-    records = tuple(follow.Record(s.server_id, s) for s in servers)
-    backends.apply(follow.Batch(records, len(records)), False, 60.0)
+    records = tuple(topic_watch.Record(s.server_id, s) for s in servers)
+    backends.apply(topic_watch.Batch(records, len(records)), False, 60.0)
     return backends.find(servers[-1].server_id)
 
 
@@ -70,17 +70,17 @@
         rank=1,
         follower_rank=1,
     )
-    backend.take_report(told, 10.0)
+    backend.apply_report(told, 10.0)
     facts = types.AnswerMetadata(
         "a", True, False, limit_per_s=2.0, leaving=True, backoff_s=9.0
     )
-    backend.signals.take(facts, 9.0, 10.0)
-    backend.take()
+    backend.signals.apply(facts, 9.0, 10.0)
+    backend.begin_request()
     backend.unread_tokens += 700
-    backend.unreachable(10.0)
+    backend.record_unreachable(10.0)
     backend.heard_at = 10.0
     backend.full_until = math.inf
-    backend.empty = True
+    backend.weights_incomplete = True
     backend.replaced = True
     backend.missing = True
     backend.missing_until = 11.0
@@ -106,7 +106,7 @@
     moment that was past counted as now.
     """
     backends = new_fleet()
-    listed(backends, server(1)).take_report(report(ready_in_s=told), 10.0)
+    listed(backends, server(1)).apply_report(report(ready_in_s=told), 10.0)
     balancer = balance.Balancer(
         backends,
         shared_types.Place("r1", "d1"),
@@ -130,7 +130,7 @@
     present = listed(backends, server(2))
     fresh = listed(new_fleet(), server(2))
     assert beliefs(present) == beliefs(fresh)
-    assert present.held(4) == 0
+    assert present.held_version(4) == 0
     assert present.pool is not former.pool
 
 
@@ -146,12 +146,12 @@
     """
     backends = new_fleet()
     backend = listed(backends, server(2))
-    told = report(born=born, version=2, whole=True)
-    assert backends.reported(told, "127.0.0.2") is None
-    assert (backends.reported(told, HOST) is backend) == taken
-    assert backend.left == over
+    told = report(started_ms=born, version=2, whole=True)
+    assert backends.match_report(told, "127.0.0.2") is None
+    assert (backends.match_report(told, HOST) is backend) == taken
+    assert backend.retired == over
     if over:
-        assert not listed(backends, server(3)).left
+        assert not listed(backends, server(3)).retired
 
 
 def test_a_report_carries_the_start_that_it_is_of():
@@ -168,11 +168,11 @@
         asks = codec.encode(ttypes.Subscribe("e", {}, False))
         reporter.datagram_received(asks, (HOST, 1))
         for born in (0, 1_780_000_000_123, 1_780_000_000_124):
-            reporter.tell(report(born=born))
+            reporter.send(report(started_ms=born))
 
     clocks.run(play())
     assert [told.server_id for told in heard] == ["a", "a", "a"]
-    assert [told.born for told in heard] == [
+    assert [told.started_ms for told in heard] == [
         0,
         1_780_000_000_123,
         1_780_000_000_124,
@@ -182,18 +182,20 @@
 def test_a_server_that_leaves_goes_on_leaving_whatever_its_agent_tells():
     backends = new_fleet()
     backend = listed(backends, server(2, leaving=True))
-    backends.reported(report(born=2), HOST).take_report(report(born=2), 1.0)
+    backends.match_report(report(started_ms=2), HOST).apply_report(
+        report(started_ms=2), 1.0
+    )
     assert backend.server.leaving
-    assert backend.left
+    assert backend.retired
 
 
 def test_a_start_that_is_listed_anew_still_leaves():
     backends = new_fleet()
     listed(backends, server(2, leaving=True, sequence=4))
-    gone = follow.Batch((follow.Record("a", None),), 1)
+    gone = topic_watch.Batch((topic_watch.Record("a", None),), 1)
     backends.apply(gone, False, 60.0)
-    assert listed(backends, server(2, sequence=9)).left
-    assert not listed(backends, server(3, sequence=1)).left
+    assert listed(backends, server(2, sequence=9)).retired
+    assert not listed(backends, server(3, sequence=1)).retired
 
 
 def test_a_start_whose_birth_nobody_tells_is_named_by_its_id():
@@ -215,11 +217,13 @@
     class Request:
         method, target, host, body = "POST", "/a", "h", b"x"
 
-    known = suspects.Suspects()
+    tracker = suspects.SuspectTracker()
     for born in (1, 2):
-        assert not known.refused(Request, "c", 1.0)
-        known.crashed(Request, "c", types.ServerStart("a", born).text, 1.0)
-    assert known.refused(Request, "c", 1.0)
+        assert not tracker.is_refused(Request, "c", 1.0)
+        tracker.record_crash(
+            Request, "c", types.ServerStart("a", born).text, 1.0
+        )
+    assert tracker.is_refused(Request, "c", 1.0)
 
 
 def test_connections_of_a_start_that_is_over_are_not_kept():
@@ -248,12 +252,12 @@
         link = channel.Channel()
         link.connection_made(transport)
         connection = client.Connection(link)
-        connection.renew = lambda: None
+        connection.start_next_call = lambda: None
         assert connection.reusable
         pool._open = 1
         listed(backends, server(2))
-        pool.give_back(connection)
-        assert pool.open == 0
+        pool.release(connection)
+        assert pool.open_connections == 0
         assert transport.aborted
 
     clocks.run(play())
@@ -280,9 +284,9 @@
         link_bytes_per_s=1e6,
         bounds=instances.Bounds(),
     )
-    state = backing.State((), False, 0, 0, 0, 1.0, born)
+    state = agent_interfaces.ServerState((), False, 0, 0, 0, 1.0, born)
     found = {s.server_id: s for s in servers}
-    return keep.Around(instance, servers=found, state=state)
+    return updater.Context(instance, servers=found, state=state)
 
 
 def named(server_id, born):
@@ -321,50 +325,54 @@
     had accepted no order, so that the number of orders told nothing.
     """
 
-    class Beside:
+    class LocalServer:
         loads = 0
         born = 1
 
         async def state(self):
-            return backing.State((), False, 0, 0, 0, 1.0, self.born)
+            return agent_interfaces.ServerState(
+                (), False, 0, 0, 0, 1.0, self.born
+            )
 
-        async def load(self, model, version, sequence, cut):
+        async def load(self, model, version, sequence, abort_running):
             self.loads += 1
             return True
 
-    class Bringer:
-        digests = None
-        left = 0.0
+    class Fetcher:
+        manifest = None
+        missing_fraction = 0.0
 
-        def holds(self, digests):
+        def holds_all(self, manifest):
             return True
 
-        async def stage(self, beside, digests):
-            beside.born = 2
+        async def stage(self, local_server, manifest):
+            local_server.born = 2
             return True
 
     async def play():
         known = around(named("a", 1), born=1)
         known.engine = types.Engine(("m",), 16, 0.01, 0.0, 1e4, 6, 4, 1, 10)
-        known.beside = Beside()
+        known.local_server = LocalServer()
         declared = declarations.Declarations(
             8.0, 3.0, asyncio.get_running_loop().time
         )
-        weights = keep.Weights(
+        weights = updater.WeightsUpdater(
             known,
-            Bringer(),
+            Fetcher(),
             logs.Log(),
             counters.Counters(),
             histograms.Histograms(),
             declared,
         )
-        declared.read("m", 2, 0.0)
-        weights._digests[2] = backing.Digests("m", 2, 10, (b"d",))
+        declared.record("m", 2, 0.0)
+        weights._manifests[2] = agent_interfaces.VersionManifest(
+            "m", 2, 10, (b"d",)
+        )
         await asyncio.sleep(10.0)
         await weights.load_newest()
-        assert known.beside.loads == 0
-        known.state = await known.beside.state()
+        assert known.local_server.loads == 0
+        known.state = await known.local_server.state()
         await weights.load_newest()
-        assert known.beside.loads == 1
+        assert known.local_server.loads == 1
 
     clocks.run(play())
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -168,7 +168,7 @@
             assert (await site.ask()).status == 200
             site.store.put("keyed.op", "config", platform_site.config(7))
             await asyncio.sleep(1.0)
-            assert site.entry._knowledge.catalog.version == 7
+            assert site.entry._config_view.catalog.version == 7
             assert not site.entry.crashed
 
     platform_site.run(play())
@@ -197,10 +197,10 @@
                 store.put_raw(TOPIC, b"i-1", value or b"")
                 batch = await topic.changes(offset, 0.0)
                 topic.decoded(batch.items)
-                offset = batch.end
+                offset = batch.next_offset
         for _ in range(3):
             store.put_raw(TOPIC, b"i-2", b"7")
-            found = topic.decoded((await topic.newest()).items)
+            found = topic.decoded((await topic.snapshot()).items)
         await store.stop()
         assert [record.key for record in found] == ["i-2"]
         assert isinstance(found[0].value, types.Unreadable)
@@ -252,6 +252,6 @@
         client = weights.LocalServer(shared_types.Address(host, int(port)), "m")
         state = await client.state()
         await server.stop()
-        return state.sequence, state.born
+        return state.sequence, state.started_ms
 
     assert platform_site.run(play()) == (3, 1_780_000_000_123)
--- a/tests/test_platform_foreign_model.py
+++ b/tests/test_platform_foreign_model.py
@@ -27,14 +27,14 @@
             # The next request reuses this connection.
             await site.ask()
             sends = []
-            choose = site.entry._forwarder._placing.choose
+            reserve = site.entry._forwarder._placer.reserve
 
             async def counted_choose(job):
                 sends.append(job)
                 assert len(sends) < 50, "no pause between two choices"
-                return await choose(job)
+                return await reserve(job)
 
-            site.entry._forwarder._placing.choose = counted_choose
+            site.entry._forwarder._placer.reserve = counted_choose
             answer = await site.ask(path, headers=MODEL)
             return answer.status, len(sends)
 
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -47,7 +47,7 @@
     async def call(self, *args):
         """Forwards a call, which times out if the path is cut."""
         clock = asyncio.get_running_loop().time
-        patient_until = clock() + args[-1].first_s
+        patient_until = clock() + args[-1].head_s
         call = asyncio.ensure_future(self._call(*args))
         cut = asyncio.ensure_future(self._cut.wait())
         try:
@@ -94,7 +94,7 @@
             if set(domain.versions()) == {2}:
                 durations_s.setdefault("change", clock() - started)
             found = [e._fleet.find("i-1") for e in domain.entries]
-            if all(backend.left for backend in found):
+            if all(backend.retired for backend in found):
                 durations_s.setdefault("leaving", clock() - started)
         domain.entries.append(reader)
         await server.stop()
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -3,23 +3,21 @@
 import asyncio
 
 from adapter import roles
-import platform_site
-import pytest
-
 from clementinegw import types as shared_types
 from clementinegw.direct import client
-from clementinegw.direct import follow
 from clementinegw.direct import instance as instances
-from clementinegw.direct import patience as patience_lib
+from clementinegw.direct import timeouts as timeouts_lib
+from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
+import platform_site
+import pytest
+
 
 _READERS = 8
 # Eight reads of the configuration take five seconds of it.
 _LINK_BYTES_PER_S = 700_000
-_PATIENCE = patience_lib.Patience(
-    first_s=1.0, silent_s=0.5, least_bytes_per_s=1_000
-)
+_TIMEOUTS = timeouts_lib.Timeouts(head_s=1.0, idle_s=0.5, min_bytes_per_s=1_000)
 
 
 def large_config():
@@ -58,21 +56,25 @@
     def __init__(self, topic):
         self._topic = topic
 
-    async def newest(self):
-        batch = await self._topic.newest()
-        return follow.Batch(self._topic.decoded(batch.items), batch.end)
+    async def snapshot(self):
+        batch = await self._topic.snapshot()
+        return topic_watch.Batch(
+            self._topic.decoded(batch.items), batch.next_offset
+        )
 
     async def changes(self, offset, wait_s):
         batch = await self._topic.changes(offset, wait_s)
-        return follow.Batch(self._topic.decoded(batch.items), batch.end)
+        return topic_watch.Batch(
+            self._topic.decoded(batch.items), batch.next_offset
+        )
 
 
 async def start_follower(store, batches):
     """Starts and returns a follower of the operators' topic."""
-    follower = follow.Follower(
+    follower = topic_watch.TopicWatcher(
         "operators",
         UnsharedTopic(platform_at(store).operators()),
-        follow.Pace(2.0, 0.0),
+        topic_watch.PollTiming(2.0, 0.0),
         lambda batch, whole: batches.append(batch),
         logs.Log(),
         counters_lib.Counters(),
@@ -101,7 +103,7 @@
             await start_follower(store, batches) for _ in range(_READERS)
         ]
         await asyncio.sleep(1.5 * _READERS * size / _LINK_BYTES_PER_S)
-        informed = sum(follower.known for follower in followers)
+        informed = sum(follower.has_snapshot for follower in followers)
         for follower in followers:
             await follower.stop()
         await store.stop()
@@ -163,11 +165,11 @@
         try:
             headers = [(b"host", b"h")]
             _, body = await pool.call(
-                "GET", "/", headers, b"", 1 << 20, _PATIENCE
+                "GET", "/", headers, b"", 1 << 20, _TIMEOUTS
             )
-            return len(body), None, pool.open
+            return len(body), None, pool.open_connections
         except TimeoutError:
-            return 0, clock() - started, pool.open
+            return 0, clock() - started, pool.open_connections
         finally:
             server.close()
             pool.close()
--- a/tests/test_platform_pages.py
+++ b/tests/test_platform_pages.py
@@ -41,7 +41,7 @@
             for _ in range(50):
                 await asyncio.sleep(0.1)
                 statuses.add((await site.ask(key=sites.KEY)).status)
-            version = site.entry._knowledge.catalog.version
+            version = site.entry._config_view.catalog.version
             return first.status, statuses, version
 
     first, statuses, version = sites.run(play())
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -4,20 +4,20 @@
 import zlib
 
 from adapter import roles
-import platform_site
-import pytest
-
 from clementinegw import exceptions
 from clementinegw import types as shared_types
 from clementinegw.direct import entry as entries
 from clementinegw.direct import instance as instances
-from clementinegw.direct import questions
+from clementinegw.direct import peer_queries
 from clementinegw.direct import raw
 from clementinegw.direct import relay
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 from clementinegw.wire import codec
 from clementinegw.wire.gen.topics import ttypes
+import platform_site
+import pytest
+
 
 # One read of the large configuration takes 0.6 seconds of it.
 _LINK_BYTES_PER_S = 700_000
@@ -73,7 +73,7 @@
 
     def versions(self):
         """Returns the version of each entry's configuration."""
-        catalogs = [entry._knowledge.catalog for entry in self.entries]
+        catalogs = [entry._config_view.catalog for entry in self.entries]
         return [catalog.version if catalog else None for catalog in catalogs]
 
     async def until(self, version, most_s):
@@ -197,33 +197,37 @@
 
 @pytest.mark.parametrize("count", [0, 1, 5, 3_000])
 def test_an_answer_is_unchanged_by_packing(count):
-    news = questions.News(
+    news = peer_queries.Update(
         items(count), 2**40 + count, 7, 1.25, 0.5, 0.75, 1e6, 2.5, ADDRESSES
     )
-    packed, data = relay._pack(news.items) if news.items else (False, b"")
+    packed, data = relay._compress(news.items) if news.items else (False, b"")
     assert packed == (count > 5)
     assert len(data) < 40_000
-    assert relay._unpack(packed, data) == news.items
+    assert relay._decompress(packed, data) == news.items
 
 
 def test_ages_on_the_wire_are_never_rounded_down():
     relayed = relay.Relay.__new__(relay.Relay)
-    relayed._packed = {}
-    question = questions.Question("operators", 3, 2, 1.4)
-    news = questions.News(
+    relayed._compressed = {}
+    question = peer_queries.Query("operators", 3, 2, 1.4)
+    news = peer_queries.Update(
         items(2), 9, 7, 1.2345, 0.5678, 0.3456, 9.8765, 1.2345, ADDRESSES
     )
     wire = codec.decode(
-        ttypes.TopicNews, codec.encode(relayed._told(question, news))
+        ttypes.TopicNews, codec.encode(relayed._to_wire(question, news))
     )
-    told = relay._news(wire)
+    told = relay._update_from_wire(wire)
     assert told.items == news.items
-    assert (told.end, told.proof, told.readers) == (9, 7, ADDRESSES)
+    assert (told.next_offset, told.freshness_id, told.readers) == (
+        9,
+        7,
+        ADDRESSES,
+    )
     assert 0 <= told.age_s - news.age_s <= 0.001
-    assert 0 <= told.lain_s - news.lain_s <= 0.001
-    assert 0 <= told.away_s - news.away_s <= 0.001
+    assert 0 <= told.lag_s - news.lag_s <= 0.001
+    assert 0 <= told.outage_s - news.outage_s <= 0.001
     assert 0 <= news.held_s - told.held_s <= 0.001
-    assert 0 <= news.settled_s - told.settled_s <= 0.001
+    assert 0 <= news.available_s - told.available_s <= 0.001
 
 
 @pytest.mark.parametrize(
@@ -238,4 +242,4 @@
 )
 def test_malformed_items_are_a_decode_error(packed, data):
     with pytest.raises(exceptions.DecodeError):
-        relay._unpack(packed, data)
+        relay._decompress(packed, data)
