--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -37,7 +37,7 @@
 # something changes, so the wait only bounds how long a silent connection goes
 # unnoticed and how old the proof of a key's validity gets. Calls are billed, so
 # the wait is not shorter.
-_PACES = topic_watch.PollTimings(
+_POLL_TIMINGS = topic_watch.PollTimings(
     operators=topic_watch.PollTiming(wait_s=2.0, pause_s=0.0),
     servers=topic_watch.PollTiming(wait_s=2.0, pause_s=0.9),
 )
@@ -106,14 +106,14 @@
             instance,
             shared_types.Role.ENTRY,
             platform,
-            _PACES,
+            _POLL_TIMINGS,
             log,
             counters,
             boot_clock,
         )
         topics = topic_watch.TopicWatchers(
             self._relay,
-            _PACES,
+            _POLL_TIMINGS,
             self._on_operators,
             self._on_servers,
             log,
@@ -131,7 +131,7 @@
             log,
             self._max_connections,
             rng,
-            _fleet_terms(bounds),
+            _listing_times(bounds),
             entry=instance.name,
             wall_clock=wall_clock,
             counters=counters,
@@ -210,7 +210,7 @@
             bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE
         )
         self._versions.due_s = bounds.weights_ms / 1e3
-        self._fleet.listing_expiry.times = _fleet_terms(bounds)
+        self._fleet.listing_expiry.times = _listing_times(bounds)
         self._forwarder.set_retry_limits(_retry_limits(bounds))
 
     async def drain(self) -> None:
@@ -305,8 +305,8 @@
                 self._apply_declared_version(record.value)
 
     def _apply_declared_version(self, declared: types.DeclaredVersion) -> None:
-        unread_s = self._operators.lag_s
-        change = self._versions.record_declared(declared, unread_s)
+        lag_s = self._operators.lag_s
+        change = self._versions.record_declared(declared, lag_s)
         self._log_declarations([change] if change else [])
 
     def _log_declarations(self, changes: list[declarations.Change]) -> None:
@@ -355,7 +355,7 @@
         return known.max_connections if known else 32
 
 
-def _fleet_terms(bounds: instances.Bounds) -> outage.ListingTimes:
+def _listing_times(bounds: instances.Bounds) -> outage.ListingTimes:
     return outage.ListingTimes(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -3,6 +3,9 @@
 import asyncio
 
 from adapter import roles
+import platform_site
+import pytest
+
 from clementinegw import types as shared_types
 from clementinegw.direct import client
 from clementinegw.direct import instance as instances
@@ -10,9 +13,6 @@
 from clementinegw.direct import topic_watch
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
-import platform_site
-import pytest
-
 
 _READERS = 8
 # Eight reads of the configuration take five seconds of it.
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -4,6 +4,9 @@
 import zlib
 
 from adapter import roles
+import platform_site
+import pytest
+
 from clementinegw import exceptions
 from clementinegw import types as shared_types
 from clementinegw.direct import entry as entries
@@ -15,9 +18,6 @@
 from clementinegw.telemetry import logs
 from clementinegw.wire import codec
 from clementinegw.wire.gen.topics import ttypes
-import platform_site
-import pytest
-
 
 # One read of the large configuration takes 0.6 seconds of it.
 _LINK_BYTES_PER_S = 700_000
