--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -296,8 +296,10 @@
         del request
         await responder.answer(200 if self.ready else 503, [], b"")
 
-    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
-        del whole
+    def _on_operators(
+        self, batch: topic_watch.Batch, is_snapshot: bool
+    ) -> None:
+        del is_snapshot
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
                 self._apply_configuration(record.value)
@@ -340,10 +342,10 @@
             was=catalog.version if catalog else None,
         )
 
-    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
+    def _on_servers(self, batch: topic_watch.Batch, is_snapshot: bool) -> None:
         self._fleet.apply(
             batch,
-            whole,
+            is_snapshot,
             self._server_list.available_s,
             self._server_list.outage_s,
             self._clock(),
--- a/src/clementinegw/direct/run.py
+++ b/src/clementinegw/direct/run.py
@@ -127,15 +127,15 @@
     def reload_if_changed(self) -> None:
         """Rereads the file and passes a changed instance to the daemon."""
         try:
-            found = instances.read(self._path)
+            instance = instances.read(self._path)
         except exceptions.SettingsError as error:
             if error.message != self._last_error:
                 self._last_error = error.message
                 self._log.write(_events.SETTINGS_REFUSED, reason=error.message)
             return
-        if found != self._instance:
-            self._instance = found
-            self._daemon.reload(found)
+        if instance != self._instance:
+            self._instance = instance
+            self._daemon.reload(instance)
             self._log.write(_events.SETTINGS_RELOADED)
 
 
--- a/src/clementinegw/direct/types.py
+++ b/src/clementinegw/direct/types.py
@@ -17,7 +17,8 @@
     Attributes:
       SAFE: Any number of times.
       ONCE: At most once.
-      STREAM: As `Route.resumable` says.
+      STREAM: At most once, except that a stream may resume at another server
+        if `Route.resumable` is set.
     """
 
     SAFE = "safe"
@@ -314,8 +315,8 @@
         Args:
           layers: The number of layers of the model.
         """
-        whole = (h.version for h in self.held if h.layers >= layers)
-        return max(whole, default=0)
+        complete = (h.version for h in self.held if h.layers >= layers)
+        return max(complete, default=0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/clementinegw/platform/_http.py
+++ b/src/clementinegw/platform/_http.py
@@ -243,7 +243,5 @@
         body += data
         # An endless answer would exhaust the memory of this process.
         if len(body) > max_bytes:
-            return _Failure(
-                Reason.TOO_LARGE, f"body larger than {max_bytes} bytes"
-            )
+            return _Failure(Reason.TOO_LARGE, f"over {max_bytes} bytes")
     return Reply(response.status, response.headers, bytes(body))
--- a/src/clementinegw/telemetry/histograms.py
+++ b/src/clementinegw/telemetry/histograms.py
@@ -19,26 +19,26 @@
 
     def add(self, name: str, seconds: float) -> None:
         """Records a duration in seconds."""
-        found = self._by_name.get(name)
-        if found is None:
-            found = histogram.HdrHistogram(
+        latencies = self._by_name.get(name)
+        if latencies is None:
+            latencies = histogram.HdrHistogram(
                 _MIN_MS, _MAX_MS, _SIGNIFICANT_DIGITS
             )
-            self._by_name[name] = found
-        found.record_value(min(_MAX_MS, max(_MIN_MS, int(seconds * 1e3))))
+            self._by_name[name] = latencies
+        latencies.record_value(min(_MAX_MS, max(_MIN_MS, int(seconds * 1e3))))
 
     def lines(self) -> list[str]:
         """Returns one line for each quantile and each count."""
         lines = []
-        for name, found in sorted(self._by_name.items()):
+        for name, latencies in sorted(self._by_name.items()):
             for quantile in _QUANTILES:
-                value = found.get_value_at_percentile(quantile)
+                value = latencies.get_value_at_percentile(quantile)
                 lines.append(
                     f'{_metric_name(name)}_ms{{quantile="{quantile / 100:g}"}} '
                     f"{value}"
                 )
             lines.append(
-                f"{_metric_name(name)}_count {found.get_total_count()}"
+                f"{_metric_name(name)}_count {latencies.get_total_count()}"
             )
         return lines
 
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -186,12 +186,12 @@
                         return None
         body = len(records).to_bytes(8, "big")
         body += self._first[topic].to_bytes(8, "big")
-        most = 1_024 * int(query.get("max_kb", 1_024))
+        max_bytes = 1_024 * int(query.get("max_kb", 1_024))
         for key, value in records[start:]:
             content = bytes([len(key)]) + key + value
             record = len(content).to_bytes(4, "big") + content
             # The first record is always sent, however large it is.
-            if len(body) > 16 and len(body) + len(record) > most:
+            if len(body) > 16 and len(body) + len(record) > max_bytes:
                 break
             body += record
         return body
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize(
-    ("layers", "whole"),
+    ("layers", "complete"),
     [
         ([{"from": 0, "target": 16, "version": 2}], True),
         ([{"from": 0, "target": 8, "version": 2}], False),
@@ -202,7 +202,7 @@
         ([{"from": 0, "target": 0, "version": 2}], False),
     ],
 )
-def test_a_server_has_a_version_only_with_all_of_its_layers(layers, whole):
+def test_a_server_has_a_version_only_with_all_of_its_layers(layers, complete):
     """Guards against requests to a server that lacks layers and refuses them.
 
     A server may have loaded only some layers, or layers of two versions.
@@ -218,7 +218,7 @@
         "layers": layers,
     }
     server = records.decode_server_record("i-1", json.dumps(entry).encode())
-    assert server.version(16) == (2 if whole else 0)
+    assert server.version(16) == (2 if complete else 0)
 
 
 @pytest.mark.parametrize("cut", range(1, 30))
--- a/tests/test_platform_relay.py
+++ b/tests/test_platform_relay.py
@@ -197,37 +197,39 @@
 
 @pytest.mark.parametrize("count", [0, 1, 5, 3_000])
 def test_an_answer_is_unchanged_by_packing(count):
-    news = peer_queries.Update(
+    update = peer_queries.Update(
         items(count), 2**40 + count, 7, 1.25, 0.5, 0.75, 1e6, 2.5, ADDRESSES
     )
-    packed, data = relay._compress(news.items) if news.items else (False, b"")
+    packed, data = (
+        relay._compress(update.items) if update.items else (False, b"")
+    )
     assert packed == (count > 5)
     assert len(data) < 40_000
-    assert relay._decompress(packed, data) == news.items
+    assert relay._decompress(packed, data) == update.items
 
 
 def test_ages_on_the_wire_are_never_rounded_down():
     relayed = relay.Relay.__new__(relay.Relay)
     relayed._compressed = {}
     question = peer_queries.Query("operators", 3, 2, 1.4)
-    news = peer_queries.Update(
+    update = peer_queries.Update(
         items(2), 9, 7, 1.2345, 0.5678, 0.3456, 9.8765, 1.2345, ADDRESSES
     )
     wire = codec.decode(
-        ttypes.TopicNews, codec.encode(relayed._to_wire(question, news))
+        ttypes.TopicNews, codec.encode(relayed._to_wire(question, update))
     )
-    told = relay._update_from_wire(wire)
-    assert told.items == news.items
-    assert (told.next_offset, told.freshness_id, told.readers) == (
+    decoded = relay._update_from_wire(wire)
+    assert decoded.items == update.items
+    assert (decoded.next_offset, decoded.freshness_id, decoded.readers) == (
         9,
         7,
         ADDRESSES,
     )
-    assert 0 <= told.age_s - news.age_s <= 0.001
-    assert 0 <= told.lag_s - news.lag_s <= 0.001
-    assert 0 <= told.outage_s - news.outage_s <= 0.001
-    assert 0 <= news.held_s - told.held_s <= 0.001
-    assert 0 <= news.available_s - told.available_s <= 0.001
+    assert 0 <= decoded.age_s - update.age_s <= 0.001
+    assert 0 <= decoded.lag_s - update.lag_s <= 0.001
+    assert 0 <= decoded.outage_s - update.outage_s <= 0.001
+    assert 0 <= update.held_s - decoded.held_s <= 0.001
+    assert 0 <= update.available_s - decoded.available_s <= 0.001
 
 
 @pytest.mark.parametrize(
