--- a/src/clementinegw/platform/_http.py
+++ b/src/clementinegw/platform/_http.py
@@ -108,7 +108,7 @@
         self._log = log or logs.Log()
         self._policy = policy or retries.RetryPolicy()
         self._rng = rng or random.Random()
-        self._lost = False
+        self._unavailable = False
 
     async def call(
         self,
@@ -139,20 +139,23 @@
             may have taken effect.
         """
         attempts = self._policy.attempts if idempotent else 1
-        tried = 0
+        attempts_made = 0
         while True:
             result = await self._attempt(
                 method, path, extra_s, max_bytes, options
             )
-            tried += 1
+            attempts_made += 1
             if isinstance(result, Reply):
                 self._log_recovery()
                 return result
             self._count("failed", result.reason)
-            if tried >= attempts or result.reason in _NOT_RETRIED_REASONS:
+            if (
+                attempts_made >= attempts
+                or result.reason in _NOT_RETRIED_REASONS
+            ):
                 raise self._error(result)
             self._count("retry", result.reason)
-            await asyncio.sleep(self._policy.pause_s(tried, self._rng))
+            await asyncio.sleep(self._policy.pause_s(attempts_made, self._rng))
 
     def parse(self, model: type[M], body: bytes) -> M:
         """Returns a JSON body as an instance of its model.
@@ -212,14 +215,14 @@
         self._counters.add(f"platform.{self._part}.{kind}.{reason}")
 
     def _log_recovery(self) -> None:
-        if self._lost:
-            self._lost = False
+        if self._unavailable:
+            self._unavailable = False
             self._log.write(_events.PLATFORM_BACK, part=self._part)
 
     def _error(self, failure: _Failure) -> exceptions.PlatformUnavailable:
         message = f"{self._part}: {failure.reason}: {failure.detail}"
-        if not self._lost:
-            self._lost = True
+        if not self._unavailable:
+            self._unavailable = True
             self._log.write(
                 _events.PLATFORM_LOST, part=self._part, reason=failure.reason
             )
--- a/src/clementinegw/platform/retries.py
+++ b/src/clementinegw/platform/retries.py
@@ -19,11 +19,11 @@
     base_s: float = 0.1
     max_s: float = 2.0
 
-    def pause_s(self, tried: int, rng: random.Random) -> float:
-        """Returns the pause after `tried` attempts, in seconds.
+    def pause_s(self, attempts_made: int, rng: random.Random) -> float:
+        """Returns the pause after `attempts_made` attempts, in seconds.
 
         The pause has jitter. Without it all processes would retry at the same
         time after an outage and exceed the log's rate limit together.
         """
-        longest = min(self.max_s, self.base_s * 2.0 ** (tried - 1))
+        longest = min(self.max_s, self.base_s * 2.0 ** (attempts_made - 1))
         return rng.uniform(longest / 2, longest)
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -75,7 +75,7 @@
         "operators",
         UnsharedTopic(platform_at(store).operators()),
         topic_watch.PollTiming(2.0, 0.0),
-        lambda batch, whole: batches.append(batch),
+        lambda batch, is_snapshot: batches.append(batch),
         logs.Log(),
         counters_lib.Counters(),
         asyncio.get_running_loop().time,
