--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -71,12 +71,12 @@
     ):
         """Prepares the daemon; see `entry.Entry`."""
         super().__init__()
-        assert instance.backend_address is not None
+        assert instance.backend is not None
         self._instance = instance
         self._platform = platform
         self._log = log
         self._counters = counters
-        self._backend = instance.backend_address
+        self._backend = instance.backend
         self._clock = asyncio.get_running_loop().time
         self._relay = relay.Relay(
             instance,
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -93,11 +93,11 @@
           wall_clock: Returns Unix time, in seconds.
         """
         super().__init__()
-        assert instance.callers_address is not None
+        assert instance.callers is not None
         rng = rng or random.Random()
         clock = asyncio.get_running_loop().time
         self._instance = instance
-        self._callers_address = instance.callers_address
+        self._callers_address = instance.callers
         self._log = log
         self._counters = counters
         self._clock = clock
@@ -190,8 +190,8 @@
     async def on_start(self) -> None:
         """Starts listening at once, so that early callers get a refusal."""
         await self._server.listen(self._callers_address)
-        if self._instance.ready_address is not None:
-            await self._health.listen(self._instance.ready_address)
+        if self._instance.ready is not None:
+            await self._health.listen(self._instance.ready)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self._reports,
--- a/src/clementinegw/direct/instance.py
+++ b/src/clementinegw/direct/instance.py
@@ -68,12 +68,12 @@
       regions: The region of each failure domain.
       host: Its IP address.
       peer_ports: The first and the last port for its peers.
-      store_address: The address of the platform's store.
-      callers_address: Where an entry accepts requests; None for an agent.
-      ready_address: Where an entry reports whether it accepts callers; None
-        if it does not.
-      backend_address: The address of an agent's backend server; None for an
-        entry.
+      store: The address of the platform's store.
+      callers: The address on which an entry accepts requests; None for an
+        agent.
+      ready: The address on which an entry reports whether it accepts callers;
+        None if it does not report it.
+      backend: The address of an agent's backend server; None for an entry.
       service: The service of that server; empty for an entry.
       link_bytes_per_s: The rate of the machine's link, in bytes per second.
       bounds: The bounds that the platform's operators set for the system.
@@ -84,10 +84,10 @@
     regions: dict[str, str]
     host: str
     peer_ports: tuple[int, int]
-    store_address: types.Address
-    callers_address: types.Address | None
-    ready_address: types.Address | None
-    backend_address: types.Address | None
+    store: types.Address
+    callers: types.Address | None
+    ready: types.Address | None
+    backend: types.Address | None
     service: str
     link_bytes_per_s: float
     bounds: Bounds
@@ -115,10 +115,10 @@
         regions=file.regions,
         host=file.host,
         peer_ports=(file.peer_ports[0], file.peer_ports[1]),
-        store_address=parse_address(file.store_address),
-        callers_address=_parse_optional_address(file.callers_address),
-        ready_address=_parse_optional_address(file.ready_address),
-        backend_address=_parse_optional_address(file.backend_address),
+        store=parse_address(file.store_address),
+        callers=_parse_optional_address(file.callers_address),
+        ready=_parse_optional_address(file.ready_address),
+        backend=_parse_optional_address(file.backend_address),
         service=file.service or "",
         link_bytes_per_s=file.link_mbps * 125_000.0,
         bounds=file.bounds or Bounds(),
--- a/src/clementinegw/direct/updater.py
+++ b/src/clementinegw/direct/updater.py
@@ -87,7 +87,7 @@
         here = [
             server
             for server in self.servers.values()
-            if server.address == self.instance.backend_address
+            if server.address == self.instance.backend
         ]
         started_ms = self.state.started_ms if self.state is not None else 0
         # Of those that are born at the same time, or say nothing of it, the
