--- a/src/clementinegw/direct/updater.py
+++ b/src/clementinegw/direct/updater.py
@@ -91,7 +91,7 @@
         same_address = [
             server
             for server in self.servers.values()
-            if server.address == self.instance.backend_address
+            if server.address == self.instance.backend
         ]
         started_ms = self.state.started_ms if self.state is not None else 0
         # Prefers the start that the server reports, then the latest start, then
