--- a/src/clementinegw/weights/_hold_off.py
+++ b/src/clementinegw/weights/_retry_delay.py
@@ -6,10 +6,10 @@
 from clementinegw.weights import _orders
 
 # Beyond these the longest pause is reached, and powers of two overflow.
-_MOST_DOUBLINGS = 16
+_MAX_DOUBLINGS = 16
 
 
-class HoldOff:
+class RetryDelay:
     """When the next load may be tried, and why not sooner."""
 
     def __init__(self, retries: retry_lib.RetryPolicy, rng: random.Random):
@@ -39,12 +39,12 @@
         """Returns whether the pause goes on."""
         return now < self._until
 
-    def fail(self, now: float, reason: _orders.Reason) -> None:
+    def record_failure(self, now: float, reason: _orders.Reason) -> None:
         """Begins a pause, longer than the one before."""
         self._failures += 1
         self._reason = reason
-        tried = min(self._failures, _MOST_DOUBLINGS)
-        self._until = now + self._retries.pause_s(tried, self._rng)
+        attempts = min(self._failures, _MAX_DOUBLINGS)
+        self._until = now + self._retries.pause_s(attempts, self._rng)
 
     def clear(self) -> None:
         """Ends the pause and forgets the failures."""
--- a/src/clementinegw/weights/loader.py
+++ b/src/clementinegw/weights/loader.py
@@ -12,8 +12,8 @@
 from clementinegw.backend import types as backend
 from clementinegw.telemetry import counters as metrics
 from clementinegw.weights import _engine_view
-from clementinegw.weights import _hold_off
 from clementinegw.weights import _orders
+from clementinegw.weights import _retry_delay
 from clementinegw.weights import _serving
 
 Timing = _orders.Timing
@@ -50,7 +50,7 @@
         self._engine = _engine_view.EngineView(
             checks_fencing, self._timing.settle_s
         )
-        self._hold_off = _hold_off.HoldOff(self._timing.retries, rng)
+        self._retry_delay = _retry_delay.RetryDelay(self._timing.retries, rng)
         self._phase = Phase.ASKING
         self._reason = Reason.NO_TARGET
         self._target: Target | None = None
@@ -113,7 +113,7 @@
         self._engine.know(target, previous, self.serving, self._ordered)
         if target.same_weights(former):
             return self._decide_if_idle(now)
-        self._hold_off.clear()
+        self._retry_delay.clear()
         return self._decide_if_idle(now)
 
     def staged(self, now: float, manifests: frozenset[str]) -> Actions:
@@ -247,8 +247,8 @@
         self._count(Reason.ENGINE_UNREACHABLE)
         if self._phase is Phase.ASKING:
             self._reason = Reason.ENGINE_UNREACHABLE
-            self._hold_off.fail(now, self._reason)
-            self._wake_at = self._hold_off.until
+            self._retry_delay.record_failure(now, self._reason)
+            self._wake_at = self._retry_delay.until
         elif self._phase in _IDLE:
             self._wake_at = now + self._timing.verify_s
         return []
@@ -307,7 +307,7 @@
         target = self._target
         return (
             target is not None
-            and not self._hold_off.active(now)
+            and not self._retry_delay.active(now)
             and not self._engine.has(target)
             and target.manifest_digests <= self._staged
             and not self._engine.refuses(target)
@@ -318,11 +318,11 @@
         actions = self._serve_loaded()
         self._phase = Phase.STEADY
         self._wake_at = now + self._timing.verify_s
-        if self._hold_off.active(now):
-            self._wake_at = min(self._wake_at, self._hold_off.until)
+        if self._retry_delay.active(now):
+            self._wake_at = min(self._wake_at, self._retry_delay.until)
         self._reason = self._why_resting(now)
         if self._reason is Reason.NONE:
-            self._hold_off.clear()
+            self._retry_delay.clear()
         return actions
 
     def _why_resting(self, now: float) -> Reason:
@@ -333,8 +333,8 @@
             return Reason.NONE
         if self._engine.refuses(target):
             return Reason.REFUSED_FENCING
-        if self._hold_off.active(now):
-            return self._hold_off.reason
+        if self._retry_delay.active(now):
+            return self._retry_delay.reason
         return Reason.CHUNKS_MISSING
 
     def _serve_loaded(self, release: bool = True) -> Actions:
@@ -392,7 +392,7 @@
         """
         self._count(reason)
         self._reason = reason
-        self._hold_off.fail(now, reason)
+        self._retry_delay.record_failure(now, reason)
         return self._ask()
 
     def _count(self, reason: Reason) -> None:
