--- a/src/clementinegw/bench/_rollout_replica.py
+++ b/src/clementinegw/bench/_rollout_replica.py
@@ -97,7 +97,7 @@
 
     async def _answer(self, body: bytes, writer: asyncio.StreamWriter) -> None:
         if self._pacing is not None:
-            self._pacing.live(self._body_bytes, self._body_bytes)
+            self._pacing.record_live(self._body_bytes, self._body_bytes)
         await self._link.receive(self._body_bytes)
         await asyncio.sleep(self._rng.uniform(*_SERVICE_S))
         # Read at the end: a request that ran while weights were replaced
--- a/src/clementinegw/weights/pacing.py
+++ b/src/clementinegw/weights/pacing.py
@@ -14,7 +14,7 @@
 from clementinegw import clock as clocks
 
 # Seconds after which live traffic of the past counts for 1/e.
-_MEMORY_S = 0.5
+_LIVE_RATE_DECAY_S = 0.5
 _BURST_S = 0.02
 
 
@@ -49,24 +49,26 @@
         self._rate = rate
         self._floor = floor
         self._burst = rate * _BURST_S if burst is None else burst
-        self._level = self._burst
-        self._live = 0.0
-        self._at = now
+        self._tokens = self._burst
+        self._live_bytes_per_s = 0.0
+        self._updated_at = now
 
     @property
     def live_rate(self) -> float:
         """Live bytes a second, a running mean."""
-        return self._live
+        return self._live_bytes_per_s
 
     @property
     def rate(self) -> float:
         """Tokens that come in a second at the moment."""
-        return max(self._floor * self._rate, self._rate - self._live)
+        return max(
+            self._floor * self._rate, self._rate - self._live_bytes_per_s
+        )
 
-    def live(self, count: int, now: float) -> None:
+    def record_live(self, count: int, now: float) -> None:
         """Notes bytes of live requests that passed."""
-        self._fill(now)
-        self._live += count / _MEMORY_S
+        self._refill(now)
+        self._live_bytes_per_s += count / _LIVE_RATE_DECAY_S
 
     def take(self, count: int, now: float) -> bool:
         """Takes tokens once the level is above zero; it may then go below.
@@ -75,33 +77,33 @@
         """
         if math.isinf(self._rate):
             return True
-        self._fill(now)
-        if self._level <= 0:
+        self._refill(now)
+        if self._tokens <= 0:
             return False
-        self._level -= count
+        self._tokens -= count
         return True
 
     def charge(self, count: int, now: float) -> None:
         """Takes tokens for bytes that have passed already."""
         if not math.isinf(self._rate):
-            self._fill(now)
-            self._level -= count
+            self._refill(now)
+            self._tokens -= count
 
     def ready_in(self, now: float) -> float:
         """Returns seconds until `take` succeeds."""
         if math.isinf(self._rate):
             return 0.0
-        self._fill(now)
+        self._refill(now)
         # A little above zero, or rounding would wake the taker too early.
-        return max(0.0, (1.0 - self._level) / self.rate)
+        return max(0.0, (1.0 - self._tokens) / self.rate)
 
-    def _fill(self, now: float) -> None:
-        elapsed = now - self._at
+    def _refill(self, now: float) -> None:
+        elapsed = now - self._updated_at
         if elapsed <= 0:
             return
-        self._level = min(self._burst, self._level + elapsed * self.rate)
-        self._live *= math.exp(-elapsed / _MEMORY_S)
-        self._at = now
+        self._tokens = min(self._burst, self._tokens + elapsed * self.rate)
+        self._live_bytes_per_s *= math.exp(-elapsed / _LIVE_RATE_DECAY_S)
+        self._updated_at = now
 
 
 class Pacer:
@@ -116,7 +118,7 @@
         """
         self._bucket = bucket
         self._clock = clock
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._waiting: list[tuple[float, int, int, asyncio.Future]] = []
         self._timer: asyncio.TimerHandle | None = None
 
@@ -125,9 +127,9 @@
         """The rate."""
         return self._bucket
 
-    def live(self, count: int) -> None:
+    def record_live(self, count: int) -> None:
         """Notes bytes of live requests that passed."""
-        self._bucket.live(count, self._clock.now())
+        self._bucket.record_live(count, self._clock.now())
 
     async def take(self, count: int, order: float = 0.0) -> None:
         """Waits until that many bytes may pass.
@@ -141,16 +143,16 @@
         if not self._waiting and self._bucket.take(count, now):
             return
         future = asyncio.get_running_loop().create_future()
-        entry = (order, next(self._numbers), count, future)
+        entry = (order, next(self._sequence), count, future)
         heapq.heappush(self._waiting, entry)
-        self._wake_later()
+        self._schedule_wake()
         await future
 
     def charge(self, count: int) -> None:
         """Notes bytes that passed without waiting; the next wait longer."""
         self._bucket.charge(count, self._clock.now())
 
-    def _wake_later(self) -> None:
+    def _schedule_wake(self) -> None:
         if self._timer is None:
             delay = self._bucket.ready_in(self._clock.now())
             loop = asyncio.get_running_loop()
@@ -163,7 +165,7 @@
             _, _, count, future = self._waiting[0]
             if not future.done():
                 if not self._bucket.take(count, now):
-                    self._wake_later()
+                    self._schedule_wake()
                     return
                 future.set_result(None)
             heapq.heappop(self._waiting)
@@ -205,7 +207,7 @@
         """What the machine receives."""
         return self._down
 
-    def live(self, sent: int, received: int) -> None:
+    def record_live(self, sent: int, received: int) -> None:
         """Notes bytes of live requests on the machine's link."""
-        self._up.live(sent)
-        self._down.live(received)
+        self._up.record_live(sent)
+        self._down.record_live(received)
--- a/tests/test_swarm_pacing.py
+++ b/tests/test_swarm_pacing.py
@@ -16,7 +16,7 @@
     total, step, begin, end = 0, 0.01, 5.0, 15.0
     for tick in range(round(end / step)):
         now = tick * step
-        bucket.live(live_per_s * step, now)
+        bucket.record_live(live_per_s * step, now)
         while bucket.take(10, now):
             total += 10 if now >= begin else 0
     return total / (end - begin)
@@ -31,7 +31,7 @@
 
 def test_a_burst_of_live_requests_is_forgotten_soon():
     bucket = pacing.Bucket(RATE, 0.0)
-    bucket.live(400, 0.0)
+    bucket.record_live(400, 0.0)
     assert bucket.rate == pytest.approx(200)
     bucket.take(1, 5.0)
     assert bucket.rate == pytest.approx(RATE, rel=0.01)
@@ -76,5 +76,5 @@
     shared = pacing.Pacing(RATE, clock, shared=True)
     assert shared.up is shared.down
     apart = pacing.Pacing(RATE, clock)
-    apart.live(sent=200, received=0)
+    apart.record_live(sent=200, received=0)
     assert apart.up.bucket.rate < apart.down.bucket.rate
