--- a/src/clementinegw/daemons/fleet_weights.py
+++ b/src/clementinegw/daemons/fleet_weights.py
@@ -13,7 +13,7 @@
 from clementinegw.settings import follower as follower_lib
 from clementinegw.settings import knobs
 from clementinegw.settings import model as model_lib
-from clementinegw.weights import drawers
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import pacing as pacing_lib
 from clementinegw.weights import service as weights_lib
 from clementinegw.weights import store as chunk_stores
@@ -25,9 +25,9 @@
 
 # A policy `none` has each agent draw for itself: it is its own group.
 _DRAW_POLICIES = {
-    knobs.DrawPolicy.FLEET: drawers.DrawPolicy.FLEET,
-    knobs.DrawPolicy.REGION: drawers.DrawPolicy.REGION,
-    knobs.DrawPolicy.FAILURE_DOMAIN: drawers.DrawPolicy.FAILURE_DOMAIN,
+    knobs.DrawPolicy.FLEET: origin_fetchers.DrawPolicy.FLEET,
+    knobs.DrawPolicy.REGION: origin_fetchers.DrawPolicy.REGION,
+    knobs.DrawPolicy.FAILURE_DOMAIN: origin_fetchers.DrawPolicy.FAILURE_DOMAIN,
 }
 
 
@@ -150,12 +150,12 @@
             return found
         return model_lib.Service(kind=types.ServiceKind.MODEL_ENGINE)
 
-    def _policy(self) -> weights_lib.Policy:
+    def _policy(self) -> weights_lib.SwapPolicy:
         found = self._core.effective(self._service)
         state = self._state
         # Views of the members differ for a while; a declared number does not.
         workers = self._declared(state).workers if state else None
-        return weights_lib.Policy(
+        return weights_lib.SwapPolicy(
             max_out_share=found.weights.max_out_share,
             workers=workers or max(1, len(self._peers)),
             drain_timeout_s=found.shutdown.grace_s,
@@ -196,5 +196,5 @@
 
 def _declared_version(
     model: model_lib.ModelVersion, revision: int
-) -> weights_lib.Declared:
-    return weights_lib.Declared(model.version, model.manifest, revision)
+) -> weights_lib.DeclaredVersion:
+    return weights_lib.DeclaredVersion(model.version, model.manifest, revision)
--- a/src/clementinegw/direct/fetcher.py
+++ b/src/clementinegw/direct/fetcher.py
@@ -12,8 +12,8 @@
 from clementinegw.direct import manifest_cache
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
-from clementinegw.weights import drawers
 from clementinegw.weights import manifest as manifests
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import pacing as pacing_lib
 from clementinegw.weights import store as stores
 from clementinegw.weights import swarm
@@ -254,7 +254,7 @@
         if len(fleet) <= _MAX_FLEET_ASKING_ORIGIN:
             return ()
         name = f"{model}/{version}".encode()
-        return fleet.ranked(name, drawers.DrawPolicy.FLEET, "")
+        return fleet.ranked(name, origin_fetchers.DrawPolicy.FLEET, "")
 
     def holds_all(self, manifest: agent_interfaces.VersionManifest) -> bool:
         """Returns whether every piece of a version is here."""
@@ -304,7 +304,7 @@
         self, manifest: agent_interfaces.VersionManifest
     ) -> list[int]:
         """Returns the pieces that this agent draws first, and does not hold."""
-        firsts = self.transfer.first_draws(
+        firsts = self.transfer.assigned_chunks(
             manifest_cache.to_swarm_manifest(manifest)
         )
         return [n for n in firsts if not self._store.holds(manifest.digests[n])]
@@ -321,7 +321,7 @@
           exceptions.PlatformError: The origin gave no whole piece.
         """
         # Last in the order: what the link carries for the exchange goes first.
-        await self.transfer.take_pace(manifest.chunk_bytes)
+        await self.transfer.wait_for_bandwidth(manifest.chunk_bytes)
         data = await origin.piece(manifest.model, manifest.version, number)
         return await self._store.put(manifest.digests[number], data)
 
--- a/src/clementinegw/matrix/rollout.py
+++ b/src/clementinegw/matrix/rollout.py
@@ -105,7 +105,7 @@
             exchange=exchange,
             endpoint=endpoint,
             checks_fencing=engine.checks_fencing,
-            policy=weights_service.Policy(
+            policy=weights_service.SwapPolicy(
                 0.34, len(self.agents), _LOAD_LIMIT_S, _LOAD_LIMIT_S
             ),
             clock=world.clock,
@@ -312,5 +312,7 @@
 
 def _declared(
     manifest: manifests.Manifest, revision: int
-) -> weights_service.Declared:
-    return weights_service.Declared(manifest.version, manifest.digest, revision)
+) -> weights_service.DeclaredVersion:
+    return weights_service.DeclaredVersion(
+        manifest.version, manifest.digest, revision
+    )
--- a/src/clementinegw/weights/_fetch.py
+++ b/src/clementinegw/weights/_fetch.py
@@ -15,9 +15,9 @@
 from clementinegw.weights import manifest as manifests
 from clementinegw.weights import store as chunk_stores
 
-DRAWS_AT_ONCE = 4
-CHECK_S = 1.0
-RETRIES = retries.RetryPolicy(base_s=0.5, max_s=5.0)
+MAX_CONCURRENT_FETCHES = 4
+POLL_INTERVAL_S = 1.0
+RETRY_POLICY = retries.RetryPolicy(base_s=0.5, max_s=5.0)
 
 
 class Exchange(Protocol):
@@ -72,22 +72,22 @@
     async def recover(self, wanted: Sequence[manifests.Manifest]) -> None:
         """Takes in what is staged already, and makes room."""
         self._store.retain(wanted)
-        tried = 0
+        attempts = 0
         while True:
             try:
                 for manifest in wanted:
                     await self._store.recover(manifest)
-                await self._store.drop_others()
+                await self._store.drop_unretained()
                 return
             except exceptions.BackendError as error:
-                tried += 1
-                await self._pause(tried, error.message)
+                attempts += 1
+                await self._pause(attempts, error.message)
 
     async def fetch(self, manifest: manifests.Manifest) -> None:
         """Returns once every chunk is staged; cancelled, it just stops."""
         if self._exchange is not None:
             await self._fetch_by_exchange(self._exchange, manifest)
-        await self._draw_missing(manifest)
+        await self._fetch_missing(manifest)
 
     async def _fetch_by_exchange(
         self, exchange: Exchange, manifest: manifests.Manifest
@@ -97,35 +97,35 @@
         while not exchange.complete and not self._store.holds_all(manifest):
             self._changed.clear()
             try:
-                async with asyncio.timeout(CHECK_S):
+                async with asyncio.timeout(POLL_INTERVAL_S):
                     await self._changed.wait()
             except TimeoutError:
                 pass
 
-    async def _draw_missing(self, manifest: manifests.Manifest) -> None:
-        tried = 0
+    async def _fetch_missing(self, manifest: manifests.Manifest) -> None:
+        attempts = 0
         while not self._store.holds_all(manifest):
             held = self._store.held(manifest)
             indices = bitset.missing(held, len(manifest.chunks))
             chunks = list(dict.fromkeys(manifest.chunks[i] for i in indices))
             self._rng.shuffle(chunks)
-            limit = asyncio.Semaphore(DRAWS_AT_ONCE)
+            limit = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
             async with asyncio.TaskGroup() as group:
                 for chunk in chunks:
-                    group.create_task(self._draw(chunk, limit))
+                    group.create_task(self._fetch_chunk(chunk, limit))
             if not self._store.holds_all(manifest):
-                tried += 1
-                await self._pause(tried, "chunks missing")
+                attempts += 1
+                await self._pause(attempts, "chunks missing")
 
-    async def _draw(
+    async def _fetch_chunk(
         self, chunk: manifests.Chunk, limit: asyncio.Semaphore
     ) -> None:
         async with limit:
             for source in self._sources:
-                if await self._draw_from(source, chunk):
+                if await self._fetch_chunk_from(source, chunk):
                     return
 
-    async def _draw_from(
+    async def _fetch_chunk_from(
         self, source: blobs.BlobStore, chunk: manifests.Chunk
     ) -> bool:
         try:
@@ -142,7 +142,7 @@
             self._log.write(_events.CHUNK_REJECTED, digest=chunk.digest.hex())
         return stored
 
-    async def _pause(self, tried: int, detail: str) -> None:
+    async def _pause(self, attempts: int, detail: str) -> None:
         self._counters.add("weights.fetch.retry")
         self._log.write(_events.STAGING_FAILED, detail=detail)
-        await asyncio.sleep(RETRIES.pause_s(min(tried, 8), self._rng))
+        await asyncio.sleep(RETRY_POLICY.pause_s(min(attempts, 8), self._rng))
--- a/src/clementinegw/weights/_service_types.py
+++ b/src/clementinegw/weights/_service_types.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Declared:
+class DeclaredVersion:
     """A version as the settings declare it.
 
     Attributes:
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Policy:
+class SwapPolicy:
     """Knobs of the swap.
 
     Attributes:
--- a/src/clementinegw/weights/_swarm_adverts.py
+++ b/src/clementinegw/weights/_swarm_adverts.py
@@ -18,23 +18,23 @@
 class _Batch:
     """Chunks that some peers have not been told of yet."""
 
-    every_s: float
-    gained: list[int] = dataclasses.field(default_factory=list)
-    told_at: float = -math.inf
+    interval_s: float
+    indices: list[int] = dataclasses.field(default_factory=list)
+    sent_at: float = -math.inf
 
     @property
     def due_at(self) -> float:
-        if not self.gained:
+        if not self.indices:
             return math.inf
-        return self.told_at + self.every_s
+        return self.sent_at + self.interval_s
 
     def take(self, now: float, last: bool) -> list[int]:
         """Returns the chunks that are told of now; none while none is due."""
-        if now < self.due_at and not (last and self.gained):
+        if now < self.due_at and not (last and self.indices):
             return []
-        self.told_at = now
-        gained, self.gained = self.gained, []
-        return gained
+        self.sent_at = now
+        indices, self.indices = self.indices, []
+        return indices
 
 
 class Adverts:
@@ -43,32 +43,33 @@
     def __init__(
         self,
         limits: types_.Limits,
-        imports: Callable[[int, peers_lib.Peer], bool],
+        is_importer: Callable[[int, peers_lib.Peer], bool],
     ):
         """Starts with nothing to tell.
 
         Args:
           limits: How often gained chunks are announced.
-          imports: Whether a chunk enters a peer's failure domain through it.
+          is_importer: Whether a chunk enters a peer's failure domain through
+            that peer.
         """
-        self._imports = imports
-        self._news = _Batch(limits.advert_s)
+        self._is_importer = is_importer
+        self._pending = _Batch(limits.advert_s)
         # Of these the peers elsewhere were not told that only help out.
-        self._later = _Batch(max(limits.advert_s, limits.far_advert_s))
+        self._pending_remote = _Batch(max(limits.advert_s, limits.far_advert_s))
 
     @property
     def due_at(self) -> float:
         """When the next announcement is due; infinity without news."""
-        return min(self._news.due_at, self._later.due_at)
+        return min(self._pending.due_at, self._pending_remote.due_at)
 
     def reset(self) -> None:
         """Forgets news of another manifest."""
-        self._news.gained = []
-        self._later.gained = []
+        self._pending.indices = []
+        self._pending_remote.indices = []
 
-    def gained(self, index: int) -> None:
+    def add(self, index: int) -> None:
         """Notes a chunk that came."""
-        self._news.gained.append(index)
+        self._pending.indices.append(index)
 
     def flush(
         self,
@@ -76,7 +77,7 @@
         peers: list[peers_lib.Peer],
         now: float,
         last: bool = False,
-    ) -> list[types_.TellGained]:
+    ) -> list[types_.AdvertiseGained]:
         """Returns the announcements that are due.
 
         A peer that holds all that is new will ask for none of it and is not
@@ -88,26 +89,30 @@
           now: Monotonic seconds.
           last: Whether no later one will tell of what is not due yet.
         """
-        news = self._news.take(now, last)
-        self._later.gained += news
+        indices = self._pending.take(now, last)
+        self._pending_remote.indices += indices
         soon = [
             peer
             for peer in peers
-            if peer.local or any(self._imports(index, peer) for index in news)
+            if peer.local
+            or any(self._is_importer(index, peer) for index in indices)
         ]
-        later = self._later.take(now, last)
+        later = self._pending_remote.take(now, last)
         far = [peer for peer in peers if not peer.local]
-        told = (_tell(digest, soon, news), _tell(digest, far, later))
-        return [advert for advert in told if advert is not None]
+        adverts = (
+            _make_advert(digest, soon, indices),
+            _make_advert(digest, far, later),
+        )
+        return [advert for advert in adverts if advert is not None]
 
 
-def _tell(
-    digest: str, peers: list[peers_lib.Peer], gained: list[int]
-) -> types_.TellGained | None:
-    bits = sum(1 << index for index in gained)
+def _make_advert(
+    digest: str, peers: list[peers_lib.Peer], indices: list[int]
+) -> types_.AdvertiseGained | None:
+    bits = sum(1 << index for index in indices)
     names = tuple(
         peer.member.instance_id for peer in peers if bits & ~peer.bits
     )
     if not names:
         return None
-    return types_.TellGained(names, digest, tuple(gained))
+    return types_.AdvertiseGained(names, digest, tuple(indices))
--- a/src/clementinegw/weights/_swarm_choice.py
+++ b/src/clementinegw/weights/_swarm_choice.py
@@ -42,21 +42,21 @@
     if not candidates:
         return None
     index = _rarest(candidates, holders, rng)
-    holder = holder_of(index, peers, rng)
+    holder = choose_holder(index, peers, rng)
     return None if holder is None else (index, holder)
 
 
-def holder_of(
+def choose_holder(
     index: int, peers: list[peers_lib.Peer], rng: random.Random
 ) -> peers_lib.Peer | None:
     """Returns the holder to ask: a local one, that gave least so far."""
-    able = [peer for peer in peers if peer.bits >> index & 1]
+    candidates = [peer for peer in peers if peer.bits >> index & 1]
     return min(
-        able,
+        candidates,
         key=lambda peer: (
             not peer.local,
-            peer.asked,
-            peer.taken,
+            peer.outstanding,
+            peer.received,
             rng.random(),
         ),
         default=None,
@@ -64,7 +64,7 @@
 
 
 def second_source(
-    open_: requests_lib.Requests,
+    requests: requests_lib.Requests,
     peers: list[peers_lib.Peer],
     rng: random.Random,
     now: float,
@@ -75,17 +75,17 @@
     its request.
 
     Args:
-      open_: The open requests; all missing chunks are among them.
+      requests: The open requests; all missing chunks are among them.
       peers: The neighbours that can be asked now.
       rng: Breaks ties.
       now: Monotonic seconds.
     """
-    for request in open_.all():
-        if len(open_.of(request.index)) > 1:
+    for request in requests.all():
+        if len(requests.for_chunk(request.index)) > 1:
             continue
-        if open_.second_source_at(request) > now:
+        if requests.second_source_at(request) > now:
             continue
-        peer = holder_of(request.index, peers, rng)
+        peer = choose_holder(request.index, peers, rng)
         if peer is not None:
             return request.index, peer
     return None
--- a/src/clementinegw/weights/_swarm_fleet.py
+++ b/src/clementinegw/weights/_swarm_fleet.py
@@ -2,10 +2,10 @@
 
 import math
 
-from clementinegw.weights import drawers
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import peers as peers_lib
 
-_DOMAIN = drawers.DrawPolicy.FAILURE_DOMAIN
+_DOMAIN = origin_fetchers.DrawPolicy.FAILURE_DOMAIN
 
 
 class FleetView:
@@ -20,8 +20,8 @@
 
     def __init__(
         self,
-        me: drawers.Member,
-        policy: drawers.DrawPolicy,
+        me: origin_fetchers.Member,
+        policy: origin_fetchers.DrawPolicy,
         cut_off_s: float,
     ):
         """Starts with this agent alone.
@@ -34,56 +34,56 @@
         self._me = me
         self._policy = policy
         self._cut_off_s = cut_off_s
-        self._fleet = drawers.Fleet([me])
-        self._seen: tuple[drawers.Member, ...] = ()
-        self._vanished: dict[str, float] = {}
-        self._alone_since: float | None = None
+        self._fleet = origin_fetchers.Fleet([me])
+        self._seen: tuple[origin_fetchers.Member, ...] = ()
+        self._vanished_at: dict[str, float] = {}
+        self._isolated_since: float | None = None
 
     @property
-    def fleet(self) -> drawers.Fleet:
+    def fleet(self) -> origin_fetchers.Fleet:
         """All agents, those out of sight included."""
         return self._fleet
 
     @property
-    def absent(self) -> dict[str, float]:
+    def absent_since(self) -> dict[str, float]:
         """When each agent that is out of sight vanished, by id."""
         return {
-            member.instance_id: gone_at
-            for domain, gone_at in self._vanished.items()
+            member.instance_id: vanished_at
+            for domain, vanished_at in self._vanished_at.items()
             for member in self._fleet.group(_DOMAIN, domain)
         }
 
-    def update(self, seen: drawers.Fleet, now: float) -> bool:
+    def update(self, seen: origin_fetchers.Fleet, now: float) -> bool:
         """Takes the agents that are in sight; returns whether it matters."""
         members = list(seen.members)
         for name in _domains(self._fleet) - _domains(seen):
-            gone_at = self._vanished.setdefault(name, now)
-            if now < gone_at + self._cut_off_s:
+            vanished_at = self._vanished_at.setdefault(name, now)
+            if now < vanished_at + self._cut_off_s:
                 members += self._fleet.group(_DOMAIN, name)
         for name in _domains(seen):
-            self._vanished.pop(name, None)
+            self._vanished_at.pop(name, None)
         before = (self._fleet.members, self._seen)
-        self._fleet = drawers.Fleet(members)
+        self._fleet = origin_fetchers.Fleet(members)
         self._seen = seen.members
         return (self._fleet.members, self._seen) != before
 
-    def leave_origin_until(
+    def avoid_origin_until(
         self, peers: list[peers_lib.Peer], now: float
     ) -> float:
         """Returns until when nothing is drawn; a past time when it may be."""
         if not self._has_others() or any(not peer.local for peer in peers):
-            self._alone_since = None
+            self._isolated_since = None
             return -math.inf
-        if self._alone_since is None:
-            self._alone_since = now
-        return self._alone_since + self._cut_off_s
+        if self._isolated_since is None:
+            self._isolated_since = now
+        return self._isolated_since + self._cut_off_s
 
     def _has_others(self) -> bool:
-        mine = drawers.group_of(self._me, self._policy)
+        mine = origin_fetchers.group_of(self._me, self._policy)
         group = self._fleet.group(self._policy, mine)
         near = self._fleet.group(_DOMAIN, self._me.failure_domain)
         return len(group) > len(near)
 
 
-def _domains(fleet: drawers.Fleet) -> set[str]:
+def _domains(fleet: origin_fetchers.Fleet) -> set[str]:
     return {member.failure_domain for member in fleet.members}
--- a/src/clementinegw/weights/_swarm_imports.py
+++ b/src/clementinegw/weights/_swarm_imports.py
@@ -3,12 +3,12 @@
 import math
 
 from clementinegw.weights import _swarm_types as types_
-from clementinegw.weights import drawers
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import peers as peers_lib
 
 # How many mean request times each in rank gives those before it.
-_PATIENCE = 2.0
-_DOMAIN = drawers.DrawPolicy.FAILURE_DOMAIN
+_WAIT_FACTOR = 2.0
+_DOMAIN = origin_fetchers.DrawPolicy.FAILURE_DOMAIN
 
 
 class Imports:
@@ -17,7 +17,7 @@
     def __init__(
         self,
         limits: types_.Limits,
-        me: drawers.Member,
+        me: origin_fetchers.Member,
         peers: peers_lib.Neighbourhood,
     ):
         """Starts with nothing imported.
@@ -36,15 +36,15 @@
         """Starts again with another manifest."""
         self._imported = 0
 
-    def took(self) -> None:
+    def record_import(self) -> None:
         """Notes a chunk that came from another domain."""
         self._imported += 1
 
-    def allowed(
+    def is_allowed(
         self,
         index: int,
         digests: tuple[bytes, ...],
-        fleet: drawers.Fleet,
+        fleet: origin_fetchers.Fleet,
         mean_s: float,
         arrived_at: float,
         now: float,
@@ -66,11 +66,11 @@
         """
         rank = fleet.rank(digests[index], _DOMAIN, self._me)
         if not rank:
-            return not self._peers.held_near(index)
+            return not self._peers.held_locally(index)
         if self._imported >= self._budget(len(digests), fleet):
             # The budget must not keep a chunk out that is nowhere near.
             return now >= arrived_at + self._limits.draw_deadline_s
-        if self._peers.held_near(index):
+        if self._peers.held_locally(index):
             return False
         group = self._me.failure_domain
         first = fleet.ranked(digests[index], _DOMAIN, group)[0]
@@ -78,9 +78,9 @@
             # Nobody brings it who is waited for; each chunk of one that died
             # would else come later, and its next drawers draw later still.
             return True
-        seen_at = self._peers.seen_far_at(index, now)
-        return now >= seen_at + _PATIENCE * (1 + rank) * mean_s
+        seen_at = self._peers.first_seen_remote_at(index, now)
+        return now >= seen_at + _WAIT_FACTOR * (1 + rank) * mean_s
 
-    def _budget(self, chunks: int, fleet: drawers.Fleet) -> int:
+    def _budget(self, chunks: int, fleet: origin_fetchers.Fleet) -> int:
         near = len(fleet.group(_DOMAIN, self._me.failure_domain))
         return math.ceil(self._limits.cross_copies * chunks / max(1, near))
--- a/src/clementinegw/weights/_swarm_requests.py
+++ b/src/clementinegw/weights/_swarm_requests.py
@@ -5,14 +5,14 @@
 from clementinegw.weights import _swarm_types as types_
 
 # The share of the newest duration in the running mean.
-_NEWEST = 0.2
+_MEAN_WEIGHT = 0.2
 # A second source is asked for the last chunks after this many mean durations.
 _ENDGAME_FACTOR = 2.0
 # With small chunks and a fast link a request takes a fraction of a millisecond.
 # An agent that waits for a slow origin and looks again that often keeps its
 # core busy for nothing; its counter of requests stands still meanwhile. With
 # this floor, in seconds, it looks at most 200 times a second.
-_LOOK_AGAIN_FLOOR_S = 0.005
+_MIN_POLL_INTERVAL_S = 0.005
 
 
 @dataclasses.dataclass(slots=True)
@@ -22,14 +22,14 @@
     Attributes:
       index: The chunk.
       source: A peer's id or `ORIGIN`.
-      started: When it was asked, in monotonic seconds.
-      heard: When the last part of it came, or `started`.
+      started_at: When it was asked, in monotonic seconds.
+      progress_at: When the last part of it came, or `started_at`.
     """
 
     index: int
     source: str
-    started: float
-    heard: float
+    started_at: float
+    progress_at: float
 
 
 class Requests:
@@ -58,7 +58,7 @@
         return self._pending
 
     @property
-    def draws(self) -> int:
+    def origin_requests(self) -> int:
         """How many of the open requests go to the origin."""
         return sum(1 for r in self._open.values() if r.source == types_.ORIGIN)
 
@@ -68,15 +68,15 @@
         return self._mean[False]
 
     @property
-    def look_again_s(self) -> float:
+    def poll_interval_s(self) -> float:
         """How long to wait before looking for a source again, in seconds."""
-        return max(self.mean_s, _LOOK_AGAIN_FLOOR_S)
+        return max(self.mean_s, _MIN_POLL_INTERVAL_S)
 
     def all(self) -> list[Request]:
         """Returns the open requests."""
         return list(self._open.values())
 
-    def of(self, index: int) -> list[Request]:
+    def for_chunk(self, index: int) -> list[Request]:
         """Returns the open requests for one chunk."""
         return [r for r in self._open.values() if r.index == index]
 
@@ -85,27 +85,27 @@
         self._open[index, source] = Request(index, source, now, now)
         self._pending |= 1 << index
 
-    def heard(self, index: int, source: str, now: float) -> None:
+    def record_progress(self, index: int, source: str, now: float) -> None:
         """Notes that a part of a chunk came."""
         request = self._open.get((index, source))
         if request is not None:
-            request.heard = now
+            request.progress_at = now
 
     def end(self, index: int, source: str) -> Request | None:
         """Closes a request; returns None when it was not open."""
         request = self._open.pop((index, source), None)
-        if request is not None and not self.of(index):
+        if request is not None and not self.for_chunk(index):
             self._pending &= ~(1 << index)
         return request
 
-    def took(self, request: Request, now: float) -> None:
+    def record_duration(self, request: Request, now: float) -> None:
         """Learns from the duration of a request that succeeded."""
         origin = request.source == types_.ORIGIN
         mean = self._mean[origin]
-        duration = now - request.started
-        self._mean[origin] = mean + _NEWEST * (duration - mean)
+        duration = now - request.started_at
+        self._mean[origin] = mean + _MEAN_WEIGHT * (duration - mean)
 
-    def give_up_at(self, request: Request) -> float:
+    def stall_deadline(self, request: Request) -> float:
         """Returns when a request counts as stalled.
 
         A stalled link does not close its connection: without a deadline the
@@ -114,13 +114,13 @@
         taken for a stalled one.
         """
         mean = self._mean[request.source == types_.ORIGIN]
-        patience = self._limits.stall_factor * mean
-        return request.heard + max(self._limits.stall_floor_s, patience)
+        stall_s = self._limits.stall_factor * mean
+        return request.progress_at + max(self._limits.stall_floor_s, stall_s)
 
     def stalled(self, now: float) -> list[Request]:
         """Returns the requests that are past their deadline."""
-        return [r for r in self._open.values() if self.give_up_at(r) <= now]
+        return [r for r in self._open.values() if self.stall_deadline(r) <= now]
 
     def second_source_at(self, request: Request) -> float:
         """Returns from when on a second source may be asked in the endgame."""
-        return request.started + _ENDGAME_FACTOR * self._mean[False]
+        return request.started_at + _ENDGAME_FACTOR * self._mean[False]
--- a/src/clementinegw/weights/_swarm_target.py
+++ b/src/clementinegw/weights/_swarm_target.py
@@ -13,32 +13,32 @@
       digest: The manifest's digest; empty without a target.
       chunks: The manifest's chunks.
       have: The chunks held.
-      began: When it was set, in monotonic seconds.
+      started_at: When it was set, in monotonic seconds.
       digests: The digests of all chunks.
-      full: All chunks.
+      all_chunks: All chunks.
     """
 
     digest: str = ""
     chunks: tuple[manifests.Chunk, ...] = ()
     have: int = 0
-    began: float = 0.0
+    started_at: float = 0.0
     digests: tuple[bytes, ...] = dataclasses.field(init=False)
-    full: int = dataclasses.field(init=False)
+    all_chunks: int = dataclasses.field(init=False)
 
     def __post_init__(self):
         self.digests = tuple(chunk.digest for chunk in self.chunks)
-        self.full = (1 << len(self.chunks)) - 1
-        self.have &= self.full
+        self.all_chunks = (1 << len(self.chunks)) - 1
+        self.have &= self.all_chunks
 
     @property
     def missing(self) -> int:
         """The chunks that are not held."""
-        return self.full & ~self.have
+        return self.all_chunks & ~self.have
 
     @property
     def complete(self) -> bool:
         """Whether there are chunks and all are held."""
-        return bool(self.chunks) and self.have == self.full
+        return bool(self.chunks) and self.have == self.all_chunks
 
     @property
     def largest(self) -> int:
--- a/src/clementinegw/weights/_swarm_types.py
+++ b/src/clementinegw/weights/_swarm_types.py
@@ -3,8 +3,8 @@
 import dataclasses
 import enum
 
-from clementinegw.weights import drawers
 from clementinegw.weights import manifest as manifests
+from clementinegw.weights import origin_fetchers
 
 # The source of a chunk that comes from the weight store or the origin.
 ORIGIN = ""
@@ -53,7 +53,7 @@
     remote_neighbours: int = 2
     import_neighbours: int = 32
     draws: int = 1
-    draw_policy: drawers.DrawPolicy = drawers.DrawPolicy.FLEET
+    draw_policy: origin_fetchers.DrawPolicy = origin_fetchers.DrawPolicy.FLEET
     draw_deadline_s: float = 10.0
     cut_off_s: float = 600.0
     settle_s: float = 0.5
@@ -75,7 +75,7 @@
     OTHER_TARGET = "other_target"
 
 
-class AsideReason(enum.StrEnum):
+class ExclusionReason(enum.StrEnum):
     """Why a peer is not asked for a while."""
 
     CORRUPT = "corrupt"
@@ -89,7 +89,7 @@
     OTHER_WAS_FASTER = "other_was_faster"
     ABANDONED = "abandoned"
     PEER_GONE = "peer_gone"
-    PEER_ASIDE = "peer_aside"
+    PEER_EXCLUDED = "peer_aside"
 
 
 # Events.
@@ -116,14 +116,14 @@
 class FleetChanged:
     """Other agents take part than before."""
 
-    fleet: drawers.Fleet
+    fleet: origin_fetchers.Fleet
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUp:
     """There is a connection to a peer, whoever opened it."""
 
-    peer: drawers.Member
+    peer: origin_fetchers.Member
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -219,7 +219,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
+class ChunkRequested:
     """A peer asks for a chunk."""
 
     peer_id: str
@@ -254,7 +254,7 @@
     | Corrupt
     | Refused
     | Failed
-    | Wanted
+    | ChunkRequested
     | Served
     | Tick
 )
@@ -267,18 +267,18 @@
 class Connect:
     """Open a connection to a peer, and again when it breaks."""
 
-    peer: drawers.Member
+    peer: origin_fetchers.Member
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Forget:
+class Disconnect:
     """Keep no connection to a peer."""
 
     peer_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class RequestChunk:
     """Ask a source for a chunk; `ORIGIN` for the store or the origin."""
 
     digest: str
@@ -297,7 +297,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellAll:
+class AdvertiseAll:
     """Tell a peer all that is held, as a `bitset`; see `PeerHolds`."""
 
     peer_id: str
@@ -307,7 +307,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellGained:
+class AdvertiseGained:
     """Tell peers which chunks came since they were told last."""
 
     peer_ids: tuple[str, ...]
@@ -343,11 +343,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PutAside:
+class PeerExcluded:
     """A peer is not asked for a while; for the log and the counters."""
 
     peer_id: str
-    reason: AsideReason
+    reason: ExclusionReason
     seconds: float
 
 
@@ -360,14 +360,14 @@
 
 Action = (
     Connect
-    | Forget
-    | Ask
+    | Disconnect
+    | RequestChunk
     | Cancel
-    | TellAll
-    | TellGained
+    | AdvertiseAll
+    | AdvertiseGained
     | Serve
     | StopServing
     | Refuse
-    | PutAside
+    | PeerExcluded
     | Completed
 )
--- a/src/clementinegw/weights/_swarm_uploads.py
+++ b/src/clementinegw/weights/_swarm_uploads.py
@@ -18,13 +18,13 @@
         """
         self._limits = limits
         self._rng = rng
-        self._began: dict[tuple[str, int], float] = {}
+        self._started_at: dict[tuple[str, int], float] = {}
 
     def __len__(self) -> int:
-        return len(self._began)
+        return len(self._started_at)
 
     def answer(
-        self, event: types_.Wanted, target: targets.Target, now: float
+        self, event: types_.ChunkRequested, target: targets.Target, now: float
     ) -> types_.Serve | types_.Refuse:
         """Answers a peer that asks for a chunk, and takes a slot for it."""
         peer_id, index = event.peer_id, event.index
@@ -33,7 +33,7 @@
             reason = types_.RefuseReason.OTHER_TARGET
         elif not target.holds(index):
             reason = types_.RefuseReason.NOT_HELD
-        elif not self._take(peer_id, index, now):
+        elif not self._reserve(peer_id, index, now):
             reason = types_.RefuseReason.BUSY
             wait = self._retry_after(target.chunks[index].size, now)
         else:
@@ -42,32 +42,32 @@
 
     def free(self, peer_id: str, index: int) -> None:
         """Frees the slot of a chunk that a peer asked for, if it has one."""
-        self._began.pop((peer_id, index), None)
+        self._started_at.pop((peer_id, index), None)
 
-    def forget(self, peer_id: str) -> None:
+    def free_all(self, peer_id: str) -> None:
         """Frees all slots of a peer."""
-        for key in [key for key in self._began if key[0] == peer_id]:
-            del self._began[key]
+        for key in [key for key in self._started_at if key[0] == peer_id]:
+            del self._started_at[key]
 
     def clear(self) -> list[tuple[str, int]]:
         """Frees all slots and returns the peers and chunks that had them."""
-        taken = list(self._began)
-        self._began.clear()
+        taken = list(self._started_at)
+        self._started_at.clear()
         return taken
 
     def _retry_after(self, chunk_bytes: int, now: float) -> float:
         """Returns in how many seconds a slot is likely to be free."""
         chunk_s = chunk_bytes / self._limits.link_bytes_per_s
-        oldest = min(self._began.values(), default=now)
+        oldest = min(self._started_at.values(), default=now)
         left = max(0.0, chunk_s - (now - oldest))
         # Without the random part all who were refused would come back at the
         # same moment, and all but one would be refused again.
         return left + chunk_s * self._rng.random()
 
-    def _take(self, peer_id: str, index: int, now: float) -> bool:
-        mine = sum(1 for name, _ in self._began if name == peer_id)
-        full = len(self._began) >= self._limits.upload_slots
+    def _reserve(self, peer_id: str, index: int, now: float) -> bool:
+        mine = sum(1 for name, _ in self._started_at if name == peer_id)
+        full = len(self._started_at) >= self._limits.upload_slots
         if full or mine >= self._limits.asks_a_peer:
             return False
-        self._began[peer_id, index] = now
+        self._started_at[peer_id, index] = now
         return True
--- a/src/clementinegw/weights/_transfer_context.py
+++ b/src/clementinegw/weights/_transfer_context.py
@@ -21,7 +21,7 @@
       store: Where chunks are kept.
       pacing: The machine's link.
       link: Books the bytes of parts on a shaped link; for benches.
-      give: Hands an event to the swarm.
+      emit: Hands an event to the swarm.
       clock: The source of time.
       log: Where events go.
       counters: Where refusals, retries and bytes are counted.
@@ -33,7 +33,7 @@
     store: stores.ChunkStore
     pacing: pacing_lib.Pacing
     link: pacing_lib.Link | None
-    give: Callable[[swarm.Event], None]
+    emit: Callable[[swarm.Event], None]
     clock: clocks.Clock
     log: logs.Log
     counters: counters_lib.Counters
--- a/src/clementinegw/weights/_transfer_receive.py
+++ b/src/clementinegw/weights/_transfer_receive.py
@@ -5,8 +5,8 @@
 from clementinegw import exceptions
 from clementinegw.platform import blobs
 from clementinegw.weights import _swarm_events as events
+from clementinegw.weights import _transfer_connections as peer_connections
 from clementinegw.weights import _transfer_context as contexts
-from clementinegw.weights import _transfer_links as links
 from clementinegw.weights import manifest as manifests
 from clementinegw.weights import swarm
 from clementinegw.wire import codec
@@ -16,11 +16,11 @@
 PART_BYTES = 128 << 10
 # Parts asked for and not yet in, per chunk: the sender then always has the
 # next one at hand, and no more than this waits in the network.
-_WINDOW = 2
+_MAX_PARTS_IN_FLIGHT = 2
 # Parts of a chunk that one request to the store or the origin asks for.
-_PARTS_A_DRAW = 4
+_PARTS_PER_ORIGIN_READ = 4
 # When a chunk that could not be stored is asked for again, in seconds.
-_KEEP_RETRY_S = 1.0
+_STORE_RETRY_S = 1.0
 _ORIGIN_NAME = "origin"
 
 Outcome = bytes | swarm.Failed | swarm.Refused
@@ -32,7 +32,7 @@
     def __init__(
         self,
         context: contexts.Context,
-        peers: links.Links,
+        peers: peer_connections.PeerConnections,
         origin: blobs.BlobStore,
     ):
         """Starts with nothing on its way.
@@ -45,17 +45,17 @@
         self._context = context
         self._peers = peers
         self._origin = origin
-        self._draw_bytes = context.part_bytes * _PARTS_A_DRAW
+        self._origin_read_bytes = context.part_bytes * _PARTS_PER_ORIGIN_READ
         self._tasks: dict[tuple[str, int, str], asyncio.Task] = {}
 
-    def ask(self, action: swarm.Ask) -> None:
+    def start(self, action: swarm.RequestChunk) -> None:
         """Begins to receive a chunk."""
         assert self._context.manifest is not None
         chunk = self._context.manifest.chunks[action.index]
         key = (action.digest, action.index, action.source)
-        task = asyncio.ensure_future(self._run(action, chunk))
+        task = asyncio.ensure_future(self._receive_chunk(action, chunk))
         self._tasks[key] = task
-        task.add_done_callback(lambda done: self._forget(key, done))
+        task.add_done_callback(lambda done: self._remove_task(key, done))
 
     def cancel(self, action: swarm.Cancel) -> None:
         """Stops receiving a chunk."""
@@ -71,70 +71,78 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _forget(self, key: tuple[str, int, str], done: asyncio.Task) -> None:
+    def _remove_task(
+        self, key: tuple[str, int, str], done: asyncio.Task
+    ) -> None:
         if self._tasks.get(key) is done:
             del self._tasks[key]
 
-    async def _run(self, action: swarm.Ask, chunk: manifests.Chunk) -> None:
-        receive = self._fetch
+    async def _receive_chunk(
+        self, action: swarm.RequestChunk, chunk: manifests.Chunk
+    ) -> None:
+        receive = self._fetch_from_peer
         if action.source == swarm.ORIGIN:
-            receive = self._draw
+            receive = self._fetch_from_origin
         outcome = await receive(action, chunk)
         if isinstance(outcome, bytes):
-            self._context.give(await self._keep(action, chunk, outcome))
+            self._context.emit(await self._store_chunk(action, chunk, outcome))
         else:
-            self._context.give(outcome)
+            self._context.emit(outcome)
 
-    async def _keep(
-        self, action: swarm.Ask, chunk: manifests.Chunk, data: bytes
+    async def _store_chunk(
+        self, action: swarm.RequestChunk, chunk: manifests.Chunk, data: bytes
     ) -> swarm.Arrived | swarm.Corrupt | swarm.Refused:
         # The store checks the digest. Were a chunk passed on unchecked, one
         # bad network card would spread its errors to the whole fleet.
         try:
-            kept = await self._context.store.put(chunk.digest, data)
+            stored = await self._context.store.put(chunk.digest, data)
         except exceptions.BackendError:
             # The memory that chunks are staged in is out of reach or full.
             # The source is not to blame, so it gets no strike.
             self._context.counters.add("weights.keep_failed")
             return swarm.Refused(
-                action.digest, action.index, action.source, _KEEP_RETRY_S
+                action.digest, action.index, action.source, _STORE_RETRY_S
             )
-        if not kept:
+        if not stored:
             self._context.counters.add("weights.corrupt")
             self._context.log.write(
                 events.CHUNK_CORRUPT,
                 source=action.source or _ORIGIN_NAME,
                 chunk=chunk.digest.hex(),
             )
-        kind = swarm.Arrived if kept else swarm.Corrupt
+        kind = swarm.Arrived if stored else swarm.Corrupt
         return kind(action.digest, action.index, action.source)
 
-    async def _draw(self, action: swarm.Ask, chunk: manifests.Chunk) -> Outcome:
+    async def _fetch_from_origin(
+        self, action: swarm.RequestChunk, chunk: manifests.Chunk
+    ) -> Outcome:
         failed = swarm.Failed(action.digest, action.index, action.source)
         data = bytearray()
         while len(data) < chunk.size:
-            size = min(self._draw_bytes, chunk.size - len(data))
+            size = min(self._origin_read_bytes, chunk.size - len(data))
             await self._context.pacing.down.take(size)
             try:
                 part = await self._origin.get(chunk.blob, len(data), size)
             except exceptions.PlatformError as error:
-                return self._draw_failed(failed, error.message)
+                return self._origin_fetch_failed(failed, error.message)
             if not part:
-                return self._draw_failed(failed, "a short chunk")
+                return self._origin_fetch_failed(failed, "a short chunk")
             self._context.counters.add("weights.drawn_bytes", len(part))
-            await self._book(action, len(part))
+            await self._record_progress(action, len(part))
             data += part
         return bytes(data)
 
-    def _draw_failed(self, failed: swarm.Failed, detail: str) -> swarm.Failed:
+    def _origin_fetch_failed(
+        self, failed: swarm.Failed, detail: str
+    ) -> swarm.Failed:
         self._context.counters.add("weights.draw_failed")
         self._context.log.write(
             events.DRAW_FAILED, index=failed.index, detail=detail
         )
         return failed
 
-    async def _fetch(
-        self, action: swarm.Ask, chunk: manifests.Chunk
+    async def _fetch_from_peer(
+        self, action: swarm.RequestChunk, chunk: manifests.Chunk
     ) -> Outcome:
         failed = swarm.Failed(action.digest, action.index, action.source)
         connection = self._peers.find(action.source)
@@ -145,25 +153,27 @@
         except exceptions.ConnectionLost:
             return failed
         try:
-            far = connection.peer.place.failure_domain != self._context.domain
-            return await self._receive(action, chunk, exchange, far)
+            cross_domain = (
+                connection.peer.place.failure_domain != self._context.domain
+            )
+            return await self._receive(action, chunk, exchange, cross_domain)
         except (exceptions.ConnectionLost, exceptions.DecodeError):
             return failed
         except asyncio.CancelledError:
-            await _withdraw(exchange)
+            await _send_cancel(exchange)
             raise
         finally:
             exchange.close()
 
     async def _receive(
         self,
-        action: swarm.Ask,
+        action: swarm.RequestChunk,
         chunk: manifests.Chunk,
         exchange: connections.Exchange,
-        far: bool,
+        cross_domain: bool,
     ) -> Outcome:
         first = min(self._context.part_bytes, chunk.size)
-        await self._get(exchange, action, chunk, 0, first)
+        await self._request_part(exchange, action, chunk, 0, first)
         frame = await exchange.receive()
         if frame.kind == connections.Kind.CHUNK_REFUSED:
             refused = _refused(action, frame.body)
@@ -173,9 +183,9 @@
         # which would take a second request on it for a new call and keep an
         # upload slot for nobody. And a refusal must not use up the pace.
         self._context.pacing.down.charge(first)
-        window = asyncio.Semaphore(_WINDOW - 1)
-        granting = asyncio.ensure_future(
-            self._grant(action, chunk, exchange, window)
+        window = asyncio.Semaphore(_MAX_PARTS_IN_FLIGHT - 1)
+        requesting = asyncio.ensure_future(
+            self._request_parts(action, chunk, exchange, window)
         )
         data = bytearray()
         try:
@@ -184,18 +194,18 @@
                     return swarm.Failed(
                         action.digest, action.index, action.source
                     )
-                await self._take_in(action, len(frame.body), far)
+                await self._record_part(action, len(frame.body), cross_domain)
                 data += frame.body
                 if len(data) >= chunk.size:
                     return bytes(data)
                 window.release()
                 frame = await exchange.receive()
         finally:
-            granting.cancel()
+            requesting.cancel()
 
-    async def _grant(
+    async def _request_parts(
         self,
-        action: swarm.Ask,
+        action: swarm.RequestChunk,
         chunk: manifests.Chunk,
         exchange: connections.Exchange,
         window: asyncio.Semaphore,
@@ -209,28 +219,32 @@
             await window.acquire()
             await self._context.pacing.down.take(size, order)
             try:
-                await self._get(exchange, action, chunk, offset, size)
+                await self._request_part(exchange, action, chunk, offset, size)
             except exceptions.ConnectionLost:
                 # The receiving side of the call learns of it as well.
                 return
 
-    async def _take_in(self, action: swarm.Ask, count: int, far: bool) -> None:
+    async def _record_part(
+        self, action: swarm.RequestChunk, count: int, cross_domain: bool
+    ) -> None:
         self._context.counters.add("weights.received_bytes", count)
-        if far:
+        if cross_domain:
             self._context.counters.add("weights.cross_domain_bytes", count)
-        await self._book(action, count)
+        await self._record_progress(action, count)
 
-    async def _book(self, action: swarm.Ask, count: int) -> None:
+    async def _record_progress(
+        self, action: swarm.RequestChunk, count: int
+    ) -> None:
         if self._context.link is not None:
             await self._context.link.receive(count)
-        self._context.give(
+        self._context.emit(
             swarm.Progressed(action.digest, action.index, action.source)
         )
 
-    async def _get(
+    async def _request_part(
         self,
         exchange: connections.Exchange,
-        action: swarm.Ask,
+        action: swarm.RequestChunk,
         chunk: manifests.Chunk,
         offset: int,
         length: int,
@@ -245,7 +259,7 @@
         await exchange.send(connections.Kind.CHUNK_GET, codec.encode(message))
 
 
-async def _withdraw(exchange: connections.Exchange) -> None:
+async def _send_cancel(exchange: connections.Exchange) -> None:
     """Tells the sender to stop; its slot would else stay taken a while."""
     try:
         await exchange.send(connections.Kind.CANCEL)
@@ -253,7 +267,7 @@
         pass
 
 
-def _refused(action: swarm.Ask, body: bytes) -> swarm.Refused:
+def _refused(action: swarm.RequestChunk, body: bytes) -> swarm.Refused:
     message = codec.decode(ttypes.ChunkRefused, body)
     try:
         reason = swarm.RefuseReason(message.reason)
--- a/src/clementinegw/weights/_transfer_send.py
+++ b/src/clementinegw/weights/_transfer_send.py
@@ -10,7 +10,7 @@
 from clementinegw.wire.gen.weights import ttypes
 
 # A receiver that asks for no further part for this long has gone on.
-_IDLE_S = 10.0
+_IDLE_TIMEOUT_S = 10.0
 
 
 class Sender:
@@ -26,17 +26,17 @@
           endpoint: Where peers ask.
         """
         self._context = context
-        self._verdict: swarm.Serve | swarm.Refuse | None = None
+        self._decision: swarm.Serve | swarm.Refuse | None = None
         self._tasks: dict[tuple[str, int], asyncio.Task] = {}
         endpoint.on_call(connections.Kind.CHUNK_GET, self._on_get)
 
     def serve(self, action: swarm.Serve) -> None:
         """Takes the swarm's consent to the request it was just given."""
-        self._verdict = action
+        self._decision = action
 
     def refuse(self, action: swarm.Refuse) -> None:
         """Takes the swarm's refusal of the request it was just given."""
-        self._verdict = action
+        self._decision = action
 
     def stop(self, action: swarm.StopServing) -> None:
         """Stops sending a chunk to a peer."""
@@ -56,14 +56,16 @@
             self._context.counters.add("weights.late_get")
             return
         name = connection.peer.instance_id
-        self._verdict = None
-        self._context.give(swarm.Wanted(name, first.digest, first.index))
-        verdict = self._verdict
-        if isinstance(verdict, swarm.Serve):
+        self._decision = None
+        self._context.emit(
+            swarm.ChunkRequested(name, first.digest, first.index)
+        )
+        decision = self._decision
+        if isinstance(decision, swarm.Serve):
             await self._serve(name, exchange, first)
-        elif isinstance(verdict, swarm.Refuse):
-            wait = verdict.retry_after_s
-            await _send_refusal(exchange, verdict.reason, wait)
+        elif isinstance(decision, swarm.Refuse):
+            wait = decision.retry_after_s
+            await _send_refusal(exchange, decision.reason, wait)
 
     async def _serve(
         self, name: str, exchange: connections.Exchange, first: ttypes.ChunkGet
@@ -85,14 +87,14 @@
         finally:
             if self._tasks.get(key) is task:
                 del self._tasks[key]
-                self._context.give(swarm.Served(name, first.index, whole))
+                self._context.emit(swarm.Served(name, first.index, whole))
 
     async def _send(
         self, exchange: connections.Exchange, first: ttypes.ChunkGet
     ) -> bool:
         data = await self._context.store.get(first.chunk_digest)
         if data is None:
-            self._context.give(swarm.Lost(first.digest, first.index))
+            self._context.emit(swarm.Lost(first.digest, first.index))
             reason = swarm.RefuseReason.NOT_HELD
             await _send_refusal(exchange, reason, 0.0)
             return False
@@ -112,7 +114,7 @@
             sent += len(piece)
             if not piece or sent >= len(data):
                 return sent >= len(data)
-            frame = await exchange.receive(_IDLE_S)
+            frame = await exchange.receive(_IDLE_TIMEOUT_S)
             if frame.kind == connections.Kind.CANCEL:
                 return False
             part = codec.decode(ttypes.ChunkGet, frame.body)
--- a/src/clementinegw/weights/_versions.py
+++ b/src/clementinegw/weights/_versions.py
@@ -10,7 +10,7 @@
 
 FORMER_S = 3.0
 
-Declared = _service_types.Declared
+DeclaredVersion = _service_types.DeclaredVersion
 DeclaredAdapter = _service_types.DeclaredAdapter
 
 
@@ -32,15 +32,15 @@
           source: Where manifests come from.
         """
         self._source = source
-        self._target: Declared | None = None
-        self._previous: Declared | None = None
+        self._target: DeclaredVersion | None = None
+        self._previous: DeclaredVersion | None = None
         self._declared_adapters: tuple[DeclaredAdapter, ...] = ()
         self._model: manifests.Manifest | None = None
         self._former: manifests.Manifest | None = None
         self._adapters: tuple[_orders.Adapter, ...] = ()
 
     @property
-    def declared(self) -> Declared | None:
+    def declared(self) -> DeclaredVersion | None:
         """The version to serve."""
         return self._target
 
@@ -72,8 +72,8 @@
 
     def declare(
         self,
-        target: Declared,
-        previous: Declared | None,
+        target: DeclaredVersion,
+        previous: DeclaredVersion | None,
         adapters: tuple[DeclaredAdapter, ...],
     ) -> Change:
         """Takes in a declaration."""
--- a/src/clementinegw/weights/bitset.py
+++ b/src/clementinegw/weights/bitset.py
@@ -12,7 +12,7 @@
     return bytearray((count + 7) // 8)
 
 
-def of(count: int, indices: Iterable[int]) -> bytearray:
+def from_indices(count: int, indices: Iterable[int]) -> bytearray:
     """Returns a bitset for `count` chunks in which `indices` are held."""
     bits = empty(count)
     for index in indices:
--- a/src/clementinegw/weights/drawers.py
+++ b/src/clementinegw/weights/origin_fetchers.py
@@ -14,7 +14,7 @@
 
 # Below this rank an agent never draws: were so many drawers of one chunk dead
 # at once, their members would have left the list long before.
-RANKED = 6
+MAX_RANKED_FETCHERS = 6
 
 
 class DrawPolicy(enum.StrEnum):
@@ -102,7 +102,7 @@
         try:
             return names.index(member.instance_id)
         except ValueError:
-            return RANKED
+            return MAX_RANKED_FETCHERS
 
 
 def group_of(member: Member, policy: DrawPolicy) -> str:
@@ -120,5 +120,5 @@
     # each chunk and member while the event loop waits.
     score = xxhash.xxh64_intdigest
     scored = [(score(chunk_digest + name), name) for name in ids]
-    best = heapq.nlargest(RANKED, scored)
+    best = heapq.nlargest(MAX_RANKED_FETCHERS, scored)
     return tuple(name.decode() for _, name in best)
--- a/src/clementinegw/weights/peers.py
+++ b/src/clementinegw/weights/peers.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from clementinegw.weights import drawers
+from clementinegw.weights import origin_fetchers
 
 
 @dataclasses.dataclass(slots=True)
@@ -22,57 +22,58 @@
       local: Whether it stands in the same failure domain.
       known: Whether what it holds of the target is known.
       bits: The chunks it holds, as an integer with a bit a chunk.
-      asked: Chunks that were asked of it and have not arrived.
-      taken: Chunks that it sent.
+      outstanding: Chunks that were asked of it and have not arrived.
+      received: Chunks that it sent.
       busy_until: It refuses until then.
-      aside_until: It is not asked until then.
-      strikes: Timeouts in a row.
+      excluded_until: It is not asked until then.
+      consecutive_failures: Timeouts in a row.
     """
 
-    member: drawers.Member
+    member: origin_fetchers.Member
     local: bool
     known: bool = False
     bits: int = 0
-    asked: int = 0
-    taken: int = 0
+    outstanding: int = 0
+    received: int = 0
     busy_until: float = 0.0
-    aside_until: float = 0.0
-    strikes: int = 0
+    excluded_until: float = 0.0
+    consecutive_failures: int = 0
 
-    def usable(self, now: float, most: int) -> bool:
+    def usable(self, now: float, max_outstanding: int) -> bool:
         """Whether it can be asked for a chunk now.
 
         Args:
           now: Monotonic seconds.
-          most: Chunks that may be asked of it at once.
+          max_outstanding: Chunks that may be asked of it at once.
         """
         return (
             self.known
-            and self.asked < most
+            and self.outstanding < max_outstanding
             and self.busy_until <= now
-            and self.aside_until <= now
+            and self.excluded_until <= now
         )
 
 
 class Neighbourhood:
     """The connected peers of one agent and which chunks they hold."""
 
-    def __init__(self, domain: str, targets: int = 1):
+    def __init__(self, domain: str, manifests_per_peer: int = 1):
         """Starts without peers.
 
         Args:
           domain: The failure domain of the agent itself.
-          targets: Of how many targets it is remembered what a peer said last.
+          manifests_per_peer: How many manifests' advertised chunks are kept
+            for each peer.
         """
-        self._targets = targets
+        self._manifests_per_peer = manifests_per_peer
         self._domain = domain
         self._peers: dict[str, Peer] = {}
-        self._told: dict[str, dict[str, int]] = {}
+        self._advertised: dict[str, dict[str, int]] = {}
         self._digest = ""
-        self._full = 0
+        self._all_chunks = 0
         self._holders: list[int] = []
-        self._seen_far: dict[int, float] = {}
-        self._fresh_at = 0.0
+        self._first_seen_remote: dict[int, float] = {}
+        self._new_chunk_at = 0.0
 
     @property
     def holders(self) -> list[int]:
@@ -80,9 +81,9 @@
         return self._holders
 
     @property
-    def fresh_at(self) -> float:
+    def new_chunk_at(self) -> float:
         """When a peer last told of a chunk that no peer had told of."""
-        return self._fresh_at
+        return self._new_chunk_at
 
     def all(self) -> list[Peer]:
         """Returns the peers."""
@@ -96,14 +97,16 @@
         """Returns the peer of that id."""
         return self._peers.get(peer_id)
 
-    def usable(self, now: float, most: int) -> list[Peer]:
+    def usable(self, now: float, max_outstanding: int) -> list[Peer]:
         """Returns the peers that can be asked for a chunk now.
 
         Args:
           now: Monotonic seconds.
-          most: Chunks that may be asked of one of them at once.
+          max_outstanding: Chunks that may be asked of one of them at once.
         """
-        return [p for p in self._peers.values() if p.usable(now, most)]
+        return [
+            p for p in self._peers.values() if p.usable(now, max_outstanding)
+        ]
 
     def held_by_none(self, bits: int) -> int:
         """Returns those of the chunks that no peer holds."""
@@ -111,27 +114,27 @@
             bits &= ~peer.bits
         return bits
 
-    def held_near(self, index: int) -> bool:
+    def held_locally(self, index: int) -> bool:
         """Whether a peer of the own failure domain holds a chunk."""
         near = (peer for peer in self._peers.values() if peer.local)
         return any(peer.bits >> index & 1 for peer in near)
 
-    def seen_far_at(self, index: int, now: float) -> float:
+    def first_seen_remote_at(self, index: int, now: float) -> float:
         """Returns when a peer of another domain first held a chunk."""
-        return self._seen_far.get(index, now)
+        return self._first_seen_remote.get(index, now)
 
-    def retarget(self, digest: str, count: int, now: float) -> None:
+    def set_target(self, digest: str, count: int, now: float) -> None:
         """Follows another manifest, with what peers have told of it already."""
         self._digest = digest
-        self._full = (1 << count) - 1
+        self._all_chunks = (1 << count) - 1
         self._holders = [0] * count
-        self._seen_far = {}
-        self._fresh_at = now
+        self._first_seen_remote = {}
+        self._new_chunk_at = now
         for name, peer in self._peers.items():
-            peer.bits, peer.known, peer.asked = 0, False, 0
-            self._recall(name, peer, now)
+            peer.bits, peer.known, peer.outstanding = 0, False, 0
+            self._apply_advertised(name, peer, now)
 
-    def add(self, member: drawers.Member) -> Peer:
+    def add(self, member: origin_fetchers.Member) -> Peer:
         """Adds a peer that has just been connected."""
         self.remove(member.instance_id)
         peer = Peer(member, member.failure_domain == self._domain)
@@ -141,75 +144,77 @@
     def remove(self, peer_id: str) -> None:
         """Forgets a peer whose connection ended."""
         peer = self._peers.pop(peer_id, None)
-        self._told.pop(peer_id, None)
+        self._advertised.pop(peer_id, None)
         if peer is not None:
-            self._unlearn(peer)
+            self._clear_held(peer)
 
-    def holds(self, peer_id: str, digest: str, bits: int, now: float) -> None:
+    def record_held(
+        self, peer_id: str, digest: str, bits: int, now: float
+    ) -> None:
         """Takes the whole of what a peer holds."""
         peer = self._peers.get(peer_id)
         if peer is None:
             return
-        told = self._told.setdefault(peer_id, {})
-        told.pop(digest, None)
-        told[digest] = bits
-        while len(told) > self._targets:
-            del told[next(iter(told))]
-        self._unlearn(peer)
-        self._recall(peer_id, peer, now)
-
-    def gained(
+        advertised = self._advertised.setdefault(peer_id, {})
+        advertised.pop(digest, None)
+        advertised[digest] = bits
+        while len(advertised) > self._manifests_per_peer:
+            del advertised[next(iter(advertised))]
+        self._clear_held(peer)
+        self._apply_advertised(peer_id, peer, now)
+
+    def record_gained(
         self, peer_id: str, digest: str, indices: tuple[int, ...], now: float
     ) -> None:
         """Takes what a peer holds besides what it told before."""
         peer = self._peers.get(peer_id)
-        told = self._told.get(peer_id)
-        if peer is None or told is None or digest not in told:
+        advertised = self._advertised.get(peer_id)
+        if peer is None or advertised is None or digest not in advertised:
             return
         for index in indices:
-            told[digest] |= 1 << index
+            advertised[digest] |= 1 << index
         if peer.known:
-            self._recall(peer_id, peer, now)
+            self._apply_advertised(peer_id, peer, now)
 
-    def doubt(self, peer_id: str) -> None:
+    def invalidate(self, peer_id: str) -> None:
         """Disregards what a peer told until it tells all again."""
-        self._told.pop(peer_id, None)
-        self._unlearn(self._peers[peer_id])
+        self._advertised.pop(peer_id, None)
+        self._clear_held(self._peers[peer_id])
 
-    def put_aside(self, peer_id: str, until: float) -> None:
+    def exclude(self, peer_id: str, until: float) -> None:
         """Disregards a peer for a while.
 
         What it holds does not count meanwhile: it would make a chunk look safe
         that nobody else has, and nobody would draw it from the origin.
         """
         peer = self._peers[peer_id]
-        peer.aside_until = until
-        peer.strikes = 0
-        self._unlearn(peer)
+        peer.excluded_until = until
+        peer.consecutive_failures = 0
+        self._clear_held(peer)
 
-    def take_back(self, now: float) -> None:
+    def readmit(self, now: float) -> None:
         """Regards the peers again whose time aside is over."""
         for name, peer in self._peers.items():
-            if not peer.known and 0.0 < peer.aside_until <= now:
-                peer.aside_until = 0.0
-                self._recall(name, peer, now)
+            if not peer.known and 0.0 < peer.excluded_until <= now:
+                peer.excluded_until = 0.0
+                self._apply_advertised(name, peer, now)
 
-    def _recall(self, name: str, peer: Peer, now: float) -> None:
-        told = self._told.get(name, {})
-        if self._digest not in told or peer.aside_until > now:
+    def _apply_advertised(self, name: str, peer: Peer, now: float) -> None:
+        advertised = self._advertised.get(name, {})
+        if self._digest not in advertised or peer.excluded_until > now:
             return
-        bits = told[self._digest] & self._full
+        bits = advertised[self._digest] & self._all_chunks
         fresh = bits & ~peer.bits
         peer.bits = bits
         peer.known = True
         for index in indices(fresh):
             if not self._holders[index]:
-                self._fresh_at = now
+                self._new_chunk_at = now
             if not peer.local:
-                self._seen_far.setdefault(index, now)
+                self._first_seen_remote.setdefault(index, now)
             self._holders[index] += 1
 
-    def _unlearn(self, peer: Peer) -> None:
+    def _clear_held(self, peer: Peer) -> None:
         for index in indices(peer.bits):
             self._holders[index] -= 1
         peer.bits = 0
@@ -227,8 +232,11 @@
 
 
 def neighbours(
-    me: drawers.Member, fleet: drawers.Fleet, local: int, remote: int
-) -> list[drawers.Member]:
+    me: origin_fetchers.Member,
+    fleet: origin_fetchers.Fleet,
+    local: int,
+    remote: int,
+) -> list[origin_fetchers.Member]:
     """Chooses whom an agent opens connections to.
 
     Both ends use a connection, so an agent has about twice as many neighbours
@@ -244,8 +252,8 @@
     Returns:
       The chosen members, in no particular order.
     """
-    near: list[drawers.Member] = []
-    far: list[drawers.Member] = []
+    near: list[origin_fetchers.Member] = []
+    far: list[origin_fetchers.Member] = []
     for member in fleet.members:
         if member.instance_id == me.instance_id:
             continue
@@ -258,13 +266,13 @@
     return chosen
 
 
-def drawers_to_import_from(
-    me: drawers.Member,
-    fleet: drawers.Fleet,
-    policy: drawers.DrawPolicy,
+def import_sources(
+    me: origin_fetchers.Member,
+    fleet: origin_fetchers.Fleet,
+    policy: origin_fetchers.DrawPolicy,
     digests: Sequence[bytes],
     limit: int,
-) -> list[drawers.Member]:
+) -> list[origin_fetchers.Member]:
     """Chooses connections by which chunks enter an agent's failure domain.
 
     The first in a domain's list of a chunk takes it from the chunk's first
@@ -278,9 +286,9 @@
       digests: The chunks.
       limit: The most connections.
     """
-    near = drawers.DrawPolicy.FAILURE_DOMAIN
-    group = drawers.group_of(me, policy)
-    chosen: dict[str, drawers.Member] = {}
+    near = origin_fetchers.DrawPolicy.FAILURE_DOMAIN
+    group = origin_fetchers.group_of(me, policy)
+    chosen: dict[str, origin_fetchers.Member] = {}
     for digest in digests:
         if len(chosen) >= limit:
             break
@@ -293,12 +301,14 @@
 
 
 def _successor(
-    me: drawers.Member, near: list[drawers.Member]
-) -> list[drawers.Member]:
+    me: origin_fetchers.Member, near: list[origin_fetchers.Member]
+) -> list[origin_fetchers.Member]:
     later = [m for m in near if m.instance_id > me.instance_id]
     return (later or near)[:1]
 
 
-def _pair_score(one: drawers.Member, other: drawers.Member) -> int:
+def _pair_score(
+    one: origin_fetchers.Member, other: origin_fetchers.Member
+) -> int:
     first, second = sorted((one.instance_id, other.instance_id))
     return xxhash.xxh64_intdigest(f"{first}\0{second}".encode())
--- a/src/clementinegw/weights/service.py
+++ b/src/clementinegw/weights/service.py
@@ -33,9 +33,9 @@
 Exchange = _fetch.Exchange
 Engine = _service_types.Engine
 Drainable = _service_types.Drainable
-Declared = _service_types.Declared
+DeclaredVersion = _service_types.DeclaredVersion
 DeclaredAdapter = _service_types.DeclaredAdapter
-Policy = _service_types.Policy
+SwapPolicy = _service_types.SwapPolicy
 
 # A fleet that is ready at once asks for its leases at this rate, well below
 # what the log takes, since claims of live requests go through it as well.
@@ -60,7 +60,7 @@
         exchange: Exchange | None = None,
         endpoint: connections.Endpoint | None = None,
         checks_fencing: bool = False,
-        policy: Policy | None = None,
+        policy: SwapPolicy | None = None,
         clock: clocks.Clock | None = None,
         rng: random.Random | None = None,
         log: logs.Log | None = None,
@@ -96,7 +96,7 @@
         rng = rng or random.Random()
         self._gate = gate
         self._store = store
-        self._policy = policy or Policy()
+        self._policy = policy or SwapPolicy()
         self._loader = loaders.Loader(
             checks_fencing, rng, self._counters, loader_timing
         )
@@ -161,8 +161,8 @@
 
     def want(
         self,
-        target: Declared,
-        previous: Declared | None = None,
+        target: DeclaredVersion,
+        previous: DeclaredVersion | None = None,
         adapters: tuple[DeclaredAdapter, ...] = (),
     ) -> None:
         """Takes in what the settings declare; only the newest matters.
@@ -188,7 +188,7 @@
             self._do(self._loader.staged(self._clock.now(), frozenset()))
             self._obtain_anew()
 
-    def set_policy(self, policy: Policy) -> None:
+    def set_policy(self, policy: SwapPolicy) -> None:
         """Takes over changed knobs."""
         changed = policy != self._policy
         self._policy = policy
--- a/src/clementinegw/weights/store.py
+++ b/src/clementinegw/weights/store.py
@@ -72,7 +72,7 @@
     def held(self, manifest: manifests.Manifest) -> bytearray:
         """Returns which chunks of a manifest are held."""
         chunks = enumerate(manifest.chunks)
-        return bitset.of(
+        return bitset.from_indices(
             len(manifest.chunks),
             (index for index, chunk in chunks if chunk.digest in self._chunks),
         )
@@ -154,7 +154,7 @@
         self._cache = MemoryStore(cache_bytes)
         self._counters = counters
         self._index: dict[bytes, int] = {}
-        self._kept: frozenset[bytes] = frozenset()
+        self._retained: frozenset[bytes] = frozenset()
 
     @property
     def cached_bytes(self) -> int:
@@ -169,7 +169,7 @@
     def held(self, manifest: manifests.Manifest) -> bytearray:
         """Returns which chunks of a manifest are staged."""
         chunks = enumerate(manifest.chunks)
-        return bitset.of(
+        return bitset.from_indices(
             len(manifest.chunks),
             (index for index, chunk in chunks if chunk.digest in self._index),
         )
@@ -211,7 +211,7 @@
         if result is backend.StageResult.FULL:
             # Chunks of abandoned versions make room at once; else a change in
             # mid-rollout would wait for ever.
-            await self.drop_others()
+            await self.drop_unretained()
             result = await self._staging.stage_chunk(chunk_digest.hex(), data)
         if result is not backend.StageResult.STORED:
             self._counters.add(f"weights.staging.{result}")
@@ -229,7 +229,7 @@
         names = {bytes.fromhex(manifest.digest) for manifest in versions}
         for manifest in versions:
             names.update(chunk.digest for chunk in manifest.chunks)
-        self._kept = frozenset(names)
+        self._retained = frozenset(names)
 
     def forget(self, chunk_digests: Iterable[bytes] | None = None) -> None:
         """Takes these chunks, or all, for not staged: the engine said so."""
@@ -239,7 +239,7 @@
         for digest in chunk_digests:
             self._index.pop(digest, None)
 
-    async def drop_others(self) -> None:
+    async def drop_unretained(self) -> None:
         """Takes out of the staging memory what `retain` did not name.
 
         Raises:
@@ -248,7 +248,7 @@
         status = await self._staging.staging()
         for name in status.digests:
             digest = bytes.fromhex(name)
-            if digest not in self._kept:
+            if digest not in self._retained:
                 self._index.pop(digest, None)
                 self._cache.drop(digest)
                 await self._staging.unstage(name)
@@ -263,9 +263,12 @@
           exceptions.BackendError: The engine's host did not answer.
         """
         status = await self._staging.staging()
-        there = {bytes.fromhex(name) for name in status.digests}
+        staged_digests = {bytes.fromhex(name) for name in status.digests}
         for chunk in manifest.chunks:
-            if chunk.digest in there and chunk.digest not in self._index:
+            if (
+                chunk.digest in staged_digests
+                and chunk.digest not in self._index
+            ):
                 await self._recover_chunk(chunk)
 
     async def _recover_chunk(self, chunk: manifests.Chunk) -> None:
--- a/src/clementinegw/weights/transfer.py
+++ b/src/clementinegw/weights/transfer.py
@@ -20,12 +20,12 @@
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 from clementinegw.weights import _swarm_events as events
+from clementinegw.weights import _transfer_connections as peer_connections
 from clementinegw.weights import _transfer_context as contexts
-from clementinegw.weights import _transfer_links as links
 from clementinegw.weights import _transfer_receive as receive
 from clementinegw.weights import _transfer_send as send
-from clementinegw.weights import drawers
 from clementinegw.weights import manifest as manifests
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import pacing as pacing_lib
 from clementinegw.weights import store as stores
 from clementinegw.weights import swarm
@@ -33,11 +33,11 @@
 from clementinegw.wire import connection as connections
 from clementinegw.wire.gen.weights import ttypes
 
-_LONGEST_SLEEP_S = 5.0
+_MAX_SLEEP_S = 5.0
 
 # What is logged of a version that has come: by name, the counter that grew
 # meanwhile. Many refusals or chunks given up say that links were not full.
-_COUNTED = {
+_LOGGED_COUNTERS = {
     "asked": "ask",
     "drawn": "draw",
     "refused": "refused.busy",
@@ -107,25 +107,29 @@
             store,
             pacing or pacing_lib.Pacing(float("inf"), clock),
             link,
-            self._give,
+            self._dispatch,
             clock,
             self._events,
             self._counters,
             part_bytes,
         )
-        self._fleet = drawers.Fleet([self._me])
+        self._fleet = origin_fetchers.Fleet([self._me])
         self._draw_policy = limits.draw_policy
-        self._links = links.Links(endpoint, self._on_link)
-        self._receiver = receive.Receiver(self._context, self._links, origin)
+        self._connections = peer_connections.PeerConnections(
+            endpoint, self._on_peer_event
+        )
+        self._receiver = receive.Receiver(
+            self._context, self._connections, origin
+        )
         self._sender = send.Sender(self._context, endpoint)
         endpoint.on_notice(connections.Kind.CHUNKS_HELD, self._on_held)
-        self._done: list[Callable[[str], None]] = []
-        self._wanted_at = 0.0
-        self._counted = self._count()
+        self._completion_callbacks: list[Callable[[str], None]] = []
+        self._target_set_at = 0.0
+        self._initial_counters = self._counter_values()
         self._timer: asyncio.TimerHandle | None = None
         self._wake_at = 0.0
         self._running = False
-        self._table = self._make_table()
+        self._handlers = self._make_handlers()
 
     @property
     def progress(self) -> Progress:
@@ -152,10 +156,10 @@
 
     def on_complete(self, callback: Callable[[str], None]) -> None:
         """Registers what is told the digest of each manifest that is whole."""
-        self._done.append(callback)
+        self._completion_callbacks.append(callback)
 
     @property
-    def fleet(self) -> drawers.Fleet:
+    def fleet(self) -> origin_fetchers.Fleet:
         """The agents that take part, this one among them."""
         return self._fleet
 
@@ -163,14 +167,14 @@
         """Says which agents take part; this one may be left out."""
         others = {i.instance_id: i for i in instances}
         others.pop(self._me.instance_id, None)
-        self._links.set_addresses(
+        self._connections.set_addresses(
             {name: other.address for name, other in others.items()}
         )
         members = [self._me, *map(member_of, others.values())]
-        self._fleet = drawers.Fleet(members)
-        self._give(swarm.FleetChanged(self._fleet))
+        self._fleet = origin_fetchers.Fleet(members)
+        self._dispatch(swarm.FleetChanged(self._fleet))
 
-    def first_draws(self, manifest: manifests.Manifest) -> list[int]:
+    def assigned_chunks(self, manifest: manifests.Manifest) -> list[int]:
         """Returns the chunks of a manifest that this agent draws first."""
         return [
             index
@@ -182,14 +186,14 @@
         """Says how fast the origin sends: draws are spread by that."""
         self._swarm.set_origin_rate(bytes_per_s)
 
-    def _count(self) -> list[int]:
+    def _counter_values(self) -> list[int]:
         """Returns the counters that tell how a version came."""
         return [
             self._counters.value(f"weights.{counter}")
-            for counter in _COUNTED.values()
+            for counter in _LOGGED_COUNTERS.values()
         ]
 
-    async def take_pace(self, count: int) -> None:
+    async def wait_for_bandwidth(self, count: int) -> None:
         """Waits until the link has room for bytes outside the exchange."""
         await self._context.pacing.down.take(count, math.inf)
 
@@ -205,15 +209,15 @@
         if manifest.digest == self._swarm.digest:
             return
         self._context.manifest = manifest
-        self._wanted_at = self._clock.now()
-        self._counted = self._count()
+        self._target_set_at = self._clock.now()
+        self._initial_counters = self._counter_values()
         held = bytes(self._context.store.held(manifest))
         self._events.write(
             events.ROLLOUT_STARTED,
             digest=manifest.digest,
             version=manifest.version,
         )
-        self._give(
+        self._dispatch(
             swarm.TargetSet(manifest.digest, manifest.chunks, held, is_new)
         )
 
@@ -231,28 +235,32 @@
         gone = self._swarm.have & ~int.from_bytes(held, "little")
         for index in range(gone.bit_length()):
             if gone >> index & 1:
-                self._give(swarm.Lost(manifest.digest, index))
+                self._dispatch(swarm.Lost(manifest.digest, index))
 
-    def _make_table(self) -> dict[type, Callable]:
+    def _make_handlers(self) -> dict[type, Callable]:
         return {
-            swarm.Connect: lambda a: self._links.want(a.peer.instance_id),
-            swarm.Forget: lambda a: self._links.forget(a.peer_id),
-            swarm.Ask: self._ask,
+            swarm.Connect: lambda a: self._connections.keep_connected(
+                a.peer.instance_id
+            ),
+            swarm.Disconnect: lambda a: self._connections.stop_connecting(
+                a.peer_id
+            ),
+            swarm.RequestChunk: self._request_chunk,
             swarm.Cancel: self._cancel,
-            swarm.TellAll: self._tell_all,
-            swarm.TellGained: self._tell_gained,
+            swarm.AdvertiseAll: self._advertise_all,
+            swarm.AdvertiseGained: self._advertise_gained,
             swarm.Serve: self._sender.serve,
             swarm.StopServing: self._sender.stop,
             swarm.Refuse: self._sender.refuse,
-            swarm.PutAside: self._put_aside,
+            swarm.PeerExcluded: self._peer_excluded,
             swarm.Completed: self._completed,
         }
 
     async def on_start(self) -> None:
         """Begins to connect and to exchange."""
         self._running = True
-        self._links.start()
-        self._give(swarm.Tick())
+        self._connections.start()
+        self._dispatch(swarm.Tick())
 
     async def on_stop(self) -> None:
         """Ends every transfer."""
@@ -260,25 +268,25 @@
         if self._timer is not None:
             self._timer.cancel()
         await self._receiver.stop()
-        await self._links.stop()
+        await self._connections.stop()
 
-    def _on_link(self, event: swarm.Event) -> None:
+    def _on_peer_event(self, event: swarm.Event) -> None:
         if isinstance(event, swarm.PeerDown):
             self._events.write(
                 events.PEER_LOST, peer=event.peer_id, by_peer=event.by_peer
             )
-        self._give(event)
+        self._dispatch(event)
 
-    def _give(self, event: swarm.Event) -> None:
+    def _dispatch(self, event: swarm.Event) -> None:
         now = self._clock.now()
         for action in self._swarm.handle(event, now):
-            self._table[type(action)](action)
-        self._sleep(now)
+            self._handlers[type(action)](action)
+        self._schedule_tick(now)
 
-    def _sleep(self, now: float) -> None:
+    def _schedule_tick(self, now: float) -> None:
         if not self._running:
             return
-        wake_at = min(self._swarm.wake_at(now), now + _LONGEST_SLEEP_S)
+        wake_at = min(self._swarm.wake_at(now), now + _MAX_SLEEP_S)
         if self._timer is not None:
             # Most events move the next wake a little later. Waking early once
             # costs less than setting a timer with each event.
@@ -291,27 +299,27 @@
 
     def _tick(self) -> None:
         self._timer = None
-        self._give(swarm.Tick())
+        self._dispatch(swarm.Tick())
 
-    def _ask(self, action: swarm.Ask) -> None:
+    def _request_chunk(self, action: swarm.RequestChunk) -> None:
         name = "draw" if action.source == swarm.ORIGIN else "ask"
         self._counters.add(f"weights.{name}")
-        self._receiver.ask(action)
+        self._receiver.start(action)
 
     def _cancel(self, action: swarm.Cancel) -> None:
         self._counters.add(f"weights.cancelled.{action.reason}")
         self._receiver.cancel(action)
 
-    def _tell_all(self, action: swarm.TellAll) -> None:
-        self._tell(
+    def _advertise_all(self, action: swarm.AdvertiseAll) -> None:
+        self._advertise(
             action.digest, (action.peer_id,), action.bits, None, action.answer
         )
 
-    def _tell_gained(self, action: swarm.TellGained) -> None:
+    def _advertise_gained(self, action: swarm.AdvertiseGained) -> None:
         gained = list(action.indices)
-        self._tell(action.digest, action.peer_ids, b"", gained)
+        self._advertise(action.digest, action.peer_ids, b"", gained)
 
-    def _tell(
+    def _advertise(
         self,
         digest: str,
         peer_ids: tuple[str, ...],
@@ -329,22 +337,22 @@
         )
         body = codec.encode(message)
         for name in peer_ids:
-            self._links.notify(name, connections.Kind.CHUNKS_HELD, body)
+            self._connections.notify(name, connections.Kind.CHUNKS_HELD, body)
 
     def _on_held(self, peer: connections.Connection, body: bytes) -> None:
         message = codec.decode(ttypes.ChunksHeld, body)
         name = peer.peer.instance_id
         if message.gained is None:
             answer = bool(message.answer)
-            self._give(
+            self._dispatch(
                 swarm.PeerHolds(name, message.digest, message.bits, answer)
             )
             return
         bounded = (i for i in message.gained if 0 <= i < message.count)
         indices = tuple(bounded)
-        self._give(swarm.PeerGained(name, message.digest, indices))
+        self._dispatch(swarm.PeerGained(name, message.digest, indices))
 
-    def _put_aside(self, action: swarm.PutAside) -> None:
+    def _peer_excluded(self, action: swarm.PeerExcluded) -> None:
         self._counters.add(f"weights.put_aside.{action.reason}")
         self._events.write(
             events.PEER_PUT_ASIDE, peer=action.peer_id, reason=action.reason
@@ -354,21 +362,23 @@
         self._events.write(
             events.ROLLOUT_FETCHED,
             digest=action.digest,
-            after_s=round(self._clock.now() - self._wanted_at, 3),
+            after_s=round(self._clock.now() - self._target_set_at, 3),
             **{
                 name: self._counters.value(f"weights.{counter}") - before
                 for (name, counter), before in zip(
-                    _COUNTED.items(), self._counted, strict=True
+                    _LOGGED_COUNTERS.items(),
+                    self._initial_counters,
+                    strict=True,
                 )
             },
         )
-        for callback in self._done:
+        for callback in self._completion_callbacks:
             callback(action.digest)
 
 
-def member_of(instance: types.Instance) -> drawers.Member:
+def member_of(instance: types.Instance) -> origin_fetchers.Member:
     """Returns what the swarm needs to know of an instance."""
     place = instance.place
-    return drawers.Member(
+    return origin_fetchers.Member(
         instance.instance_id, place.region, place.failure_domain
     )
--- a/tests/swarm_network.py
+++ b/tests/swarm_network.py
@@ -10,8 +10,8 @@
 import random
 
 from clementinegw.weights import bitset
-from clementinegw.weights import drawers
 from clementinegw.weights import manifest as manifests
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import peers
 from clementinegw.weights import swarm
 
@@ -25,9 +25,9 @@
     )
 
 
-def members_of(replicas: int, domains: int) -> list[drawers.Member]:
+def members_of(replicas: int, domains: int) -> list[origin_fetchers.Member]:
     return [
-        drawers.Member(f"a{i:03}", "r", f"d{i % domains}")
+        origin_fetchers.Member(f"a{i:03}", "r", f"d{i % domains}")
         for i in range(replicas)
     ]
 
@@ -103,7 +103,7 @@
         self._cancelled = set()
         self._links = set()
         self.chunks = {}
-        self.fleet = drawers.Fleet(self.members)
+        self.fleet = origin_fetchers.Fleet(self.members)
         if connect:
             for agent in self.agents.values():
                 self.give(agent, swarm.FleetChanged(self.fleet))
@@ -249,22 +249,22 @@
             self.give(agent, swarm.PeerUp(member))
             self.give(other, swarm.PeerUp(agent.member))
 
-    def _forget(self, agent, action):
+    def _disconnect(self, agent, action):
         pair = tuple(sorted((agent.member.instance_id, action.peer_id)))
         if pair in self._links:
             self._break(pair)
 
-    def _ask(self, agent, action):
+    def _requestchunk(self, agent, action):
         self.asked.append((action.digest, action.index))
         if action.source == swarm.ORIGIN:
-            self._draw(agent, action)
+            self._fetch_from_origin(agent, action)
             return
-        event = swarm.Wanted(
+        event = swarm.ChunkRequested(
             agent.member.instance_id, action.digest, action.index
         )
         self._post(agent, action.source, event)
 
-    def _draw(self, agent, action):
+    def _fetch_from_origin(self, agent, action):
         key = (
             agent.member.instance_id,
             action.digest,
@@ -331,7 +331,7 @@
             del agent.sessions[peer_id]
             self.give(agent, swarm.Served(peer_id, index, whole))
 
-    def _tellall(self, agent, action):
+    def _advertiseall(self, agent, action):
         event = swarm.PeerHolds(
             agent.member.instance_id,
             action.digest,
@@ -340,7 +340,7 @@
         )
         self._post(agent, action.peer_id, event)
 
-    def _tellgained(self, agent, action):
+    def _advertisegained(self, agent, action):
         event = swarm.PeerGained(
             agent.member.instance_id, action.digest, action.indices
         )
@@ -352,7 +352,9 @@
         agent.sessions[action.peer_id] = action.index
         if agent.stalled:
             return
-        ask = swarm.Ask(action.digest, action.index, agent.member.instance_id)
+        ask = swarm.RequestChunk(
+            action.digest, action.index, agent.member.instance_id
+        )
         self._cancelled.discard(
             (action.peer_id, action.digest, action.index, ask.source)
         )
@@ -383,7 +385,7 @@
         )
         self._post(agent, action.peer_id, event)
 
-    def _putaside(self, agent, action):
+    def _peerexcluded(self, agent, action):
         agent.aside.append((action.peer_id, action.reason))
 
     def _completed(self, agent, action):
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -23,7 +23,7 @@
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
-from clementinegw.weights import drawers
+from clementinegw.weights import origin_fetchers
 
 PIECES = 12
 PIECE_BYTES = 4096
@@ -520,7 +520,7 @@
             await site.until_all_hold(2)
             return site.origin.asked
 
-    assert run(play()) <= drawers.RANKED
+    assert run(play()) <= origin_fetchers.MAX_RANKED_FETCHERS
 
 
 def test_what_another_agent_tells_of_a_version_is_checked():
--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -116,7 +116,7 @@
 @hypothesis.settings(deadline=None, max_examples=50)
 def test_bitset_agrees_with_a_set(count, data):
     indices = data.draw(st.sets(st.integers(0, count - 1)))
-    bits = bitset.of(count, indices)
+    bits = bitset.from_indices(count, indices)
     assert bitset.total(bits) == len(indices)
     assert set(range(count)) - set(bitset.missing(bits, count)) == indices
 
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -6,7 +6,7 @@
 import swarm_network
 
 from clementinegw.weights import bitset
-from clementinegw.weights import drawers
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import swarm
 
 CHUNKS = swarm_network.chunks_of(32)
@@ -28,7 +28,7 @@
 
 
 def test_every_domain_draws_its_own_copy_under_that_policy():
-    policy = drawers.DrawPolicy.FAILURE_DOMAIN
+    policy = origin_fetchers.DrawPolicy.FAILURE_DOMAIN
 
     def limits(net):
         return net.default_limits(draw_policy=policy)
@@ -47,7 +47,7 @@
     # chunks dies before it has drawn them, and nobody is told. Cause: every
     # other agent waits for chunks that only the dead one would draw.
     net = swarm_network.Network(16, 2, CHUNKS)
-    fleet = drawers.DrawPolicy.FLEET
+    fleet = origin_fetchers.DrawPolicy.FLEET
     victim = net.fleet.ranked(CHUNKS[-1].digest, fleet, "")[0]
     duties = [
         index
@@ -69,7 +69,7 @@
     # the deadline of the other ten anew. Cause: any new chunk was taken for a
     # sign that all first drawers are at work.
     net = swarm_network.Network(4, 2, CHUNKS)
-    fleet = drawers.DrawPolicy.FLEET
+    fleet = origin_fetchers.DrawPolicy.FLEET
     firsts = [net.fleet.ranked(c.digest, fleet, "")[0] for c in CHUNKS]
     victim = max(firsts, key=firsts.count)
     assert firsts.count(victim) > 8
@@ -90,7 +90,7 @@
     other pieces still appeared, nobody took the first drawer for dead.
     """
     net = swarm_network.Network(16, 2, CHUNKS)
-    fleet = drawers.DrawPolicy.FLEET
+    fleet = origin_fetchers.DrawPolicy.FLEET
     copy_s = net.total / net.origin_rate
     victim = net.fleet.ranked(CHUNKS[-1].digest, fleet, "")[0]
     net.target("v1", CHUNKS)
@@ -124,7 +124,7 @@
     # Cause: its turn to draw had come before its peers told what they hold.
     net = swarm_network.Network(16, 2, CHUNKS)
     rolled_out(net)
-    policy = drawers.DrawPolicy.FLEET
+    policy = origin_fetchers.DrawPolicy.FLEET
     first = net.fleet.ranked(CHUNKS[0].digest, policy, "")[0]
     fresh = net.replace(first)
     net.target("v1", CHUNKS, [fresh])
@@ -157,7 +157,7 @@
     rolled_out(net)
     assert net.all_complete("v1")()
     entries = {e for agent in net.agents.values() for e in agent.aside}
-    assert entries == {("a005", swarm.AsideReason.CORRUPT)}
+    assert entries == {("a005", swarm.ExclusionReason.CORRUPT)}
 
 
 def test_a_change_of_version_abandons_the_old_one_at_once():
@@ -283,7 +283,7 @@
     near = [m for m in net.members if m.failure_domain == "d0"]
     inside = [net.agents[member.instance_id] for member in near]
     for agent in inside:
-        net.give(agent, swarm.FleetChanged(drawers.Fleet(near)))
+        net.give(agent, swarm.FleetChanged(origin_fetchers.Fleet(near)))
     net.target("v1", CHUNKS, inside)
     cut_off_s = net.limits.cut_off_s
     net.run(0.9 * cut_off_s)
@@ -294,7 +294,7 @@
 
 def test_neighbours_are_bounded_and_every_domain_is_in_one_piece():
     members = swarm_network.members_of(560, 4)
-    fleet = drawers.Fleet(members)
+    fleet = origin_fetchers.Fleet(members)
     limits = swarm.Limits()
     edges = {m.instance_id: set() for m in members}
     for member in members:
@@ -318,9 +318,9 @@
 
 def test_only_the_chunks_of_a_member_that_left_change_their_first_drawer():
     members = swarm_network.members_of(32, 2)
-    policy = drawers.DrawPolicy.FLEET
-    before = drawers.Fleet(members)
-    after = drawers.Fleet(members[1:])
+    policy = origin_fetchers.DrawPolicy.FLEET
+    before = origin_fetchers.Fleet(members)
+    after = origin_fetchers.Fleet(members[1:])
     for chunk in CHUNKS:
         first = before.ranked(chunk.digest, policy, "")[0]
         if first != members[0].instance_id:
@@ -341,18 +341,18 @@
         swarm.Swarm(member, limits, random.Random(1)) for member in members
     ]
     for agent in (one, other):
-        agent.handle(swarm.FleetChanged(drawers.Fleet(members)), 0.0)
-    held = bytes(bitset.of(len(chunks), range(len(chunks))))
+        agent.handle(swarm.FleetChanged(origin_fetchers.Fleet(members)), 0.0)
+    held = bytes(bitset.from_indices(len(chunks), range(len(chunks))))
     nothing = bytes(bitset.empty(len(chunks)))
     one.handle(swarm.TargetSet("v1", chunks, nothing), 0.0)
     other.handle(swarm.TargetSet("v1", chunks, held), 0.0)
     one.handle(swarm.PeerUp(members[1]), 0.0)
     name = members[1].instance_id
     actions = one.handle(swarm.PeerHolds(name, "v1", held), 0.0)
-    asks = [a for a in actions if isinstance(a, swarm.Ask)]
+    asks = [a for a in actions if isinstance(a, swarm.RequestChunk)]
     assert [ask.source for ask in asks] == [name] * most
     answers = [
-        other.handle(swarm.Wanted("a000", "v1", ask.index), 0.1)[0]
+        other.handle(swarm.ChunkRequested("a000", "v1", ask.index), 0.1)[0]
         for ask in asks
     ]
     assert [type(answer) for answer in answers] == [swarm.Serve] * most
@@ -373,20 +373,20 @@
         swarm.Swarm(member, limits, random.Random(1)) for member in members
     ]
     for agent, peer in ((ahead, members[1]), (behind, members[0])):
-        agent.handle(swarm.FleetChanged(drawers.Fleet(members)), 0.0)
+        agent.handle(swarm.FleetChanged(origin_fetchers.Fleet(members)), 0.0)
         agent.handle(swarm.PeerUp(peer), 0.0)
-    held = bytes(bitset.of(len(chunks), range(len(chunks))))
+    held = bytes(bitset.from_indices(len(chunks), range(len(chunks))))
     nothing = bytes(bitset.empty(len(chunks)))
     ahead.handle(swarm.TargetSet("v1", chunks, held), 0.0)
     ahead.handle(swarm.TargetSet("v2", newer, nothing), 1.0)
     behind.handle(swarm.TargetSet("v1", chunks, nothing), 2.0)
     told = ahead.handle(swarm.PeerHolds("a001", "v1", nothing), 2.0)
-    assert swarm.TellAll("a001", "v1", held, answer=True) in told
+    assert swarm.AdvertiseAll("a001", "v1", held, answer=True) in told
     behind.handle(swarm.PeerHolds("a000", "v1", held), 2.0)
     asks = behind.handle(swarm.PeerHolds("a000", "v2", nothing), 2.1)
     assert not [ask for ask in asks if isinstance(ask, swarm.Cancel)]
     assert behind.outstanding == 1
-    answer = ahead.handle(swarm.Wanted("a001", "v1", 0), 2.2)[0]
+    answer = ahead.handle(swarm.ChunkRequested("a001", "v1", 0), 2.2)[0]
     assert answer == swarm.Serve("a001", "v1", 0)
 
 
@@ -400,12 +400,12 @@
     }
     nothing = bytes(bitset.empty(len(CHUNKS)))
     for agent, peer in zip(agents.values(), reversed(members), strict=True):
-        agent.handle(swarm.FleetChanged(drawers.Fleet(members)), 0.0)
+        agent.handle(swarm.FleetChanged(origin_fetchers.Fleet(members)), 0.0)
         agent.handle(swarm.PeerUp(peer), 0.0)
         agent.handle(swarm.TargetSet("v1", CHUNKS, nothing), 0.0)
         agent.handle(swarm.TargetSet("v2", newer, nothing), 1.0)
     # Sent before its sender went on.
-    told = [("a000", "a001", swarm.TellAll("a001", "v1", nothing))]
+    told = [("a000", "a001", swarm.AdvertiseAll("a001", "v1", nothing))]
     answers = 0
     while told and answers < 20:
         sender, receiver, action = told.pop()
@@ -413,7 +413,7 @@
             sender, action.digest, action.bits, action.answer
         )
         for answer in agents[receiver].handle(event, 1.0):
-            if isinstance(answer, swarm.TellAll):
+            if isinstance(answer, swarm.AdvertiseAll):
                 answers += 1
                 told.append((receiver, answer.peer_id, answer))
     assert answers == 1
--- a/tests/test_swarm_machine.py
+++ b/tests/test_swarm_machine.py
@@ -118,12 +118,18 @@
     net.target("v1", VERSIONS["v1"], [holder])
     full = swarm.TargetSet("v3", VERSIONS["v3"], b"\x3f")
     net.give(holder, full)
-    first = holder.swarm.handle(swarm.Wanted("x", "v3", 0), net.now)
+    first = holder.swarm.handle(swarm.ChunkRequested("x", "v3", 0), net.now)
     assert first == [swarm.Serve("x", "v3", 0)]
-    (refusal,) = holder.swarm.handle(swarm.Wanted("y", "v3", 0), net.now)
+    (refusal,) = holder.swarm.handle(
+        swarm.ChunkRequested("y", "v3", 0), net.now
+    )
     assert refusal.reason is swarm.RefuseReason.BUSY
     assert 0 < refusal.retry_after_s <= 2 * net.chunk_s
-    (refusal,) = holder.swarm.handle(swarm.Wanted("y", "v1", 0), net.now)
+    (refusal,) = holder.swarm.handle(
+        swarm.ChunkRequested("y", "v1", 0), net.now
+    )
     assert refusal.reason is swarm.RefuseReason.OTHER_TARGET
-    (refusal,) = holder.swarm.handle(swarm.Wanted("y", "v3", 99), net.now)
+    (refusal,) = holder.swarm.handle(
+        swarm.ChunkRequested("y", "v3", 99), net.now
+    )
     assert refusal.reason is swarm.RefuseReason.NOT_HELD
--- a/tests/test_transfer_links.py
+++ b/tests/test_transfer_links.py
@@ -4,7 +4,7 @@
 
 from clementinegw import types
 from clementinegw.testing import clock as clocks
-from clementinegw.weights import _transfer_links
+from clementinegw.weights import _transfer_connections
 from clementinegw.weights import swarm
 from clementinegw.wire import connection
 
@@ -45,14 +45,14 @@
     """Wants peer `a1` at an address where `name` answers."""
     endpoint = Endpoint(Kept(name))
     given = []
-    links = _transfer_links.Links(endpoint, given.append)
+    links = _transfer_connections.PeerConnections(endpoint, given.append)
     links.set_addresses({"a1": types.Address("127.0.0.1", 1)})
-    links.want("a1")
+    links.keep_connected("a1")
     links.start()
     await asyncio.sleep(0.05)
     failed = [
         task.exception()
-        for task in links._wanted.values()
+        for task in links._connect_tasks.values()
         if task.done() and task.exception()
     ]
     await links.stop()
@@ -107,9 +107,11 @@
 
     async def play():
         endpoint = Brief()
-        links = _transfer_links.Links(endpoint, lambda event: None)
+        links = _transfer_connections.PeerConnections(
+            endpoint, lambda event: None
+        )
         links.set_addresses({"a1": types.Address("127.0.0.1", 1)})
-        links.want("a1")
+        links.keep_connected("a1")
         links.start()
         await asyncio.sleep(10.0)
         await links.stop()
--- a/tests/weights_site.py
+++ b/tests/weights_site.py
@@ -28,7 +28,7 @@
 
 
 def declared(manifest, revision):
-    return service.Declared(manifest.version, manifest.digest, revision)
+    return service.DeclaredVersion(manifest.version, manifest.digest, revision)
 
 
 class Agent:
@@ -141,7 +141,9 @@
         self.origin = memory.MemoryStore()
         for _, blobs in VERSIONS + ADAPTERS:
             self.origin.blobs.update(blobs)
-        self.policy = service.Policy(share, count, LOAD_LIMIT_S, LOAD_LIMIT_S)
+        self.policy = service.SwapPolicy(
+            share, count, LOAD_LIMIT_S, LOAD_LIMIT_S
+        )
         self.checks_fencing = checks_fencing
         self.declared = (V1, 1)
         self.adapters = ()
