--- a/src/clementinegw/bench/_rollout_movers.py
+++ b/src/clementinegw/bench/_rollout_movers.py
@@ -117,7 +117,7 @@
         assert origin is not None
         while True:
             try:
-                data = await origin.get(chunk.blob)
+                data = await origin.get(chunk.blob_name)
             except exceptions.PlatformError:
                 await asyncio.sleep(_RETRY_S)
                 continue
--- a/src/clementinegw/bench/_rollout_run.py
+++ b/src/clementinegw/bench/_rollout_run.py
@@ -102,7 +102,7 @@
     async def _set_up(self, session: aiohttp.ClientSession) -> None:
         for version in (self.first, self.second):
             for chunk in version.manifest.chunks:
-                self.origin.blobs[chunk.blob] = version.data[chunk.digest]
+                self.origin.blobs[chunk.blob_name] = version.data[chunk.digest]
         domains = [f"d{number}" for number in range(self.plan.domains)]
         fronts = {name: self.origin.front(name) for name in domains}
         await self.origin.start()
--- a/src/clementinegw/direct/fetcher.py
+++ b/src/clementinegw/direct/fetcher.py
@@ -93,7 +93,7 @@
         self._origin = origin
         self._manifest = manifest
         self._numbers = {
-            manifests.chunk_blob(digest): number
+            manifests.chunk_blob_name(digest): number
             for number, digest in enumerate(manifest.digests)
         }
 
--- a/src/clementinegw/matrix/engines.py
+++ b/src/clementinegw/matrix/engines.py
@@ -232,10 +232,10 @@
     file = manifests.File("weights", len(data) * CHUNK)
     manifest = manifests.build(MODEL, name, CHUNK, (file,), digests)
     blobs = {
-        manifests.chunk_blob(digest): piece
+        manifests.chunk_blob_name(digest): piece
         for digest, piece in zip(digests, data, strict=True)
     }
-    blobs[manifest.blob] = manifest.encode()
+    blobs[manifest.blob_name] = manifest.encode()
     return manifest, blobs
 
 
--- a/src/clementinegw/scenario/_releases.py
+++ b/src/clementinegw/scenario/_releases.py
@@ -54,9 +54,9 @@
     def put_into(self, blobs: dict[str, bytes]) -> None:
         """Publishes all versions into an origin's blobs."""
         for digest, data in self._chunks.items():
-            blobs[manifests.chunk_blob(digest)] = data
+            blobs[manifests.chunk_blob_name(digest)] = data
         for manifest in self._manifests.values():
-            blobs[manifest.blob] = manifest.encode()
+            blobs[manifest.blob_name] = manifest.encode()
 
     def model(self, version: str) -> dict[str, Any]:
         """Returns what the settings declare for a version."""
@@ -76,7 +76,7 @@
         """Returns bytes drawn of a version's own chunks, as copies of them."""
         chunks = self._manifests[version].chunks[_SHARED_CHUNKS:]
         total = sum(chunk.size for chunk in chunks)
-        return sum(drawn.get(chunk.blob, 0) for chunk in chunks) / total
+        return sum(drawn.get(chunk.blob_name, 0) for chunk in chunks) / total
 
     def _add(self, name: str, chunks: list[bytes]) -> manifests.Manifest:
         digests = [manifests.digest_of(chunk) for chunk in chunks]
--- a/src/clementinegw/weights/_engine_calls.py
+++ b/src/clementinegw/weights/_engine_calls.py
@@ -135,7 +135,7 @@
         model=target.manifest.model,
         version=target.version,
         manifest_digest=target.manifest.digest,
-        chunks=target.manifest.chunk_names,
+        chunks=target.manifest.chunk_digests,
         fencing=target.revision,
     )
 
@@ -146,6 +146,6 @@
     return backend.AdapterOrder(
         name=adapter.name,
         version=adapter.manifest.version,
-        chunks=adapter.manifest.chunk_names,
+        chunks=adapter.manifest.chunk_digests,
         fencing=fencing,
     )
--- a/src/clementinegw/weights/_fetch.py
+++ b/src/clementinegw/weights/_fetch.py
@@ -129,7 +129,7 @@
         self, source: blobs.BlobStore, chunk: manifests.Chunk
     ) -> bool:
         try:
-            data = await source.get(chunk.blob)
+            data = await source.get(chunk.blob_name)
             stored = await self._store.put(chunk.digest, data)
         except exceptions.PlatformError:
             self._counters.add("weights.draw.failed")
--- a/src/clementinegw/weights/_manifest_model.py
+++ b/src/clementinegw/weights/_manifest_model.py
@@ -5,7 +5,7 @@
 from clementinegw import exceptions
 from clementinegw.weights import manifest as manifests
 
-_NAME = r"^[A-Za-z0-9][A-Za-z0-9._:+-]{0,127}$"
+_NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._:+-]{0,127}$"
 
 
 class File(pydantic.BaseModel):
@@ -24,10 +24,10 @@
 
     # Named so that pydantic's own attributes are not shadowed.
     schema_number: int = pydantic.Field(
-        alias="schema", ge=manifests.SCHEMA, le=manifests.SCHEMA
+        alias="schema", ge=manifests.SCHEMA_VERSION, le=manifests.SCHEMA_VERSION
     )
-    model: str = pydantic.Field(pattern=_NAME)
-    version: str = pydantic.Field(pattern=_NAME)
+    model: str = pydantic.Field(pattern=_NAME_PATTERN)
+    version: str = pydantic.Field(pattern=_NAME_PATTERN)
     chunk_bytes: int = pydantic.Field(
         ge=manifests.MIN_CHUNK_BYTES, le=manifests.MAX_CHUNK_BYTES
     )
--- a/src/clementinegw/weights/_manifest_source.py
+++ b/src/clementinegw/weights/_manifest_source.py
@@ -24,12 +24,12 @@
 from clementinegw.wire.gen.weights import ttypes
 
 PEER_TIMEOUT_S = 0.5
-PEER_PAUSE_S = 0.2
-PEERS_ASKED = 3
-KEPT = 4
+PEER_RETRY_S = 0.2
+PEERS_PER_ROUND = 3
+MAX_CACHED = 4
 # By this time for each peer: the store is asked by a few in each 0.2 s, in
 # which the first of them hands it on.
-SPREAD_S = 0.01
+SPREAD_PER_PEER_S = 0.01
 RETRIES = retries.RetryPolicy(base_s=0.5, max_s=5.0)
 
 
@@ -62,7 +62,7 @@
         self._rng = rng
         self._log = log
         self._counters = counters
-        self._known: dict[str, manifests.Manifest] = {}
+        self._cached: dict[str, manifests.Manifest] = {}
         if endpoint is not None:
             endpoint.on_call(connections.Kind.MANIFEST_GET, self._on_get)
 
@@ -79,32 +79,38 @@
 
     async def find(self, digest: str) -> manifests.Manifest | None:
         """Asks every place once; None when none has it."""
-        known = self._known.get(digest)
-        if known is not None:
-            return known
+        cached = self._cached.get(digest)
+        if cached is not None:
+            return cached
         found = await self._from_staging(digest)
         found = found or await self._from_peers(digest)
-        found = found or await self._from_anywhere(digest)
+        found = found or await self._from_sources_or_peers(digest)
         if found is not None:
-            self._keep(found)
+            self._add_to_cache(found)
         return found
 
-    async def _from_anywhere(self, digest: str) -> manifests.Manifest | None:
+    async def _from_sources_or_peers(
+        self, digest: str
+    ) -> manifests.Manifest | None:
         """Returns what the store or a peer gives first."""
-        drawing = asyncio.create_task(self._from_sources(digest))
-        asking = asyncio.create_task(self._ask_peers(digest))
+        from_sources = asyncio.create_task(self._from_sources(digest))
+        from_peers = asyncio.create_task(self._poll_peers(digest))
         try:
             await asyncio.wait(
-                (drawing, asking), return_when=asyncio.FIRST_COMPLETED
+                (from_sources, from_peers), return_when=asyncio.FIRST_COMPLETED
+            )
+            return (
+                from_peers.result()
+                if from_peers.done()
+                else from_sources.result()
             )
-            return asking.result() if asking.done() else drawing.result()
         finally:
-            drawing.cancel()
-            asking.cancel()
+            from_sources.cancel()
+            from_peers.cancel()
 
-    async def _ask_peers(self, digest: str) -> manifests.Manifest:
+    async def _poll_peers(self, digest: str) -> manifests.Manifest:
         while True:
-            await asyncio.sleep(PEER_PAUSE_S)
+            await asyncio.sleep(PEER_RETRY_S)
             found = await self._from_peers(digest)
             if found is not None:
                 return found
@@ -116,29 +122,29 @@
         except exceptions.BackendError:
             self._counters.add("weights.manifest.not_staged")
 
-    def _keep(self, manifest: manifests.Manifest) -> None:
-        self._known[manifest.digest] = manifest
-        while len(self._known) > KEPT:
-            del self._known[next(iter(self._known))]
+    def _add_to_cache(self, manifest: manifests.Manifest) -> None:
+        self._cached[manifest.digest] = manifest
+        while len(self._cached) > MAX_CACHED:
+            del self._cached[next(iter(self._cached))]
 
     async def _from_staging(self, digest: str) -> manifests.Manifest | None:
         try:
             data = await self._staging.staged(digest)
         except exceptions.BackendError:
             return None
-        return self._check(data or b"", digest, "staging")
+        return self._decode(data or b"", digest, "staging")
 
     async def _from_peers(self, digest: str) -> manifests.Manifest | None:
         peers = self._peers()
         body = codec.encode(ttypes.ManifestGet(digest=digest))
-        for peer in self._rng.sample(peers, min(PEERS_ASKED, len(peers))):
+        for peer in self._rng.sample(peers, min(PEERS_PER_ROUND, len(peers))):
             try:
                 frame = await connections.call(
                     peer, connections.Kind.MANIFEST_GET, body, PEER_TIMEOUT_S
                 )
             except (exceptions.ConnectionLost, TimeoutError):
                 continue
-            found = self._check(frame.body, digest, "peer")
+            found = self._decode(frame.body, digest, "peer")
             if found is not None:
                 return found
         return None
@@ -153,19 +159,19 @@
         ]
 
     async def _from_sources(self, digest: str) -> manifests.Manifest | None:
-        spread_s = SPREAD_S * len(self._peers())
+        spread_s = SPREAD_PER_PEER_S * len(self._peers())
         await asyncio.sleep(self._rng.uniform(0.0, spread_s))
         for source in self._sources:
             try:
-                data = await source.get(manifests.manifest_blob(digest))
+                data = await source.get(manifests.manifest_blob_name(digest))
             except exceptions.PlatformError:
                 continue
-            found = self._check(data, digest, "store")
+            found = self._decode(data, digest, "store")
             if found is not None:
                 return found
         return None
 
-    def _check(
+    def _decode(
         self, data: bytes, digest: str, place: str
     ) -> manifests.Manifest | None:
         if not data:
@@ -186,6 +192,6 @@
     ) -> None:
         del connection
         asked = codec.decode(ttypes.ManifestGet, frame.body)
-        known = self._known.get(asked.digest)
-        body = known.encode() if known is not None else b""
+        cached = self._cached.get(asked.digest)
+        body = cached.encode() if cached is not None else b""
         await exchange.send(connections.Kind.MANIFEST_DATA, body)
--- a/src/clementinegw/weights/_transfer_receive.py
+++ b/src/clementinegw/weights/_transfer_receive.py
@@ -116,7 +116,7 @@
             size = min(self._draw_bytes, chunk.size - len(data))
             await self._context.pacing.down.take(size)
             try:
-                part = await self._origin.get(chunk.blob, len(data), size)
+                part = await self._origin.get(chunk.blob_name, len(data), size)
             except exceptions.PlatformError as error:
                 return self._draw_failed(failed, error.message)
             if not part:
--- a/src/clementinegw/weights/manifest.py
+++ b/src/clementinegw/weights/manifest.py
@@ -24,7 +24,7 @@
 if typing.TYPE_CHECKING:
     from clementinegw.weights import _manifest_model
 
-SCHEMA = 1
+SCHEMA_VERSION = 1
 MAX_ENCODED_BYTES = 8 << 20
 MAX_CHUNKS = 65_536
 MAX_FILES = 4_096
@@ -49,9 +49,9 @@
     size: int
 
     @property
-    def blob(self) -> str:
+    def blob_name(self) -> str:
         """The chunk's name in the weight store and the origin."""
-        return chunk_blob(self.digest)
+        return chunk_blob_name(self.digest)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,15 +96,15 @@
     @functools.cached_property
     def content_digest(self) -> str:
         """What an engine reports once it has loaded exactly these chunks."""
-        return backend.content_digest(self.chunk_names)
+        return backend.content_digest(self.chunk_digests)
 
     @property
-    def blob(self) -> str:
+    def blob_name(self) -> str:
         """The manifest's name in the weight store and the origin."""
-        return manifest_blob(self.digest)
+        return manifest_blob_name(self.digest)
 
     @property
-    def chunk_names(self) -> tuple[str, ...]:
+    def chunk_digests(self) -> tuple[str, ...]:
         """The chunks' digests in hex, in order, as a load order names them."""
         return tuple(chunk.digest.hex() for chunk in self.chunks)
 
@@ -115,7 +115,7 @@
         them; a manifest that contradicts itself cannot be written down.
         """
         document = {
-            "schema": SCHEMA,
+            "schema": SCHEMA_VERSION,
             "model": self.model,
             "version": self.version,
             "chunk_bytes": self.chunk_bytes,
@@ -136,12 +136,12 @@
     return _HEX_DIGEST.fullmatch(text) is not None
 
 
-def chunk_blob(digest: bytes) -> str:
+def chunk_blob_name(digest: bytes) -> str:
     """Returns the name of a chunk in the weight store and the origin."""
     return f"chunks/{digest.hex()}"
 
 
-def manifest_blob(digest: str) -> str:
+def manifest_blob_name(digest: str) -> str:
     """Returns the name of a manifest in the weight store and the origin."""
     return f"manifests/{digest}"
 
--- a/src/clementinegw/weights/publish.py
+++ b/src/clementinegw/weights/publish.py
@@ -17,7 +17,7 @@
 from clementinegw.platform import retries
 from clementinegw.weights import manifest as manifests
 
-CONCURRENCY = 4
+MAX_CONCURRENT_UPLOADS = 4
 # Besides those of the store's client: a store may be down for half a minute.
 RETRIES = retries.RetryPolicy(attempts=6, base_s=1.0, max_s=16.0)
 
@@ -49,7 +49,8 @@
 ) -> manifests.Manifest:
     """Publishes a file or a directory of files as one version.
 
-    Memory is bounded by `CONCURRENCY` chunks, whatever the size of the files.
+    Memory is bounded by `MAX_CONCURRENT_UPLOADS` chunks, whatever the size of
+    the files.
 
     Args:
       path: A file, or a directory whose files are taken, with those below it.
@@ -72,11 +73,11 @@
     sources = find_files(root)
     files = tuple(source for source, _ in sources)
     _check_bounds(model, version, chunk_bytes, files)
-    sender = _Sender(store, on_progress or (lambda progress: None))
-    sender.progress.total_bytes = sum(file.size for file in files)
-    digests = await sender.send_all(_read(sources, chunk_bytes))
+    uploader = _Uploader(store, on_progress or (lambda progress: None))
+    uploader.progress.total_bytes = sum(file.size for file in files)
+    digests = await uploader.upload_all(_read_files(sources, chunk_bytes))
     manifest = manifests.build(model, version, chunk_bytes, files, digests)
-    await sender.put(manifest.blob, manifest.encode())
+    await uploader.put(manifest.blob_name, manifest.encode())
     return manifest
 
 
@@ -127,27 +128,27 @@
         raise exceptions.UsageError(error.message) from error
 
 
-async def _read(
+async def _read_files(
     sources: list[tuple[manifests.File, pathlib.Path]], chunk_bytes: int
 ) -> AsyncIterator[bytes]:
     for file, path in sources:
-        pieces = _pieces(file, path, chunk_bytes)
-        while piece := await asyncio.to_thread(next, pieces, b""):
-            yield piece
+        chunks = _read_chunks(file, path, chunk_bytes)
+        while chunk := await asyncio.to_thread(next, chunks, b""):
+            yield chunk
 
 
-def _pieces(
+def _read_chunks(
     file: manifests.File, path: pathlib.Path, chunk_bytes: int
 ) -> Iterator[bytes]:
     left = file.size
     try:
         with path.open("rb") as source:
             while left:
-                piece = source.read(min(chunk_bytes, left))
-                left -= len(piece)
-                if not piece:
+                chunk = source.read(min(chunk_bytes, left))
+                left -= len(chunk)
+                if not chunk:
                     break
-                yield piece
+                yield chunk
             # A file that is still being written would be published cut off,
             # and every instance would verify and serve the cut version.
             if left or source.read(1):
@@ -160,7 +161,7 @@
         ) from error
 
 
-class _Sender:
+class _Uploader:
     """Sends chunks that the store does not have, a few at once."""
 
     def __init__(
@@ -174,18 +175,20 @@
         self._random = random.Random()
         self.progress = Progress()
 
-    async def send_all(self, pieces: AsyncIterator[bytes]) -> list[bytes]:
-        """Sends all pieces and returns their digests in order."""
+    async def upload_all(self, chunks: AsyncIterator[bytes]) -> list[bytes]:
+        """Sends all chunks and returns their digests in order."""
         digests: list[bytes] = []
         running: set[asyncio.Task[None]] = set()
         try:
-            async for piece in pieces:
-                digest = await asyncio.to_thread(manifests.digest_of, piece)
+            async for chunk in chunks:
+                digest = await asyncio.to_thread(manifests.digest_of, chunk)
                 digests.append(digest)
-                if len(running) >= CONCURRENCY:
-                    running = await _finish(running, asyncio.FIRST_COMPLETED)
-                running.add(asyncio.create_task(self._send(digest, piece)))
-            await _finish(running, asyncio.ALL_COMPLETED)
+                if len(running) >= MAX_CONCURRENT_UPLOADS:
+                    running = await _wait(running, asyncio.FIRST_COMPLETED)
+                running.add(
+                    asyncio.create_task(self._upload_if_missing(digest, chunk))
+                )
+            await _wait(running, asyncio.ALL_COMPLETED)
         finally:
             for task in running:
                 task.cancel()
@@ -200,19 +203,19 @@
                 await asyncio.sleep(RETRIES.pause_s(tried, self._random))
         return await self._store.put(name, data)
 
-    async def _send(self, digest: bytes, piece: bytes) -> None:
-        name = manifests.chunk_blob(digest)
+    async def _upload_if_missing(self, digest: bytes, chunk: bytes) -> None:
+        name = manifests.chunk_blob_name(digest)
         repeated = digest in self._seen
         self._seen.add(digest)
-        if repeated or await self._has(name, len(piece)):
+        if repeated or await self._is_stored(name, len(chunk)):
             self.progress.skipped_chunks += 1
         else:
-            await self.put(name, piece)
+            await self.put(name, chunk)
             self.progress.sent_chunks += 1
-        self.progress.done_bytes += len(piece)
+        self.progress.done_bytes += len(chunk)
         self._on_progress(self.progress)
 
-    async def _has(self, name: str, size: int) -> bool:
+    async def _is_stored(self, name: str, size: int) -> bool:
         # A blob of another length is one whose upload was cut off.
         try:
             return await self._store.size(name) == size
@@ -220,7 +223,7 @@
             return False
 
 
-async def _finish(
+async def _wait(
     tasks: set[asyncio.Task[None]], until: str
 ) -> set[asyncio.Task[None]]:
     if not tasks:
--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -151,9 +151,9 @@
         (tmp_path / name).write_bytes(data)
     platform = memory.MemoryStore()
     manifest = publish_all(tmp_path, platform)
-    stored = platform.blobs[manifest.blob]
+    stored = platform.blobs[manifest.blob_name]
     again = manifests.decode(stored, manifest.digest)
-    chunks = [platform.blobs[chunk.blob] for chunk in again.chunks]
+    chunks = [platform.blobs[chunk.blob_name] for chunk in again.chunks]
     whole = b"".join(chunks)
     assert whole == b"".join(contents[file.path] for file in again.files)
     assert [file.path for file in again.files] == sorted(contents)
@@ -197,7 +197,7 @@
     platform.faults.answer_lost = 2
     platform.faults.refused = 1
     manifest = publish_all(path, platform)
-    assert manifest.blob in platform.blobs
+    assert manifest.blob_name in platform.blobs
 
 
 @pytest.mark.parametrize("size, message", [(0, "0 bytes"), (None, "read")])
@@ -216,7 +216,7 @@
     length at the start was taken for the length of the whole.
     """
     path = tmp_path / "weights.bin"
-    path.write_bytes(b"w" * 3 * publish.CONCURRENCY * CHUNK)
+    path.write_bytes(b"w" * 3 * publish.MAX_CONCURRENT_UPLOADS * CHUNK)
     platform = memory.MemoryStore()
 
     def grow(progress):
@@ -250,7 +250,7 @@
     assert code == 0
     assert printed["chunks"] == 5
     assert printed["sent_chunks"] == 1, "equal chunks are sent once"
-    manifest = blobs[manifests.manifest_blob(printed["digest"])]
+    manifest = blobs[manifests.manifest_blob_name(printed["digest"])]
     assert manifests.decode(manifest, printed["digest"]).version == "7"
 
 
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -67,7 +67,7 @@
     file = manifests.File("weights", count * CHUNK)
     manifest = manifests.build("m", f"v{seed}", CHUNK, (file,), digests)
     for chunk, held in zip(manifest.chunks, data, strict=True):
-        origin.blobs[chunk.blob] = held
+        origin.blobs[chunk.blob_name] = held
     return manifest
 
 
@@ -82,7 +82,9 @@
 
 async def fill(agent, origin, manifest):
     for chunk in manifest.chunks:
-        assert await agent.store.put(chunk.digest, origin.blobs[chunk.blob])
+        assert await agent.store.put(
+            chunk.digest, origin.blobs[chunk.blob_name]
+        )
 
 
 async def wait_all(agents):
--- a/tests/test_weights_service.py
+++ b/tests/test_weights_service.py
@@ -146,7 +146,7 @@
         agent = site.agents[0]
         manifest, blobs = weights_site.VERSIONS[0]
         for chunk in manifest.chunks[:2]:
-            agent.engine.chunks[chunk.digest.hex()] = blobs[chunk.blob]
+            agent.engine.chunks[chunk.digest.hex()] = blobs[chunk.blob_name]
         damaged = manifest.chunks[1].digest.hex()
         agent.engine.chunks[damaged] = b"?" + agent.engine.chunks[damaged][1:]
         await site.start()
@@ -220,14 +220,14 @@
         await site.start()
         agent = site.agents[0]
         for blob in list(site.origin.blobs):
-            if blob != V3.blob and "manifests/" in blob:
+            if blob != V3.blob_name and "manifests/" in blob:
                 del site.origin.blobs[blob]
         agent.kill()
         agent.engine.crash()
         find = site.origin.get
 
         async def get(name, *rest):
-            if name == V2.blob:
+            if name == V2.blob_name:
                 await asyncio.sleep(600.0)
             return await find(name, *rest)
 
--- a/tests/weights_fakes.py
+++ b/tests/weights_fakes.py
@@ -18,9 +18,10 @@
     file = manifests.File("weights", len(data) * CHUNK)
     manifest = manifests.build("gear", name, CHUNK, (file,), chunks)
     blobs = {
-        manifests.chunk_blob(d): p for d, p in zip(chunks, data, strict=True)
+        manifests.chunk_blob_name(d): p
+        for d, p in zip(chunks, data, strict=True)
     }
-    return manifest, {**blobs, manifest.blob: manifest.encode()}
+    return manifest, {**blobs, manifest.blob_name: manifest.encode()}
 
 
 @dataclasses.dataclass(slots=True)
