--- a/src/clementinegw/bench/swap.py
+++ b/src/clementinegw/bench/swap.py
@@ -189,7 +189,7 @@
     def _result(self, began: float) -> dict[str, Any]:
         plan = self.plan
         seconds = sorted(at - began for at in self.done)
-        records = self.log.all(_swap_runner.stream_of(_SERVICE))
+        records = self.log.all(_swap_runner.stream_name(_SERVICE))
         at_once = plan.workers if plan.policy is Policy.NONE else self.limit
         bound_s = self.work_s / at_once
         return {
@@ -221,7 +221,7 @@
         fleet.work_s += self._drain_s + self._load_s
         self._granted = asyncio.Event()
         self._covered = asyncio.Event()
-        timing = swaps.Timing(load_s=1.5 * plan.load_s)
+        timing = swaps.Timing(max_load_s=1.5 * plan.load_s)
         self._swap = _swap_runner.SwapRunner(
             swaps.Swap(f"worker-{number}", random.Random(rng.random()), timing),
             _RatedLog(fleet.log.client(), fleet.bucket),
@@ -245,7 +245,7 @@
         fleet = self._fleet
         running = asyncio.create_task(self._swap.run())
         try:
-            self._swap.ask(fleet.limit, fleet.plan.workers / _ASKS_PER_S)
+            self._swap.acquire(fleet.limit, fleet.plan.workers / _ASKS_PER_S)
             await self._granted.wait()
             fleet.leave(self._number)
             await asyncio.sleep(self._drain_s)
--- a/src/clementinegw/daemons/fleet_weights.py
+++ b/src/clementinegw/daemons/fleet_weights.py
@@ -177,7 +177,7 @@
             weights_lib.DeclaredAdapter(one.name, one.version, one.manifest)
             for one in service.adapters
         )
-        weights.want(target, previous, adapters)
+        weights.set_declared(target, previous, adapters)
 
     def _refresh(self) -> None:
         """Takes over who else is in the fleet."""
@@ -196,5 +196,5 @@
 
 def _declared_version(
     model: model_lib.ModelVersion, revision: int
-) -> weights_lib.Declared:
-    return weights_lib.Declared(model.version, model.manifest, revision)
+) -> weights_lib.DeclaredVersion:
+    return weights_lib.DeclaredVersion(model.version, model.manifest, revision)
--- a/src/clementinegw/matrix/rollout.py
+++ b/src/clementinegw/matrix/rollout.py
@@ -307,10 +307,12 @@
 
 
 async def _want(weights: weights_service.Weights, *declared) -> None:
-    weights.want(*declared)
+    weights.set_declared(*declared)
 
 
 def _declared(
     manifest: manifests.Manifest, revision: int
-) -> weights_service.Declared:
-    return weights_service.Declared(manifest.version, manifest.digest, revision)
+) -> weights_service.DeclaredVersion:
+    return weights_service.DeclaredVersion(
+        manifest.version, manifest.digest, revision
+    )
--- a/src/clementinegw/matrix/rollout_faults.py
+++ b/src/clementinegw/matrix/rollout_faults.py
@@ -198,7 +198,7 @@
     async def _weaker(self, action: Any) -> Any:
         answer = await carry_out(self, action)
         if hasattr(answer, "digest"):
-            answer.digest = action.target.content
+            answer.digest = action.target.content_digest
         return answer
 
     return _weaker
--- a/src/clementinegw/weights/_engine_calls.py
+++ b/src/clementinegw/weights/_engine_calls.py
@@ -8,7 +8,7 @@
 from clementinegw.backend import types as backend
 from clementinegw.telemetry import logs
 from clementinegw.weights import _events
-from clementinegw.weights import _orders
+from clementinegw.weights import _loader_types
 from clementinegw.weights import _service_types
 from clementinegw.weights import loader as loaders
 
@@ -36,16 +36,18 @@
         self._clock = clock
         self._log = log
 
-    async def ask(self, action: _orders.AskStatus) -> loaders.Actions:
+    async def query_status(
+        self, action: _loader_types.QueryStatus
+    ) -> loaders.Actions:
         """Asks for the status and returns what the loader makes of it."""
         try:
             status = await self._engine.status()
         except exceptions.BackendError:
-            return self._loader.no_status(self._clock.now(), action.number)
-        return self._loader.status(self._clock.now(), action.number, status)
+            return self._loader.on_no_status(self._clock.now(), action.number)
+        return self._loader.on_status(self._clock.now(), action.number, status)
 
-    async def order(
-        self, action: _orders.SendOrder, timeout_s: float
+    async def send_order(
+        self, action: _loader_types.SendOrder, timeout_s: float
     ) -> loaders.Actions:
         """Sends an order and returns what the loader makes of its outcome.
 
@@ -58,7 +60,7 @@
         # the past to an engine that may follow another agent by now.
         if self._clock.now() > action.send_before:
             self._log.write(_events.LOAD_NOT_DONE, reason="too_late")
-            return self._loader.not_sent(self._clock.now(), number)
+            return self._loader.on_not_sent(self._clock.now(), number)
         self._log.write(
             _events.LOAD_ORDERED,
             version=target.version,
@@ -69,29 +71,29 @@
                 answer = await self._carry_out(action)
         except exceptions.BackendUnreachable:
             self._log.write(_events.LOAD_NOT_DONE, reason="unreachable")
-            return self._loader.not_sent(self._clock.now(), number)
+            return self._loader.on_not_sent(self._clock.now(), number)
         except (exceptions.BackendError, TimeoutError):
             self._log.write(_events.LOAD_NOT_DONE, reason="answer_lost")
-            return self._loader.order_lost(self._clock.now(), number)
+            return self._loader.on_answer_lost(self._clock.now(), number)
         now = self._clock.now()
-        if isinstance(answer, _Loaded):
-            return self._loader.reported(
+        if isinstance(answer, _LoadResult):
+            return self._loader.on_report(
                 now, number, answer.digest, frozenset(answer.adapters)
             )
         self._log.write(_events.LOAD_NOT_DONE, reason=answer.reason.value)
-        return self._loader.refused(now, number, answer)
+        return self._loader.on_refusal(now, number, answer)
 
     async def _carry_out(
-        self, action: _orders.SendOrder
-    ) -> "_Loaded | backend.OrderRefused":
+        self, action: _loader_types.SendOrder
+    ) -> "_LoadResult | backend.OrderRefused":
         target = action.target
-        loaded = _Loaded()
-        if action.model:
+        loaded = _LoadResult()
+        if action.load_model:
             answer = await self._engine.load(_load_order(target))
             if isinstance(answer, backend.OrderRefused):
                 return answer
             loaded.digest = answer.digest
-            if answer.digest != target.content:
+            if answer.digest != target.content_digest:
                 return loaded
         for adapter in action.adapters:
             answer = await self._engine.load_adapter(
@@ -99,14 +101,14 @@
             )
             if isinstance(answer, backend.OrderRefused):
                 return answer
-            self._note_adapter(adapter, answer, loaded)
+            self._record_adapter(adapter, answer, loaded)
         return loaded
 
-    def _note_adapter(
+    def _record_adapter(
         self,
-        adapter: _orders.Adapter,
+        adapter: _loader_types.Adapter,
         report: backend.LoadReport,
-        loaded: "_Loaded",
+        loaded: "_LoadResult",
     ) -> None:
         name, version = adapter.key
         if report.digest == adapter.manifest.content_digest:
@@ -118,7 +120,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Loaded:
+class _LoadResult:
     """What an order has loaded by the engine's reports.
 
     Attributes:
@@ -141,7 +143,7 @@
 
 
 def _adapter_order(
-    adapter: _orders.Adapter, fencing: int
+    adapter: _loader_types.Adapter, fencing: int
 ) -> backend.AdapterOrder:
     return backend.AdapterOrder(
         name=adapter.name,
--- a/src/clementinegw/weights/_engine_view.py
+++ b/src/clementinegw/weights/_engine_view.py
@@ -3,9 +3,9 @@
 import dataclasses
 
 from clementinegw.backend import types as backend
-from clementinegw.weights import _orders
+from clementinegw.weights import _loader_types
 
-NOTHING = ""
+NO_DIGEST = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -17,7 +17,7 @@
       settled_at: When it can no longer take effect unseen.
     """
 
-    target: _orders.Target
+    target: _loader_types.Target
     settled_at: float
 
 
@@ -34,27 +34,27 @@
         """
         self._checks_fencing = checks_fencing
         self._settle_s = settle_s
-        self._loaded = NOTHING
+        self._loaded_digest = NO_DIGEST
         # An engine's status names adapters without a digest, so that only
         # those count whose report on an order was right.
-        self._proved: frozenset[tuple[str, str]] = frozenset()
+        self._verified: frozenset[tuple[str, str]] = frozenset()
         self._adapters: frozenset[tuple[str, str]] = frozenset()
         self._fencing = 0
-        self._known: list[_orders.Target] = []
+        self._servable: list[_loader_types.Target] = []
         self._open: _OpenOrder | None = None
 
     @property
-    def loaded(self) -> str:
+    def loaded_digest(self) -> str:
         """The content digest it reported last; empty when not known."""
-        return self._loaded
+        return self._loaded_digest
 
     @property
-    def loaded_target(self) -> _orders.Target | None:
+    def loaded_target(self) -> _loader_types.Target | None:
         """The known version that it has loaded: this one may be served."""
-        return next(filter(self.has, self._known), None)
+        return next(filter(self.has_loaded, self._servable), None)
 
-    def know(
-        self, target: _orders.Target, *others: _orders.Target | None
+    def set_servable(
+        self, target: _loader_types.Target, *others: _loader_types.Target | None
     ) -> None:
         """Says which versions may be served once they are loaded.
 
@@ -67,30 +67,30 @@
         """
         opened = self._open.target if self._open is not None else None
         candidates = (target, self.loaded_target, opened, *others)
-        self._known = [one for one in candidates if one is not None]
+        self._servable = [one for one in candidates if one is not None]
 
-    def has(self, target: _orders.Target) -> bool:
+    def has_loaded(self, target: _loader_types.Target) -> bool:
         """Returns whether it has loaded a version with its adapters."""
-        same = target.content == self._loaded
+        same = target.content_digest == self._loaded_digest
         return same and target.adapter_keys <= self._adapters
 
     def missing(
-        self, target: _orders.Target
-    ) -> tuple[bool, tuple[_orders.Adapter, ...]]:
+        self, target: _loader_types.Target
+    ) -> tuple[bool, tuple[_loader_types.Adapter, ...]]:
         """Returns whether the model, and which adapters, have to be loaded.
 
         With another model come all adapters: they may not outlive the old one.
         """
-        if target.content != self._loaded:
+        if target.content_digest != self._loaded_digest:
             return True, target.adapters
         loaded = self._adapters
         return False, tuple(a for a in target.adapters if a.key not in loaded)
 
-    def refuses(self, target: _orders.Target) -> bool:
+    def would_refuse(self, target: _loader_types.Target) -> bool:
         """Returns whether it has seen an order of later settings."""
         return target.revision < self._fencing
 
-    def reported(
+    def record_report(
         self,
         digest: str,
         adapters: frozenset[tuple[str, str]],
@@ -103,24 +103,24 @@
           adapters: Those that it loaded and whose reports were right.
         """
         if digest:
-            self._loaded = digest
-            self._proved = adapters
+            self._loaded_digest = digest
+            self._verified = adapters
         else:
-            self._proved |= adapters
-        self._adapters = self._proved
+            self._verified |= adapters
+        self._adapters = self._verified
 
-    def refused(self, refusal: backend.OrderRefused) -> None:
+    def record_refusal(self, refusal: backend.OrderRefused) -> None:
         """Takes in a refusal; the weights are as they were."""
         if refusal.reason is backend.OrderRefusal.FENCING:
             self._fencing = refusal.current_fencing
 
-    def crashed(self) -> None:
+    def record_crash(self) -> None:
         """The engine has ended; it comes back without weights."""
-        self._loaded = NOTHING
-        self._proved = self._adapters = frozenset()
+        self._loaded_digest = NO_DIGEST
+        self._verified = self._adapters = frozenset()
         self._fencing = 0
 
-    def leave_open(self, target: _orders.Target, now: float) -> None:
+    def leave_open(self, target: _loader_types.Target, now: float) -> None:
         """The outcome of an order got lost.
 
         It may lie in the engine's accept queue. Were the old version served
@@ -129,15 +129,15 @@
         no newer order has been sent.
         """
         self._open = _OpenOrder(target, now + self._settle_s)
-        self._proved -= target.adapter_keys
+        self._verified -= target.adapter_keys
 
-    def changed(self, status: backend.EngineStatus) -> bool:
+    def contradicts(self, status: backend.EngineStatus) -> bool:
         """Returns whether a status contradicts what was known."""
-        same = status.digest == self._loaded
-        same = same and self._proved <= frozenset(status.adapters)
+        same = status.digest == self._loaded_digest
+        same = same and self._verified <= frozenset(status.adapters)
         return not same or bool(status.loading)
 
-    def learn(self, status: backend.EngineStatus, now: float) -> bool:
+    def update(self, status: backend.EngineStatus, now: float) -> bool:
         """Takes in a status.
 
         Args:
@@ -148,15 +148,15 @@
           Whether nothing is open any more: no load runs, and an order whose
           answer was lost either shows in the status or is too old to come.
         """
-        self._loaded = status.digest
-        self._adapters = self._proved & frozenset(status.adapters)
+        self._loaded_digest = status.digest
+        self._adapters = self._verified & frozenset(status.adapters)
         if self._checks_fencing:
             self._fencing = status.fencing
         if status.loading:
             return False
         opened = self._open
         if opened is not None:
-            landed = status.digest == opened.target.content
+            landed = status.digest == opened.target.content_digest
             if not landed and now < opened.settled_at:
                 return False
         self._open = None
--- a/src/clementinegw/weights/_hold_off.py
+++ b/src/clementinegw/weights/_hold_off.py
@@ -3,7 +3,7 @@
 import random
 
 from clementinegw.platform import retries as retry_lib
-from clementinegw.weights import _orders
+from clementinegw.weights import _loader_types
 
 # Beyond these the longest pause is reached, and powers of two overflow.
 _MOST_DOUBLINGS = 16
@@ -23,7 +23,7 @@
         self._rng = rng
         self._failures = 0
         self._until = 0.0
-        self._reason = _orders.Reason.NONE
+        self._reason = _loader_types.Reason.NONE
 
     @property
     def until(self) -> float:
@@ -31,7 +31,7 @@
         return self._until
 
     @property
-    def reason(self) -> _orders.Reason:
+    def reason(self) -> _loader_types.Reason:
         """The newest failure."""
         return self._reason
 
@@ -39,7 +39,7 @@
         """Returns whether the pause goes on."""
         return now < self._until
 
-    def fail(self, now: float, reason: _orders.Reason) -> None:
+    def fail(self, now: float, reason: _loader_types.Reason) -> None:
         """Begins a pause, longer than the one before."""
         self._failures += 1
         self._reason = reason
--- a/src/clementinegw/weights/_leases.py
+++ b/src/clementinegw/weights/_leases.py
@@ -15,7 +15,7 @@
 
 # Leases that ended are remembered so that a copy of an ASK that reaches the
 # log late does not open its lease again.
-_ENDED_KEPT = 4_096
+_MAX_ENDED = 4_096
 
 
 @dataclasses.dataclass(slots=True)
@@ -26,23 +26,23 @@
       lease_id: Chosen at random by the asker.
       instance_id: The asker.
       max_out: How many may be out, by the asker's settings.
-      ttl_s: How long it lasts from `since` on, in seconds.
-      since: The offset from which it lasts: of its newest record, or of the
-        record by which it was granted.
+      ttl_s: How long it lasts from `since_offset` on, in seconds.
+      since_offset: The offset from which it lasts: of its newest record, or of
+        the record by which it was granted.
       sequence: Of its newest renewal; 0 before the first.
-      asked: The offset of its ASK; 0 when that was not read.
+      asked_offset: The offset of its ASK; 0 when that was not read.
       granted: Whether its worker may be out; else it waits.
-      seen_at: When this process read the record at `since`, by its own clock;
-        not part of what all agree on.
+      seen_at: When this process read the record at `since_offset`, by its own
+        clock; not part of what all agree on.
     """
 
     lease_id: bytes
     instance_id: str
     max_out: int
     ttl_s: float
-    since: int
+    since_offset: int
     sequence: int = 0
-    asked: int = 0
+    asked_offset: int = 0
     granted: bool = False
     seen_at: float = 0.0
 
@@ -52,18 +52,18 @@
 
     def __init__(self) -> None:
         self._next_offset = 1
-        self._whole = True
+        self._complete = True
         self._granted: dict[bytes, Lease] = {}
         self._waiting: dict[bytes, Lease] = {}
         self._instances: dict[str, bytes] = {}
         self._ended: collections.OrderedDict[bytes, None]
         self._ended = collections.OrderedDict()
-        self._touched: list[Lease] = []
+        self._changed: list[Lease] = []
         self._appliers = {
-            ttypes.SwapKind.ASK: self._ask,
-            ttypes.SwapKind.RENEW: self._renew,
-            ttypes.SwapKind.RELEASE: self._release,
-            ttypes.SwapKind.EXPIRE: self._expire,
+            ttypes.SwapKind.ASK: self._apply_ask,
+            ttypes.SwapKind.RENEW: self._apply_renew,
+            ttypes.SwapKind.RELEASE: self._apply_release,
+            ttypes.SwapKind.EXPIRE: self._apply_expire,
         }
 
     @property
@@ -89,28 +89,29 @@
         """Returns whether a lease was released or expired."""
         return lease_id in self._ended
 
-    def of_instance(self, instance_id: str) -> Lease | None:
+    def find_by_instance(self, instance_id: str) -> Lease | None:
         """Returns an instance's lease; it has one at most."""
         return self.find(self._instances.get(instance_id, b""))
 
-    def place(self, lease_id: bytes) -> int:
+    def queue_position(self, lease_id: bytes) -> int:
         """Returns how many wait before a lease; 0 when it does not wait."""
         if lease_id not in self._waiting:
             return 0
         return list(self._waiting).index(lease_id)
 
-    def take_touched(self) -> list[Lease]:
-        """Returns the granted leases whose `since` moved since the last call.
+    def take_changed(self) -> list[Lease]:
+        """Returns the granted leases that changed since the last call.
 
-        A lease may be there that has ended again.
+        A lease has changed if its `since_offset` has. It may be one that has
+        ended again.
         """
-        touched, self._touched = self._touched, []
-        return touched
+        changed, self._changed = self._changed, []
+        return changed
 
     def skip_to(self, offset: int) -> None:
         """Goes on at a later offset: the records before it have expired."""
         self._next_offset = offset
-        self._whole = False
+        self._complete = False
 
     def apply(self, record: log.Record) -> None:
         """Applies the next record; one that makes no sense changes nothing."""
@@ -125,7 +126,7 @@
         applier(parsed, record.offset)
         self._grant(record.offset)
 
-    def _ask(self, parsed: ttypes.SwapRecord, offset: int) -> None:
+    def _apply_ask(self, parsed: ttypes.SwapRecord, offset: int) -> None:
         # One lease an instance. Were the older one replaced, an ASK that
         # reaches the log late would end the lease of a worker that is out,
         # and another would be granted its place.
@@ -133,15 +134,15 @@
             return
         if parsed.lease_id in self._ended:
             return
-        lease = _lease(parsed, offset)
-        lease.asked = offset
+        lease = _new_lease(parsed, offset)
+        lease.asked_offset = offset
         self._waiting[lease.lease_id] = lease
         self._instances[lease.instance_id] = lease.lease_id
 
-    def _renew(self, parsed: ttypes.SwapRecord, offset: int) -> None:
+    def _apply_renew(self, parsed: ttypes.SwapRecord, offset: int) -> None:
         lease = self.find(parsed.lease_id)
         if lease is None:
-            self._adopt(parsed, offset)
+            self._restore(parsed, offset)
             return
         if parsed.sequence <= lease.sequence:
             return
@@ -149,42 +150,42 @@
         lease.max_out = parsed.max_out
         if lease.granted:
             lease.ttl_s = parsed.ttl_ms / 1000.0
-            lease.since = offset
-            self._touched.append(lease)
+            lease.since_offset = offset
+            self._changed.append(lease)
 
-    def _adopt(self, parsed: ttypes.SwapRecord, offset: int) -> None:
+    def _restore(self, parsed: ttypes.SwapRecord, offset: int) -> None:
         # The ASK may have been among records that expired before this process
         # began to read. Left out, its worker would be out uncounted; taken in
         # wrongly, a lease that had ended holds its place until it expires.
-        if self._whole or parsed.lease_id in self._ended:
+        if self._complete or parsed.lease_id in self._ended:
             return
         if parsed.instance_id in self._instances:
             return
-        lease = _lease(parsed, offset)
+        lease = _new_lease(parsed, offset)
         lease.granted = True
-        self._touched.append(lease)
+        self._changed.append(lease)
         self._granted[lease.lease_id] = lease
         self._instances[lease.instance_id] = lease.lease_id
 
-    def _release(self, parsed: ttypes.SwapRecord, offset: int) -> None:
+    def _apply_release(self, parsed: ttypes.SwapRecord, offset: int) -> None:
         del offset
-        self._end(parsed.lease_id)
+        self._remove(parsed.lease_id)
 
-    def _expire(self, parsed: ttypes.SwapRecord, offset: int) -> None:
+    def _apply_expire(self, parsed: ttypes.SwapRecord, offset: int) -> None:
         del offset
         lease = self.find(parsed.lease_id)
         # An observer that was paused may not have seen a renewal. Its word
         # would end the lease of a live holder, and one too many would be out.
-        if lease is not None and lease.since <= parsed.seen:
-            self._end(parsed.lease_id)
+        if lease is not None and lease.since_offset <= parsed.seen:
+            self._remove(parsed.lease_id)
 
-    def _end(self, lease_id: bytes) -> None:
+    def _remove(self, lease_id: bytes) -> None:
         lease = self.find(lease_id)
         if lease is not None:
             del self._instances[lease.instance_id]
             (self._granted if lease.granted else self._waiting).pop(lease_id)
         self._ended[lease_id] = None
-        if len(self._ended) > _ENDED_KEPT:
+        if len(self._ended) > _MAX_ENDED:
             self._ended.popitem(last=False)
 
     def _grant(self, offset: int) -> None:
@@ -202,16 +203,16 @@
             del self._waiting[lease.lease_id]
             self._granted[lease.lease_id] = lease
             lease.granted = True
-            lease.since = offset
-            self._touched.append(lease)
+            lease.since_offset = offset
+            self._changed.append(lease)
 
 
-def _lease(parsed: ttypes.SwapRecord, offset: int) -> Lease:
+def _new_lease(parsed: ttypes.SwapRecord, offset: int) -> Lease:
     return Lease(
         lease_id=parsed.lease_id,
         instance_id=parsed.instance_id,
         max_out=parsed.max_out,
         ttl_s=parsed.ttl_ms / 1000.0,
-        since=offset,
+        since_offset=offset,
         sequence=parsed.sequence,
     )
--- a/src/clementinegw/weights/_orders.py
+++ b/src/clementinegw/weights/_loader_types.py
@@ -16,16 +16,17 @@
       poll_s: Between two questions while a load's outcome is open.
       verify_s: Between two checks that the engine has what is served.
       settle_s: How long an order whose answer was lost may still take effect.
-      order_s: How long after the decision an order may be sent.
-      cover_s: How long to stay drained for a permit that covers the load.
+      max_send_delay_s: How long after the decision an order may be sent.
+      cover_timeout_s: How long to stay drained for a permit that covers the
+        load.
       retries: The pauses after failures in a row.
     """
 
     poll_s: float = 0.5
     verify_s: float = 2.0
     settle_s: float = 10.0
-    order_s: float = 2.0
-    cover_s: float = 10.0
+    max_send_delay_s: float = 2.0
+    cover_timeout_s: float = 10.0
     retries: retry_lib.RetryPolicy = retry_lib.RetryPolicy(
         base_s=1.0, max_s=30.0
     )
@@ -69,7 +70,7 @@
         return self.manifest.version
 
     @property
-    def content(self) -> str:
+    def content_digest(self) -> str:
         """What an engine reports that has loaded exactly this."""
         return self.manifest.content_digest
 
@@ -86,7 +87,7 @@
 
     def same_weights(self, other: "Target | None") -> bool:
         """Returns whether another target consists of the same weights."""
-        if other is None or self.content != other.content:
+        if other is None or self.content_digest != other.content_digest:
             return False
         mine = {(a.name, a.manifest.digest) for a in self.adapters}
         return mine == {(a.name, a.manifest.digest) for a in other.adapters}
@@ -130,14 +131,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskStatus:
-    """Ask the engine for its status, answered by `status` or `no_status`."""
+class QueryStatus:
+    """Ask the engine; answered by `on_status` or `on_no_status`."""
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskPermit:
+class AcquirePermit:
     """Ask for the permit to leave service."""
 
 
@@ -153,7 +154,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """Take no new work, wait until nothing runs; answered by `drained`."""
+    """Take no new work, wait until nothing runs; answered by `on_drained`."""
 
     number: int
 
@@ -165,14 +166,14 @@
     Attributes:
       number: Names the order in the events that follow.
       target: What to load.
-      model: Whether the model has to be loaded, and with it all adapters.
+      load_model: Whether the model has to be loaded, and with it all adapters.
       adapters: The adapters that have to be loaded.
       send_before: Monotonic seconds; checked again right before sending.
     """
 
     number: int
     target: Target
-    model: bool
+    load_model: bool
     adapters: tuple[Adapter, ...]
     send_before: float
 
@@ -192,25 +193,25 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ChunksGone:
+class ChunksLost:
     """These chunks are not staged, though they were thought to be."""
 
     digests: tuple[str, ...]
 
 
 Action = (
-    AskStatus
-    | AskPermit
+    QueryStatus
+    | AcquirePermit
     | CoverLoad
     | ReleasePermit
     | Drain
     | SendOrder
     | Serve
     | StopServing
-    | ChunksGone
+    | ChunksLost
 )
 
-REFUSALS = {
+REASON_BY_REFUSAL = {
     backend.OrderRefusal.FENCING: Reason.REFUSED_FENCING,
     backend.OrderRefusal.CHUNK_MISSING: Reason.REFUSED_CHUNKS,
     backend.OrderRefusal.BAD_ORDER: Reason.REFUSED_ORDER,
--- a/src/clementinegw/weights/_serving.py
+++ b/src/clementinegw/weights/_serving_state.py
@@ -1,51 +1,51 @@
 """What the gate lets requests in to, and the permit to close it."""
 
-from clementinegw.weights import _orders
+from clementinegw.weights import _loader_types
 
-Actions = list[_orders.Action]
+Actions = list[_loader_types.Action]
 
 
-class Serving:
+class ServingState:
     """The gate and the permit as the loader has left them."""
 
     def __init__(self) -> None:
-        self._target: _orders.Target | None = None
+        self._target: _loader_types.Target | None = None
         self._drained = False
-        self._asked = False
-        self._permit = False
+        self._requested = False
+        self._has_permit = False
 
     @property
-    def target(self) -> _orders.Target | None:
+    def target(self) -> _loader_types.Target | None:
         """What requests run on; while the gate drains, its last requests."""
         return self._target
 
     @property
-    def permit(self) -> bool:
+    def has_permit(self) -> bool:
         """Whether the worker may leave service."""
-        return self._permit
+        return self._has_permit
 
-    def ask_permit(self) -> _orders.AskPermit:
+    def acquire_permit(self) -> _loader_types.AcquirePermit:
         """Asks for the permit to leave service."""
-        self._asked = True
-        return _orders.AskPermit()
+        self._requested = True
+        return _loader_types.AcquirePermit()
 
-    def granted(self) -> None:
+    def record_grant(self) -> None:
         """The permit is there, if it is still wanted."""
-        self._permit = self._asked
+        self._has_permit = self._requested
 
-    def lost(self) -> None:
+    def record_loss(self) -> None:
         """The permit has lapsed; it stays asked for."""
-        self._permit = False
+        self._has_permit = False
 
     def drain(self) -> None:
         """The gate takes nothing new; what runs, runs on."""
         self._drained = True
 
-    def replaced(self) -> None:
+    def record_overwrite(self) -> None:
         """The weights are overwritten from now on."""
         self._target = None
 
-    def serve(self, target: _orders.Target, release: bool) -> Actions:
+    def serve(self, target: _loader_types.Target, release: bool) -> Actions:
         """Lets requests in to a version that the engine has proved.
 
         Args:
@@ -54,17 +54,17 @@
         """
         actions: Actions = []
         if self._drained or not target.same_weights(self._target):
-            actions.append(_orders.Serve(target))
+            actions.append(_loader_types.Serve(target))
         self._target = target
         self._drained = False
-        if release and self._asked:
-            self._asked = self._permit = False
-            actions.append(_orders.ReleasePermit())
+        if release and self._requested:
+            self._requested = self._has_permit = False
+            actions.append(_loader_types.ReleasePermit())
         return actions
 
-    def stop(self, reason: _orders.Reason) -> Actions:
+    def stop(self, reason: _loader_types.Reason) -> Actions:
         """Lets nothing in any more."""
         if self._target is None:
             return []
         self._target = None
-        return [_orders.StopServing(reason)]
+        return [_loader_types.StopServing(reason)]
--- a/src/clementinegw/weights/_swap_runner.py
+++ b/src/clementinegw/weights/_swap_runner.py
@@ -9,13 +9,13 @@
 from clementinegw.telemetry import counters as metrics
 from clementinegw.weights import swap as swaps
 
-POLL_S = 5.0
-TICK_S = 0.25
-RETRY_S = 0.5
-CLOSE_S = 1.0
+READ_WAIT_S = 5.0
+TICK_INTERVAL_S = 0.25
+READ_RETRY_S = 0.5
+CLOSE_TIMEOUT_S = 1.0
 
 
-def stream_of(service: str) -> str:
+def stream_name(service: str) -> str:
     """Returns the log stream of a service's leases."""
     return f"swaps-{service}"
 
@@ -30,7 +30,7 @@
         service: str,
         clock: clocks.Clock,
         counters: metrics.Counters,
-        give: Callable[[swaps.Action], None],
+        on_action: Callable[[swaps.Action], None],
     ):
         """Prepares; `run` does the work.
 
@@ -40,31 +40,31 @@
           service: Whose workers share the leases.
           clock: The source of time.
           counters: Counts appends and failures as `weights.swap.*`.
-          give: Takes `Granted`, `Covered` and `Lost`.
+          on_action: Takes `Granted`, `Covered` and `Lost`.
         """
         self._swap = swap
         self._log = log_client
-        self._stream = stream_of(service)
+        self._stream = stream_name(service)
         self._clock = clock
         self._counters = counters
-        self._give = give
-        self._poked = asyncio.Event()
+        self._on_action = on_action
+        self._wake = asyncio.Event()
         self._read_now = asyncio.Event()
-        self._unsent: asyncio.Queue[bytes] = asyncio.Queue()
+        self._append_queue: asyncio.Queue[bytes] = asyncio.Queue()
 
     @property
-    def queue(self) -> tuple[int, int]:
+    def queue_counts(self) -> tuple[int, int]:
         """How many are out, and how many wait before this worker."""
-        return self._swap.queue
+        return self._swap.queue_counts
 
-    def set_load_s(self, load_s: float) -> None:
+    def set_max_load_s(self, max_load_s: float) -> None:
         """Changes the longest that a load may take, in seconds."""
-        self._swap.set_load_s(load_s)
+        self._swap.set_max_load_s(max_load_s)
 
-    def ask(self, limit: int, spread_s: float) -> None:
-        """Asks for the permit to be out; see `swap.Swap.ask`."""
-        self._swap.ask(self._clock.now(), limit, spread_s)
-        self._poked.set()
+    def acquire(self, limit: int, spread_s: float) -> None:
+        """Asks for the permit to be out; see `swap.Swap.acquire`."""
+        self._swap.acquire(self._clock.now(), limit, spread_s)
+        self._wake.set()
 
     def cover(self) -> None:
         """Has the permit cover a whole load."""
@@ -79,9 +79,9 @@
     async def run(self) -> None:
         """Works until it is cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._read())
-            group.create_task(self._keep_time())
-            group.create_task(self._append())
+            group.create_task(self._read_loop())
+            group.create_task(self._tick_loop())
+            group.create_task(self._append_loop())
 
     async def close(self) -> None:
         """Gives back what is held or waited for; tries it once.
@@ -93,24 +93,24 @@
         for action in self._swap.on_tick(self._clock.now()):
             if isinstance(action, swaps.Append):
                 try:
-                    async with asyncio.timeout(CLOSE_S):
+                    async with asyncio.timeout(CLOSE_TIMEOUT_S):
                         await self._log.append(self._stream, action.value)
                 except (exceptions.PlatformError, TimeoutError):
                     self._counters.add("weights.swap.append_unknown")
 
-    async def _read(self) -> None:
+    async def _read_loop(self) -> None:
         while True:
-            await self._poked.wait()
+            await self._wake.wait()
             if not self._swap.active:
-                self._poked.clear()
+                self._wake.clear()
                 continue
             try:
                 page = await self._log.read(
-                    self._stream, self._swap.next_offset, wait_s=POLL_S
+                    self._stream, self._swap.next_offset, wait_s=READ_WAIT_S
                 )
             except exceptions.PlatformError:
                 self._counters.add("weights.swap.read_failed")
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(READ_RETRY_S)
                 continue
             self._carry_out(self._swap.on_page(self._clock.now(), page))
             if self._swap.read_pause_s:
@@ -124,15 +124,15 @@
         except TimeoutError:
             pass
 
-    async def _keep_time(self) -> None:
+    async def _tick_loop(self) -> None:
         while True:
-            await self._poked.wait()
+            await self._wake.wait()
             self._tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    async def _append(self) -> None:
+    async def _append_loop(self) -> None:
         while True:
-            value = await self._unsent.get()
+            value = await self._append_queue.get()
             try:
                 await self._log.append(self._stream, value)
                 self._counters.add("weights.swap.appended")
@@ -149,11 +149,11 @@
             if isinstance(action, swaps.Append):
                 self._send(action.value)
             else:
-                self._give(action)
+                self._on_action(action)
 
     def _send(self, value: bytes) -> None:
         # While the log is slow only the newest record is worth sending.
-        while not self._unsent.empty():
-            self._unsent.get_nowait()
+        while not self._append_queue.empty():
+            self._append_queue.get_nowait()
         self._read_now.set()
-        self._unsent.put_nowait(value)
+        self._append_queue.put_nowait(value)
--- a/src/clementinegw/weights/_versions.py
+++ b/src/clementinegw/weights/_versions.py
@@ -3,26 +3,26 @@
 import asyncio
 import enum
 
+from clementinegw.weights import _loader_types
 from clementinegw.weights import _manifest_source
-from clementinegw.weights import _orders
 from clementinegw.weights import _service_types
 from clementinegw.weights import manifest as manifests
 
-FORMER_S = 3.0
+PREVIOUS_TIMEOUT_S = 3.0
 
-Declared = _service_types.Declared
+DeclaredVersion = _service_types.Declared
 DeclaredAdapter = _service_types.DeclaredAdapter
 
 
 class Change(enum.Enum):
     """What a declaration changes."""
 
-    OLD = enum.auto()  # it is older than the one that is known
-    NOTHING = enum.auto()  # only the settings revision
+    OUTDATED = enum.auto()  # it is older than the one that is known
+    NONE = enum.auto()  # only the settings revision
     WEIGHTS = enum.auto()
 
 
-class Versions:
+class DeclaredVersions:
     """The newest declaration, and what has been found of it."""
 
     def __init__(self, source: _manifest_source.ManifestSource):
@@ -32,91 +32,95 @@
           source: Where manifests come from.
         """
         self._source = source
-        self._target: Declared | None = None
-        self._previous: Declared | None = None
+        self._declared: DeclaredVersion | None = None
+        self._declared_previous: DeclaredVersion | None = None
         self._declared_adapters: tuple[DeclaredAdapter, ...] = ()
-        self._model: manifests.Manifest | None = None
-        self._former: manifests.Manifest | None = None
-        self._adapters: tuple[_orders.Adapter, ...] = ()
+        self._model_manifest: manifests.Manifest | None = None
+        self._previous_manifest: manifests.Manifest | None = None
+        self._adapters: tuple[_loader_types.Adapter, ...] = ()
 
     @property
-    def declared(self) -> Declared | None:
+    def declared(self) -> DeclaredVersion | None:
         """The version to serve."""
-        return self._target
+        return self._declared
 
     @property
-    def target(self) -> _orders.Target | None:
+    def target(self) -> _loader_types.Target | None:
         """The version to serve; None until all its manifests are found."""
-        if self._target is None or self._model is None:
+        if self._declared is None or self._model_manifest is None:
             return None
-        return _orders.Target(
-            self._model, self._target.revision, self._adapters
+        return _loader_types.Target(
+            self._model_manifest, self._declared.revision, self._adapters
         )
 
     @property
-    def former(self) -> _orders.Target | None:
+    def previous(self) -> _loader_types.Target | None:
         """The version before; None without one or its manifest."""
-        if self._target is None or self._former is None:
+        if self._declared is None or self._previous_manifest is None:
             return None
-        return _orders.Target(self._former, self._target.revision)
+        return _loader_types.Target(
+            self._previous_manifest, self._declared.revision
+        )
 
     @property
-    def wanted(self) -> list[manifests.Manifest]:
+    def wanted_manifests(self) -> list[manifests.Manifest]:
         """All manifests whose chunks are to be near."""
         found = [adapter.manifest for adapter in self._adapters]
-        if self._model is not None:
-            found.append(self._model)
-        if self._former is not None:
-            found.append(self._former)
+        if self._model_manifest is not None:
+            found.append(self._model_manifest)
+        if self._previous_manifest is not None:
+            found.append(self._previous_manifest)
         return found
 
     def declare(
         self,
-        target: Declared,
-        previous: Declared | None,
+        target: DeclaredVersion,
+        previous: DeclaredVersion | None,
         adapters: tuple[DeclaredAdapter, ...],
     ) -> Change:
         """Takes in a declaration."""
-        if self._target and target.revision < self._target.revision:
-            return Change.OLD
+        if self._declared and target.revision < self._declared.revision:
+            return Change.OUTDATED
         before = self._digests()
-        self._target = target
-        self._previous = previous
+        self._declared = target
+        self._declared_previous = previous
         self._declared_adapters = adapters
         if self._digests() == before:
-            return Change.NOTHING
-        self._model = self._former = None
+            return Change.NONE
+        self._model_manifest = self._previous_manifest = None
         self._adapters = ()
         return Change.WEIGHTS
 
     async def find_target(self) -> None:
         """Finds the manifests of what is to be served."""
-        if self._target is None:
+        if self._declared is None:
             return
         adapters = await asyncio.gather(
             *map(self._find_adapter, self._declared_adapters)
         )
-        self._model = await self._source.fetch(self._target.manifest)
+        self._model_manifest = await self._source.fetch(self._declared.manifest)
         self._adapters = tuple(adapters)
 
-    async def find_former(self) -> None:
+    async def find_previous(self) -> None:
         """Finds the manifest of the version before, if anyone has it."""
-        if self._previous is None:
+        if self._declared_previous is None:
             return
         # An agent that served it finds it at once. Another one must not wait
         # for a store that stalls before it fetches what is to be served.
         try:
-            async with asyncio.timeout(FORMER_S):
-                self._former = await self._source.find(self._previous.manifest)
+            async with asyncio.timeout(PREVIOUS_TIMEOUT_S):
+                self._previous_manifest = await self._source.find(
+                    self._declared_previous.manifest
+                )
         except TimeoutError:
             pass
 
     async def stage(self) -> None:
         """Puts the manifests beside their chunks, for a later agent."""
-        for manifest in self.wanted:
+        for manifest in self.wanted_manifests:
             await self._source.stage(manifest)
 
-    def bundle(self) -> manifests.Manifest | None:
+    def combined_manifest(self) -> manifests.Manifest | None:
         """Returns all chunks of the target as one manifest.
 
         Agents exchange the chunks of one manifest at a time. This one is the
@@ -135,13 +139,15 @@
             chunks=tuple(chunk for part in parts for chunk in part.chunks),
         )
 
-    async def _find_adapter(self, declared: DeclaredAdapter) -> _orders.Adapter:
+    async def _find_adapter(
+        self, declared: DeclaredAdapter
+    ) -> _loader_types.Adapter:
         manifest = await self._source.fetch(declared.manifest)
-        return _orders.Adapter(declared.name, manifest)
+        return _loader_types.Adapter(declared.name, manifest)
 
     def _digests(self) -> tuple[object, ...]:
         return (
-            self._target and self._target.manifest,
-            self._previous and self._previous.manifest,
+            self._declared and self._declared.manifest,
+            self._declared_previous and self._declared_previous.manifest,
             self._declared_adapters,
         )
--- a/src/clementinegw/weights/loader.py
+++ b/src/clementinegw/weights/loader.py
@@ -13,18 +13,18 @@
 from clementinegw.telemetry import counters as metrics
 from clementinegw.weights import _engine_view
 from clementinegw.weights import _hold_off
-from clementinegw.weights import _orders
-from clementinegw.weights import _serving
+from clementinegw.weights import _loader_types
+from clementinegw.weights import _serving_state
 
-Timing = _orders.Timing
-Target = _orders.Target
-Phase = _orders.Phase
-Reason = _orders.Reason
-Action = _orders.Action
-Actions = list[_orders.Action]
+Timing = _loader_types.Timing
+Target = _loader_types.Target
+Phase = _loader_types.Phase
+Reason = _loader_types.Reason
+Action = _loader_types.Action
+Actions = list[_loader_types.Action]
 
-_IDLE = (Phase.STEADY, Phase.QUEUED)
-_DRAINED = (Phase.DRAINING, Phase.COVERING)
+_IDLE_PHASES = (Phase.STEADY, Phase.QUEUED)
+_DRAIN_PHASES = (Phase.DRAINING, Phase.COVERING)
 
 
 class Loader:
@@ -55,8 +55,8 @@
         self._reason = Reason.NO_TARGET
         self._target: Target | None = None
         self._staged: frozenset[str] = frozenset()
-        self._serving = _serving.Serving()
-        self._ordered: Target | None = None
+        self._serving = _serving_state.ServingState()
+        self._open_order: Target | None = None
         self._number = 0
         self._wake_at = math.inf
 
@@ -85,15 +85,15 @@
 
     @property
     def wake_at(self) -> float:
-        """When `tick` has to be called, monotonic seconds."""
+        """When `on_tick` has to be called, monotonic seconds."""
         return self._wake_at
 
     def start(self, now: float) -> Actions:
         """Begins by asking what the engine has loaded."""
         del now
-        return self._ask()
+        return self._enter_asking()
 
-    def declared(
+    def on_declared(
         self, now: float, target: Target, previous: Target | None
     ) -> Actions:
         """Takes in what the settings declare.
@@ -103,51 +103,56 @@
           target: The version to serve.
           previous: The version before it, which may be served until then.
         """
-        former = self._target
-        if former is not None and target.revision < former.revision:
+        current = self._target
+        if current is not None and target.revision < current.revision:
             # An order that follows settings of the past would bring an
             # abandoned version back.
             self._count(Reason.OLD_REVISION)
             return []
         self._target = target
-        self._engine.know(target, previous, self.serving, self._ordered)
-        if target.same_weights(former):
+        self._engine.set_servable(
+            target, previous, self.serving, self._open_order
+        )
+        if target.same_weights(current):
             return self._decide_if_idle(now)
         self._hold_off.clear()
         return self._decide_if_idle(now)
 
-    def staged(self, now: float, manifests: frozenset[str]) -> Actions:
+    def on_staged(self, now: float, manifests: frozenset[str]) -> Actions:
         """Takes in which manifests the engine has all chunks of."""
         self._staged = manifests
         return self._decide_if_idle(now)
 
-    def permit(self, now: float) -> Actions:
+    def on_permit_granted(self, now: float) -> Actions:
         """The worker may leave service."""
         del now
-        self._serving.granted()
+        self._serving.record_grant()
         if self._phase is not Phase.QUEUED:
             return []
         return self._drain()
 
-    def permit_lost(self, now: float) -> Actions:
+    def on_permit_lost(self, now: float) -> Actions:
         """The permit has lapsed.
 
         Before the order, the worker serves again. After it there is no way
         back, and the load goes on.
         """
-        self._serving.lost()
-        if self._phase not in _DRAINED or self._engine.loaded_target is None:
+        self._serving.record_loss()
+        if (
+            self._phase not in _DRAIN_PHASES
+            or self._engine.loaded_target is None
+        ):
             return []
         self._count(Reason.PERMIT_LOST)
-        return self._ask()
+        return self._enter_asking()
 
-    def covered(self, now: float, send_before: float) -> Actions:
+    def on_covered(self, now: float, send_before: float) -> Actions:
         """The permit covers a load whose order is sent in time."""
         if self._phase is not Phase.COVERING:
             return []
-        return self._order(now, send_before)
+        return self._send_order(now, send_before)
 
-    def drained(self, now: float, number: int, clean: bool) -> Actions:
+    def on_drained(self, now: float, number: int, clean: bool) -> Actions:
         """The gate has stopped new work.
 
         Args:
@@ -159,15 +164,15 @@
             return []
         if not clean:
             return self._fail(now, Reason.DRAIN_TIMEOUT)
-        if not self._wants_load(now) or not self._may_order():
-            return self._ask()
-        if not self._serving.permit:
-            return self._order(now, now + self._timing.order_s)
+        if not self._should_load(now) or not self._may_load():
+            return self._enter_asking()
+        if not self._serving.has_permit:
+            return self._send_order(now, now + self._timing.max_send_delay_s)
         self._phase = Phase.COVERING
-        self._wake_at = now + self._timing.cover_s
-        return [_orders.CoverLoad()]
+        self._wake_at = now + self._timing.cover_timeout_s
+        return [_loader_types.CoverLoad()]
 
-    def reported(
+    def on_report(
         self,
         now: float,
         number: int,
@@ -183,64 +188,66 @@
             the order was for adapters only.
           adapters: Names and versions of those that were loaded rightly.
         """
-        ordered = self._end_order(number)
+        ordered = self._close_order(number)
         if ordered is None:
             return []
-        self._engine.reported(digest, adapters)
-        if not self._engine.has(ordered):
+        self._engine.record_report(digest, adapters)
+        if not self._engine.has_loaded(ordered):
             return self._fail(now, Reason.DIGEST_MISMATCH)
         return self._decide(now)
 
-    def refused(
+    def on_refusal(
         self, now: float, number: int, refusal: backend.OrderRefused
     ) -> Actions:
         """The engine has refused the order and changed nothing."""
-        if self._end_order(number) is None:
+        if self._close_order(number) is None:
             return []
-        self._engine.refused(refusal)
+        self._engine.record_refusal(refusal)
         actions: Actions = []
         if refusal.missing:
             self._staged = frozenset()
-            actions.append(_orders.ChunksGone(refusal.missing))
-        return actions + self._fail(now, _orders.REFUSALS[refusal.reason])
+            actions.append(_loader_types.ChunksLost(refusal.missing))
+        return actions + self._fail(
+            now, _loader_types.REASON_BY_REFUSAL[refusal.reason]
+        )
 
-    def order_lost(self, now: float, number: int) -> Actions:
+    def on_answer_lost(self, now: float, number: int) -> Actions:
         """No answer came: the order may have taken effect, or still may."""
-        ordered = self._end_order(number)
+        ordered = self._close_order(number)
         if ordered is None:
             return []
         self._engine.leave_open(ordered, now)
         return self._fail(now, Reason.ANSWER_LOST)
 
-    def not_sent(self, now: float, number: int) -> Actions:
+    def on_not_sent(self, now: float, number: int) -> Actions:
         """The order was too late or found no engine: it had no effect."""
-        if self._end_order(number) is None:
+        if self._close_order(number) is None:
             return []
         return self._fail(now, Reason.NOT_SENT)
 
-    def status(
+    def on_status(
         self, now: float, number: int, status: backend.EngineStatus
     ) -> Actions:
         """The engine has told what it has loaded."""
         if number != self._number:
             return []
         if self._phase is Phase.ASKING:
-            return self._learn(now, status)
-        if self._phase not in _IDLE:
+            return self._apply_status(now, status)
+        if self._phase not in _IDLE_PHASES:
             return []
         self._wake_at = now + self._timing.verify_s
-        if not self._engine.changed(status):
+        if not self._engine.contradicts(status):
             return self._decide(now)
         # Another process has given the engine an order, or an order of ours
         # that was thought lost came late. Seen in time, no request is
         # answered by weights that nobody verified.
         self._count(Reason.DIGEST_CHANGED)
         self._phase = Phase.ASKING
-        return self._serving.stop(Reason.DIGEST_CHANGED) + self._learn(
+        return self._serving.stop(Reason.DIGEST_CHANGED) + self._apply_status(
             now, status
         )
 
-    def no_status(self, now: float, number: int) -> Actions:
+    def on_no_status(self, now: float, number: int) -> Actions:
         """The engine did not answer the question."""
         if number != self._number:
             return []
@@ -249,30 +256,36 @@
             self._reason = Reason.ENGINE_UNREACHABLE
             self._hold_off.fail(now, self._reason)
             self._wake_at = self._hold_off.until
-        elif self._phase in _IDLE:
+        elif self._phase in _IDLE_PHASES:
             self._wake_at = now + self._timing.verify_s
         return []
 
-    def crashed(self, now: float) -> Actions:
+    def on_crash(self, now: float) -> Actions:
         """The engine has ended; it starts again without weights."""
-        if self._ordered is not None:
-            self._engine.leave_open(self._ordered, now)
-        self._ordered = None
+        if self._open_order is not None:
+            self._engine.leave_open(self._open_order, now)
+        self._open_order = None
         self._count(Reason.ENGINE_CRASHED)
-        self._engine.crashed()
+        self._engine.record_crash()
         self._staged = frozenset()
-        return self._serving.stop(Reason.ENGINE_CRASHED) + self._ask()
+        return self._serving.stop(Reason.ENGINE_CRASHED) + self._enter_asking()
 
-    def tick(self, now: float) -> Actions:
+    def on_tick(self, now: float) -> Actions:
         """Does what is due."""
         if now < self._wake_at:
             return []
         if self._phase is Phase.COVERING:
             return self._fail(now, Reason.SWAP_LIMIT)
-        return self._question() if self._phase in _IDLE else self._ask()
+        return (
+            self._query_status()
+            if self._phase in _IDLE_PHASES
+            else self._enter_asking()
+        )
 
-    def _learn(self, now: float, status: backend.EngineStatus) -> Actions:
-        if self._engine.learn(status, now):
+    def _apply_status(
+        self, now: float, status: backend.EngineStatus
+    ) -> Actions:
+        if self._engine.update(status, now):
             return self._decide(now)
         if status.loading:
             self._reason = Reason.LOADING
@@ -280,13 +293,13 @@
         return []
 
     def _decide_if_idle(self, now: float) -> Actions:
-        return self._decide(now) if self._phase in _IDLE else []
+        return self._decide(now) if self._phase in _IDLE_PHASES else []
 
     def _decide(self, now: float) -> Actions:
         """Chooses the next step when no order and no question is open."""
-        if not self._wants_load(now):
-            return self._rest(now)
-        if self._may_order():
+        if not self._should_load(now):
+            return self._serve_and_wait(now)
+        if self._may_load():
             return self._drain()
         if self._phase is Phase.QUEUED:
             return []
@@ -294,44 +307,44 @@
         self._phase = Phase.QUEUED
         self._reason = Reason.SWAP_LIMIT
         self._wake_at = now + self._timing.verify_s
-        return [*actions, self._serving.ask_permit()]
+        return [*actions, self._serving.acquire_permit()]
 
-    def _may_order(self) -> bool:
+    def _may_load(self) -> bool:
         # A worker whose engine crashed or failed to load is out in any case:
         # made to wait for a permit, it could not come back in an outage of
         # the log. One that could serve needs the permit, also when it was
         # drained under an earlier one that has lapsed.
-        return self._serving.permit or self._engine.loaded_target is None
+        return self._serving.has_permit or self._engine.loaded_target is None
 
-    def _wants_load(self, now: float) -> bool:
+    def _should_load(self, now: float) -> bool:
         target = self._target
         return (
             target is not None
             and not self._hold_off.active(now)
-            and not self._engine.has(target)
+            and not self._engine.has_loaded(target)
             and target.manifest_digests <= self._staged
-            and not self._engine.refuses(target)
+            and not self._engine.would_refuse(target)
         )
 
-    def _rest(self, now: float) -> Actions:
+    def _serve_and_wait(self, now: float) -> Actions:
         """Serves what is loaded, if that is declared, and waits."""
         actions = self._serve_loaded()
         self._phase = Phase.STEADY
         self._wake_at = now + self._timing.verify_s
         if self._hold_off.active(now):
             self._wake_at = min(self._wake_at, self._hold_off.until)
-        self._reason = self._why_resting(now)
+        self._reason = self._waiting_reason(now)
         if self._reason is Reason.NONE:
             self._hold_off.clear()
         return actions
 
-    def _why_resting(self, now: float) -> Reason:
+    def _waiting_reason(self, now: float) -> Reason:
         target = self._target
         if target is None:
             return Reason.NO_TARGET
-        if self._engine.has(target):
+        if self._engine.has_loaded(target):
             return Reason.NONE
-        if self._engine.refuses(target):
+        if self._engine.would_refuse(target):
             return Reason.REFUSED_FENCING
         if self._hold_off.active(now):
             return self._hold_off.reason
@@ -350,39 +363,39 @@
         self._reason = Reason.DRAINING
         self._wake_at = math.inf
         self._number += 1
-        return [_orders.Drain(self._number)]
+        return [_loader_types.Drain(self._number)]
 
-    def _order(self, now: float, send_before: float) -> Actions:
-        if not self._wants_load(now) or self._target is None:
-            return self._ask()
+    def _send_order(self, now: float, send_before: float) -> Actions:
+        if not self._should_load(now) or self._target is None:
+            return self._enter_asking()
         self._phase = Phase.LOADING
         self._reason = Reason.LOADING
         self._wake_at = math.inf
-        self._serving.replaced()
-        self._ordered = self._target
+        self._serving.record_overwrite()
+        self._open_order = self._target
         self._number += 1
         model, adapters = self._engine.missing(self._target)
         return [
-            _orders.SendOrder(
+            _loader_types.SendOrder(
                 self._number, self._target, model, adapters, send_before
             )
         ]
 
-    def _end_order(self, number: int) -> Target | None:
-        ordered = self._ordered
+    def _close_order(self, number: int) -> Target | None:
+        ordered = self._open_order
         if ordered is None or number != self._number:
             return None
-        self._ordered = None
+        self._open_order = None
         return ordered
 
-    def _ask(self) -> Actions:
+    def _enter_asking(self) -> Actions:
         self._phase = Phase.ASKING
-        return self._question()
+        return self._query_status()
 
-    def _question(self) -> Actions:
+    def _query_status(self) -> Actions:
         self._wake_at = math.inf
         self._number += 1
-        return [_orders.AskStatus(self._number)]
+        return [_loader_types.QueryStatus(self._number)]
 
     def _fail(self, now: float, reason: Reason) -> Actions:
         """Holds off the next load, and asks what may be served meanwhile.
@@ -393,7 +406,7 @@
         self._count(reason)
         self._reason = reason
         self._hold_off.fail(now, reason)
-        return self._ask()
+        return self._enter_asking()
 
     def _count(self, reason: Reason) -> None:
         self._counters.add(f"weights.load.{reason}")
--- a/src/clementinegw/weights/service.py
+++ b/src/clementinegw/weights/service.py
@@ -19,8 +19,8 @@
 from clementinegw.weights import _engine_calls
 from clementinegw.weights import _events
 from clementinegw.weights import _fetch
+from clementinegw.weights import _loader_types
 from clementinegw.weights import _manifest_source
-from clementinegw.weights import _orders
 from clementinegw.weights import _service_types
 from clementinegw.weights import _swap_runner
 from clementinegw.weights import _versions
@@ -33,16 +33,16 @@
 Exchange = _fetch.Exchange
 Engine = _service_types.Engine
 Drainable = _service_types.Drainable
-Declared = _service_types.Declared
+DeclaredVersion = _service_types.Declared
 DeclaredAdapter = _service_types.DeclaredAdapter
 Policy = _service_types.Policy
 
 # A fleet that is ready at once asks for its leases at this rate, well below
 # what the log takes, since claims of live requests go through it as well.
-ASKS_PER_S = 100.0
-_ORDER_S = 2.0
-_LONGEST_SLEEP_S = 1.0
-_SHORTEST_SLEEP_S = 0.01
+MAX_ASKS_PER_S = 100.0
+_MAX_SEND_DELAY_S = 2.0
+_MAX_SLEEP_S = 1.0
+_MIN_SLEEP_S = 0.01
 
 
 class Weights(mode.Service):
@@ -109,9 +109,9 @@
             service,
             self._clock,
             self._counters,
-            self._on_swap,
+            self._on_swap_action,
         )
-        self._versions = _versions.Versions(
+        self._versions = _versions.DeclaredVersions(
             _manifest_source.ManifestSource(
                 engine, sources, endpoint, rng, self._log, self._counters
             )
@@ -119,36 +119,36 @@
         self._fetcher = _fetch.Fetcher(
             store, sources, exchange, rng, self._log, self._counters
         )
-        self._swap.set_load_s(self._policy.load_timeout_s)
-        self._obtaining: asyncio.Future | None = None
-        self._gate_turn = 0
+        self._swap.set_max_load_s(self._policy.load_timeout_s)
+        self._fetch_task: asyncio.Future | None = None
+        self._gate_sequence = 0
         self._loader_changed = asyncio.Event()
         self._on_serving: Callable[[str, str], None] = lambda v, d: None
-        self._perform: dict[type, Callable[[Any], None]] = {
-            _orders.AskStatus: self._ask_status,
-            _orders.AskPermit: self._ask_permit,
-            _orders.CoverLoad: self._cover_load,
-            _orders.ReleasePermit: lambda action: self._swap.release(),
-            _orders.Drain: self._drain,
-            _orders.SendOrder: self._send_order,
-            _orders.Serve: self._serve,
-            _orders.StopServing: self._stop_serving,
-            _orders.ChunksGone: self._chunks_gone,
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            _loader_types.QueryStatus: self._query_status,
+            _loader_types.AcquirePermit: self._acquire_permit,
+            _loader_types.CoverLoad: self._cover_load,
+            _loader_types.ReleasePermit: lambda action: self._swap.release(),
+            _loader_types.Drain: self._drain,
+            _loader_types.SendOrder: self._send_order,
+            _loader_types.Serve: self._serve,
+            _loader_types.StopServing: self._stop_serving,
+            _loader_types.ChunksLost: self._on_chunks_lost,
         }
 
     def status(self) -> statuses.WeightsStatus:
         """Returns this agent's part in the rollout."""
         declared = self._versions.declared
-        bundle = self._versions.bundle()
+        bundle = self._versions.combined_manifest()
         serving = self._loader.serving
-        out, before = self._swap.queue
+        out, before = self._swap.queue_counts
         return statuses.WeightsStatus(
             target=declared.version if declared else "",
             target_digest=declared.manifest if declared else "",
             held=self._store.count(bundle) if bundle else 0,
             total=len(bundle.chunks) if bundle else 0,
             serving_version=serving.version if serving else "",
-            serving_digest=serving.content if serving else "",
+            serving_digest=serving.content_digest if serving else "",
             state=self._state(),
             reason=self._loader.reason.value,
             revision=declared.revision if declared else 0,
@@ -159,10 +159,10 @@
             adapters=tuple(sorted(serving.adapter_keys)) if serving else (),
         )
 
-    def want(
+    def set_declared(
         self,
-        target: Declared,
-        previous: Declared | None = None,
+        target: DeclaredVersion,
+        previous: DeclaredVersion | None = None,
         adapters: tuple[DeclaredAdapter, ...] = (),
     ) -> None:
         """Takes in what the settings declare; only the newest matters.
@@ -173,10 +173,10 @@
           adapters: Loaded beside the target; it is served with them only.
         """
         change = self._versions.declare(target, previous, adapters)
-        if change is _versions.Change.OLD:
+        if change is _versions.Change.OUTDATED:
             self._counters.add("weights.want.old_revision")
-        elif change is _versions.Change.NOTHING:
-            self._declare()
+        elif change is _versions.Change.NONE:
+            self._report_declared()
         else:
             self._log.write(
                 _events.VERSION_WANTED,
@@ -185,22 +185,24 @@
                 revision=target.revision,
             )
             # Nothing of the abandoned version is ordered any more.
-            self._do(self._loader.staged(self._clock.now(), frozenset()))
-            self._obtain_anew()
+            self._perform(
+                self._loader.on_staged(self._clock.now(), frozenset())
+            )
+            self._restart_fetch()
 
     def set_policy(self, policy: Policy) -> None:
         """Takes over changed knobs."""
         changed = policy != self._policy
         self._policy = policy
-        self._swap.set_load_s(policy.load_timeout_s)
+        self._swap.set_max_load_s(policy.load_timeout_s)
         if changed and self._loader.phase is loaders.Phase.QUEUED:
-            self._ask_permit(_orders.AskPermit())
+            self._acquire_permit(_loader_types.AcquirePermit())
 
-    def engine_crashed(self) -> None:
+    def on_engine_crash(self) -> None:
         """Says that the engine has ended; its staging memory may be lost."""
         self._store.forget()
-        self._do(self._loader.crashed(self._clock.now()))
-        self._obtain_anew()
+        self._perform(self._loader.on_crash(self._clock.now()))
+        self._restart_fetch()
 
     def on_serving(self, callback: Callable[[str, str], None]) -> None:
         """Registers what is told the version and digest that is served.
@@ -211,8 +213,8 @@
 
     async def on_start(self) -> None:
         """Asks the engine what it has and begins to fetch."""
-        self._do(self._loader.start(self._clock.now()))
-        self._obtain_anew()
+        self._perform(self._loader.start(self._clock.now()))
+        self._restart_fetch()
 
     async def on_stop(self) -> None:
         """Gives the permit back, unless the engine may be loading by it.
@@ -228,12 +230,12 @@
         await self._swap.run()
 
     @mode.Service.task
-    async def _keep_time(self) -> None:
+    async def _tick_loop(self) -> None:
         while not self.should_stop:
             now = self._clock.now()
-            self._do(self._loader.tick(now))
+            self._perform(self._loader.on_tick(now))
             wait_s = self._loader.wake_at - now
-            wait_s = max(_SHORTEST_SLEEP_S, min(wait_s, _LONGEST_SLEEP_S))
+            wait_s = max(_MIN_SLEEP_S, min(wait_s, _MAX_SLEEP_S))
             self._loader_changed.clear()
             try:
                 async with asyncio.timeout(wait_s):
@@ -245,7 +247,7 @@
         if self._versions.declared is None:
             return statuses.State.IDLE
         if self._loader.phase is not loaders.Phase.STEADY:
-            return _STATES[self._loader.phase]
+            return _STATE_BY_PHASE[self._loader.phase]
         target = self._versions.target
         if target is not None and target.same_weights(self._loader.serving):
             return statuses.State.SERVING
@@ -253,29 +255,29 @@
             return statuses.State.FETCHING
         return statuses.State.RETRYING
 
-    def _do(self, actions: list[loaders.Action]) -> None:
+    def _perform(self, actions: list[loaders.Action]) -> None:
         for action in actions:
-            self._perform[type(action)](action)
+            self._handlers[type(action)](action)
         self._loader_changed.set()
 
     # Fetching.
 
-    def _obtain_anew(self) -> None:
-        if self._obtaining is not None:
-            self._obtaining.cancel()
+    def _restart_fetch(self) -> None:
+        if self._fetch_task is not None:
+            self._fetch_task.cancel()
         if self.started and self._versions.declared is not None:
-            self._obtaining = self.add_future(self._obtain())
+            self._fetch_task = self.add_future(self._run_fetch())
 
-    async def _obtain(self) -> None:
+    async def _run_fetch(self) -> None:
         """Brings the declared versions near, then keeps them there."""
         await self._versions.find_target()
-        self._declare()
-        await self._versions.find_former()
-        self._declare()
-        await self._fetcher.recover(self._versions.wanted)
+        self._report_declared()
+        await self._versions.find_previous()
+        self._report_declared()
+        await self._fetcher.recover(self._versions.wanted_manifests)
         await self._versions.stage()
-        self._tell_staged()
-        bundle = self._versions.bundle()
+        self._report_staged()
+        bundle = self._versions.combined_manifest()
         if bundle is None:
             return
         while self._state() is statuses.State.SERVING:
@@ -283,106 +285,110 @@
                 break
             # The engine has it already: its chunks are not drawn again just
             # to lie near.
-            await asyncio.sleep(_LONGEST_SLEEP_S)
+            await asyncio.sleep(_MAX_SLEEP_S)
         await self._fetcher.fetch(bundle)
-        self._tell_staged()
+        self._report_staged()
 
-    def _declare(self) -> None:
+    def _report_declared(self) -> None:
         target = self._versions.target
         if target is not None:
             now = self._clock.now()
-            self._do(self._loader.declared(now, target, self._versions.former))
+            self._perform(
+                self._loader.on_declared(now, target, self._versions.previous)
+            )
 
-    def _tell_staged(self) -> None:
-        whole = filter(self._store.holds_all, self._versions.wanted)
+    def _report_staged(self) -> None:
+        whole = filter(self._store.holds_all, self._versions.wanted_manifests)
         staged = frozenset(manifest.digest for manifest in whole)
-        self._do(self._loader.staged(self._clock.now(), staged))
+        self._perform(self._loader.on_staged(self._clock.now(), staged))
 
-    def _chunks_gone(self, action: _orders.ChunksGone) -> None:
+    def _on_chunks_lost(self, action: _loader_types.ChunksLost) -> None:
         self._counters.add("weights.staging.lost", len(action.digests))
         self._store.forget(bytes.fromhex(name) for name in action.digests)
-        self._obtain_anew()
+        self._restart_fetch()
 
     # The engine and the gate.
 
-    def _ask_status(self, action: _orders.AskStatus) -> None:
-        self.add_future(self._after(self._calls.ask(action)))
+    def _query_status(self, action: _loader_types.QueryStatus) -> None:
+        self.add_future(self._perform_result(self._calls.query_status(action)))
 
-    def _send_order(self, action: _orders.SendOrder) -> None:
+    def _send_order(self, action: _loader_types.SendOrder) -> None:
         timeout_s = self._policy.load_timeout_s
-        self.add_future(self._after(self._calls.order(action, timeout_s)))
+        self.add_future(
+            self._perform_result(self._calls.send_order(action, timeout_s))
+        )
 
-    async def _after(self, call: Awaitable[loaders.Actions]) -> None:
-        self._do(await call)
+    async def _perform_result(self, call: Awaitable[loaders.Actions]) -> None:
+        self._perform(await call)
 
-    def _drain(self, action: _orders.Drain) -> None:
-        self._gate_turn += 1
-        self.add_future(self._drained(action.number, self._gate_turn))
+    def _drain(self, action: _loader_types.Drain) -> None:
+        self._gate_sequence += 1
+        self.add_future(self._run_drain(action.number, self._gate_sequence))
 
-    async def _drained(self, number: int, turn: int) -> None:
-        if turn != self._gate_turn:
+    async def _run_drain(self, number: int, sequence: int) -> None:
+        if sequence != self._gate_sequence:
             return
         clean = await self._gate.drain(self._policy.drain_timeout_s)
-        self._do(self._loader.drained(self._clock.now(), number, clean))
+        self._perform(self._loader.on_drained(self._clock.now(), number, clean))
 
-    def _serve(self, action: _orders.Serve) -> None:
-        self._gate_turn += 1
+    def _serve(self, action: _loader_types.Serve) -> None:
+        self._gate_sequence += 1
         target = action.target
-        self._gate.resume(target.version, target.content)
+        self._gate.resume(target.version, target.content_digest)
         self._log.write(
             _events.VERSION_SERVED,
             version=target.version,
-            digest=target.content,
+            digest=target.content_digest,
         )
-        self._on_serving(target.version, target.content)
+        self._on_serving(target.version, target.content_digest)
 
-    def _stop_serving(self, action: _orders.StopServing) -> None:
-        self._gate_turn += 1
+    def _stop_serving(self, action: _loader_types.StopServing) -> None:
+        self._gate_sequence += 1
         self._log.write(_events.SERVING_STOPPED, reason=action.reason.value)
-        self.add_future(self._close_gate(self._gate_turn))
+        self.add_future(self._close_gate(self._gate_sequence))
         self._on_serving("", "")
 
-    async def _close_gate(self, turn: int) -> None:
+    async def _close_gate(self, sequence: int) -> None:
         # Closed after a `Serve` that followed at once, it would stay closed.
-        if turn == self._gate_turn:
+        if sequence == self._gate_sequence:
             await self._gate.drain(0.0)
 
     # The swap.
 
     @property
-    def _all_at_once(self) -> bool:
+    def _unlimited(self) -> bool:
         return self._policy.max_out_share >= 1.0
 
-    def _ask_permit(self, action: _orders.AskPermit) -> None:
+    def _acquire_permit(self, action: _loader_types.AcquirePermit) -> None:
         del action
-        if self._all_at_once:
-            self._do(self._loader.permit(self._clock.now()))
+        if self._unlimited:
+            self._perform(self._loader.on_permit_granted(self._clock.now()))
             return
         policy = self._policy
         limit = swaps.max_out(policy.max_out_share, policy.workers)
-        self._swap.ask(limit, policy.workers / ASKS_PER_S)
+        self._swap.acquire(limit, policy.workers / MAX_ASKS_PER_S)
 
-    def _cover_load(self, action: _orders.CoverLoad) -> None:
+    def _cover_load(self, action: _loader_types.CoverLoad) -> None:
         del action
-        if self._all_at_once:
+        if self._unlimited:
             now = self._clock.now()
-            self._do(self._loader.covered(now, now + _ORDER_S))
+            self._perform(self._loader.on_covered(now, now + _MAX_SEND_DELAY_S))
             return
         self._swap.cover()
 
-    def _on_swap(self, action: swaps.Action) -> None:
+    def _on_swap_action(self, action: swaps.Action) -> None:
         now = self._clock.now()
         if isinstance(action, swaps.Granted):
             self._log.write(_events.SWAP_GRANTED)
-            self._do(self._loader.permit(now))
+            self._perform(self._loader.on_permit_granted(now))
         elif isinstance(action, swaps.Covered):
-            self._do(self._loader.covered(now, action.send_before))
+            self._perform(self._loader.on_covered(now, action.send_before))
         elif isinstance(action, swaps.Lost):
             self._log.write(_events.SWAP_LOST)
-            self._do(self._loader.permit_lost(now))
+            self._perform(self._loader.on_permit_lost(now))
 
 
-_STATES = {
+_STATE_BY_PHASE = {
     loaders.Phase.ASKING: statuses.State.RETRYING,
     loaders.Phase.QUEUED: statuses.State.WAITING,
     loaders.Phase.DRAINING: statuses.State.DRAINING,
--- a/src/clementinegw/weights/swap.py
+++ b/src/clementinegw/weights/swap.py
@@ -30,22 +30,22 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Sent:
+class _PendingAppend:
     """The newest append, until its effect has been read back.
 
     Attributes:
       kind: What was appended.
       lease_id: The lease it is about.
-      at: When it was handed over, before any of it was sent.
+      sent_at: When it was handed over, before any of it was sent.
       sequence: Of a renewal.
-      since: Of an EXPIRE: the offset that was seen.
+      seen_offset: Of an EXPIRE: the offset that was seen.
     """
 
     kind: ttypes.SwapKind
     lease_id: bytes
-    at: float
+    sent_at: float
     sequence: int
-    since: int
+    seen_offset: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,11 +53,11 @@
     """A renewal that was handed over.
 
     Attributes:
-      at: When, before any of it was sent.
+      sent_at: When, before any of it was sent.
       ttl_s: For how long.
     """
 
-    at: float
+    sent_at: float
     ttl_s: float
 
 
@@ -90,26 +90,26 @@
         self._wanted = False
         self._max_out = 1
         self._lease_id = b""
-        self._given_back = b""
+        self._released_id = b""
         self._ask_at = 0.0
         self._asked_at = 0.0
-        self._in_fold = False
+        self._ask_seen = False
         self._sequence = 0
-        self._sent: _Sent | None = None
+        self._pending: _PendingAppend | None = None
         self._renewals: dict[int, _Renewal] = {}
         self._confirmed = -1
         self._held = False
         self._valid_until = 0.0
         self._renew_at = 0.0
         self._cover_wanted = False
-        self._blind_until = 0.0
+        self._no_grant_until = 0.0
         # Before this, no lease of another can have lapsed.
         self._expire_at = math.inf
 
     @property
     def active(self) -> bool:
         """Whether the stream has to be followed."""
-        return self._wanted or bool(self._given_back)
+        return self._wanted or bool(self._released_id)
 
     @property
     def next_offset(self) -> int:
@@ -122,9 +122,11 @@
         return self._held
 
     @property
-    def queue(self) -> tuple[int, int]:
+    def queue_counts(self) -> tuple[int, int]:
         """How many are out, and how many wait before this worker."""
-        return len(self._leases.granted), self._leases.place(self._lease_id)
+        return len(self._leases.granted), self._leases.queue_position(
+            self._lease_id
+        )
 
     @property
     def read_pause_s(self) -> float:
@@ -134,18 +136,21 @@
         nothing changes soon: hundreds of workers that read each record at once
         would put more load on the log than all else.
         """
-        if self._sent is not None:
+        if self._pending is not None:
             return 0.0
         if self._held:
-            return self._timing.longest_pause_s
-        pause_s = self._timing.pause_s * self._leases.place(self._lease_id)
-        return min(pause_s, self._timing.longest_pause_s)
+            return self._timing.max_read_pause_s
+        pause_s = (
+            self._timing.read_pause_per_place_s
+            * self._leases.queue_position(self._lease_id)
+        )
+        return min(pause_s, self._timing.max_read_pause_s)
 
-    def set_load_s(self, load_s: float) -> None:
+    def set_max_load_s(self, max_load_s: float) -> None:
         """Changes the longest that a load may take, in seconds."""
-        self._timing = dataclasses.replace(self._timing, load_s=load_s)
+        self._timing = dataclasses.replace(self._timing, max_load_s=max_load_s)
 
-    def ask(self, now: float, limit: int, spread_s: float = 0.0) -> None:
+    def acquire(self, now: float, limit: int, spread_s: float = 0.0) -> None:
         """Asks for a lease; asked again, it only takes in a new limit.
 
         Args:
@@ -176,8 +181,8 @@
         self._wanted = False
         self._held = False
         self._cover_wanted = False
-        self._sent = None
-        self._given_back = self._lease_id or self._given_back
+        self._pending = None
+        self._released_id = self._lease_id or self._released_id
         self._lease_id = b""
 
     def on_page(self, now: float, page: log.Page) -> list[Action]:
@@ -186,28 +191,28 @@
             # An older log was put in its place: leases that were granted may
             # be gone from it while their workers are out. They have ended by
             # their own clocks after the longest time a lease lasts.
-            self._forget(now + self._timing.load_ttl_s)
+            self._reset(now + self._timing.load_ttl_s)
         if page.first_offset > self._leases.next_offset:
-            self._forget(self._blind_until)
+            self._reset(self._no_grant_until)
             self._leases.skip_to(page.first_offset)
         for record in page.records:
             if record.offset >= self._leases.next_offset:
                 self._leases.apply(record)
-        self._note_times(now)
+        self._record_seen_times(now)
         return self._advance(now)
 
     def on_tick(self, now: float) -> list[Action]:
         """Does what is due."""
         return self._advance(now)
 
-    def _forget(self, blind_until: float) -> None:
+    def _reset(self, no_grant_until: float) -> None:
         self._leases = _leases.Leases()
-        self._blind_until = blind_until
+        self._no_grant_until = no_grant_until
         self._expire_at = math.inf
 
-    def _note_times(self, now: float) -> None:
+    def _record_seen_times(self, now: float) -> None:
         """Notes when each granted lease was last seen to change."""
-        for lease in self._leases.take_touched():
+        for lease in self._leases.take_changed():
             lease.seen_at = now
             self._expire_at = min(self._expire_at, now + lease.ttl_s)
 
@@ -217,13 +222,13 @@
         # one page. Were it to repeat that ASK, no reader would take it, and it
         # would append it for ever without being granted anything.
         ended = self._leases.has_ended(self._lease_id)
-        self._in_fold |= own is not None or ended
+        self._ask_seen |= own is not None or ended
         actions = self._confirm(now, own)
-        actions += self._lapse(now, own)
-        if self._waits_for_effect(now):
+        actions += self._check_expiry(now, own)
+        if self._is_pending(now):
             return actions
-        self._sent = None
-        step = self._get_out if self._wanted else self._give_back
+        self._pending = None
+        step = self._advance_acquire if self._wanted else self._advance_release
         appended = step(now, own)
         return actions + ([appended] if appended is not None else [])
 
@@ -233,7 +238,7 @@
             return []
         # The ASK itself counts as the first renewal when it was granted at
         # once; granted later, nobody knows how much of the time is left.
-        if own.sequence == 0 and own.since != own.asked:
+        if own.sequence == 0 and own.since_offset != own.asked_offset:
             return []
         renewal = self._renewals.get(own.sequence)
         if renewal is None or own.sequence <= self._confirmed:
@@ -242,25 +247,27 @@
         for sequence in [s for s in self._renewals if s <= own.sequence]:
             del self._renewals[sequence]
         share = self._timing.holder_share
-        self._valid_until = renewal.at + renewal.ttl_s * share
-        self._renew_at = renewal.at + renewal.ttl_s / 3
-        return self._tell(now, renewal)
+        self._valid_until = renewal.sent_at + renewal.ttl_s * share
+        self._renew_at = renewal.sent_at + renewal.ttl_s / 3
+        return self._grant(now, renewal)
 
-    def _tell(self, now: float, renewal: _Renewal) -> list[Action]:
+    def _grant(self, now: float, renewal: _Renewal) -> list[Action]:
         actions: list[Action] = []
-        if now >= self._valid_until or now < self._blind_until:
+        if now >= self._valid_until or now < self._no_grant_until:
             return actions
         if not self._held:
             self._held = True
             actions.append(Granted())
-        send_before = renewal.at + self._timing.order_s
+        send_before = renewal.sent_at + self._timing.max_send_delay_s
         covers = renewal.ttl_s >= self._timing.load_ttl_s
         if self._cover_wanted and covers and now < send_before:
             self._cover_wanted = False
             actions.append(Covered(send_before))
         return actions
 
-    def _lapse(self, now: float, own: _leases.Lease | None) -> list[Action]:
+    def _check_expiry(
+        self, now: float, own: _leases.Lease | None
+    ) -> list[Action]:
         in_time = own is not None and own.granted and now < self._valid_until
         if in_time or not self._held:
             return []
@@ -269,50 +276,52 @@
         self._held = False
         return [Lost()]
 
-    def _waits_for_effect(self, now: float) -> bool:
-        sent = self._sent
-        if sent is None or now >= sent.at + self._timing.retry_s:
+    def _is_pending(self, now: float) -> bool:
+        sent = self._pending
+        if sent is None or now >= sent.sent_at + self._timing.retry_s:
             return False
         lease = self._leases.find(sent.lease_id)
         if sent.kind in (_Kind.RELEASE, _Kind.EXPIRE):
-            return lease is not None and lease.since <= sent.since
+            return lease is not None and lease.since_offset <= sent.seen_offset
         return lease is None or lease.sequence < sent.sequence
 
-    def _give_back(
+    def _advance_release(
         self, now: float, own: _leases.Lease | None
     ) -> Append | None:
         del own
-        lease = self._leases.find(self._given_back)
+        lease = self._leases.find(self._released_id)
         if lease is None:
-            self._given_back = b""
+            self._released_id = b""
             return None
-        return self._end(now, _Kind.RELEASE, lease)
+        return self._append_end(now, _Kind.RELEASE, lease)
 
-    def _get_out(self, now: float, own: _leases.Lease | None) -> Append | None:
+    def _advance_acquire(
+        self, now: float, own: _leases.Lease | None
+    ) -> Append | None:
         if own is None:
-            return self._ask(now)
+            return self._append_ask(now)
         if own.granted:
-            return self._renew(now, own)
+            return self._renew_if_due(now, own)
         if now > self._asked_at + self._timing.refresh_s:
             # The log keeps records for a limited time. Those who begin to
             # read later would not know of this place in the queue.
-            return self._end(now, _Kind.RELEASE, own)
+            return self._append_end(now, _Kind.RELEASE, own)
         if own.max_out != self._max_out:
             return self._append_renewal(now, own, self._timing.ttl_s)
-        return self._expire(now)
+        return self._expire_overdue(now)
 
-    def _ask(self, now: float) -> Append | None:
-        if now < max(self._ask_at, self._blind_until):
+    def _append_ask(self, now: float) -> Append | None:
+        if now < max(self._ask_at, self._no_grant_until):
             return None
         # Given back before, or left by an earlier process of this worker: it
         # serves now, and its next lease begins when that one has ended.
-        stale = self._leases.of_instance(self._instance_id)
+        stale = self._leases.find_by_instance(self._instance_id)
         if stale is not None:
-            return self._end(now, _Kind.RELEASE, stale)
-        if self._in_fold or not self._lease_id:
+            return self._append_end(now, _Kind.RELEASE, stale)
+        if self._ask_seen or not self._lease_id:
             # A lease that has ended is never opened again.
             self._lease_id = self._rng.randbytes(_ID_BYTES)
-            self._in_fold = False
+            self._ask_seen = False
             self._sequence = 0
             self._confirmed = -1
             self._renew_at = 0.0
@@ -320,7 +329,7 @@
             self._asked_at = now
         return self._append(now, _Kind.ASK, self._lease_id, self._timing.ttl_s)
 
-    def _renew(self, now: float, own: _leases.Lease) -> Append | None:
+    def _renew_if_due(self, now: float, own: _leases.Lease) -> Append | None:
         due = now >= self._renew_at or self._cover_wanted
         if not due and own.max_out == self._max_out:
             return None
@@ -338,24 +347,30 @@
             now, _Kind.RENEW, own.lease_id, ttl_s, sequence=self._sequence
         )
 
-    def _expire(self, now: float) -> Append | None:
+    def _expire_overdue(self, now: float) -> Append | None:
         """Ends the lease of a holder that was not heard of for too long."""
         if now <= self._expire_at:
             return None
-        late_s = self._timing.stagger_s * self._leases.place(self._lease_id)
+        late_s = self._timing.stagger_s * self._leases.queue_position(
+            self._lease_id
+        )
         granted = self._leases.granted
         ends = [lease.seen_at + lease.ttl_s for lease in granted]
         self._expire_at = min(ends, default=math.inf)
         for lease, end in zip(granted, ends, strict=True):
             if now > end + late_s:
-                return self._end(now, _Kind.EXPIRE, lease)
+                return self._append_end(now, _Kind.EXPIRE, lease)
         return None
 
-    def _end(
+    def _append_end(
         self, now: float, kind: ttypes.SwapKind, lease: _leases.Lease
     ) -> Append:
         return self._append(
-            now, kind, lease.lease_id, self._timing.ttl_s, seen=lease.since
+            now,
+            kind,
+            lease.lease_id,
+            self._timing.ttl_s,
+            seen=lease.since_offset,
         )
 
     def _append(
@@ -367,7 +382,7 @@
         sequence: int = 0,
         seen: int = 0,
     ) -> Append:
-        self._sent = _Sent(kind, lease_id, now, sequence, seen)
+        self._pending = _PendingAppend(kind, lease_id, now, sequence, seen)
         return Append(
             codec.encode(
                 ttypes.SwapRecord(
--- a/tests/loader_driver.py
+++ b/tests/loader_driver.py
@@ -24,9 +24,9 @@
       now: Monotonic seconds.
       loaded: What the engine has loaded in truth.
       loading: What it is loading in truth.
-      asked: The number of the question that is open.
-      order: The order that is open.
-      drain: The number of the drain that is open.
+      open_query: The number of the question that is open.
+      open_order: The order that is open.
+      open_drain: The number of the drain that is open.
       serves: What the gate lets requests in to; empty when it is closed.
       sent: All orders so far.
     """
@@ -40,11 +40,11 @@
         self.loaded = loaded.content_digest if loaded else ""
         self.loading = ""
         self.fencing = 0
-        self.asked = self.order = self.drain = None
+        self.open_query = self.open_order = self.open_drain = None
         self.permit_asked = self.cover_asked = False
         self.serves = ""
         self.sent = []
-        self.gone = ()
+        self.lost_chunks = ()
         self.do(self.loader.start(self.now))
 
     def do(self, actions):
@@ -52,10 +52,10 @@
         for action in actions:
             getattr(self, f"_do_{type(action).__name__}")(action)
 
-    def _do_AskStatus(self, action):  # noqa: N802
-        self.asked = action.number
+    def _do_QueryStatus(self, action):  # noqa: N802
+        self.open_query = action.number
 
-    def _do_AskPermit(self, action):  # noqa: N802
+    def _do_AcquirePermit(self, action):  # noqa: N802
         self.permit_asked = True
 
     def _do_CoverLoad(self, action):  # noqa: N802
@@ -65,33 +65,33 @@
         self.permit_asked = self.cover_asked = False
 
     def _do_Drain(self, action):  # noqa: N802
-        self.drain = action.number
+        self.open_drain = action.number
         self.serves = ""
 
     def _do_SendOrder(self, action):  # noqa: N802
-        assert self.order is None, "two orders at once"
+        assert self.open_order is None, "two orders at once"
         assert not self.serves, "an order while requests are let in"
-        self.order = action
+        self.open_order = action
         self.sent.append(action)
 
     def _do_Serve(self, action):  # noqa: N802
-        assert self.order is None, "served while an order is open"
-        self.serves = action.target.content
+        assert self.open_order is None, "served while an order is open"
+        self.serves = action.target.content_digest
 
     def _do_StopServing(self, action):  # noqa: N802
         self.serves = ""
 
-    def _do_ChunksGone(self, action):  # noqa: N802
-        self.gone = action.digests
+    def _do_ChunksLost(self, action):  # noqa: N802
+        self.lost_chunks = action.digests
 
     def declare(self, manifest, revision, previous=None):
         target = loaders.Target(manifest, revision)
         former = previous and loaders.Target(previous, revision)
-        self.do(self.loader.declared(self.now, target, former))
+        self.do(self.loader.on_declared(self.now, target, former))
 
     def answer_status(self):
-        number, self.asked = self.asked, None
-        self.do(self.loader.status(self.now, number, self.status()))
+        number, self.open_query = self.open_query, None
+        self.do(self.loader.on_status(self.now, number, self.status()))
 
     def status(self):
         return backend.EngineStatus(
@@ -112,52 +112,52 @@
         """Lets time pass; every question is answered at once."""
         end = self.now + seconds
         while self.now < end:
-            if self.asked is not None:
+            if self.open_query is not None:
                 self.answer_status()
             self.now = min(end, max(self.loader.wake_at, self.now + 0.01))
-            self.do(self.loader.tick(self.now))
-        if self.asked is not None:
+            self.do(self.loader.on_tick(self.now))
+        if self.open_query is not None:
             self.answer_status()
 
     def ready(self):
         """Declares version 1, which is loaded, and stages all."""
         self.declare(V1, 1)
         self.pass_time(0.1)
-        self.do(self.loader.staged(self.now, ALL_STAGED))
+        self.do(self.loader.on_staged(self.now, ALL_STAGED))
         assert self.serves == CONTENT["1"]
         return self
 
-    def go_out(self):
+    def start_load(self):
         """Grants the permit and drains; an order is open afterwards."""
-        self.do(self.loader.permit(self.now))
+        self.do(self.loader.on_permit_granted(self.now))
         self.end_drain()
         if self.cover_asked:
-            self.do(self.loader.covered(self.now, self.now + 1.0))
-        assert self.order is not None
+            self.do(self.loader.on_covered(self.now, self.now + 1.0))
+        assert self.open_order is not None
         return self
 
     def end_drain(self, clean=True):
-        number, self.drain = self.drain, None
-        self.do(self.loader.drained(self.now, number, clean))
+        number, self.open_drain = self.open_drain, None
+        self.do(self.loader.on_drained(self.now, number, clean))
 
     def take_effect(self):
         """The engine carries the open order out."""
-        self.loaded = self.order.target.content
-        self.fencing = self.order.target.revision
+        self.loaded = self.open_order.target.content_digest
+        self.fencing = self.open_order.target.revision
 
     def report(self, digest=None):
         """The engine's answer to the open order arrives."""
-        order, self.order = self.order, None
+        order, self.open_order = self.open_order, None
         digest = digest or self.loaded
-        self.do(self.loader.reported(self.now, order.number, digest))
+        self.do(self.loader.on_report(self.now, order.number, digest))
 
-    def lose(self):
+    def lose_answer(self):
         """The answer to the open order is lost."""
-        order, self.order = self.order, None
-        self.do(self.loader.order_lost(self.now, order.number))
+        order, self.open_order = self.open_order, None
+        self.do(self.loader.on_answer_lost(self.now, order.number))
 
     def refuse(self, reason, missing=()):
         """The engine refuses the open order."""
-        order, self.order = self.order, None
+        order, self.open_order = self.open_order, None
         refusal = backend.OrderRefused(reason, self.fencing, missing)
-        self.do(self.loader.refused(self.now, order.number, refusal))
+        self.do(self.loader.on_refusal(self.now, order.number, refusal))
--- a/tests/test_loader.py
+++ b/tests/test_loader.py
@@ -14,18 +14,18 @@
     driver = Driver(**options).ready()
     driver.declare(V2, 2, V1)
     assert driver.permit_asked
-    return driver.go_out()
+    return driver.start_load()
 
 
 def test_load_never_interrupts_and_ends_in_service():
     driver = Driver().ready()
     driver.declare(V2, 2, V1)
     assert driver.serves == CONTENT["1"], "served until the permit is there"
-    driver.do(driver.loader.permit(driver.now))
-    assert driver.order is None, "no order while requests are in flight"
+    driver.do(driver.loader.on_permit_granted(driver.now))
+    assert driver.open_order is None, "no order while requests are in flight"
     driver.end_drain()
-    assert driver.order is None, "no order before the permit covers it"
-    driver.do(driver.loader.covered(driver.now, driver.now + 1.0))
+    assert driver.open_order is None, "no order before the permit covers it"
+    driver.do(driver.loader.on_covered(driver.now, driver.now + 1.0))
     driver.take_effect()
     driver.report()
     assert driver.serves == CONTENT["2"]
@@ -41,7 +41,7 @@
     """
     driver = out_for_version_2()
     driver.take_effect()
-    driver.lose()
+    driver.lose_answer()
     assert not driver.serves
     driver.pass_time(0.1)
     assert driver.serves == CONTENT["2"]
@@ -57,7 +57,7 @@
     accept queue and overwrites the weights in the midst of answers.
     """
     driver = out_for_version_2(checks_fencing=checks_fencing)
-    driver.lose()
+    driver.lose_answer()
     driver.pass_time(5.0)
     assert not driver.serves
     assert len(driver.sent) == 1
@@ -72,12 +72,12 @@
 
 def test_order_that_never_arrived_is_sent_again_after_a_while():
     driver = out_for_version_2()
-    driver.lose()
+    driver.lose_answer()
     driver.pass_time(9.0)
-    assert driver.drain is None, "not yet"
+    assert driver.open_drain is None, "not yet"
     driver.pass_time(2.0)
     driver.end_drain()
-    driver.do(driver.loader.covered(driver.now, driver.now + 1.0))
+    driver.do(driver.loader.on_covered(driver.now, driver.now + 1.0))
     assert len(driver.sent) == 2
 
 
@@ -90,7 +90,7 @@
     driver.report()
     assert not driver.serves, "the newest is ready: loaded while it is out"
     driver.end_drain()
-    driver.do(driver.loader.covered(driver.now, driver.now + 1.0))
+    driver.do(driver.loader.on_covered(driver.now, driver.now + 1.0))
     driver.take_effect()
     driver.report()
     assert driver.serves == CONTENT["3"]
@@ -99,7 +99,7 @@
 
 def test_superseded_version_is_served_until_the_newest_is_here():
     driver = out_for_version_2()
-    driver.do(driver.loader.staged(driver.now, frozenset({V2.digest})))
+    driver.do(driver.loader.on_staged(driver.now, frozenset({V2.digest})))
     driver.declare(V3, 3, V2)
     driver.take_effect()
     driver.report()
@@ -146,8 +146,8 @@
         driver.pass_time(60.0)
         assert not driver.serves
         driver.end_drain()
-        if driver.order is None:
-            driver.do(driver.loader.covered(driver.now, driver.now + 1.0))
+        if driver.open_order is None:
+            driver.do(driver.loader.on_covered(driver.now, driver.now + 1.0))
     assert driver.permit_asked, "its place stays taken: a bad version stops"
     mismatches = driver.counters.value("weights.load.digest_mismatch")
     assert mismatches == 4
@@ -156,7 +156,7 @@
     driver.declare(V1, 3, V2)
     driver.pass_time(0.1)
     driver.end_drain()
-    driver.do(driver.loader.covered(driver.now, driver.now + 1.0))
+    driver.do(driver.loader.on_covered(driver.now, driver.now + 1.0))
     driver.take_effect()
     driver.report()
     assert driver.serves == CONTENT["1"], "a rollback waits for no pause"
@@ -165,9 +165,9 @@
 def test_order_that_was_not_sent_in_time_puts_the_worker_back():
     """The process was paused between the decision and the sending."""
     driver = out_for_version_2()
-    order, driver.order = driver.order, None
-    driver.do(driver.loader.permit_lost(driver.now))
-    driver.do(driver.loader.not_sent(driver.now, order.number))
+    order, driver.open_order = driver.open_order, None
+    driver.do(driver.loader.on_permit_lost(driver.now))
+    driver.do(driver.loader.on_not_sent(driver.now, order.number))
     driver.pass_time(10.0)
     assert driver.serves == CONTENT["1"]
     assert len(driver.sent) == 1, "the lapsed permit is not used"
@@ -177,18 +177,18 @@
 def test_permit_that_lapses_in_a_drain_puts_the_worker_back():
     driver = Driver().ready()
     driver.declare(V2, 2, V1)
-    driver.do(driver.loader.permit(driver.now))
-    stale = driver.drain
-    driver.do(driver.loader.permit_lost(driver.now))
+    driver.do(driver.loader.on_permit_granted(driver.now))
+    stale = driver.open_drain
+    driver.do(driver.loader.on_permit_lost(driver.now))
     driver.pass_time(0.1)
     assert driver.serves == CONTENT["1"]
-    driver.do(driver.loader.drained(driver.now, stale, True))
+    driver.do(driver.loader.on_drained(driver.now, stale, True))
     assert not driver.sent
 
 
 def test_permit_that_lapses_in_a_load_does_not_interrupt_it():
     driver = out_for_version_2()
-    driver.do(driver.loader.permit_lost(driver.now))
+    driver.do(driver.loader.on_permit_lost(driver.now))
     driver.take_effect()
     driver.report()
     assert driver.serves == CONTENT["2"]
@@ -198,7 +198,7 @@
 def test_requests_that_do_not_finish_are_not_cut_off():
     driver = Driver().ready()
     driver.declare(V2, 2, V1)
-    driver.do(driver.loader.permit(driver.now))
+    driver.do(driver.loader.on_permit_granted(driver.now))
     driver.end_drain(clean=False)
     driver.pass_time(0.1)
     assert driver.serves == CONTENT["1"]
@@ -216,12 +216,12 @@
     """
     driver = Driver().ready()
     driver.declare(V2, 2, V1)
-    driver.do(driver.loader.permit(driver.now))
+    driver.do(driver.loader.on_permit_granted(driver.now))
     driver.end_drain()
     driver.loaded = ""
     driver.pass_time(15.0)
     assert not driver.serves
-    assert driver.drain is not None, "it loads without a permit: it is out"
+    assert driver.open_drain is not None, "it loads without a permit: it is out"
 
 
 def test_weights_that_change_behind_the_agents_back_are_not_served():
@@ -232,13 +232,13 @@
     assert not driver.serves
     driver.pass_time(0.1)
     driver.end_drain()
-    assert driver.order.target.version == "1"
+    assert driver.open_order.target.version == "1"
 
 
 def test_chunks_that_are_not_staged_any_more_are_fetched_anew():
     driver = out_for_version_2()
     driver.refuse(backend.OrderRefusal.CHUNK_MISSING, ("ab" * 32,))
-    assert driver.gone == ("ab" * 32,)
+    assert driver.lost_chunks == ("ab" * 32,)
     driver.pass_time(5.0)
     assert driver.serves == CONTENT["1"]
     assert driver.loader.reason is Reason.CHUNKS_MISSING
--- a/tests/test_loader_walk.py
+++ b/tests/test_loader_walk.py
@@ -47,7 +47,7 @@
     def _do_Serve(self, action):  # noqa: N802
         super()._do_Serve(action)
         # No report or status since may have said otherwise.
-        assert action.target.content == self.known
+        assert action.target.content_digest == self.known
         assert self.late is None or self.now >= self.late_until
 
     def step(self, event, choice):
@@ -56,100 +56,100 @@
     def on_declare(self, choice):
         self.revision += 1
         self.declare((V1, V2, V3)[choice], self.revision, V1)
-        self.do(self.loader.staged(self.now, ALL_STAGED))
+        self.do(self.loader.on_staged(self.now, ALL_STAGED))
 
     def on_status(self, choice):
-        if self.asked is not None:
+        if self.open_query is not None:
             self.known = self.loaded
             self.answer_status()
 
     def on_no_status(self, choice):
-        if self.asked is not None:
-            number, self.asked = self.asked, None
-            self.do(self.loader.no_status(self.now, number))
+        if self.open_query is not None:
+            number, self.open_query = self.open_query, None
+            self.do(self.loader.on_no_status(self.now, number))
 
     def on_permit(self, choice):
         if self.permit_asked:
-            self.do(self.loader.permit(self.now))
+            self.do(self.loader.on_permit_granted(self.now))
 
     def on_permit_lost(self, choice):
-        self.do(self.loader.permit_lost(self.now))
+        self.do(self.loader.on_permit_lost(self.now))
 
     def on_covered(self, choice):
         if self.cover_asked:
             self.cover_asked = False
-            self.do(self.loader.covered(self.now, self.now + 1.0))
+            self.do(self.loader.on_covered(self.now, self.now + 1.0))
 
     def on_drained(self, choice):
-        if self.drain is not None:
+        if self.open_drain is not None:
             self.end_drain()
 
     def on_drain_timeout(self, choice):
-        if self.drain is not None:
+        if self.open_drain is not None:
             self.end_drain(clean=False)
 
     def on_effect(self, choice):
-        if self.order is not None:
+        if self.open_order is not None:
             self.take_effect()
 
     def on_report(self, choice):
-        if self.order is not None:
+        if self.open_order is not None:
             self.take_effect()
             self.known = self.loaded
             self.report()
 
     def on_mismatch(self, choice):
-        if self.order is not None:
+        if self.open_order is not None:
             self.known = self.loaded = "0" * 64
             self.report()
 
     def on_lose(self, choice):
-        if self.order is not None:
+        if self.open_order is not None:
             # The engine takes it late, but not later than it is waited for.
-            if self.loaded != self.order.target.content:
-                self.late = self.order
+            if self.loaded != self.open_order.target.content_digest:
+                self.late = self.open_order
                 self.late_until = self.now + loaders.Timing().settle_s
-            self.lose()
+            self.lose_answer()
 
     def on_late_effect(self, choice):
         if self.late is not None and self.now < self.late_until:
-            self.loaded = self.late.target.content
+            self.loaded = self.late.target.content_digest
             self.late = None
 
     def on_refuse_fencing(self, choice):
-        if self.order is not None:
+        if self.open_order is not None:
             self.fencing = self.revision + 1
             self.refuse(backend.OrderRefusal.FENCING)
             self.fencing = 0
 
     def on_refuse_chunk(self, choice):
-        if self.order is not None:
+        if self.open_order is not None:
             self.refuse(backend.OrderRefusal.CHUNK_MISSING, ("ab" * 32,))
-            self.do(self.loader.staged(self.now, ALL_STAGED))
+            self.do(self.loader.on_staged(self.now, ALL_STAGED))
 
     def on_not_sent(self, choice):
-        if self.order is not None:
-            order, self.order = self.order, None
-            self.do(self.loader.not_sent(self.now, order.number))
+        if self.open_order is not None:
+            order, self.open_order = self.open_order, None
+            self.do(self.loader.on_not_sent(self.now, order.number))
 
     def on_crash(self, choice):
         self.on_crash_unseen(choice)
         self.known = ""
-        self.order = self.asked = None
-        self.do(self.loader.crashed(self.now))
+        self.open_order = self.open_query = None
+        self.do(self.loader.on_crash(self.now))
 
     def on_crash_unseen(self, choice):
-        if self.order is None:
+        if self.open_order is None:
             self.loaded = ""
             self.late = None
 
     def on_time(self, choice):
         self.now += 0.3
-        self.do(self.loader.tick(self.now))
+        self.do(self.loader.on_tick(self.now))
 
     def on_long_time(self, choice):
         self.now += 12.0
-        self.do(self.loader.tick(self.now))
+        self.do(self.loader.on_tick(self.now))
 
 
 @hypothesis.given(
--- a/tests/test_swap.py
+++ b/tests/test_swap.py
@@ -85,11 +85,11 @@
         await site.start()
         trouble = asyncio.create_task(Trouble(site, rng).run(240.0))
         for revision in range(2, 8):
-            site.want(rng.choice((V1, V2, V3)), revision)
+            site.declare(rng.choice((V1, V2, V3)), revision)
             await asyncio.sleep(rng.uniform(5.0, 60.0))
         await trouble
         target, _ = site.declared
-        await site.until(target.version)
+        await site.wait_until_served(target.version)
 
     weights_site.run(story, count=6, checks_fencing=seed % 2 == 0, seed=seed)
 
@@ -139,7 +139,7 @@
             self.read(now)
 
     def go_out(self, now, limit=1):
-        self.swap.ask(now, limit)
+        self.swap.acquire(now, limit)
         self.land_all(now)
         return self.swap.held
 
@@ -158,7 +158,7 @@
     first.swap.release()
     first.tick(1.0)
     late = first.sent.pop()
-    first.swap.ask(2.0, 1)
+    first.swap.acquire(2.0, 1)
     for now in (2.0, 3.0, 4.5, 7.0):
         first.land_all(now)
         assert not first.swap.held
@@ -218,10 +218,10 @@
     """
     log = Log()
     paused, other = Worker("paused", log), Worker("other", log)
-    paused.swap.ask(0.0, 1)
+    paused.swap.acquire(0.0, 1)
     paused.tick(0.0)
     log.land(paused.sent.pop().value)
-    other.swap.ask(0.0, 1)
+    other.swap.acquire(0.0, 1)
     for now in range(20):
         other.land_all(float(now))
     assert other.swap.held
--- a/tests/test_weights_service.py
+++ b/tests/test_weights_service.py
@@ -20,8 +20,8 @@
     async def story(site):
         await site.start()
         began = site.clock.now()
-        site.want(V2, 2)
-        await site.until("2")
+        site.declare(V2, 2)
+        await site.wait_until_served("2")
         # Three waves of half a second to drain and one to load.
         assert site.clock.now() - began < 6.0
 
@@ -32,11 +32,11 @@
 def test_rollback_is_a_declaration_and_draws_nothing(checks_fencing):
     async def story(site):
         await site.start()
-        site.want(V2, 2)
-        await site.until("2")
+        site.declare(V2, 2)
+        await site.wait_until_served("2")
         drawn = site.origin.drawn
-        site.want(V1, 3)
-        await site.until("1")
+        site.declare(V1, 3)
+        await site.wait_until_served("1")
         assert site.origin.drawn == drawn
 
     run(story, count=2, checks_fencing=checks_fencing)
@@ -53,7 +53,7 @@
         await site.start()
         for agent in site.agents:
             agent.log.faults.down = True
-        site.want(V2, 2)
+        site.declare(V2, 2)
         await asyncio.sleep(60.0)
         for agent in site.agents:
             status = agent.weights.status()
@@ -65,7 +65,7 @@
         assert site.agents[0].serves == "2"
         for agent in site.agents:
             agent.log.faults.down = False
-        await site.until("2")
+        await site.wait_until_served("2")
 
     run(story, count=3)
 
@@ -78,7 +78,7 @@
         agent = site.agents[0]
         agent.gate.request_s = 60.0
         await asyncio.sleep(1.0)
-        site.want(V2, 2)
+        site.declare(V2, 2)
         while agent.gate.open:
             await asyncio.sleep(0.1)
         agent.log.faults.down = True
@@ -101,14 +101,14 @@
         leaving.gate.request_s = 60.0
         await asyncio.sleep(1.0)
         other.log.faults.down = True
-        site.want(V2, 2)
+        site.declare(V2, 2)
         while leaving.gate.open:
             await asyncio.sleep(0.1)
         other.log.faults.down = False
         await asyncio.sleep(1.0)
         assert other.serves == "1"
         await leaving.weights.stop()
-        leaving.troubled = True
+        leaving.disturbed = True
         await asyncio.sleep(5.0)
         assert other.serves == "2"
 
@@ -126,7 +126,7 @@
         drawn, orders = site.origin.drawn, len(site.agents[0].engine.orders)
         site.origin.faults.down = True
         site.agents[0].kill()
-        await site.until("1", limit_s=2.0)
+        await site.wait_until_served("1", limit_s=2.0)
         await asyncio.sleep(10.0)
         status = site.agents[0].weights.status()
         assert status.held == status.total
@@ -164,9 +164,9 @@
     async def story(site):
         await site.start()
         site.origin.faults.slow_s = 1.0
-        site.want(V3, 2)
+        site.declare(V3, 2)
         await asyncio.sleep(1.5)
-        site.want(V1, 3)
+        site.declare(V1, 3)
         drawn = site.origin.drawn
         await asyncio.sleep(30.0)
         assert site.origin.drawn == drawn
@@ -183,14 +183,14 @@
         await site.start()
         for agent in site.agents:
             agent.engine.faults.corrupt_loads = 1_000
-        site.want(V2, 2)
+        site.declare(V2, 2)
         await asyncio.sleep(300.0)
         serving = [agent.serves for agent in site.agents]
         assert sorted(serving) == ["", "1", "1"]
         for agent in site.agents:
             agent.engine.faults.corrupt_loads = 0
-        site.want(V1, 3)
-        await site.until("1", limit_s=10.0)
+        site.declare(V1, 3)
+        await site.wait_until_served("1", limit_s=10.0)
 
     run(story, count=3)
 
@@ -201,8 +201,8 @@
     async def story(site):
         await site.start()
         site.agents[0].engine.faults.orders_late_s.append(8.0)
-        site.want(V2, 2)
-        await site.until("2")
+        site.declare(V2, 2)
+        await site.wait_until_served("2")
         orders = site.agents[0].engine.orders
         assert [order.version for order in orders] == ["1", "2"]
 
@@ -232,8 +232,8 @@
             return await find(name, *rest)
 
         site.origin.get = get
-        site.want(V3, 2)
-        await site.until("3", limit_s=30.0)
+        site.declare(V3, 2)
+        await site.wait_until_served("3", limit_s=30.0)
 
     run(story)
 
@@ -268,8 +268,8 @@
         await site.start()
         told.clear()
         site.agents[0].crash_engine()
-        await site.until("")
-        await site.until("1")
+        await site.wait_until_served("")
+        await site.wait_until_served("1")
         assert told
 
     run(story)
@@ -287,13 +287,13 @@
 
     async def story(site):
         await site.start()
-        site.want(V2, 2, A1)
-        await site.until("2")
+        site.declare(V2, 2, A1)
+        await site.wait_until_served("2")
         agents = site.agents
         assert all(adapters_served(a) == {"spur": "a1"} for a in agents)
         loads = [len(agent.engine.orders) for agent in agents]
         drawn = site.origin.drawn
-        site.want(V2, 3, A2)
+        site.declare(V2, 3, A2)
         while any(adapters_served(a) != {"spur": "a2"} for a in agents):
             await asyncio.sleep(0.1)
         assert [len(agent.engine.orders) for agent in agents] == loads
@@ -314,10 +314,10 @@
     async def story(site):
         await site.start()
         site.agents[0].engine.faults.corrupt_adapters = 3
-        site.want(V2, 2, A1)
+        site.declare(V2, 2, A1)
         await asyncio.sleep(3.0)
         assert site.agents[0].serves != "2"
-        await site.until("2")
+        await site.wait_until_served("2")
         assert site.agents[0].engine.faults.corrupt_adapters == 0
 
     run(story)
--- a/tests/weights_fakes.py
+++ b/tests/weights_fakes.py
@@ -43,34 +43,38 @@
         self.load_s = load_s
         self.faults = Faults()
         self.chunks: dict[str, bytes] = {}
-        self.in_place: list[str] = []
+        self.loaded_chunks: list[str] = []
         self.version = ""
         self.loading = ""
         self.fencing = 0
         self.orders: list[backend.LoadOrder] = []
         self.adapters: dict[str, str] = {}
         self.puts = 0
-        self._life = 0
-        self._one = asyncio.Lock()
+        self._generation = 0
+        self._load_lock = asyncio.Lock()
 
     @property
     def digest(self) -> str:
         """What an answer would be computed by at this moment."""
-        return backend.content_digest(self.in_place) if self.in_place else ""
+        return (
+            backend.content_digest(self.loaded_chunks)
+            if self.loaded_chunks
+            else ""
+        )
 
     def crash(self) -> None:
         """Loses everything."""
-        self._life += 1
+        self._generation += 1
         self.chunks.clear()
         self.adapters.clear()
-        self.in_place = []
+        self.loaded_chunks = []
         self.version = self.loading = ""
         self.fencing = 0
-        self._one = asyncio.Lock()
+        self._load_lock = asyncio.Lock()
 
     async def stage_chunk(self, chunk_digest, data):
         """Puts a chunk in."""
-        self._reach()
+        self._check_reachable()
         if manifests.digest_of(data).hex() != chunk_digest:
             return backend.StageResult.CORRUPT
         self.chunks[chunk_digest] = data
@@ -79,23 +83,23 @@
 
     async def staged(self, chunk_digest):
         """Returns a chunk."""
-        self._reach()
+        self._check_reachable()
         return self.chunks.get(chunk_digest)
 
     async def unstage(self, chunk_digest):
         """Takes a chunk out."""
-        self._reach()
+        self._check_reachable()
         self.chunks.pop(chunk_digest, None)
 
     async def staging(self):
         """Returns what is there."""
-        self._reach()
+        self._check_reachable()
         used = sum(map(len, self.chunks.values()))
         return backend.StagingStatus(tuple(self.chunks), used, 1 << 30)
 
     async def status(self):
         """Returns what the engine says of itself."""
-        self._reach()
+        self._check_reachable()
         return backend.EngineStatus(
             model="gear",
             version=self.version,
@@ -112,15 +116,17 @@
 
     async def load(self, order):
         """Carries an order out, even when nobody hears the answer."""
-        self._reach()
-        life = self._life
+        self._check_reachable()
+        generation = self._generation
         if self.faults.orders_late_s:
             # It lies in the accept queue; the agent's connection is gone.
             late_s = self.faults.orders_late_s.pop(0)
-            _apart(self._late(order, late_s, life))
+            _spawn_detached(self._late(order, late_s, generation))
             raise exceptions.BackendLost("load: connection lost")
-        answer = await asyncio.shield(_apart(self._load(order, life)))
-        if self._life != life:
+        answer = await asyncio.shield(
+            _spawn_detached(self._load(order, generation))
+        )
+        if self._generation != generation:
             raise exceptions.BackendLost("load: the engine crashed")
         if self.faults.answers_lost:
             self.faults.answers_lost -= 1
@@ -129,7 +135,7 @@
 
     async def load_adapter(self, order):
         """Loads an adapter."""
-        self._reach()
+        self._check_reachable()
         missing = tuple(c for c in order.chunks if c not in self.chunks)
         if missing:
             return backend.OrderRefused(
@@ -142,13 +148,13 @@
             digest = "0" * 64
         return backend.LoadReport(order.version, digest, order.fencing)
 
-    async def _late(self, order, late_s, life):
+    async def _late(self, order, late_s, generation):
         await asyncio.sleep(late_s)
-        if life == self._life:
-            await self._load(order, life)
+        if generation == self._generation:
+            await self._load(order, generation)
 
-    async def _load(self, order, life):
-        async with self._one:
+    async def _load(self, order, generation):
+        async with self._load_lock:
             self.orders.append(order)
             if self.checks_fencing and order.fencing < self.fencing:
                 return self._refused(backend.OrderRefusal.FENCING)
@@ -159,35 +165,35 @@
                 )
             self.fencing = order.fencing
             self.loading = order.version
-            await self._replace(order.chunks, life)
-            if life == self._life:
+            await self._replace(order.chunks, generation)
+            if generation == self._generation:
                 self.loading, self.version = "", order.version
             return backend.LoadReport(self.version, self.digest, self.fencing)
 
-    async def _replace(self, chunks, life):
+    async def _replace(self, chunks, generation):
         corrupt = self.faults.corrupt_loads > 0
         self.faults.corrupt_loads -= corrupt
         pieces = [self.chunks[digest] for digest in chunks]
-        del self.in_place[len(pieces) :]
+        del self.loaded_chunks[len(pieces) :]
         for index, piece in enumerate(pieces):
             await asyncio.sleep(self.load_s / len(pieces))
-            if life != self._life:
+            if generation != self._generation:
                 return
             if corrupt and index == 0:
                 piece = b"?" + piece[1:]
-            self.in_place[index : index + 1] = [
+            self.loaded_chunks[index : index + 1] = [
                 manifests.digest_of(piece).hex()
             ]
 
     def _refused(self, reason, missing=()):
         return backend.OrderRefused(reason, self.fencing, missing)
 
-    def _reach(self):
+    def _check_reachable(self):
         if self.faults.down:
             raise exceptions.BackendUnreachable("engine: down")
 
 
-def _apart(work):
+def _spawn_detached(work):
     """Runs as the engine's process, also when the agent's is paused."""
     loop = asyncio.get_running_loop()
     return loop.create_task(work, context=contextvars.Context())
@@ -205,7 +211,7 @@
         self.in_flight = 0
         self.mixed = 0
         self.answers: dict[str, int] = {}
-        self.lives = 0
+        self.generation = 0
 
     async def drain(self, timeout_s):
         """Takes nothing new and waits."""
@@ -224,17 +230,17 @@
     def crash(self):
         """The engine has ended: what is in flight fails, nothing is let in."""
         self.open = False
-        self.lives += 1
+        self.generation += 1
 
     async def request(self):
         """Runs one request and checks which weights answer it."""
         if not self.open:
             return
         self.in_flight += 1
-        served, life = self.digest, self.lives
+        served, generation = self.digest, self.generation
         try:
             for _ in range(5):
-                if self.lives != life:
+                if self.generation != generation:
                     return
                 if self.engine.digest != served:
                     self.mixed += 1
--- a/tests/weights_site.py
+++ b/tests/weights_site.py
@@ -28,7 +28,7 @@
 
 
 def declared(manifest, revision):
-    return service.Declared(manifest.version, manifest.digest, revision)
+    return service.DeclaredVersion(manifest.version, manifest.digest, revision)
 
 
 class Agent:
@@ -40,7 +40,7 @@
       weights: The present process's weights.
       counters: Of the present process.
       log: The present process's client of the log.
-      troubled: Paused, dead, or not back in service since.
+      disturbed: Paused, dead, or not back in service since.
     """
 
     def __init__(self, site, number):
@@ -49,15 +49,15 @@
         self.number = number
         self.engine = weights_fakes.FakeEngine(site.checks_fencing)
         self.gate = weights_fakes.FakeGate(self.engine)
-        self.troubled = True
+        self.disturbed = True
         self.paused = False
-        self.lives = 0
+        self.generation = 0
         self.weights = None
 
     @property
     def process(self):
         """The name of the present process: a dead one never runs again."""
-        return f"{self.name} {self.lives}"
+        return f"{self.name} {self.generation}"
 
     @property
     def serves(self):
@@ -66,11 +66,11 @@
     @property
     def out(self):
         """Whether it is out for loading by its own will."""
-        return not self.gate.open and not self.troubled
+        return not self.gate.open and not self.disturbed
 
     def start(self):
         """Starts a process, the first one or one in place of a dead one."""
-        self.lives += 1
+        self.generation += 1
         site = self.site
         self.gate = weights_fakes.FakeGate(self.engine)
         self.counters = metrics.Counters()
@@ -88,15 +88,15 @@
             checks_fencing=site.checks_fencing,
             policy=site.policy,
             clock=site.clock,
-            rng=random.Random(f"{self.number} {self.lives} {site.seed}"),
+            rng=random.Random(f"{self.number} {self.generation} {site.seed}"),
             counters=self.counters,
         )
-        self.troubled = True
+        self.disturbed = True
         site.loop.spawn(self.process, self.name, self._live(self.weights))
 
     def pause(self):
         """Stops the process for a while."""
-        self.paused = self.troubled = True
+        self.paused = self.disturbed = True
         self.site.loop.pause(self.process)
 
     def wake(self):
@@ -109,19 +109,19 @@
         self.site.loop.kill(self.process)
         self.site.mixed += self.gate.mixed
         self.start()
-        self.want()
+        self.declare()
 
-    def want(self):
+    def declare(self):
         """Tells the process what is declared."""
         target, revision = self.site.declared
         previous = PREVIOUS[target.version]
         former = previous and declared(previous, revision)
         target = declared(target, revision)
-        self.weights.want(target, former, self.site.adapters)
+        self.weights.set_declared(target, former, self.site.adapters)
 
     def crash_engine(self):
         """Ends the engine; it is back at once, without anything."""
-        self.troubled = True
+        self.disturbed = True
         self.engine.crash()
         self.gate.crash()
 
@@ -153,10 +153,10 @@
         """Starts all agents and waits until they serve a version."""
         for agent in self.agents:
             agent.start()
-        self.want(manifest, 1)
-        await self.until(manifest.version)
+        self.declare(manifest, 1)
+        await self.wait_until_served(manifest.version)
 
-    def want(self, manifest, revision, adapter=None):
+    def declare(self, manifest, revision, adapter=None):
         """Declares a version, perhaps with an adapter."""
         self.declared = (manifest, revision)
         if adapter is not None:
@@ -166,9 +166,9 @@
                 ),
             )
         for agent in self.agents:
-            agent.want()
+            agent.declare()
 
-    async def until(self, version, limit_s=1200.0):
+    async def wait_until_served(self, version, limit_s=1200.0):
         """Waits until all agents serve a version."""
         end = self.clock.now() + limit_s
         while any(agent.serves != version for agent in self.agents):
@@ -177,15 +177,15 @@
             ]
             await asyncio.sleep(SAMPLE_S)
 
-    async def watch(self, most_out):
+    async def watch(self, max_out):
         """Fails when more workers are out than the share allows."""
         while True:
             for agent in self.agents:
                 assert not (agent.weights and agent.weights.crashed)
-                if agent.troubled and not agent.paused and agent.gate.open:
-                    agent.troubled = False
+                if agent.disturbed and not agent.paused and agent.gate.open:
+                    agent.disturbed = False
             out = [agent.name for agent in self.agents if agent.out]
-            assert len(out) <= most_out, (self.clock.now(), out)
+            assert len(out) <= max_out, (self.clock.now(), out)
             await asyncio.sleep(SAMPLE_S)
 
     def check(self):
