--- a/src/clementinegw/commands/rollout.py
+++ b/src/clementinegw/commands/rollout.py
@@ -103,7 +103,7 @@
     answers = await asyncio.gather(
         *(_ask(session, address, limit) for address in addresses)
     )
-    pages = [page for page in answers if isinstance(page, rollout.Page)]
+    pages = [page for page in answers if isinstance(page, rollout.StatusPage)]
     silent = {
         address: answer
         for address, answer in zip(addresses, answers, strict=True)
@@ -114,12 +114,12 @@
         raise exceptions.PlatformError(
             f"no agent of {service!r} answered" + (f" ({told})" if told else "")
         )
-    return rollout.collect(service, pages, silent)
+    return rollout.summarize(service, pages, silent)
 
 
 async def _ask(
     session: aiohttp.ClientSession, address: str, limit: asyncio.Semaphore
-) -> rollout.Page | str:
+) -> rollout.StatusPage | str:
     """Returns a page, or why there is none."""
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
     try:
@@ -128,7 +128,7 @@
             session.get(f"http://{address}/status", timeout=timeout) as answer,
         ):
             answer.raise_for_status()
-            return rollout.Page.model_validate_json(await answer.read())
+            return rollout.StatusPage.model_validate_json(await answer.read())
     except TimeoutError:
         return f"no answer in {_TIMEOUT_S:g} s"
     except pydantic.ValidationError:
--- a/src/clementinegw/weights/rollout.py
+++ b/src/clementinegw/weights/rollout.py
@@ -23,7 +23,7 @@
     queued_before: int = 0
 
 
-class Page(pydantic.BaseModel):
+class StatusPage(pydantic.BaseModel):
     """What is read of a daemon's `/status` page."""
 
     instance_id: str
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Behind:
+class LaggingAgent:
     """An agent that does not serve the newest target.
 
     Attributes:
@@ -75,7 +75,7 @@
     replicas: int
     serving: int
     versions: dict[str, int]
-    behind: tuple[Behind, ...]
+    behind: tuple[LaggingAgent, ...]
 
     @property
     def complete(self) -> bool:
@@ -83,7 +83,7 @@
         return self.replicas > 0 and self.serving == self.replicas
 
 
-_REASONS = {
+_REASON_TEXTS = {
     "chunks_missing": "{held} of {total} chunks are here",
     "swap_limit": "{out} are out for loading, {queued_before} wait before it",
     "draining": "requests in flight finish",
@@ -103,34 +103,41 @@
 }
 
 
-def collect(service: str, pages: list[Page], silent: dict[str, str]) -> Rollout:
+def summarize(
+    service: str, pages: list[StatusPage], unreachable: dict[str, str]
+) -> Rollout:
     """Puts the pages of a service's agents together.
 
     Args:
       service: The service.
       pages: Pages that were read; those of other services are left out.
-      silent: Why others could not be read, by address.
+      unreachable: Why others could not be read, by address.
     """
     ours = [page for page in pages if page.service == service]
     newest = max((page.weights for page in ours), key=lambda w: w.revision)
     behind = [
-        _behind(page, newest) for page in ours if not _serves(page, newest)
+        _lagging_agent(page, newest)
+        for page in ours
+        if not _is_serving(page, newest)
+    ]
+    behind += [
+        LaggingAgent(name, "", "silent", why)
+        for name, why in unreachable.items()
     ]
-    behind += [Behind(name, "", "silent", why) for name, why in silent.items()]
     versions = collections.Counter(p.weights.serving_version for p in ours)
     return Rollout(
         service=service,
         target=newest.target,
         target_digest=newest.target_digest,
         revision=newest.revision,
-        replicas=len(ours) + len(silent),
-        serving=sum(_serves(page, newest) for page in ours),
+        replicas=len(ours) + len(unreachable),
+        serving=sum(_is_serving(page, newest) for page in ours),
         versions=dict(sorted(versions.items())),
         behind=tuple(sorted(behind, key=lambda one: one.name)),
     )
 
 
-def _serves(page: Page, newest: _WeightsModel) -> bool:
+def _is_serving(page: StatusPage, newest: _WeightsModel) -> bool:
     weights = page.weights
     return (
         weights.target_digest == newest.target_digest
@@ -138,13 +145,13 @@
     )
 
 
-def _behind(page: Page, newest: _WeightsModel) -> Behind:
+def _lagging_agent(page: StatusPage, newest: _WeightsModel) -> LaggingAgent:
     weights = page.weights
-    words = _REASONS.get(weights.reason, weights.reason)
-    why = words.format(**weights.model_dump())
+    template = _REASON_TEXTS.get(weights.reason, weights.reason)
+    why = template.format(**weights.model_dump())
     if weights.target_digest != newest.target_digest:
         why = f"has settings revision {weights.revision} only"
-    return Behind(
+    return LaggingAgent(
         page.instance_id,
         weights.serving_version,
         weights.state,
