--- a/src/clementinegw/daemons/fleet_weights.py
+++ b/src/clementinegw/daemons/fleet_weights.py
@@ -177,7 +177,7 @@
             weights_lib.DeclaredAdapter(one.name, one.version, one.manifest)
             for one in service.adapters
         )
-        weights.want(target, previous, adapters)
+        weights.set_declared(target, previous, adapters)
 
     def _refresh(self) -> None:
         """Takes over who else is in the fleet."""
--- a/src/clementinegw/matrix/rollout.py
+++ b/src/clementinegw/matrix/rollout.py
@@ -307,7 +307,7 @@
 
 
 async def _want(weights: weights_service.Weights, *declared) -> None:
-    weights.want(*declared)
+    weights.set_declared(*declared)
 
 
 def _declared(
--- a/src/clementinegw/weights/_transfer_receive.py
+++ b/src/clementinegw/weights/_transfer_receive.py
@@ -122,7 +122,7 @@
             size = min(self._origin_read_bytes, chunk.size - len(data))
             await self._context.pacing.down.take(size)
             try:
-                part = await self._origin.get(chunk.blob, len(data), size)
+                part = await self._origin.get(chunk.blob_name, len(data), size)
             except exceptions.PlatformError as error:
                 return self._origin_fetch_failed(failed, error.message)
             if not part:
