--- a/src/clementinegw/bench/_requests_backend.py
+++ b/src/clementinegw/bench/_requests_backend.py
@@ -100,7 +100,7 @@
         """Is up again, with a cold cache."""
         self.up = True
 
-    async def start(self, submit) -> backends.Events:
+    async def start(self, submit) -> backends.AnswerEvents:
         """Runs one attempt; see `backends.Backend`."""
         if not self.up:
             raise exceptions.BackendUnreachable("down")
--- a/src/clementinegw/bench/gate.py
+++ b/src/clementinegw/bench/gate.py
@@ -38,7 +38,7 @@
     def kind(self) -> shared.ServiceKind:
         return shared.ServiceKind.PLAIN
 
-    async def start(self, submit: ttypes.Submit) -> backends.Events:
+    async def start(self, submit: ttypes.Submit) -> backends.AnswerEvents:
         yield backend_types.Head(200)
         yield backend_types.Data(submit.body)
         yield backend_types.End()
@@ -69,7 +69,7 @@
     for number, attempt in enumerate(attempts):
         now = number * 1e-3
         gate.submit(attempt, now)
-        gate.answered(attempt.id, now)
+        gate.on_answered(attempt.id, now)
     return (time.process_time() - start) / count * 1e6
 
 
--- a/src/clementinegw/gate/_admission.py
+++ b/src/clementinegw/gate/_admission.py
@@ -1,6 +1,6 @@
 """Whether an attempt that arrives may be taken at all."""
 
-from clementinegw.gate import _memory
+from clementinegw.gate import _attempt_table
 from clementinegw.gate import types
 
 
@@ -13,22 +13,27 @@
       leaving: Whether nothing new is taken ever again.
     """
 
-    def __init__(self, memory: _memory.Memory, incarnation: int, ready: bool):
+    def __init__(
+        self,
+        attempts: _attempt_table.AttemptTable,
+        incarnation: int,
+        ready: bool,
+    ):
         """Starts open.
 
         Args:
-          memory: What is known of attempts.
+          attempts: What is known of attempts.
           incarnation: This process's.
           ready: Whether the backend server may be given requests.
         """
         self.ready = ready
         self.loading = False
         self.leaving = False
-        self._memory = memory
+        self._attempts = attempts
         self._incarnation = incarnation
 
     @property
-    def open(self) -> bool:
+    def accepting(self) -> bool:
         """Whether new attempts are taken."""
         return self.ready and not self.loading and not self.leaving
 
@@ -38,7 +43,7 @@
 
     def refusal(
         self, attempt: types.Attempt, now: float
-    ) -> types.Refusal | None:
+    ) -> types.RefusalReason | None:
         """Returns why an attempt is refused; None when it is not."""
         checks = (
             self._check_incarnation,
@@ -47,7 +52,7 @@
             self._check_fence,
         )
         if attempt.deadline <= now:
-            return types.Refusal.DEADLINE
+            return types.RefusalReason.DEADLINE
         for check in checks:
             reason = check(attempt)
             if reason is not None:
@@ -56,31 +61,37 @@
 
     def _check_incarnation(
         self, attempt: types.Attempt
-    ) -> types.Refusal | None:
+    ) -> types.RefusalReason | None:
         if self.is_for_this(attempt.incarnation):
             return None
         if attempt.incarnation == 0 and attempt.idempotent:
             return None
-        return types.Refusal.INCARNATION
+        return types.RefusalReason.INCARNATION
 
-    def _check_tombstone(self, attempt: types.Attempt) -> types.Refusal | None:
-        if self._memory.is_entombed(attempt.id):
-            return types.Refusal.TOMBSTONED
-        if self._memory.may_be_entombed(attempt):
-            return types.Refusal.FORGOTTEN
+    def _check_tombstone(
+        self, attempt: types.Attempt
+    ) -> types.RefusalReason | None:
+        if self._attempts.is_tombstoned(attempt.id):
+            return types.RefusalReason.TOMBSTONED
+        if self._attempts.may_be_tombstoned(attempt):
+            return types.RefusalReason.FORGOTTEN
         return None
 
-    def _check_state(self, attempt: types.Attempt) -> types.Refusal | None:
+    def _check_state(
+        self, attempt: types.Attempt
+    ) -> types.RefusalReason | None:
         del attempt
         if self.leaving:
-            return types.Refusal.LEAVING
+            return types.RefusalReason.LEAVING
         if self.loading:
-            return types.Refusal.LOADING
-        return None if self.ready else types.Refusal.NOT_READY
+            return types.RefusalReason.LOADING
+        return None if self.ready else types.RefusalReason.NOT_READY
 
-    def _check_fence(self, attempt: types.Attempt) -> types.Refusal | None:
+    def _check_fence(
+        self, attempt: types.Attempt
+    ) -> types.RefusalReason | None:
         if attempt.idempotent or not attempt.key:
             return None
         if attempt.claim_offset <= 0:
-            return types.Refusal.NO_CLAIM
-        return self._memory.fence(attempt)
+            return types.RefusalReason.NO_CLAIM
+        return self._attempts.check_fence(attempt)
--- a/src/clementinegw/gate/_calls.py
+++ b/src/clementinegw/gate/_calls.py
@@ -13,10 +13,10 @@
 _PRIORITIES = {int(priority): priority for priority in shared.Priority}
 _MS = 1000.0
 
-Verdict = types.HandOver | types.Refuse | types.Fail | types.FailDuplicate
+Decision = types.HandOver | types.Refuse | types.Fail | types.FailDuplicate
 
 
-class Call:
+class SubmitCall:
     """An open SUBMIT call."""
 
     def __init__(
@@ -24,11 +24,11 @@
     ):
         """Wraps the call that a SUBMIT frame opened."""
         self._exchange = exchange
-        self._verdict: asyncio.Future[Verdict] = (
+        self._decision: asyncio.Future[Decision] = (
             asyncio.get_running_loop().create_future()
         )
         self._task: asyncio.Task | None = None
-        self._aborted: types.Failure | None = None
+        self._aborted: types.FailureReason | None = None
         self._body_bytes = 0
         self._submit = submit
         self._id = types.AttemptId(submit.request_id, submit.attempt)
@@ -44,24 +44,24 @@
         return self._submit
 
     @property
-    def aborted(self) -> types.Failure | None:
+    def aborted(self) -> types.FailureReason | None:
         """Why the run was ended from outside; None when it was not."""
         return self._aborted
 
-    def decide(self, verdict: Verdict) -> None:
+    def decide(self, decision: Decision) -> None:
         """Takes the gate's decision; the first one counts."""
-        if not self._verdict.done():
-            self._verdict.set_result(verdict)
+        if not self._decision.done():
+            self._decision.set_result(decision)
 
-    async def verdict(self) -> Verdict:
+    async def decision(self) -> Decision:
         """Waits for the gate's decision."""
-        return await self._verdict
+        return await self._decision
 
-    def running(self, task: asyncio.Task | None) -> None:
+    def set_task(self, task: asyncio.Task | None) -> None:
         """Names the task that talks to the backend server; None when done."""
         self._task = task
 
-    def abort(self, reason: types.Failure) -> None:
+    def abort(self, reason: types.FailureReason) -> None:
         """Ends the talk with the backend server."""
         if self._aborted is not None:
             return
@@ -69,7 +69,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def head(
+    async def send_head(
         self, status: int, headers: tuple[tuple[str, str], ...], version: str
     ) -> None:
         """Sends the start of the answer."""
@@ -82,12 +82,12 @@
         )
         await self._send(connection_lib.Kind.ANSWER_HEAD, message)
 
-    async def data(self, data: bytes) -> None:
+    async def send_data(self, data: bytes) -> None:
         """Sends the next bytes of the answer."""
         self._body_bytes += len(data)
         await self._exchange.send(connection_lib.Kind.ANSWER_DATA, data)
 
-    async def end(self, tokens: int, in_flight: int, queued: int) -> None:
+    async def send_end(self, tokens: int, in_flight: int, queued: int) -> None:
         """Sends the explicit end of a whole answer, and the gate's load."""
         message = ttypes.AnswerEnd(
             request_id=self._id.request_id,
@@ -99,7 +99,7 @@
         )
         await self._send(connection_lib.Kind.ANSWER_END, message)
 
-    async def refuse(self, refusal: types.Refuse) -> None:
+    async def send_refused(self, refusal: types.Refuse) -> None:
         """Sends proof that the attempt was not handed over."""
         message = ttypes.Refused(
             request_id=self._id.request_id,
@@ -109,7 +109,7 @@
         )
         await self._send(connection_lib.Kind.REFUSED, message)
 
-    async def fail(self, reason: types.Failure) -> None:
+    async def send_failed(self, reason: types.FailureReason) -> None:
         """Sends that the attempt was handed over and its end is unknown."""
         message = ttypes.Failed(
             request_id=self._id.request_id,
@@ -122,7 +122,7 @@
         await self._exchange.send(kind, codec.encode(message))
 
 
-class Delays:
+class DelayEstimator:
     """How long frames of one connection were on their way.
 
     Clocks of two processes have nothing in common but their rate, so the
@@ -138,25 +138,25 @@
     _WINDOW_S = 60.0
 
     def __init__(self) -> None:
-        self._window_ends = -math.inf
-        self._present = math.inf
-        self._last = math.inf
+        self._window_end = -math.inf
+        self._current_min = math.inf
+        self._previous_min = math.inf
 
-    def delay(self, sent_ms: int, now: float) -> float:
+    def estimate_s(self, sent_ms: int, now: float) -> float:
         """Returns a frame's delay in seconds; 0.0 when it names no time."""
         if sent_ms <= 0:
             return 0.0
-        if now >= self._window_ends:
-            is_next = now < self._window_ends + self._WINDOW_S
-            self._last = self._present if is_next else math.inf
-            self._present = math.inf
-            self._window_ends = now + self._WINDOW_S
+        if now >= self._window_end:
+            is_next = now < self._window_end + self._WINDOW_S
+            self._previous_min = self._current_min if is_next else math.inf
+            self._current_min = math.inf
+            self._window_end = now + self._WINDOW_S
         difference = now - sent_ms / _MS
-        self._present = min(self._present, difference)
-        return difference - min(self._present, self._last)
+        self._current_min = min(self._current_min, difference)
+        return difference - min(self._current_min, self._previous_min)
 
 
-def attempt_of(
+def build_attempt(
     submit: ttypes.Submit, service: str, delay_s: float, now: float
 ) -> types.Attempt:
     """Returns what the gate decides by.
@@ -178,7 +178,7 @@
         idempotent=submit.idempotent,
         alone=submit.alone,
         fingerprint=submit.fingerprint,
-        key=_key(submit),
+        key=_scoped_key(submit),
         claim_offset=submit.claim_offset,
         shard=shard,
         incarnation=submit.incarnation or 0,
@@ -186,7 +186,7 @@
     )
 
 
-def _key(submit: ttypes.Submit) -> str:
+def _scoped_key(submit: ttypes.Submit) -> str:
     if not submit.idempotency_key:
         return ""
     return f"{submit.customer}\0{submit.idempotency_key}"
--- a/src/clementinegw/gate/_reports.py
+++ b/src/clementinegw/gate/_crash_reports.py
@@ -14,13 +14,13 @@
 from clementinegw.wire import connection as connection_lib
 from clementinegw.wire.gen.requests import ttypes
 
-STREAM = "suspects"
-_KEPT = 256
-_RETRY_S = 1.0
+STREAM_NAME = "suspects"
+_MAX_UNSENT = 256
+_RETRY_INTERVAL_S = 1.0
 _MS = 1000.0
 
 
-class Reports:
+class CrashReporter:
     """Sends what an agent saw at a crash.
 
     A record may be appended twice when an answer of the log was lost: readers
@@ -41,12 +41,12 @@
         self._clock = clock
         self._log = log
         self._log_client = log_client
-        self._waiting: collections.deque[bytes] = collections.deque(
-            maxlen=_KEPT
+        self._unsent: collections.deque[bytes] = collections.deque(
+            maxlen=_MAX_UNSENT
         )
         self._added = asyncio.Event()
 
-    def crash(self, report: types.ReportCrash) -> None:
+    def report_crash(self, report: types.ReportCrash) -> None:
         """Names the requests in flight at a crash."""
         identity = self._endpoint.identity
         message = ttypes.CrashReport(
@@ -57,17 +57,17 @@
             fingerprints=list(report.fingerprints),
             time_ms=int(self._clock.wall() * _MS),
         )
-        self._send(ttypes.SuspectRecord(crash=message))
+        self._publish(ttypes.SuspectRecord(crash=message))
 
-    def cleared(self, report: types.ReportCleared) -> None:
+    def report_cleared(self, report: types.ReportCleared) -> None:
         """Names requests that completed after a crash."""
         message = ttypes.Cleared(
             fingerprints=list(report.fingerprints),
             time_ms=int(self._clock.wall() * _MS),
         )
-        self._send(ttypes.SuspectRecord(cleared=message))
+        self._publish(ttypes.SuspectRecord(cleared=message))
 
-    def _send(self, record: ttypes.SuspectRecord) -> None:
+    def _publish(self, record: ttypes.SuspectRecord) -> None:
         body = codec.encode(record)
         # The caller's repetition may be faster than the log: entries that
         # are connected hear of the crash before they hear of its failures.
@@ -75,7 +75,7 @@
             if connection.peer.role is shared.Role.ENTRY:
                 connection.notify(connection_lib.Kind.CRASHED, body)
         if self._log_client is not None:
-            self._waiting.append(body)
+            self._unsent.append(body)
             self._added.set()
 
     async def run(self) -> None:
@@ -83,16 +83,16 @@
         while self._log_client is not None:
             await self._added.wait()
             self._added.clear()
-            while self._waiting:
+            while self._unsent:
                 await self._append(self._log_client)
 
     async def _append(self, log_client: platform_log.LogClient) -> None:
-        record = self._waiting[0]
+        record = self._unsent[0]
         try:
-            await log_client.append(STREAM, record)
+            await log_client.append(STREAM_NAME, record)
         except exceptions.PlatformError:
             self._log.write(_events.CRASH_NOT_RECORDED)
-            await asyncio.sleep(_RETRY_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
             return
-        if self._waiting and self._waiting[0] is record:
-            self._waiting.popleft()
+        if self._unsent and self._unsent[0] is record:
+            self._unsent.popleft()
--- a/src/clementinegw/gate/_monitor.py
+++ b/src/clementinegw/gate/_monitor.py
@@ -5,8 +5,8 @@
 
 from clementinegw import exceptions
 from clementinegw import types as shared
+from clementinegw.gate import _context
 from clementinegw.gate import _events
-from clementinegw.gate import _serving
 from clementinegw.wire import codec
 from clementinegw.wire import connection as connection_lib
 from clementinegw.wire.gen.requests import ttypes
@@ -21,31 +21,31 @@
         self,
         endpoint: connection_lib.Endpoint,
         service_name: str,
-        tools: _serving.Tools,
+        context: _context.Context,
     ):
         """Prepares the monitor.
 
         Args:
           endpoint: Where entries are connected.
           service_name: The service's name in the settings tree.
-          tools: What the service works with.
+          context: What the service works with.
         """
         self._endpoint = endpoint
         self._service_name = service_name
-        self._gate = tools.gate
-        self._backend = tools.backend
-        self._serving = tools.serving
-        self._timing = tools.timing
-        self._clock = tools.clock
-        self._log = tools.log
-        self._counters = tools.counters
-        self._apply = tools.apply
-        self._told_state: tuple = ()
-        self._told_load: tuple[int, int] = (0, 0)
-        self._told: frozenset[int] = frozenset()
-        self._pushed_at = -math.inf
-        self._looked_at = -math.inf
-        self._listed_at = -math.inf
+        self._gate = context.gate
+        self._backend = context.backend
+        self._backend_state = context.backend_state
+        self._timing = context.timing
+        self._clock = context.clock
+        self._log = context.log
+        self._counters = context.counters
+        self._apply = context.apply
+        self._sent_state: tuple = ()
+        self._sent_load: tuple[int, int] = (0, 0)
+        self._sent_prefixes: frozenset[int] = frozenset()
+        self._status_sent_at = -math.inf
+        self._checked_at = -math.inf
+        self._full_list_at = -math.inf
 
     def status(self) -> ttypes.AgentStatus:
         """Returns this agent's own word on its load and state."""
@@ -55,29 +55,29 @@
             instance_id=identity.instance_id,
             incarnation=identity.incarnation,
             service_name=self._service_name,
-            version=self._serving.version,
-            digest=self._serving.digest,
+            version=self._backend_state.version,
+            digest=self._backend_state.digest,
             leaving=self._gate.leaving,
             ready=self._gate.ready,
             in_flight=load.in_flight,
             queued=load.queued,
             capacity=load.capacity,
-            engine_load=self._serving.load,
-            serving_s=self._clock.now() - self._serving.since,
-            prefixes=self._serving.prefixes,
+            engine_load=self._backend_state.load,
+            serving_s=self._clock.now() - self._backend_state.serving_since,
+            prefixes=self._backend_state.prefixes,
         )
 
-    def greet(self, connection: connection_lib.Connection) -> None:
+    def send_status(self, connection: connection_lib.Connection) -> None:
         """Tells a new connection at once."""
         if connection.peer.role is shared.Role.ENTRY:
             connection.notify(Kind.AGENT_STATUS, codec.encode(self.status()))
 
-    def push_whole(self) -> None:
+    def push_full_status(self) -> None:
         """Tells every connected entry, all cached prefixes among it."""
-        self._listed_at = -math.inf
-        self.push()
+        self._full_list_at = -math.inf
+        self.push_status()
 
-    def push(self) -> None:
+    def push_status(self) -> None:
         """Tells every connected entry.
 
         The prefixes are the bulk of a notice. Sent whole each time, they would
@@ -87,51 +87,51 @@
         status = self.status()
         now = self._clock.now()
         new, gone = self._prefix_changes()
-        if now < self._listed_at + self._timing.prefixes_s:
+        if now < self._full_list_at + self._timing.prefix_list_interval_s:
             status.prefixes = new
             status.prefixes_gone = gone
             status.prefixes_changed = True
         else:
-            self._listed_at = now
+            self._full_list_at = now
         self._notify(Kind.AGENT_STATUS, codec.encode(status))
-        self._pushed_at = now
-        self._told_state = self._state()
-        self._told_load = self._load()
+        self._status_sent_at = now
+        self._sent_state = self._state()
+        self._sent_load = self._load()
 
-    def tell(self) -> None:
+    def push_changes(self) -> None:
         """Tells every connected entry what they need to know by now.
 
         Load and cached prefixes change with each request, the rest of a status
         seldom. Sent whole at each such change, status notices alone would take
         more than a process has for all control.
         """
-        now = self._looked_at = self._clock.now()
-        due = now >= self._pushed_at + self._timing.status_s
-        cached = frozenset(self._serving.prefixes)
-        if due or self._state() != self._told_state:
-            self.push()
-        elif self._load() != self._told_load or cached != self._told:
+        now = self._checked_at = self._clock.now()
+        due = now >= self._status_sent_at + self._timing.status_interval_s
+        cached = frozenset(self._backend_state.prefixes)
+        if due or self._state() != self._sent_state:
+            self.push_status()
+        elif self._load() != self._sent_load or cached != self._sent_prefixes:
             self._push_load()
 
-    def quiet_s(self) -> float:
+    def since_last_check_s(self) -> float:
         """Returns how long ago it was seen whether there is news, seconds."""
-        return self._clock.now() - self._looked_at
+        return self._clock.now() - self._checked_at
 
     async def probe(self) -> None:
         """Notices a backend server that stalls, and one that is back."""
-        digest = self._serving.digest
+        digest = self._backend_state.digest
         try:
             async with asyncio.timeout(self._timing.probe_timeout_s):
                 health = await self._backend.probe()
-                self._serving.prefixes = await self._backend.prefixes()
+                self._backend_state.prefixes = await self._backend.prefixes()
         except (exceptions.BackendError, TimeoutError):
             self._on_silence()
             return
-        self._serving.heard_at = self._clock.now()
-        self._serving.load = health.load
+        self._backend_state.heard_at = self._clock.now()
+        self._backend_state.load = health.load
         if health.capacity > 0:
             self._gate.set_capacity(health.capacity)
-        if digest != self._serving.digest:
+        if digest != self._backend_state.digest:
             return  # loaded anew while the probe was on its way
         if health.digest == digest:
             self._recover()
@@ -142,8 +142,8 @@
         return (
             self._gate.ready,
             self._gate.leaving,
-            self._serving.version,
-            self._serving.digest,
+            self._backend_state.version,
+            self._backend_state.digest,
             self._gate.load.capacity,
         )
 
@@ -152,7 +152,7 @@
         return load.in_flight, load.queued
 
     def _push_load(self) -> None:
-        in_flight, queued = self._told_load = self._load()
+        in_flight, queued = self._sent_load = self._load()
         incarnation = self._endpoint.identity.incarnation
         notice = ttypes.AgentLoad(incarnation, in_flight, queued)
         new, gone = self._prefix_changes()
@@ -163,9 +163,12 @@
 
     def _prefix_changes(self) -> tuple[list[int], list[int]]:
         """Returns what is new and what is gone since the last notice."""
-        held = frozenset(self._serving.prefixes)
-        new, gone = list(held - self._told), list(self._told - held)
-        self._told = held
+        held = frozenset(self._backend_state.prefixes)
+        new, gone = (
+            list(held - self._sent_prefixes),
+            list(self._sent_prefixes - held),
+        )
+        self._sent_prefixes = held
         return new, gone
 
     def _notify(self, kind: Kind, body: bytes) -> None:
@@ -176,27 +179,31 @@
     def _recover(self) -> None:
         plain = self._backend.kind is shared.ServiceKind.PLAIN
         waits = self._gate.ready or self._gate.leaving or self._gate.loading
-        if waits or not (plain or self._serving.digest):
+        if waits or not (plain or self._backend_state.digest):
             return
-        self._log.write(_events.BACKEND_READY, version=self._serving.version)
-        self._apply(self._gate.loaded(self._clock.now()))
-        self.push()
+        self._log.write(
+            _events.BACKEND_READY, version=self._backend_state.version
+        )
+        self._apply(self._gate.on_loaded(self._clock.now()))
+        self.push_status()
 
     def _close(self) -> None:
         # An engine that crashed while it was idle, and is back without its
         # weights, breaks no connection; requests would still be sent to it.
-        self._log.write(_events.WEIGHTS_LOST, version=self._serving.version)
+        self._log.write(
+            _events.WEIGHTS_LOST, version=self._backend_state.version
+        )
         self._counters.add("gate.weights_lost")
         self._apply(self._gate.close(self._clock.now()))
-        self.push()
+        self.push_status()
 
     def _on_silence(self) -> None:
-        silent_s = self._clock.now() - self._serving.heard_at
-        if silent_s < self._timing.stall_s or not self._gate.ready:
+        silent_s = self._clock.now() - self._backend_state.heard_at
+        if silent_s < self._timing.stall_timeout_s or not self._gate.ready:
             return
         self._log.write(
             _events.BACKEND_STALLED, in_flight=self._gate.load.in_flight
         )
         self._counters.add("gate.stalls")
-        self._apply(self._gate.stalled(self._clock.now()))
-        self.push()
+        self._apply(self._gate.on_stall(self._clock.now()))
+        self.push_status()
--- a/src/clementinegw/gate/_run.py
+++ b/src/clementinegw/gate/_run.py
@@ -5,33 +5,33 @@
 from clementinegw import exceptions
 from clementinegw.backend import types as backend_types
 from clementinegw.gate import _calls
+from clementinegw.gate import _context
 from clementinegw.gate import _events
-from clementinegw.gate import _serving
 from clementinegw.gate import types
 
 _MS = 1000.0
-_DECLINED = {"wrong_version": types.Refusal.WRONG_VERSION}
+_REFUSAL_BY_CODE = {"wrong_version": types.RefusalReason.WRONG_VERSION}
 
-Closing = types.Refuse | types.Fail | None
+CloseAction = types.Refuse | types.Fail | None
 
 
 class Runner:
     """Runs the attempts that the gate hands over."""
 
-    def __init__(self, tools: _serving.Tools):
+    def __init__(self, context: _context.Context):
         """Prepares the runner."""
-        self._gate = tools.gate
-        self._backend = tools.backend
-        self._serving = tools.serving
-        self._timing = tools.timing
-        self._clock = tools.clock
-        self._log = tools.log
-        self._counters = tools.counters
-        self._apply = tools.apply
-        self._lost: set[types.AttemptId] = set()
+        self._gate = context.gate
+        self._backend = context.backend
+        self._backend_state = context.backend_state
+        self._timing = context.timing
+        self._clock = context.clock
+        self._log = context.log
+        self._counters = context.counters
+        self._apply = context.apply
+        self._disconnected: set[types.AttemptId] = set()
         self._background: set[asyncio.Task] = set()
 
-    async def run(self, call: _calls.Call) -> Closing:
+    async def run(self, call: _calls.SubmitCall) -> CloseAction:
         """Talks to the backend server until the attempt has ended.
 
         Returns:
@@ -41,17 +41,17 @@
         if call.aborted is not None:
             return types.Fail(call.id, call.aborted)
         task = asyncio.current_task()
-        call.running(task)
+        call.set_task(task)
         try:
-            return await self._run_in_time(call)
+            return await self._run_with_timeout(call)
         except asyncio.CancelledError:
             if call.aborted is None or task is None:
                 raise
             task.uncancel()
             return types.Fail(call.id, call.aborted)
         finally:
-            call.running(None)
-            self._lost.discard(call.id)
+            call.set_task(None)
+            self._disconnected.discard(call.id)
 
     def cancel(self, attempt_id: types.AttemptId) -> None:
         """Stops an attempt at the backend server, without waiting."""
@@ -66,35 +66,35 @@
         for task in list(self._background):
             task.cancel()
 
-    async def _run_in_time(self, call: _calls.Call) -> Closing:
+    async def _run_with_timeout(self, call: _calls.SubmitCall) -> CloseAction:
         limit_s = call.submit.deadline_ms / _MS
         if not call.submit.idempotent:
-            limit_s += self._timing.after_deadline_s
+            limit_s += self._timing.deadline_grace_s
         try:
             async with asyncio.timeout(limit_s):
-                return await self._pass_on(call)
+                return await self._relay_answer(call)
         except TimeoutError:
             self.cancel(call.id)
-            return self._fail(call, types.Failure.DEADLINE)
+            return self._fail(call, types.FailureReason.DEADLINE)
         except exceptions.BackendUnreachable:
-            return self._not_taken(call, types.Refusal.UNREACHABLE)
+            return self._on_not_begun(call, types.RefusalReason.UNREACHABLE)
         except exceptions.BackendStalled:
-            return self._fail(call, types.Failure.STALLED)
+            return self._fail(call, types.FailureReason.STALLED)
         except exceptions.BackendLost:
-            return await self._on_lost(call)
+            return await self._on_connection_lost(call)
         except exceptions.ConnectionLost:
             # Nobody takes the answer any more.
             self.cancel(call.id)
-            self._fail(call, types.Failure.CANCELLED)
+            self._fail(call, types.FailureReason.CANCELLED)
             return None
 
-    async def _pass_on(self, call: _calls.Call) -> Closing:
+    async def _relay_answer(self, call: _calls.SubmitCall) -> CloseAction:
         events = self._backend.start(call.submit)
         try:
             async for event in events:
-                self._serving.heard_at = self._clock.now()
+                self._backend_state.heard_at = self._clock.now()
                 if isinstance(event, backend_types.Data):
-                    await call.data(event.data)
+                    await call.send_data(event.data)
                 elif isinstance(event, backend_types.End):
                     return await self._on_end(call, event)
                 elif (closing := await self._on_head(call, event)) is not None:
@@ -104,50 +104,52 @@
         raise exceptions.BackendLost("the answer ended without its end")
 
     async def _on_head(
-        self, call: _calls.Call, head: backend_types.Head
-    ) -> Closing:
+        self, call: _calls.SubmitCall, head: backend_types.Head
+    ) -> CloseAction:
         if head.refused:
-            reason = _DECLINED.get(head.refused, types.Refusal.DECLINED)
-            return self._not_taken(call, reason)
-        digest = self._serving.digest
+            reason = _REFUSAL_BY_CODE.get(
+                head.refused, types.RefusalReason.DECLINED
+            )
+            return self._on_not_begun(call, reason)
+        digest = self._backend_state.digest
         if digest and head.digest and head.digest != digest:
             # Someone else loaded the engine since its load was proved. Passed
             # on, the answer would come from weights that nobody verified.
             self._log.write(_events.WRONG_WEIGHTS, version=head.version)
             self.cancel(call.id)
-            return self._fail(call, types.Failure.WRONG_WEIGHTS)
-        await call.head(head.status, head.headers, head.version)
+            return self._fail(call, types.FailureReason.WRONG_WEIGHTS)
+        await call.send_head(head.status, head.headers, head.version)
         return None
 
     async def _on_end(
-        self, call: _calls.Call, end: backend_types.End
-    ) -> Closing:
-        self._apply(self._gate.answered(call.id, self._clock.now()))
+        self, call: _calls.SubmitCall, end: backend_types.End
+    ) -> CloseAction:
+        self._apply(self._gate.on_answered(call.id, self._clock.now()))
         self._counters.add("gate.answered")
         load = self._gate.load
-        await call.end(end.tokens, load.in_flight, load.queued)
+        await call.send_end(end.tokens, load.in_flight, load.queued)
         return None
 
-    async def _on_lost(self, call: _calls.Call) -> Closing:
+    async def _on_connection_lost(self, call: _calls.SubmitCall) -> CloseAction:
         """Finds out whether one connection broke or the server crashed."""
-        self._lost.add(call.id)
+        self._disconnected.add(call.id)
         if not await self._has_crashed():
-            return self._fail(call, types.Failure.LOST)
+            return self._fail(call, types.FailureReason.LOST)
         if call.id in self._gate.in_flight:
             self._log.write(
                 _events.BACKEND_CRASHED, in_flight=self._gate.load.in_flight
             )
             self._counters.add("gate.crashes")
-            self._apply(self._gate.crashed(self._clock.now()))
-        return types.Fail(call.id, types.Failure.CRASHED)
+            self._apply(self._gate.on_crash(self._clock.now()))
+        return types.Fail(call.id, types.FailureReason.CRASHED)
 
     async def _has_crashed(self) -> bool:
         if await self._is_down():
             return True
-        await asyncio.sleep(self._timing.together_s)
+        await asyncio.sleep(self._timing.crash_window_s)
         in_flight = set(self._gate.in_flight)
         # A server that is back at once has still broken all its connections.
-        return len(in_flight) > 1 and in_flight <= self._lost
+        return len(in_flight) > 1 and in_flight <= self._disconnected
 
     async def _is_down(self) -> bool:
         try:
@@ -157,22 +159,26 @@
             return False
         except exceptions.BackendError:
             return True
-        digest = self._serving.digest
+        digest = self._backend_state.digest
         return bool(digest) and health.digest != digest
 
-    def _not_taken(self, call: _calls.Call, reason: types.Refusal) -> Closing:
-        actions = self._gate.not_taken(call.id, reason, self._clock.now())
-        return self._keep_own(call, actions)
-
-    def _fail(self, call: _calls.Call, reason: types.Failure) -> Closing:
-        actions = self._gate.failed(call.id, reason, self._clock.now())
-        return self._keep_own(call, actions)
-
-    def _keep_own(
-        self, call: _calls.Call, actions: list[types.Action]
-    ) -> Closing:
+    def _on_not_begun(
+        self, call: _calls.SubmitCall, reason: types.RefusalReason
+    ) -> CloseAction:
+        actions = self._gate.on_not_begun(call.id, reason, self._clock.now())
+        return self._apply_all_but_own(call, actions)
+
+    def _fail(
+        self, call: _calls.SubmitCall, reason: types.FailureReason
+    ) -> CloseAction:
+        actions = self._gate.on_failed(call.id, reason, self._clock.now())
+        return self._apply_all_but_own(call, actions)
+
+    def _apply_all_but_own(
+        self, call: _calls.SubmitCall, actions: list[types.Action]
+    ) -> CloseAction:
         """Carries out the actions but for the one that closes this call."""
-        own: Closing = None
+        own: CloseAction = None
         others: list[types.Action] = []
         for action in actions:
             if (
--- a/src/clementinegw/gate/backends.py
+++ b/src/clementinegw/gate/backends.py
@@ -12,7 +12,7 @@
 from clementinegw.wire.gen.requests import ttypes
 
 _PRIORITIES = {int(priority): priority for priority in types.Priority}
-Events = AsyncGenerator[backend_types.AnswerEvent, None]
+AnswerEvents = AsyncGenerator[backend_types.AnswerEvent, None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
     def kind(self) -> types.ServiceKind:
         """What it is."""
 
-    def start(self, submit: ttypes.Submit) -> Events:
+    def start(self, submit: ttypes.Submit) -> AnswerEvents:
         """Hands an attempt over; iterates over head, data and end.
 
         Raises:
@@ -68,24 +68,24 @@
 class EngineBackend:
     """A model engine."""
 
-    def __init__(self, client: engine.EngineClient, kept_prefixes: int = 256):
+    def __init__(self, client: engine.EngineClient, max_prefixes: int = 256):
         """Wraps a client.
 
         Args:
           client: Speaks to the engine.
-          kept_prefixes: The most prefix hashes that are kept.
+          max_prefixes: The most prefix hashes that are kept.
         """
         self._client = client
-        self._kept = kept_prefixes
+        self._max_prefixes = max_prefixes
         self._cached: dict[int, None] = {}
-        self._after = 0
+        self._last_event = 0
 
     @property
     def kind(self) -> types.ServiceKind:
         """A model engine."""
         return types.ServiceKind.MODEL_ENGINE
 
-    async def start(self, submit: ttypes.Submit) -> Events:
+    async def start(self, submit: ttypes.Submit) -> AnswerEvents:
         """Hands an attempt over; see `Backend`."""
         stream = await self._client.complete(_completion(submit))
         try:
@@ -115,20 +115,23 @@
 
     async def prefixes(self) -> list[int]:
         """Follows the engine's cache events."""
-        events = await self._client.cache_events(self._after)
-        if events.first > self._after + 1 or events.next <= self._after:
+        events = await self._client.cache_events(self._last_event)
+        if (
+            events.first > self._last_event + 1
+            or events.next <= self._last_event
+        ):
             # Events were lost, or the engine began anew: what was kept may
             # have been evicted unseen, and would draw requests to a cache
             # that is no longer there.
             self._cached.clear()
         for event in events.events:
-            self._take(event)
-        self._after = events.next - 1
-        while len(self._cached) > self._kept:
+            self._apply_event(event)
+        self._last_event = events.next - 1
+        while len(self._cached) > self._max_prefixes:
             del self._cached[next(iter(self._cached))]
         return list(self._cached)
 
-    def _take(self, event: backend_types.CacheEvent) -> None:
+    def _apply_event(self, event: backend_types.CacheEvent) -> None:
         for block in event.blocks:
             self._cached.pop(block, None)
             if event.change is backend_types.CacheChange.STORED:
@@ -153,7 +156,7 @@
         """A plain service."""
         return types.ServiceKind.PLAIN
 
-    async def start(self, submit: ttypes.Submit) -> Events:
+    async def start(self, submit: ttypes.Submit) -> AnswerEvents:
         """Hands an attempt over; see `Backend`."""
         headers = [(header.name, header.value) for header in submit.headers]
         headers.append((backend_types.REQUEST_ID_HEADER, submit.request_id))
--- a/src/clementinegw/gate/gate.py
+++ b/src/clementinegw/gate/gate.py
@@ -8,11 +8,11 @@
 import dataclasses
 
 from clementinegw.gate import _admission
-from clementinegw.gate import _memory
+from clementinegw.gate import _attempt_table
 from clementinegw.gate import _queue
 from clementinegw.gate import types
 
-_State = _memory.State
+_State = _attempt_table.State
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,19 +45,21 @@
           ready: Whether the backend server may be given requests.
         """
         self._limits = limits
-        self._memory = _memory.Memory(limits)
-        self._admission = _admission.Admission(self._memory, incarnation, ready)
+        self._attempts = _attempt_table.AttemptTable(limits)
+        self._admission = _admission.Admission(
+            self._attempts, incarnation, ready
+        )
         self._queue = _queue.Queue()
-        self._in_flight: dict[types.AttemptId, _memory.Record] = {}
+        self._in_flight: dict[types.AttemptId, _attempt_table.Record] = {}
         self._alone = False
-        self._crashes = 0
-        self._order = 0
+        self._crash_count = 0
+        self._last_sequence = 0
         self._uncleared: set[bytes] = set()
 
     @property
     def ready(self) -> bool:
         """Whether new attempts are taken."""
-        return self._admission.open
+        return self._admission.accepting
 
     @property
     def leaving(self) -> bool:
@@ -93,26 +95,26 @@
 
     def submit(self, attempt: types.Attempt, now: float) -> list[types.Action]:
         """Takes an attempt: hands it over, queues or refuses it."""
-        known = self._memory.find(attempt.id)
+        known = self._attempts.find(attempt.id)
         if known is not None:
-            return self._submit_again(attempt, known)
+            return self._on_duplicate(attempt, known)
         reason = self._admission.refusal(attempt, now)
         if reason is not None:
-            self._memory.refuse(attempt.id, now)
+            self._attempts.add_refused(attempt.id, now)
             return [self._refusal(attempt.id, reason)]
-        actions = self._make_room(attempt, now)
+        actions = self._evict_lower_priority(attempt, now)
         if actions is None:
-            self._memory.refuse(attempt.id, now)
-            return [self._refusal(attempt.id, types.Refusal.OVERLOADED)]
-        self._order += 1
-        record = self._memory.add(attempt, now, self._order)
+            self._attempts.add_refused(attempt.id, now)
+            return [self._refusal(attempt.id, types.RefusalReason.OVERLOADED)]
+        self._last_sequence += 1
+        record = self._attempts.add(attempt, now, self._last_sequence)
         self._queue.push(record)
         return actions + self._dispatch(now)
 
     def tombstone(
         self,
         attempt_id: types.AttemptId,
-        whole: bool,
+        include_earlier: bool,
         incarnation: int,
         submitted_at: float | None,
         now: float,
@@ -120,8 +122,8 @@
         """Forbids an attempt that was not handed over.
 
         Args:
-          attempt_id: The attempt; with `whole`, and all before it.
-          whole: Whether earlier attempts are meant as well.
+          attempt_id: The attempt; with `include_earlier`, and all before it.
+          include_earlier: Whether earlier attempts are meant as well.
           incarnation: Whom the attempt was submitted to.
           submitted_at: When the first of them was, by this agent's clock;
             None when unknown.
@@ -136,14 +138,16 @@
             # proof, the caller would be told "not run" of what its
             # predecessor ran.
             return False, []
-        records = self._records(attempt_id, whole)
-        asked = attempt_id.attempt if whole else 1
+        records = self._find_records(attempt_id, include_earlier)
+        asked = attempt_id.attempt if include_earlier else 1
         proved = self._is_proved(records, asked, submitted_at)
         actions: list[types.Action] = []
         for record in records:
             if record.state is _State.QUEUED:
-                actions += self._withdraw(record, types.Refusal.TOMBSTONED, now)
-        self._memory.entomb(attempt_id, whole, proved, now)
+                actions += self._withdraw(
+                    record, types.RefusalReason.TOMBSTONED, now
+                )
+        self._attempts.add_tombstone(attempt_id, include_earlier, proved, now)
         return proved, actions
 
     def cancel(
@@ -154,46 +158,52 @@
         A non-idempotent attempt that was handed over goes on: cut off in the
         middle, nobody could say what it had done.
         """
-        record = self._memory.find(attempt_id)
+        record = self._attempts.find(attempt_id)
         if record is None or record.attempt is None:
             return []
         if record.state is _State.QUEUED:
-            return self._withdraw(record, types.Refusal.CANCELLED, now)
+            return self._withdraw(record, types.RefusalReason.CANCELLED, now)
         if record.state is not _State.HANDED_OVER:
             return []
         if not record.attempt.idempotent:
             return []
         return [
             types.CancelBackend(attempt_id),
-            types.Fail(attempt_id, types.Failure.CANCELLED),
-            *self._end(record, now),
+            types.Fail(attempt_id, types.FailureReason.CANCELLED),
+            *self._finish(record, now),
         ]
 
-    def answered(
+    def on_answered(
         self, attempt_id: types.AttemptId, now: float
     ) -> list[types.Action]:
         """Takes the explicit end of a whole answer."""
         record = self._in_flight.get(attempt_id)
         if record is None or record.attempt is None:
             return []
-        actions = self._end(record, now)
+        actions = self._finish(record, now)
         fingerprint = record.attempt.fingerprint
         if record.attempt.alone or fingerprint in self._uncleared:
             self._uncleared.discard(fingerprint)
             actions.append(types.ReportCleared((fingerprint,)))
         return actions
 
-    def failed(
-        self, attempt_id: types.AttemptId, reason: types.Failure, now: float
+    def on_failed(
+        self,
+        attempt_id: types.AttemptId,
+        reason: types.FailureReason,
+        now: float,
     ) -> list[types.Action]:
         """Takes the end of one attempt without a whole answer."""
         record = self._in_flight.get(attempt_id)
         if record is None:
             return []
-        return [types.Fail(attempt_id, reason), *self._end(record, now)]
+        return [types.Fail(attempt_id, reason), *self._finish(record, now)]
 
-    def not_taken(
-        self, attempt_id: types.AttemptId, reason: types.Refusal, now: float
+    def on_not_begun(
+        self,
+        attempt_id: types.AttemptId,
+        reason: types.RefusalReason,
+        now: float,
     ) -> list[types.Action]:
         """Takes proof that the backend server did not begin the attempt.
 
@@ -202,11 +212,11 @@
         record = self._in_flight.pop(attempt_id, None)
         if record is None:
             return []
-        self._memory.take_back(record, now)
+        self._attempts.revert_hand_over(record, now)
         self._alone = False
         return [self._refusal(attempt_id, reason), *self._dispatch(now)]
 
-    def crashed(self, now: float) -> list[types.Action]:
+    def on_crash(self, now: float) -> list[types.Action]:
         """Takes the word that the backend server crashed.
 
         Every attempt in flight is lost; their fingerprints are named. What
@@ -215,15 +225,15 @@
         self._admission.ready = False
         records = list(self._in_flight.values())
         fingerprints = _fingerprints(records)
-        actions = self._fail_all(types.Failure.CRASHED, now)
-        actions += self._refuse_queue(types.Refusal.NOT_READY, now)
+        actions = self._fail_all(types.FailureReason.CRASHED, now)
+        actions += self._refuse_queue(types.RefusalReason.NOT_READY, now)
         if fingerprints:
-            self._crashes += 1
+            self._crash_count += 1
             self._uncleared.update(fingerprints)
-            actions.append(types.ReportCrash(self._crashes, fingerprints))
+            actions.append(types.ReportCrash(self._crash_count, fingerprints))
         return actions
 
-    def stalled(self, now: float) -> list[types.Action]:
+    def on_stall(self, now: float) -> list[types.Action]:
         """Takes the word that the backend server stopped answering."""
         self._admission.ready = False
         cancels: list[types.Action] = [
@@ -231,57 +241,59 @@
         ]
         return (
             cancels
-            + self._fail_all(types.Failure.STALLED, now)
-            + self._refuse_queue(types.Refusal.NOT_READY, now)
+            + self._fail_all(types.FailureReason.STALLED, now)
+            + self._refuse_queue(types.RefusalReason.NOT_READY, now)
         )
 
     def close(self, now: float) -> list[types.Action]:
-        """Takes nothing new until `loaded`; nothing is said of what runs."""
+        """Takes nothing new until `on_loaded`; nothing is said of what runs."""
         self._admission.ready = False
-        return self._refuse_queue(types.Refusal.NOT_READY, now)
+        return self._refuse_queue(types.RefusalReason.NOT_READY, now)
 
-    def loaded(self, now: float) -> list[types.Action]:
+    def on_loaded(self, now: float) -> list[types.Action]:
         """Takes the word that the backend server is ready to serve."""
         self._admission.ready = True
         self._admission.loading = False
         return self._dispatch(now)
 
     def drain(self, now: float) -> list[types.Action]:
-        """Takes nothing new until `loaded`; what is in flight finishes."""
+        """Takes nothing new until `on_loaded`; what is in flight finishes."""
         self._admission.loading = True
-        return self._refuse_queue(types.Refusal.LOADING, now)
+        return self._refuse_queue(types.RefusalReason.LOADING, now)
 
     def leave(self, now: float) -> list[types.Action]:
         """Takes nothing new ever again; what is in flight finishes."""
         self._admission.leaving = True
-        return self._refuse_queue(types.Refusal.LEAVING, now)
+        return self._refuse_queue(types.RefusalReason.LEAVING, now)
 
-    def tick(self, now: float) -> list[types.Action]:
+    def on_tick(self, now: float) -> list[types.Action]:
         """Refuses what waited past its deadline and forgets what is old."""
-        self._memory.expire(now)
+        self._attempts.expire(now)
         return self._dispatch(now)
 
-    def _submit_again(
-        self, attempt: types.Attempt, known: _memory.Record
+    def _on_duplicate(
+        self, attempt: types.Attempt, known: _attempt_table.Record
     ) -> list[types.Action]:
         # A frame that is delivered twice, or a defect at an entry. The first
         # submission stands; a proof of "not run" here would be untrue.
-        if known.state is _State.NEVER:
-            return [self._refusal(attempt.id, types.Refusal.TOMBSTONED)]
+        if known.state is _State.REFUSED:
+            return [self._refusal(attempt.id, types.RefusalReason.TOMBSTONED)]
         return [types.FailDuplicate(attempt.id)]
 
-    def _make_room(
+    def _evict_lower_priority(
         self, attempt: types.Attempt, now: float
     ) -> list[types.Action] | None:
         """Returns what makes room in the queue; None when there is none."""
-        if len(self._queue) < self._limits.queue or self._may_start(attempt):
+        if len(self._queue) < self._limits.max_queued or self._may_start(
+            attempt
+        ):
             return []
         worst = self._queue.lowest()
         if worst is None or worst.attempt is None:
             return None
         if worst.attempt.priority >= attempt.priority:
             return None
-        return self._withdraw(worst, types.Refusal.OVERLOADED, now)
+        return self._withdraw(worst, types.RefusalReason.OVERLOADED, now)
 
     def _may_start(self, attempt: types.Attempt) -> bool:
         if not self.ready or self._alone:
@@ -295,7 +307,9 @@
         while (record := self._queue.first()) is not None:
             attempt = record.attempt
             if attempt is None or attempt.deadline <= now:
-                actions += self._withdraw(record, types.Refusal.DEADLINE, now)
+                actions += self._withdraw(
+                    record, types.RefusalReason.DEADLINE, now
+                )
                 continue
             # An attempt that must run alone and is first in line holds the
             # others back: were they let past, it might never find the server
@@ -303,31 +317,33 @@
             if not self._may_start(attempt):
                 break
             self._queue.remove(record)
-            self._memory.hand_over(record)
+            self._attempts.mark_handed_over(record)
             self._in_flight[attempt.id] = record
             self._alone = attempt.alone
             actions.append(types.HandOver(attempt.id))
         return actions
 
-    def _end(self, record: _memory.Record, now: float) -> list[types.Action]:
+    def _finish(
+        self, record: _attempt_table.Record, now: float
+    ) -> list[types.Action]:
         assert record.attempt is not None
         del self._in_flight[record.attempt.id]
         self._alone = False
-        self._memory.finish(record, _State.ENDED, now)
+        self._attempts.finish(record, _State.ENDED, now)
         return self._dispatch(now)
 
     def _fail_all(
-        self, reason: types.Failure, now: float
+        self, reason: types.FailureReason, now: float
     ) -> list[types.Action]:
         records = self._in_flight
         self._in_flight = {}
         self._alone = False
         for record in records.values():
-            self._memory.finish(record, _State.ENDED, now)
+            self._attempts.finish(record, _State.ENDED, now)
         return [types.Fail(attempt_id, reason) for attempt_id in records]
 
     def _refuse_queue(
-        self, reason: types.Refusal, now: float
+        self, reason: types.RefusalReason, now: float
     ) -> list[types.Action]:
         actions: list[types.Action] = []
         while (record := self._queue.first()) is not None:
@@ -335,41 +351,44 @@
         return actions
 
     def _withdraw(
-        self, record: _memory.Record, reason: types.Refusal, now: float
+        self,
+        record: _attempt_table.Record,
+        reason: types.RefusalReason,
+        now: float,
     ) -> list[types.Action]:
         assert record.attempt is not None
         self._queue.remove(record)
-        self._memory.finish(record, _State.NEVER, now)
+        self._attempts.finish(record, _State.REFUSED, now)
         return [self._refusal(record.attempt.id, reason)]
 
-    def _records(
-        self, attempt_id: types.AttemptId, whole: bool
-    ) -> list[_memory.Record]:
-        if whole:
-            return self._memory.earlier(attempt_id)
-        record = self._memory.find(attempt_id)
+    def _find_records(
+        self, attempt_id: types.AttemptId, include_earlier: bool
+    ) -> list[_attempt_table.Record]:
+        if include_earlier:
+            return self._attempts.find_up_to(attempt_id)
+        record = self._attempts.find(attempt_id)
         return [] if record is None else [record]
 
     def _is_proved(
         self,
-        records: list[_memory.Record],
+        records: list[_attempt_table.Record],
         asked: int,
         submitted_at: float | None,
     ) -> bool:
-        never = (_State.QUEUED, _State.NEVER)
+        never = (_State.QUEUED, _State.REFUSED)
         if any(record.state not in never for record in records):
             return False
         if len(records) == asked:
             return True
-        return self._memory.proves_absence(submitted_at)
+        return self._attempts.proves_not_handed_over(submitted_at)
 
     def _refusal(
-        self, attempt_id: types.AttemptId, reason: types.Refusal
+        self, attempt_id: types.AttemptId, reason: types.RefusalReason
     ) -> types.Refuse:
         return types.Refuse(attempt_id, reason, self._limits.retry_after_s)
 
 
-def _fingerprints(records: list[_memory.Record]) -> tuple[bytes, ...]:
+def _fingerprints(records: list[_attempt_table.Record]) -> tuple[bytes, ...]:
     found = {
         record.attempt.fingerprint: None
         for record in records
--- a/src/clementinegw/gate/service.py
+++ b/src/clementinegw/gate/service.py
@@ -9,11 +9,11 @@
 from clementinegw import clock as clock_lib
 from clementinegw import types as shared
 from clementinegw.gate import _calls
+from clementinegw.gate import _context
+from clementinegw.gate import _crash_reports
 from clementinegw.gate import _events
 from clementinegw.gate import _monitor
-from clementinegw.gate import _reports
 from clementinegw.gate import _run
-from clementinegw.gate import _serving
 from clementinegw.gate import backends
 from clementinegw.gate import gate as gate_lib
 from clementinegw.gate import types
@@ -25,11 +25,11 @@
 from clementinegw.wire.gen.requests import ttypes
 
 Kind = connection_lib.Kind
-Timing = _serving.Timing
+Timing = _context.Timing
 _MS = 1000.0
-_TICK_S = 0.05
-_LEAST_SLEEP_S = 0.001
-_EXPIRE_S = 5.0
+_TICK_INTERVAL_S = 0.05
+_MIN_SLEEP_S = 0.001
+_EXPIRY_INTERVAL_S = 5.0
 
 
 class GateService(mode.Service):
@@ -73,37 +73,39 @@
             ready=plain,
         )
         now = self._clock.now()
-        self._serving = _serving.Serving(since=now, heard_at=now)
-        self._reports = _reports.Reports(
+        self._backend_state = _context.BackendState(
+            serving_since=now, heard_at=now
+        )
+        self._crash_reporter = _crash_reports.CrashReporter(
             endpoint, service_name, self._clock, self._log, log_client
         )
-        self._wire(endpoint, backend)
-        self._calls: dict[types.AttemptId, _calls.Call] = {}
-        self._by_connection: weakref.WeakKeyDictionary[
+        self._set_up(endpoint, backend)
+        self._calls: dict[types.AttemptId, _calls.SubmitCall] = {}
+        self._peers: weakref.WeakKeyDictionary[
             connection_lib.Connection, _Peer
         ] = weakref.WeakKeyDictionary()
         self._call_ended = asyncio.Event()
         self._queued = asyncio.Event()
 
-    def _wire(
+    def _set_up(
         self, endpoint: connection_lib.Endpoint, backend: backends.Backend
     ) -> None:
-        tools = _serving.Tools(
+        context = _context.Context(
             self._gate,
             backend,
-            self._serving,
+            self._backend_state,
             self._timing,
             self._clock,
             self._log,
             self._counters,
             self._apply,
         )
-        self._runner = _run.Runner(tools)
-        self._monitor = _monitor.Monitor(endpoint, self._service_name, tools)
+        self._runner = _run.Runner(context)
+        self._monitor = _monitor.Monitor(endpoint, self._service_name, context)
         endpoint.on_call(Kind.SUBMIT, self._on_submit)
         endpoint.on_call(Kind.TOMBSTONE, self._on_tombstone)
         endpoint.on_call(Kind.CANCEL, self._on_cancel)
-        endpoint.on_connected(self._monitor.greet)
+        endpoint.on_connected(self._monitor.send_status)
         endpoint.on_disconnected(self._on_disconnected)
 
     @property
@@ -119,7 +121,7 @@
     @property
     def version(self) -> str:
         """The version that is served; empty for a plain service."""
-        return self._serving.version
+        return self._backend_state.version
 
     def status(self) -> ttypes.AgentStatus:
         """Returns this agent's own word on its load and state."""
@@ -136,7 +138,7 @@
         """
         self._log.write(_events.GATE_DRAINING)
         self._apply(self._gate.drain(self._clock.now()))
-        self._monitor.push()
+        self._monitor.push_status()
         return await self._wait_idle(timeout_s)
 
     def resume(self, version: str = "", digest: str = "") -> None:
@@ -147,13 +149,13 @@
           digest: The content digest it reported.
         """
         now = self._clock.now()
-        self._serving.version = version
-        self._serving.digest = digest
-        self._serving.since = now
-        self._serving.heard_at = now
+        self._backend_state.version = version
+        self._backend_state.digest = digest
+        self._backend_state.serving_since = now
+        self._backend_state.heard_at = now
         self._log.write(_events.BACKEND_READY, version=version)
-        self._apply(self._gate.loaded(now))
-        self._monitor.push_whole()
+        self._apply(self._gate.on_loaded(now))
+        self._monitor.push_full_status()
 
     async def leave(self, timeout_s: float | None = None) -> bool:
         """Takes nothing new ever again and finishes what it has.
@@ -167,7 +169,7 @@
         """
         self._log.write(_events.GATE_LEAVING)
         self._apply(self._gate.leave(self._clock.now()))
-        self._monitor.push()
+        self._monitor.push_status()
         return await self._wait_idle(timeout_s)
 
     async def on_stop(self) -> None:
@@ -193,38 +195,38 @@
         submit = codec.decode(ttypes.Submit, frame.body)
         now = self._clock.now()
         peer = self._peer(connection)
-        delay_s = peer.delays.delay(submit.sent_ms or 0, now)
-        attempt = _calls.attempt_of(submit, self._service_name, delay_s, now)
-        call = _calls.Call(exchange, submit)
+        delay_s = peer.delay_estimator.estimate_s(submit.sent_ms or 0, now)
+        attempt = _calls.build_attempt(submit, self._service_name, delay_s, now)
+        call = _calls.SubmitCall(exchange, submit)
         if self._calls.setdefault(call.id, call) is not call:
             # A second frame of an attempt that is open here: its own call is
             # answered, and the first one goes on.
-            await call.fail(types.Failure.DUPLICATE)
+            await call.send_failed(types.FailureReason.DUPLICATE)
             return
-        peer.open.add(call.id)
+        peer.open_attempts.add(call.id)
         try:
             self._apply(self._gate.submit(attempt, now))
             if self._gate.load.queued:
                 self._queued.set()
-            await self._serve(call)
+            await self._answer(call)
         finally:
             del self._calls[call.id]
-            peer.open.discard(call.id)
+            peer.open_attempts.discard(call.id)
             self._call_ended.set()
 
-    async def _serve(self, call: _calls.Call) -> None:
-        verdict: _calls.Verdict | None = await call.verdict()
-        if isinstance(verdict, types.HandOver):
-            verdict = await self._runner.run(call)
-        if isinstance(verdict, types.Refuse):
-            self._counters.add(f"gate.refused.{verdict.reason.value}")
-            await call.refuse(verdict)
-        elif isinstance(verdict, types.Fail):
-            self._counters.add(f"gate.failed.{verdict.reason.value}")
-            await call.fail(verdict.reason)
-        elif isinstance(verdict, types.FailDuplicate):
+    async def _answer(self, call: _calls.SubmitCall) -> None:
+        decision: _calls.Decision | None = await call.decision()
+        if isinstance(decision, types.HandOver):
+            decision = await self._runner.run(call)
+        if isinstance(decision, types.Refuse):
+            self._counters.add(f"gate.refused.{decision.reason.value}")
+            await call.send_refused(decision)
+        elif isinstance(decision, types.Fail):
+            self._counters.add(f"gate.failed.{decision.reason.value}")
+            await call.send_failed(decision.reason)
+        elif isinstance(decision, types.FailDuplicate):
             self._counters.add("gate.failed.duplicate")
-            await call.fail(types.Failure.DUPLICATE)
+            await call.send_failed(types.FailureReason.DUPLICATE)
 
     async def _on_cancel(
         self,
@@ -237,9 +239,9 @@
         self._cancel(types.AttemptId(message.request_id, message.attempt))
 
     def _on_disconnected(self, connection: connection_lib.Connection) -> None:
-        peer = self._by_connection.pop(connection, None)
+        peer = self._peers.pop(connection, None)
         if peer is not None:
-            for attempt_id in tuple(peer.open):
+            for attempt_id in tuple(peer.open_attempts):
                 self._cancel(attempt_id)
 
     def _cancel(self, attempt_id: types.AttemptId) -> None:
@@ -264,7 +266,7 @@
             now,
         )
         self._apply(actions)
-        self._counters.add(f"gate.tombstone.{_PROOF[proved]}")
+        self._counters.add(f"gate.tombstone.{_PROOF_LABELS[proved]}")
         reply = ttypes.Tombstoned(
             request_id=message.request_id,
             attempt=message.attempt,
@@ -273,94 +275,97 @@
         await exchange.send(Kind.TOMBSTONED, codec.encode(reply))
 
     def _peer(self, connection: connection_lib.Connection) -> "_Peer":
-        peer = self._by_connection.get(connection)
+        peer = self._peers.get(connection)
         if peer is None:
-            peer = self._by_connection[connection] = _Peer()
+            peer = self._peers[connection] = _Peer()
         return peer
 
     def _apply(self, actions: list[types.Action]) -> None:
         for action in actions:
-            _APPLY[type(action)](self, action)
+            _ACTION_HANDLERS[type(action)](self, action)
 
-    def _decide(self, action: _calls.Verdict) -> None:
+    def _decide(self, action: _calls.Decision) -> None:
         call = self._calls.get(action.id)
         if call is not None:
             call.decide(action)
 
-    def _end(self, action: types.Fail) -> None:
+    def _fail(self, action: types.Fail) -> None:
         call = self._calls.get(action.id)
         if call is not None:
             call.decide(action)
             call.abort(action.reason)
 
-    def _stop(self, action: types.CancelBackend) -> None:
+    def _cancel_backend(self, action: types.CancelBackend) -> None:
         self._runner.cancel(action.id)
 
     def _report_crash(self, action: types.ReportCrash) -> None:
-        self._reports.crash(action)
-        self._monitor.push()
+        self._crash_reporter.report_crash(action)
+        self._monitor.push_status()
 
     def _report_cleared(self, action: types.ReportCleared) -> None:
-        self._reports.cleared(action)
+        self._crash_reporter.report_cleared(action)
 
     @mode.Service.task
-    async def _push_status(self) -> None:
+    async def _push_loop(self) -> None:
         """Tells the entries of changes while a probe takes long."""
         while not self.should_stop:
-            left_s = self._timing.changed_s - self._monitor.quiet_s()
+            left_s = (
+                self._timing.max_notify_delay_s
+                - self._monitor.since_last_check_s()
+            )
             if left_s <= 0:
-                self._monitor.tell()
-                left_s = self._timing.changed_s
+                self._monitor.push_changes()
+                left_s = self._timing.max_notify_delay_s
             # A remainder below the clock's resolution would never pass: one
             # would notice it as a loop that takes a whole core.
-            await self.sleep(max(left_s, _LEAST_SLEEP_S))
+            await self.sleep(max(left_s, _MIN_SLEEP_S))
 
     @mode.Service.task
-    async def _keep_queue(self) -> None:
+    async def _tick_loop(self) -> None:
         """Refuses what waits past its deadline, and forgets what is old."""
         while not self.should_stop:
             try:
-                async with asyncio.timeout(_EXPIRE_S):
+                async with asyncio.timeout(_EXPIRY_INTERVAL_S):
                     await self._queued.wait()
             except TimeoutError:
                 pass
-            self._apply(self._gate.tick(self._clock.now()))
+            self._apply(self._gate.on_tick(self._clock.now()))
             if self._gate.load.queued:
-                await self.sleep(_TICK_S)
+                await self.sleep(_TICK_INTERVAL_S)
             else:
                 self._queued.clear()
 
     @mode.Service.task
-    async def _send_reports(self) -> None:
+    async def _report_loop(self) -> None:
         """Brings crash reports into the log."""
-        await self._reports.run()
+        await self._crash_reporter.run()
 
     @mode.Service.task
-    async def _probe(self) -> None:
+    async def _probe_loop(self) -> None:
         """Watches the backend server, and tells entries what has changed."""
         while not self.should_stop:
             await self._monitor.probe()
             # At once, since a cached prefix is routed to only once it is told.
-            self._monitor.tell()
-            await self.sleep(self._timing.probe_s)
+            self._monitor.push_changes()
+            await self.sleep(self._timing.probe_interval_s)
 
 
 class _Peer:
     """What belongs to one connection of an entry."""
 
     def __init__(self) -> None:
-        self.delays = _calls.Delays()
-        self.open: set[types.AttemptId] = set()
+        self.delay_estimator = _calls.DelayEstimator()
+        self.open_attempts: set[types.AttemptId] = set()
 
 
-_PROOF = {True: "proved", False: "unproved"}
+_PROOF_LABELS = {True: "proved", False: "unproved"}
 
-_APPLY: dict[type, Callable[..., None]] = {
+_ACTION_HANDLERS: dict[type, Callable[..., None]] = {
     types.HandOver: GateService._decide,
     types.Refuse: GateService._decide,
     types.FailDuplicate: GateService._decide,
-    types.Fail: GateService._end,
-    types.CancelBackend: GateService._stop,
+    types.Fail: GateService._fail,
+    types.CancelBackend: GateService._cancel_backend,
     types.ReportCrash: GateService._report_crash,
     types.ReportCleared: GateService._report_cleared,
 }
--- a/src/clementinegw/gate/types.py
+++ b/src/clementinegw/gate/types.py
@@ -14,17 +14,17 @@
     Attributes:
       capacity: Attempts at the backend server at once, until it says itself
         how many it runs.
-      queue: Attempts that may wait for it.
+      max_queued: Attempts that may wait for it.
       retention_s: How long an attempt or a tombstone is remembered past its
         deadline, in seconds.
-      remembered: Attempts and tombstones remembered at most.
+      max_records: Attempts and tombstones remembered at most.
       retry_after_s: When a refused attempt may come again, in seconds.
     """
 
     capacity: int = 8
-    queue: int = 32
+    max_queued: int = 32
     retention_s: float = 120.0
-    remembered: int = 65_536
+    max_records: int = 65_536
     retry_after_s: float = 0.5
 
 
@@ -74,7 +74,7 @@
     sent_at: float | None = None
 
 
-class Refusal(enum.StrEnum):
+class RefusalReason(enum.StrEnum):
     """Why an attempt was not handed over. Counters `gate.refused.REASON`."""
 
     DEADLINE = "deadline"
@@ -94,7 +94,7 @@
     WRONG_VERSION = "wrong_version"
 
 
-class Failure(enum.StrEnum):
+class FailureReason(enum.StrEnum):
     """Why the end of a handed-over attempt is not known.
 
     Counters `gate.failed.REASON`.
@@ -128,7 +128,7 @@
     """
 
     id: AttemptId
-    reason: Refusal
+    reason: RefusalReason
     retry_after_s: float = 0.0
 
 
@@ -142,7 +142,7 @@
     """
 
     id: AttemptId
-    reason: Failure
+    reason: FailureReason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/clementinegw/matrix/fleet.py
+++ b/src/clementinegw/matrix/fleet.py
@@ -21,7 +21,11 @@
 REPLACED_S = 0.3
 _KEYS = auth.single(b"0123456789abcdef")
 _TIMING = gate_service.Timing(
-    status_s=1.0, changed_s=0.1, probe_s=0.2, probe_timeout_s=0.3, stall_s=1.0
+    status_interval_s=1.0,
+    max_notify_delay_s=0.1,
+    probe_interval_s=0.2,
+    probe_timeout_s=0.3,
+    stall_timeout_s=1.0,
 )
 
 
--- a/tests/gate_site.py
+++ b/tests/gate_site.py
@@ -26,12 +26,12 @@
 ANY_PORT = types.Address("127.0.0.1", 0)
 INCARNATION = 7
 TIMING = service.Timing(
-    status_s=0.5,
-    changed_s=0.02,
-    prefixes_s=30.0,
-    probe_s=0.05,
+    status_interval_s=0.5,
+    max_notify_delay_s=0.02,
+    prefix_list_interval_s=30.0,
+    probe_interval_s=0.05,
     probe_timeout_s=0.1,
-    stall_s=0.3,
+    stall_timeout_s=0.3,
 )
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,7 +11,7 @@
 from clementinegw.capacity import quantities
 from clementinegw.capacity import table
 from clementinegw.commands import main
-from clementinegw.gate import _serving
+from clementinegw.gate import _context
 from clementinegw.wire import codec
 from clementinegw.wire.gen.frame import ttypes as frame_types
 from clementinegw.wire.gen.requests import ttypes as requests_types
@@ -117,11 +117,11 @@
     kinds = frame_types.Kind
     assert framed(kinds.AGENT_STATUS, status) == shipped["status_bytes"].value
     assert framed(kinds.AGENT_LOAD, load) == shipped["load_bytes"].value
-    timing = _serving.Timing()
+    timing = _context.Timing()
     whole = shipped["status_per_s"].value
-    assert 1 / timing.status_s == whole
-    assert 1 / timing.probe_s == whole + shipped["load_per_s"].value
-    assert timing.changed_s >= 2 * timing.probe_s
+    assert 1 / timing.status_interval_s == whole
+    assert 1 / timing.probe_interval_s == whole + shipped["load_per_s"].value
+    assert timing.max_notify_delay_s >= 2 * timing.probe_interval_s
 
 
 def test_control_of_a_process_is_within_its_budget_at_the_target():
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -170,7 +170,7 @@
         self.runs[request.key].append(request.request_id)
         self.ran_requests.add(request.request_id)
         await asyncio.sleep(self.rng.choice([0.05, 0.3, 3.0]))
-        gate.answered(attempt.id, self.clock.now())
+        gate.on_answered(attempt.id, self.clock.now())
         if self.rng.random() < 0.8:
             body = b"booked " + request.request_id.encode()
             self.answers[attempt.id] = types.Answered(200, (), body)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -50,7 +50,7 @@
     return [a.id.request_id for a in actions if isinstance(a, types.HandOver)]
 
 
-def entomb(gate, attempt, now=NOW, whole=False, incarnation=INCARNATION):
+def tombstone(gate, attempt, now=NOW, whole=False, incarnation=INCARNATION):
     proved, _ = gate.tombstone(
         attempt.id, whole, incarnation, attempt.sent_at, now
     )
@@ -58,7 +58,7 @@
 
 
 def test_urgent_attempts_go_first_and_push_out_others():
-    gate = gate_of(capacity=1, queue=2)
+    gate = gate_of(capacity=1, max_queued=2)
     low, normal, high = shared.Priority
     assert started(gate.submit(attempt_of("r1"), NOW)) == ["r1"]
     gate.submit(attempt_of("r2", priority=low), NOW)
@@ -68,15 +68,15 @@
     actions = gate.submit(attempt_of("r5", priority=high), NOW)
     assert refusals(actions) == [("r2", "overloaded")]
     first = types.AttemptId("r1", 1)
-    assert started(gate.answered(first, NOW)) == ["r5"]
+    assert started(gate.on_answered(first, NOW)) == ["r5"]
 
 
 def test_attempt_that_waits_past_its_deadline_is_refused():
     gate = gate_of(capacity=1)
     gate.submit(attempt_of("r1"), NOW)
     gate.submit(attempt_of("r2", deadline=NOW + 1.0), NOW)
-    assert gate.tick(NOW + 0.5) == []
-    assert refusals(gate.tick(NOW + 1.0)) == [("r2", "deadline")]
+    assert gate.on_tick(NOW + 0.5) == []
+    assert refusals(gate.on_tick(NOW + 1.0)) == [("r2", "deadline")]
 
 
 def test_suspect_runs_alone_and_holds_back_what_comes_later():
@@ -89,9 +89,9 @@
     gate.submit(attempt_of("r1"), NOW)
     assert started(gate.submit(attempt_of("s", alone=True), NOW)) == []
     assert started(gate.submit(attempt_of("r2"), NOW)) == []
-    assert started(gate.answered(types.AttemptId("r1", 1), NOW)) == ["s"]
+    assert started(gate.on_answered(types.AttemptId("r1", 1), NOW)) == ["s"]
     assert started(gate.submit(attempt_of("r3"), NOW)) == []
-    actions = gate.answered(types.AttemptId("s", 1), NOW)
+    actions = gate.on_answered(types.AttemptId("s", 1), NOW)
     assert started(actions) == ["r2", "r3"]
     cleared = [a for a in actions if isinstance(a, types.ReportCleared)]
     assert cleared == [types.ReportCleared((b"s",))]
@@ -101,14 +101,14 @@
     gate = gate_of(capacity=2)
     for name in ("r1", "r2", "r3"):
         gate.submit(attempt_of(name), NOW)
-    actions = gate.crashed(NOW)
+    actions = gate.on_crash(NOW)
     failed = [a.id.request_id for a in actions if isinstance(a, types.Fail)]
     assert failed == ["r1", "r2"]
     assert refusals(actions) == [("r3", "not_ready")]
     assert actions[-1] == types.ReportCrash(1, (b"r1", b"r2"))
     again = gate.submit(attempt_of("r4"), NOW)
     assert refusals(again) == [("r4", "not_ready")]
-    gate.loaded(NOW)
+    gate.on_loaded(NOW)
     assert started(gate.submit(attempt_of("r5"), NOW)) == ["r5"]
 
 
@@ -121,8 +121,8 @@
     """
     gate = gate_of()
     lost = booking("r1", incarnation=INCARNATION - 1)
-    assert not entomb(gate, lost, incarnation=INCARNATION - 1)
-    assert not entomb(gate, lost, incarnation=0)
+    assert not tombstone(gate, lost, incarnation=INCARNATION - 1)
+    assert not tombstone(gate, lost, incarnation=0)
     late = gate.submit(lost, NOW)
     assert refusals(late) == [("r1", "incarnation")]
     unnamed = gate.submit(booking("r2", incarnation=0), NOW)
@@ -131,7 +131,7 @@
 
 def test_tombstone_refuses_the_attempt_that_arrives_later():
     gate = gate_of()
-    assert entomb(gate, attempt_of("r1", 2), whole=True)
+    assert tombstone(gate, attempt_of("r1", 2), whole=True)
     for number in (1, 2):
         actions = gate.submit(attempt_of("r1", number), NOW)
         assert refusals(actions) == [("r1", "tombstoned")]
@@ -147,21 +147,21 @@
     gate = gate_of(retention_s=60.0)
     ran = attempt_of("r1", sent_at=NOW)
     gate.submit(ran, NOW)
-    gate.answered(ran.id, NOW)
-    assert not entomb(gate, ran, NOW + 5.0)
-    gate.tick(NOW + 1000.0)
-    assert not entomb(gate, ran, NOW + 1000.0)
+    gate.on_answered(ran.id, NOW)
+    assert not tombstone(gate, ran, NOW + 5.0)
+    gate.on_tick(NOW + 1000.0)
+    assert not tombstone(gate, ran, NOW + 1000.0)
     unaged = dataclasses.replace(ran, sent_at=None)
-    assert not entomb(gate, unaged, NOW + 1000.0)
+    assert not tombstone(gate, unaged, NOW + 1000.0)
     fresh = attempt_of("r2", sent_at=NOW + 999.0)
-    assert entomb(gate, fresh, NOW + 1000.0)
+    assert tombstone(gate, fresh, NOW + 1000.0)
 
 
 def test_attempt_older_than_the_memory_of_tombstones_is_refused():
     gate = gate_of(retention_s=60.0)
     late = attempt_of("r1", sent_at=NOW, deadline=NOW + 5000.0)
-    assert entomb(gate, late)
-    gate.tick(NOW + 1000.0)
+    assert tombstone(gate, late)
+    gate.on_tick(NOW + 1000.0)
     actions = gate.submit(late, NOW + 1000.0)
     assert refusals(actions) == [("r1", "forgotten")]
 
@@ -190,8 +190,8 @@
     """
     gate = gate_of(retention_s=60.0)
     gate.submit(booking("r1", claim_offset=5), NOW)
-    gate.answered(types.AttemptId("r1", 1), NOW)
-    gate.tick(NOW + 1000.0)
+    gate.on_answered(types.AttemptId("r1", 1), NOW)
+    gate.on_tick(NOW + 1000.0)
     late = booking("r1", claim_offset=5, attempt=2, deadline=NOW + 2000.0)
     actions = gate.submit(late, NOW + 1000.0)
     assert refusals(actions) == [("r1", "fenced")]
@@ -206,7 +206,7 @@
     gate = gate_of()
     new = booking("r2", claim_offset=9)
     gate.submit(new, NOW)
-    gate.not_taken(new.id, types.Refusal.UNREACHABLE, NOW)
+    gate.on_not_begun(new.id, types.RefusalReason.UNREACHABLE, NOW)
     old = gate.submit(booking("r1", claim_offset=5), NOW)
     assert refusals(old) == [("r1", "fenced")]
     actions = gate.submit(booking("r3", claim_offset=12), NOW)
@@ -228,11 +228,11 @@
     Sequence: a link stalls with a submission that has 3 s left, and delivers
     it later. Cause: deadlines travel as what is left, since clocks differ.
     """
-    delays = _calls.Delays()
+    estimator = _calls.DelayEstimator()
     for number in range(10):
         now = NOW + number
-        assert delays.delay(int((now - 700.0) * 1000), now) < 0.01
-    late = delays.delay(int((NOW + 10 - 700.0) * 1000), NOW + 15.0)
+        assert estimator.estimate_s(int((now - 700.0) * 1000), now) < 0.01
+    late = estimator.estimate_s(int((NOW + 10 - 700.0) * 1000), NOW + 15.0)
     assert late == pytest.approx(5.0, abs=0.01)
 
 
@@ -242,7 +242,7 @@
     Sequence: a connection lives for a week; the clocks at its ends differ by
     100 millionths. Cause: the difference grows by 9 s a day.
     """
-    delays = _calls.Delays()
+    estimator = _calls.DelayEstimator()
     for second in range(0, 7 * 86_400, 20):
         sent = (NOW + second) * (1 - 100e-6)
-        assert delays.delay(int(sent * 1000), NOW + second) < 0.05
+        assert estimator.estimate_s(int(sent * 1000), NOW + second) < 0.05
--- a/tests/test_gate_machine.py
+++ b/tests/test_gate_machine.py
@@ -21,7 +21,7 @@
     def __init__(self):
         super().__init__()
         self.limits = types.Limits(
-            capacity=2, queue=2, retention_s=10.0, remembered=4
+            capacity=2, max_queued=2, retention_s=10.0, max_records=4
         )
         self.gate = gate_lib.Gate(self.limits, INCARNATION)
         self.now = NOW
@@ -124,7 +124,7 @@
     @stateful.rule(seconds=strategies.sampled_from([0.1, 2.0, 50.0]))
     def wait(self, seconds):
         self.now += seconds
-        self.take(self.gate.tick(self.now))
+        self.take(self.gate.on_tick(self.now))
 
     @stateful.rule(
         data=strategies.data(),
@@ -147,24 +147,24 @@
             self.began.discard(attempt_id)
             if self.keys.get(attempt.key) == attempt.claim_offset:
                 del self.keys[attempt.key]
-            reason = types.Refusal.UNREACHABLE
-            actions = self.gate.not_taken(attempt_id, reason, self.now)
+            reason = types.RefusalReason.UNREACHABLE
+            actions = self.gate.on_not_begun(attempt_id, reason, self.now)
         elif end == "failed":
-            reason = types.Failure.LOST
-            actions = self.gate.failed(attempt_id, reason, self.now)
+            reason = types.FailureReason.LOST
+            actions = self.gate.on_failed(attempt_id, reason, self.now)
         else:
-            actions = self.gate.answered(attempt_id, self.now)
+            actions = self.gate.on_answered(attempt_id, self.now)
         self.take(actions)
 
     @stateful.rule(
-        event=strategies.sampled_from(["crashed", "stalled", "drain"])
+        event=strategies.sampled_from(["on_crash", "on_stall", "drain"])
     )
     def trouble(self, event):
         self.take(getattr(self.gate, event)(self.now))
 
     @stateful.rule()
     def loaded(self):
-        self.take(self.gate.loaded(self.now))
+        self.take(self.gate.on_loaded(self.now))
 
     @stateful.precondition(lambda self: len(self.sent) > 8)
     @stateful.rule()
@@ -178,7 +178,7 @@
         assert len(self.at_server) <= self.limits.capacity
         alone = [a for a in self.at_server.values() if a.alone]
         assert not alone or len(self.at_server) == 1
-        assert self.gate.load.queued <= self.limits.queue
+        assert self.gate.load.queued <= self.limits.max_queued
 
 
 GateMachine.TestCase.settings = hypothesis.settings(
--- a/tests/test_gate_service.py
+++ b/tests/test_gate_service.py
@@ -119,7 +119,7 @@
             body = b'{"prompt": "%s", "max_tokens": 2}' % text.encode()
             submit = submit_of(f"r{number}", "/v1/completions", body=body)
             await setup.run(submit)
-            await asyncio.sleep(5 * TIMING.probe_s)
+            await asyncio.sleep(5 * TIMING.probe_interval_s)
         for notice in setup.notices:
             whole = isinstance(notice, ttypes.AgentStatus)
             new, gone = notice.prefixes or [], notice.prefixes_gone or []
@@ -195,7 +195,7 @@
         assert reason_of(refused[-1]) == "loading"
         assert await drained
         assert (await first)[-1].kind == Kind.ANSWER_END
-        await asyncio.sleep(3 * TIMING.probe_s)
+        await asyncio.sleep(3 * TIMING.probe_interval_s)
         assert not setup.gate.ready
         setup.gate.resume()
         assert (await setup.run(submit_of("r3")))[-1].kind == Kind.ANSWER_END
--- a/tests/test_gate_status.py
+++ b/tests/test_gate_status.py
@@ -6,8 +6,8 @@
 import requests_script as script
 
 from clementinegw import types
+from clementinegw.gate import _context
 from clementinegw.gate import _monitor
-from clementinegw.gate import _serving
 from clementinegw.gate import gate as gate_lib
 from clementinegw.gate import types as gate_types
 from clementinegw.telemetry import counters as counters_lib
@@ -48,20 +48,20 @@
     def __init__(self):
         self.time = 100.0
         self.entry = _Entry()
-        self.serving = _serving.Serving(version="v1")
+        self.backend_state = _context.BackendState(version="v1")
         self.gate = gate_lib.Gate(gate_types.Limits(), 7, ready=True)
         clock = builtin_types.SimpleNamespace(now=lambda: self.time)
-        tools = _serving.Tools(
+        context = _context.Context(
             self.gate,
             None,
-            self.serving,
-            _serving.Timing(),
+            self.backend_state,
+            _context.Timing(),
             clock,
             logs.Log(),
             counters_lib.Counters(),
             lambda actions: None,
         )
-        self.monitor = _monitor.Monitor(self.entry, "s", tools)
+        self.monitor = _monitor.Monitor(self.entry, "s", context)
         self.tell()
 
     def submit(self, name):
@@ -74,7 +74,7 @@
         """Returns what the entry hears when told after some seconds."""
         self.time += after_s
         self.entry.heard.clear()
-        self.monitor.tell()
+        self.monitor.push_changes()
         return list(self.entry.heard)
 
 
@@ -82,13 +82,13 @@
     agent = _Agent()
     assert agent.tell(0.5) == []
     agent.submit("r1")
-    agent.serving.prefixes = [11, 12]
+    agent.backend_state.prefixes = [11, 12]
     ((kind, load),) = agent.tell(0.5)
     assert kind is Kind.AGENT_LOAD
     assert (load.incarnation, load.in_flight, load.queued) == (7, 1, 0)
     assert sorted(load.prefixes) == [11, 12]
     assert load.prefixes_gone is None
-    agent.serving.prefixes = [12]
+    agent.backend_state.prefixes = [12]
     ((kind, load),) = agent.tell(0.5)
     assert (kind, load.prefixes_gone) == (Kind.AGENT_LOAD, [11])
 
@@ -111,16 +111,16 @@
 
 def test_state_is_told_whole_at_once():
     agent = _Agent()
-    agent.gate.stalled(agent.time)
+    agent.gate.on_stall(agent.time)
     ((kind, status),) = agent.tell()
     assert (kind, status.ready) == (Kind.AGENT_STATUS, False)
-    agent.gate.loaded(agent.time)
+    agent.gate.on_loaded(agent.time)
     ((kind, status),) = agent.tell()
     assert (kind, status.ready) == (Kind.AGENT_STATUS, True)
     agent.gate.set_capacity(3)
     ((kind, status),) = agent.tell()
     assert (kind, status.capacity) == (Kind.AGENT_STATUS, 3)
-    agent.serving.version = "v2"
+    agent.backend_state.version = "v2"
     ((kind, status),) = agent.tell()
     assert (kind, status.version) == (Kind.AGENT_STATUS, "v2")
     agent.gate.leave(agent.time)
