--- a/src/clementinegw/bench/_requests_loopback.py
+++ b/src/clementinegw/bench/_requests_loopback.py
@@ -44,7 +44,7 @@
 _BOOKINGS = 0.1
 _DEADLINE_S = 10.0
 _SETTLE_S = 1.0
-_KEYS = auth.single(b"0" * 32)
+_KEYS = auth.single_key_ring(b"0" * 32)
 _ANY = types.Address("127.0.0.1", 0)
 _PLACE = types.Place("midden", "utrecht-hal")
 
--- a/src/clementinegw/bench/_requests_world.py
+++ b/src/clementinegw/bench/_requests_world.py
@@ -27,7 +27,7 @@
 from clementinegw.wire import connection as connection_lib
 
 SERVICE = "assistent"
-_KEYS = auth.single(b"0" * 32)
+_KEYS = auth.single_key_ring(b"0" * 32)
 _ANY = types.Address("127.0.0.1", 0)
 
 
--- a/src/clementinegw/bench/_rollout_node.py
+++ b/src/clementinegw/bench/_rollout_node.py
@@ -18,9 +18,11 @@
 from clementinegw.wire import auth
 from clementinegw.wire import connection as connections
 
-_KEYS = auth.single(b"a key for measurements only")
+_KEYS = auth.single_key_ring(b"a key for measurements only")
 # Hundreds of handshakes share one processor while a run is set up.
-_TIMING = connections.Timing(connect_s=30.0, ping_s=20.0, silent_s=60.0)
+_TIMING = connections.Timing(
+    connect_timeout_s=30.0, ping_after_s=20.0, idle_timeout_s=60.0
+)
 _STORE_VERSIONS = 3
 _LINK_BURST_S = 0.01
 _PACKETS_A_PART = 4
--- a/src/clementinegw/bench/_settings_network.py
+++ b/src/clementinegw/bench/_settings_network.py
@@ -188,7 +188,7 @@
         types.Place("bench", member.domain),
         rng.randrange(1, 1 << 30),
     )
-    endpoint = connection.Endpoint(identity, auth.single(b"bench" * 8))
+    endpoint = connection.Endpoint(identity, auth.single_key_ring(b"bench" * 8))
 
     async def on_pull(
         conn: connection.Connection,
--- a/src/clementinegw/bench/claims.py
+++ b/src/clementinegw/bench/claims.py
@@ -34,7 +34,7 @@
     def __init__(self, log: memory.MemoryLog, timing: claims_service.Timing):
         self._log = log
         self._timing = timing
-        self._keys = auth.single(b"0123456789abcdef")
+        self._keys = auth.single_key_ring(b"0123456789abcdef")
         self._instances: list[shared.Instance] = []
         self._endpoints: list[connection.Endpoint] = []
         self.claims: list[claims_service.ClaimsService] = []
--- a/src/clementinegw/bench/control.py
+++ b/src/clementinegw/bench/control.py
@@ -232,7 +232,7 @@
         )
         return service.Membership(
             instance,
-            auth.single(b"a key of the bench"),
+            auth.single_key_ring(b"a key of the bench"),
             seeds=tuple(seeds),
             rng=random.Random(self._rng.random()),
             log=_Silent(),
--- a/src/clementinegw/bench/gate.py
+++ b/src/clementinegw/bench/gate.py
@@ -85,7 +85,7 @@
 
 async def calls(with_gate: bool, count: int = _CALLS) -> float:
     """Returns microseconds for one call over loopback, both sides together."""
-    keys = auth.single(b"0123456789abcdef")
+    keys = auth.single_key_ring(b"0123456789abcdef")
     agent = connection.Endpoint(
         connection.Identity("agent-1", shared.Role.AGENT, _PLACE, 1), keys
     )
--- a/src/clementinegw/daemons/core.py
+++ b/src/clementinegw/daemons/core.py
@@ -215,7 +215,7 @@
         ring = keys_lib.narrowed(
             self._ring, security.key_id, security.accepted_key_ids
         )
-        self.endpoint.rotate(ring)
+        self.endpoint.set_keys(ring)
         self.membership.set_keys(ring)
 
     def _on_member(self, member: views.MemberView) -> None:
@@ -248,5 +248,5 @@
 
 def _key_ring(file: model_lib.InstanceFile) -> auth.KeyRing:
     if file.key_file is None:
-        return auth.single(_OPEN_KEY)
+        return auth.single_key_ring(_OPEN_KEY)
     return keys_lib.load(file.key_file)
--- a/src/clementinegw/direct/fetcher.py
+++ b/src/clementinegw/direct/fetcher.py
@@ -65,7 +65,9 @@
 # domain, in seconds: they wait for the first of their own for longer than that.
 _FAR_ADVERT_INTERVAL_S = 0.3
 # A sign of life is asked for once before a peer is given up.
-_TIMING = connections.Timing(connect_s=1.0, ping_s=1.0, silent_s=2.1)
+_TIMING = connections.Timing(
+    connect_timeout_s=1.0, ping_after_s=1.0, idle_timeout_s=2.1
+)
 
 
 def digest_of(data: bytes) -> bytes:
@@ -152,7 +154,7 @@
         self._me = me
         self._log = log
         self._endpoint = connections.Endpoint(
-            identity, auth.single(_KEY), log, counters, _TIMING
+            identity, auth.single_key_ring(_KEY), log, counters, _TIMING
         )
         self._clock = clock
         self._origin = _OriginBlobStore(counters, clock)
--- a/src/clementinegw/direct/relay.py
+++ b/src/clementinegw/direct/relay.py
@@ -84,7 +84,7 @@
         drain_s = instance.bounds.drain_ms / 1e3
         self._endpoint = connections.Endpoint(
             connections.Identity(instance.name, role, instance.place),
-            auth.single(_KEY),
+            auth.single_key_ring(_KEY),
             log,
             counters,
             _timing(drain_s),
@@ -297,13 +297,13 @@
     loop = asyncio.get_running_loop()
     until = loop.time() + grace_s
     while True:
-        bytes_before = connection.bytes_in
+        bytes_before = connection.bytes_received
         interval_s = min(_PROGRESS_INTERVAL_S, until - loop.time())
         try:
             return await exchange.receive(max(0.0, interval_s))
         except TimeoutError:
             if (
-                connection.bytes_in - bytes_before
+                connection.bytes_received - bytes_before
                 > _PROGRESS_INTERVAL_S * _MIN_PROGRESS_BYTES_PER_S
             ):
                 until = max(until, loop.time() + grace_s)
--- a/src/clementinegw/matrix/fleet.py
+++ b/src/clementinegw/matrix/fleet.py
@@ -19,7 +19,7 @@
 
 SERVICE = "magazijn"
 REPLACED_S = 0.3
-_KEYS = auth.single(b"0123456789abcdef")
+_KEYS = auth.single_key_ring(b"0123456789abcdef")
 _TIMING = gate_service.Timing(
     status_interval_s=1.0,
     max_notify_delay_s=0.1,
--- a/src/clementinegw/weights/_transfer_links.py
+++ b/src/clementinegw/weights/_transfer_links.py
@@ -132,7 +132,7 @@
             return
         del self._up[name]
         self._note_end(name)
-        self._give(swarm.PeerDown(name, connection.ended_by_peer))
+        self._give(swarm.PeerDown(name, connection.closed_by_peer))
         if name in self._wanted:
             self.want(name)
 
--- a/src/clementinegw/wire/_handshake.py
+++ b/src/clementinegw/wire/_handshake.py
@@ -15,13 +15,13 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.frame import ttypes
 
-PROTOCOL = 1
+PROTOCOL_VERSION = 1
 _ACCEPTOR = b"acceptor"
 _OPENER = b"opener"
 
 
 @dataclasses.dataclass(slots=True)
-class Opened:
+class OpenerState:
     """What the opener remembers between HELLO and WELCOME."""
 
     hello: ttypes.Hello
@@ -29,52 +29,61 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Accepted:
+class AcceptorState:
     """What the acceptor remembers between CHALLENGE and PROOF."""
 
     hello: ttypes.Hello
     challenge: ttypes.Challenge
 
 
-def hello(me: _link.Identity) -> ttypes.Hello:
+def make_hello(own: _link.Identity) -> ttypes.Hello:
     """Returns the first message of the opener."""
     return ttypes.Hello(
-        protocol=PROTOCOL,
-        instance_id=me.instance_id,
-        role=me.role.value,
-        region=me.place.region,
-        failure_domain=me.place.failure_domain,
-        incarnation=me.incarnation,
+        protocol=PROTOCOL_VERSION,
+        instance_id=own.instance_id,
+        role=own.role.value,
+        region=own.place.region,
+        failure_domain=own.place.failure_domain,
+        incarnation=own.incarnation,
         nonce=auth.new_nonce(),
     )
 
 
-def challenge(me: _link.Identity, keys: auth.KeyRing, body: bytes) -> Accepted:
+def answer_hello(
+    own: _link.Identity, keys: auth.KeyRing, body: bytes
+) -> AcceptorState:
     """Answers a HELLO.
 
     Raises:
       exceptions.DecodeError: The bytes are no HELLO of this protocol.
     """
     message = codec.decode(ttypes.Hello, body)
-    if message.protocol != PROTOCOL or len(message.nonce) != auth.NONCE_BYTES:
+    if (
+        message.protocol != PROTOCOL_VERSION
+        or len(message.nonce) != auth.NONCE_BYTES
+    ):
         raise exceptions.DecodeError(f"protocol {message.protocol}")
     nonce = auth.new_nonce()
-    proof = keys.sign(*_parts(_ACCEPTOR, message, me.instance_id, nonce))
+    proof = keys.sign(
+        *_signed_parts(_ACCEPTOR, message, own.instance_id, nonce)
+    )
     answer = ttypes.Challenge(
-        protocol=PROTOCOL,
-        instance_id=me.instance_id,
+        protocol=PROTOCOL_VERSION,
+        instance_id=own.instance_id,
         nonce=nonce,
         key_id=keys.active,
         proof=proof,
-        role=me.role.value,
-        region=me.place.region,
-        failure_domain=me.place.failure_domain,
-        incarnation=me.incarnation,
+        role=own.role.value,
+        region=own.place.region,
+        failure_domain=own.place.failure_domain,
+        incarnation=own.incarnation,
     )
-    return Accepted(message, answer)
+    return AcceptorState(message, answer)
 
 
-def prove(keys: auth.KeyRing, opened: Opened, body: bytes) -> ttypes.Proof:
+def answer_challenge(
+    keys: auth.KeyRing, opened: OpenerState, body: bytes
+) -> ttypes.Proof:
     """Checks a CHALLENGE and answers it.
 
     Raises:
@@ -82,15 +91,17 @@
     """
     answer = codec.decode(ttypes.Challenge, body)
     name = answer.instance_id
-    parts = _parts(_ACCEPTOR, opened.hello, name, answer.nonce)
+    parts = _signed_parts(_ACCEPTOR, opened.hello, name, answer.nonce)
     if not keys.verify(answer.key_id, answer.proof, *parts):
         raise exceptions.DecodeError("the acceptor's proof is wrong")
     opened.challenge = answer
-    proof = keys.sign(*_parts(_OPENER, opened.hello, name, answer.nonce))
+    proof = keys.sign(*_signed_parts(_OPENER, opened.hello, name, answer.nonce))
     return ttypes.Proof(key_id=keys.active, proof=proof)
 
 
-def check(keys: auth.KeyRing, accepted: Accepted, body: bytes) -> None:
+def check_proof(
+    keys: auth.KeyRing, accepted: AcceptorState, body: bytes
+) -> None:
     """Checks a PROOF.
 
     Raises:
@@ -98,12 +109,14 @@
     """
     message = codec.decode(ttypes.Proof, body)
     answer = accepted.challenge
-    parts = _parts(_OPENER, accepted.hello, answer.instance_id, answer.nonce)
+    parts = _signed_parts(
+        _OPENER, accepted.hello, answer.instance_id, answer.nonce
+    )
     if not keys.verify(message.key_id, message.proof, *parts):
         raise exceptions.DecodeError("the opener's proof is wrong")
 
 
-def identity(message: ttypes.Hello | ttypes.Challenge) -> _link.Identity:
+def sender_of(message: ttypes.Hello | ttypes.Challenge) -> _link.Identity:
     """Returns who sent a HELLO or a CHALLENGE.
 
     Raises:
@@ -117,7 +130,7 @@
     return _link.Identity(message.instance_id, role, place, message.incarnation)
 
 
-def _parts(
+def _signed_parts(
     side: bytes, opener: ttypes.Hello, acceptor_id: str, nonce: bytes
 ) -> tuple[bytes, ...]:
     return (
--- a/src/clementinegw/wire/_greeter.py
+++ b/src/clementinegw/wire/_handshaker.py
@@ -14,25 +14,25 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Met:
+class HandshakeResult:
     """A handshake that is done.
 
     Attributes:
       peer: Who is at the other end.
-      opened_here: Whether this process opened the link.
+      is_opener: Whether this process opened the link.
     """
 
     peer: _link.Identity
-    opened_here: bool
+    is_opener: bool
 
 
 @dataclasses.dataclass(slots=True)
-class _Opening:
-    state: _handshake.Opened
+class _PendingOpen:
+    state: _handshake.OpenerState
     ready: asyncio.Future[_link.Connection]
 
 
-class Greeter:
+class Handshaker:
     """The handshakes of one endpoint."""
 
     def __init__(self, identity: _link.Identity, keys: auth.KeyRing):
@@ -44,9 +44,9 @@
         """
         self.keys = keys
         self._identity = identity
-        self._openings: dict[_link.Link, _Opening] = {}
-        self._accepted: dict[_link.Link, _handshake.Accepted] = {}
-        self._steps = {
+        self._pending_opens: dict[_link.Link, _PendingOpen] = {}
+        self._awaiting_proof: dict[_link.Link, _handshake.AcceptorState] = {}
+        self._frame_handlers = {
             Kind.HELLO: self._on_hello,
             Kind.CHALLENGE: self._on_challenge,
             Kind.PROOF: self._on_proof,
@@ -59,17 +59,19 @@
         Raises:
           exceptions.ConnectionLost: The peer refused, or is none of ours.
         """
-        opened = _handshake.Opened(_handshake.hello(self._identity))
+        opened = _handshake.OpenerState(_handshake.make_hello(self._identity))
         loop = asyncio.get_running_loop()
-        opening = _Opening(opened, loop.create_future())
-        self._openings[link] = opening
+        opening = _PendingOpen(opened, loop.create_future())
+        self._pending_opens[link] = opening
         _send(link, Kind.HELLO, opened.hello)
         try:
             return await opening.ready
         finally:
-            self._openings.pop(link, None)
+            self._pending_opens.pop(link, None)
 
-    def take(self, link: _link.Link, kind: Kind, body: bytes) -> Met | None:
+    def handle_frame(
+        self, link: _link.Link, kind: Kind, body: bytes
+    ) -> HandshakeResult | None:
         """Takes one frame of a handshake.
 
         Returns:
@@ -78,54 +80,58 @@
         Raises:
           exceptions.DecodeError: The frame is out of order or proves nothing.
         """
-        step = self._steps.get(kind)
+        step = self._frame_handlers.get(kind)
         if step is None:
             raise exceptions.DecodeError(f"{kind!r} before the handshake")
         return step(link, body)
 
-    def done(self, link: _link.Link, connection: _link.Connection) -> None:
+    def complete(self, link: _link.Link, connection: _link.Connection) -> None:
         """Hands the connection to whoever opened the link."""
-        opening = self._openings.get(link)
+        opening = self._pending_opens.get(link)
         if opening is not None and not opening.ready.done():
             opening.ready.set_result(connection)
 
-    def refused(self, link: _link.Link, reason: str) -> None:
+    def fail(self, link: _link.Link, reason: str) -> None:
         """Ends the handshake of a link that broke or was refused."""
-        self._accepted.pop(link, None)
-        opening = self._openings.get(link)
+        self._awaiting_proof.pop(link, None)
+        opening = self._pending_opens.get(link)
         if opening is not None and not opening.ready.done():
             opening.ready.set_exception(exceptions.ConnectionLost(reason))
 
     def _on_hello(self, link: _link.Link, body: bytes) -> None:
-        if link in self._openings or link in self._accepted:
+        if link in self._pending_opens or link in self._awaiting_proof:
             raise exceptions.DecodeError("HELLO out of order")
-        accepted = _handshake.challenge(self._identity, self.keys, body)
-        self._accepted[link] = accepted
+        accepted = _handshake.answer_hello(self._identity, self.keys, body)
+        self._awaiting_proof[link] = accepted
         _send(link, Kind.CHALLENGE, accepted.challenge)
 
     def _on_challenge(self, link: _link.Link, body: bytes) -> None:
-        if link not in self._openings:
+        if link not in self._pending_opens:
             raise exceptions.DecodeError("CHALLENGE out of order")
-        state = self._openings[link].state
-        _send(link, Kind.PROOF, _handshake.prove(self.keys, state, body))
-
-    def _on_proof(self, link: _link.Link, body: bytes) -> Met:
-        accepted = self._accepted.pop(link, None)
+        state = self._pending_opens[link].state
+        _send(
+            link,
+            Kind.PROOF,
+            _handshake.answer_challenge(self.keys, state, body),
+        )
+
+    def _on_proof(self, link: _link.Link, body: bytes) -> HandshakeResult:
+        accepted = self._awaiting_proof.pop(link, None)
         if accepted is None:
             raise exceptions.DecodeError("PROOF out of order")
-        _handshake.check(self.keys, accepted, body)
-        peer = _handshake.identity(accepted.hello)
-        welcome = ttypes.Welcome(protocol=_handshake.PROTOCOL)
+        _handshake.check_proof(self.keys, accepted, body)
+        peer = _handshake.sender_of(accepted.hello)
+        welcome = ttypes.Welcome(protocol=_handshake.PROTOCOL_VERSION)
         _send(link, Kind.WELCOME, welcome)
-        return Met(peer, opened_here=False)
+        return HandshakeResult(peer, is_opener=False)
 
-    def _on_welcome(self, link: _link.Link, body: bytes) -> Met:
+    def _on_welcome(self, link: _link.Link, body: bytes) -> HandshakeResult:
         del body
-        opening = self._openings.get(link)
+        opening = self._pending_opens.get(link)
         if opening is None or opening.state.challenge is None:
             raise exceptions.DecodeError("WELCOME out of order")
-        peer = _handshake.identity(opening.state.challenge)
-        return Met(peer, opened_here=True)
+        peer = _handshake.sender_of(opening.state.challenge)
+        return HandshakeResult(peer, is_opener=True)
 
 
 def _send(link: _link.Link, kind: Kind, message) -> None:
--- a/src/clementinegw/wire/_link.py
+++ b/src/clementinegw/wire/_link.py
@@ -53,14 +53,14 @@
         self._on_lost = on_lost
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
-        self._resumed: asyncio.Future | None = None
+        self._writable: asyncio.Future | None = None
         self._closed = False
-        self._ended_here = False
-        self._ended_by_peer = False
+        self._closed_here = False
+        self._closed_by_peer = False
         self._made_at = 0.0
-        self._heard_at = 0.0
-        self.bytes_in = 0
-        self.bytes_out = 0
+        self._last_received_at = 0.0
+        self.bytes_received = 0
+        self.bytes_sent = 0
 
     @property
     def closed(self) -> bool:
@@ -68,46 +68,46 @@
         return self._closed
 
     @property
-    def ended_by_peer(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """Whether the other end closed or reset the connection."""
-        return self._ended_by_peer
+        return self._closed_by_peer
 
     @property
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """Loop time in seconds at which the last bytes came."""
-        return self._heard_at
+        return self._last_received_at
 
     def connection_made(self, transport) -> None:
         """Called by asyncio."""
         self._transport = transport
-        self._heard_at = asyncio.get_running_loop().time()
+        self._last_received_at = asyncio.get_running_loop().time()
 
     def connection_lost(self, exc) -> None:
         """Called by asyncio."""
         self._closed = True
         # Other errors come from the path: no route, no acknowledgement.
         by_peer = exc is None or isinstance(exc, ConnectionResetError)
-        self._ended_by_peer = by_peer and not self._ended_here
+        self._closed_by_peer = by_peer and not self._closed_here
         self.resume_writing()
         self._on_lost(self)
 
     def pause_writing(self) -> None:
         """Called by asyncio when the send buffer is full."""
-        self._resumed = asyncio.get_running_loop().create_future()
+        self._writable = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
         """Called by asyncio when the send buffer has drained."""
-        if self._resumed is not None and not self._resumed.done():
-            self._resumed.set_result(None)
-        self._resumed = None
+        if self._writable is not None and not self._writable.done():
+            self._writable.set_result(None)
+        self._writable = None
 
     def data_received(self, data: bytes) -> None:
         """Called by asyncio; cuts the bytes into frames."""
-        self._heard_at = asyncio.get_running_loop().time()
-        self.bytes_in += len(data)
+        self._last_received_at = asyncio.get_running_loop().time()
+        self.bytes_received += len(data)
         self._buffer += data
         try:
-            self._cut_frames()
+            self._parse_frames()
         except exceptions.DecodeError:
             self._on_frame(self, ttypes.Kind.HELLO, -1, b"")
             self.abort()
@@ -121,7 +121,7 @@
         if self._closed or self._transport is None:
             raise exceptions.ConnectionLost("the connection has ended")
         data = codec.encode(ttypes.Frame(kind=kind, call=call, body=body))
-        self.bytes_out += len(data) + _LENGTH.size
+        self.bytes_sent += len(data) + _LENGTH.size
         self._transport.write(_LENGTH.pack(len(data)) + data)
 
     async def drain(self) -> None:
@@ -130,24 +130,24 @@
         Raises:
           exceptions.ConnectionLost: The connection ended meanwhile.
         """
-        if self._resumed is not None:
-            await asyncio.shield(self._resumed)
+        if self._writable is not None:
+            await asyncio.shield(self._writable)
         if self._closed:
             raise exceptions.ConnectionLost("the connection has ended")
 
     def close(self) -> None:
         """Ends the connection once what was queued has been sent."""
-        self._ended_here = True
+        self._closed_here = True
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
         """Ends the connection at once."""
-        self._ended_here = True
+        self._closed_here = True
         if self._transport is not None:
             self._transport.abort()
 
-    def _cut_frames(self) -> None:
+    def _parse_frames(self) -> None:
         position = 0
         size = len(self._buffer)
         while size - position >= _LENGTH.size and not self._closed:
@@ -168,18 +168,18 @@
 class Connection:
     """An authenticated connection to one peer; many calls share it."""
 
-    def __init__(self, link: Link, peer: Identity, opened_here: bool):
+    def __init__(self, link: Link, peer: Identity, is_opener: bool):
         """Wraps a link whose handshake is done.
 
         Args:
           link: The transport half.
           peer: Who answered the handshake.
-          opened_here: Whether this process opened it; sets whether its calls
+          is_opener: Whether this process opened it; sets whether its calls
             have odd or even numbers, so that both sides may open calls.
         """
         self._link = link
         self._peer = peer
-        self._next_call = 1 if opened_here else 2
+        self._next_call = 1 if is_opener else 2
         self._exchanges: dict[int, exchange_lib.Exchange] = {}
 
     @property
@@ -193,9 +193,9 @@
         return self._link.closed
 
     @property
-    def ended_by_peer(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """Whether the other end closed or reset the connection."""
-        return self._link.ended_by_peer
+        return self._link.closed_by_peer
 
     @property
     def open_calls(self) -> int:
@@ -203,19 +203,19 @@
         return len(self._exchanges)
 
     @property
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """Loop time in seconds at which the last bytes came."""
-        return self._link.heard_at
+        return self._link.last_received_at
 
     @property
-    def bytes_in(self) -> int:
+    def bytes_received(self) -> int:
         """Bytes received so far."""
-        return self._link.bytes_in
+        return self._link.bytes_received
 
     @property
-    def bytes_out(self) -> int:
+    def bytes_sent(self) -> int:
         """Bytes sent so far."""
-        return self._link.bytes_out
+        return self._link.bytes_sent
 
     def notify(self, kind: ttypes.Kind, body: bytes = b"") -> None:
         """Sends a frame that no call waits for; dropped when disconnected."""
@@ -232,9 +232,9 @@
             raise exceptions.ConnectionLost("the connection has ended")
         call = self._next_call
         self._next_call += 2
-        return self.adopt(call)
+        return self.accept_call(call)
 
-    def adopt(self, call: int) -> exchange_lib.Exchange:
+    def accept_call(self, call: int) -> exchange_lib.Exchange:
         """Opens this side of a call that the peer has numbered."""
         exchange = exchange_lib.Exchange(
             call, self._link.write, self._link.drain, self._forget
@@ -242,7 +242,7 @@
         self._exchanges[call] = exchange
         return exchange
 
-    def is_ours(self, call: int) -> bool:
+    def is_local_call(self, call: int) -> bool:
         """Whether this side numbered the call."""
         return call % 2 == self._next_call % 2
 
@@ -258,7 +258,7 @@
         """Ends the connection at once."""
         self._link.abort()
 
-    def lost(self) -> None:
+    def fail_calls(self) -> None:
         """Fails every open call; called once the link has ended."""
         error = exceptions.ConnectionLost(
             f"the connection to {self._peer.instance_id} broke"
--- a/src/clementinegw/wire/auth.py
+++ b/src/clementinegw/wire/auth.py
@@ -55,7 +55,7 @@
     return secrets.token_bytes(NONCE_BYTES)
 
 
-def single(key: bytes, key_id: str = "k1") -> KeyRing:
+def single_key_ring(key: bytes, key_id: str = "k1") -> KeyRing:
     """Returns a ring of one key."""
     return KeyRing(key_id, {key_id: key})
 
--- a/src/clementinegw/wire/codec.py
+++ b/src/clementinegw/wire/codec.py
@@ -32,7 +32,7 @@
 )
 
 
-class _Source:
+class _DecoderProtocol:
     """What the C decoder needs of a protocol, without its other parts.
 
     No string or list can be longer than the data. Without the limits a few
@@ -75,7 +75,7 @@
     struct: Any = struct_class()
     try:
         _fastbinary.decode_compact(
-            struct, _Source(data), [struct_class, struct.thrift_spec]
+            struct, _DecoderProtocol(data), [struct_class, struct.thrift_spec]
         )
         struct.validate()
     except _DECODE_ERRORS as error:
--- a/src/clementinegw/wire/connection.py
+++ b/src/clementinegw/wire/connection.py
@@ -14,7 +14,7 @@
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import events
 from clementinegw.telemetry import logs
-from clementinegw.wire import _greeter
+from clementinegw.wire import _handshaker
 from clementinegw.wire import _link
 from clementinegw.wire import auth
 from clementinegw.wire import exchange as exchange_lib
@@ -35,14 +35,14 @@
     """How long an endpoint waits.
 
     Attributes:
-      connect_s: For a connection and its handshake, in seconds.
-      ping_s: Silence after which a peer is asked for a sign of life.
-      silent_s: Silence after which the connection is given up.
+      connect_timeout_s: For a connection and its handshake, in seconds.
+      ping_after_s: Silence after which a peer is asked for a sign of life.
+      idle_timeout_s: Silence after which the connection is given up.
     """
 
-    connect_s: float = 2.0
-    ping_s: float = 2.0
-    silent_s: float = 6.0
+    connect_timeout_s: float = 2.0
+    ping_after_s: float = 2.0
+    idle_timeout_s: float = 6.0
 
 
 class Endpoint:
@@ -69,20 +69,20 @@
             TCP inside a network that the deployment trusts.
         """
         self._identity = identity
-        self._greeter = _greeter.Greeter(identity, keys)
+        self._handshaker = _handshaker.Handshaker(identity, keys)
         self._log = log or logs.Log(instance=identity.instance_id)
         self._counters = counters or counters_lib.Counters()
         self._timing = timing or Timing()
         self._tls = tls
         self._call_handlers: dict[Kind, CallHandler] = {}
         self._notice_handlers: dict[Kind, NoticeHandler] = {}
-        self._connected: list[Callable[[Connection], None]] = []
-        self._disconnected: list[Callable[[Connection], None]] = []
+        self._connected_handlers: list[Callable[[Connection], None]] = []
+        self._disconnected_handlers: list[Callable[[Connection], None]] = []
         self._server: asyncio.Server | None = None
         self._links: dict[_link.Link, Connection | None] = {}
-        self._by_address: dict[types.Address, asyncio.Task[Connection]] = {}
+        self._connect_tasks: dict[types.Address, asyncio.Task[Connection]] = {}
         self._tasks: set[asyncio.Task] = set()
-        self._keeper: asyncio.Task | None = None
+        self._ping_task: asyncio.Task | None = None
         self._closing = False
 
     @property
@@ -90,9 +90,9 @@
         """Who this process is."""
         return self._identity
 
-    def rotate(self, keys: auth.KeyRing) -> None:
+    def set_keys(self, keys: auth.KeyRing) -> None:
         """Uses other keys from the next handshake on."""
-        self._greeter.keys = keys
+        self._handshaker.keys = keys
 
     def on_call(self, kind: Kind, handler: CallHandler) -> None:
         """Registers what runs when a peer opens a call with this kind."""
@@ -104,11 +104,11 @@
 
     def on_connected(self, handler: Callable[[Connection], None]) -> None:
         """Registers what is told of each new connection."""
-        self._connected.append(handler)
+        self._connected_handlers.append(handler)
 
     def on_disconnected(self, handler: Callable[[Connection], None]) -> None:
         """Registers what is told of each connection that ended."""
-        self._disconnected.append(handler)
+        self._disconnected_handlers.append(handler)
 
     def connections(self) -> list[Connection]:
         """Returns the connections that are up."""
@@ -130,7 +130,7 @@
             address.port,
             ssl=self._tls[0] if self._tls else None,
         )
-        self._keep_alive()
+        self._start_pings()
         port = self._server.sockets[0].getsockname()[1]
         return types.Address(address.host, port)
 
@@ -149,12 +149,12 @@
         """
         if self._closing:
             raise exceptions.ConnectionLost("the endpoint is closing")
-        task = self._by_address.get(address)
-        if task is None or _is_spent(task):
-            task = asyncio.ensure_future(self._open(address))
+        task = self._connect_tasks.get(address)
+        if task is None or _is_unusable(task):
+            task = asyncio.ensure_future(self._connect(address))
             # Several callers may wait for it, or none by the time it fails.
-            task.add_done_callback(_retrieve)
-            self._by_address[address] = task
+            task.add_done_callback(_consume_exception)
+            self._connect_tasks[address] = task
         return await asyncio.shield(task)
 
     async def close(self, grace_s: float = 0.0) -> None:
@@ -168,8 +168,8 @@
             self._server.close()
         if self._tasks and grace_s > 0:
             await asyncio.wait(self._tasks, timeout=grace_s)
-        if self._keeper is not None:
-            self._keeper.cancel()
+        if self._ping_task is not None:
+            self._ping_task.cancel()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -183,25 +183,27 @@
         loop = asyncio.get_running_loop()
         # A port scanner or a stalled peer that never finishes the handshake
         # would otherwise keep a descriptor for ever.
-        loop.call_later(self._timing.connect_s, self._expire, link)
+        loop.call_later(
+            self._timing.connect_timeout_s, self._abort_unless_established, link
+        )
         return link
 
-    def _expire(self, link: _link.Link) -> None:
+    def _abort_unless_established(self, link: _link.Link) -> None:
         if link in self._links and self._links[link] is None:
             link.abort()
 
-    async def _open(self, address: types.Address) -> Connection:
-        self._keep_alive()
+    async def _connect(self, address: types.Address) -> Connection:
+        self._start_pings()
         try:
-            async with asyncio.timeout(self._timing.connect_s):
-                return await self._open_now(address)
+            async with asyncio.timeout(self._timing.connect_timeout_s):
+                return await self._connect_once(address)
         except (OSError, TimeoutError) as error:
             self._counters.add("wire.connect_failed")
             raise exceptions.ConnectionLost(
                 f"{address}: {error or 'no answer in time'}"
             ) from error
 
-    async def _open_now(self, address: types.Address) -> Connection:
+    async def _connect_once(self, address: types.Address) -> Connection:
         loop = asyncio.get_running_loop()
         _, link = await loop.create_connection(
             self._new_link,
@@ -210,7 +212,7 @@
             ssl=self._tls[1] if self._tls else None,
         )
         try:
-            return await self._greeter.open(link)
+            return await self._handshaker.open(link)
         except BaseException:
             link.abort()
             raise
@@ -227,35 +229,41 @@
             return
         connection = self._links.get(link)
         if connection is None:
-            self._greet(link, kind, body)
+            self._on_handshake_frame(link, kind, body)
         elif call == 0:
-            self._notice(connection, kind, body)
+            self._on_notice_frame(connection, kind, body)
         else:
-            self._route(connection, call, exchange_lib.Frame(kind, body))
+            self._on_call_frame(
+                connection, call, exchange_lib.Frame(kind, body)
+            )
 
-    def _greet(self, link: _link.Link, kind: Kind, body: bytes) -> None:
+    def _on_handshake_frame(
+        self, link: _link.Link, kind: Kind, body: bytes
+    ) -> None:
         try:
-            met = self._greeter.take(link, kind, body)
+            result = self._handshaker.handle_frame(link, kind, body)
         except exceptions.ClementineError as error:
             self._counters.add("wire.handshake_refused")
             self._log.write(events.CONNECTION_REFUSED, reason=error.message)
-            self._greeter.refused(link, error.message)
+            self._handshaker.fail(link, error.message)
             link.abort()
             return
-        if met is not None:
-            connection = self._establish(link, met.peer, met.opened_here)
-            self._greeter.done(link, connection)
+        if result is not None:
+            connection = self._establish(link, result.peer, result.is_opener)
+            self._handshaker.complete(link, connection)
 
     def _establish(
-        self, link: _link.Link, peer: Identity, opened_here: bool
+        self, link: _link.Link, peer: Identity, is_opener: bool
     ) -> Connection:
-        connection = Connection(link, peer, opened_here)
+        connection = Connection(link, peer, is_opener)
         self._links[link] = connection
-        for handler in self._connected:
+        for handler in self._connected_handlers:
             handler(connection)
         return connection
 
-    def _notice(self, connection: Connection, kind: Kind, body: bytes) -> None:
+    def _on_notice_frame(
+        self, connection: Connection, kind: Kind, body: bytes
+    ) -> None:
         if kind is Kind.PING:
             connection.notify(Kind.PONG)
             return
@@ -264,7 +272,7 @@
             return
         handler = self._notice_handlers.get(kind)
         if handler is None:
-            self._drop(kind)
+            self._count_dropped(kind)
             return
         try:
             handler(connection, body)
@@ -272,28 +280,30 @@
             self._counters.add("wire.malformed")
             self._log.write(events.FRAME_MALFORMED)
 
-    def _route(self, connection: Connection, call: int, frame: Frame) -> None:
+    def _on_call_frame(
+        self, connection: Connection, call: int, frame: Frame
+    ) -> None:
         exchange = connection.find(call)
         if exchange is not None:
             exchange.deliver(frame)
             return
         handler = self._call_handlers.get(frame.kind)
-        if connection.is_ours(call) or handler is None:
+        if connection.is_local_call(call) or handler is None:
             # The call was closed here: an answer that came too late, or one
             # that crossed a cancel. Were it taken, it could reach another
             # caller; one would notice it as an answer to a foreign request.
-            self._drop(frame.kind)
+            self._count_dropped(frame.kind)
             return
         if self._closing:
             return
-        exchange = connection.adopt(call)
+        exchange = connection.accept_call(call)
         task = asyncio.ensure_future(
-            self._handle(handler, connection, exchange, frame)
+            self._run_handler(handler, connection, exchange, frame)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _handle(
+    async def _run_handler(
         self,
         handler: CallHandler,
         connection: Connection,
@@ -319,24 +329,24 @@
         finally:
             exchange.close()
 
-    def _drop(self, kind: Kind) -> None:
+    def _count_dropped(self, kind: Kind) -> None:
         self._counters.add("wire.frame_dropped")
         self._log.write(events.FRAME_DROPPED, kind=int(kind))
 
     def _on_lost(self, link: _link.Link) -> None:
         connection = self._links.pop(link, None)
-        self._greeter.refused(link, "refused in the handshake")
+        self._handshaker.fail(link, "refused in the handshake")
         if connection is None:
             return
-        connection.lost()
-        for handler in self._disconnected:
+        connection.fail_calls()
+        for handler in self._disconnected_handlers:
             handler(connection)
 
-    def _keep_alive(self) -> None:
-        if self._keeper is None:
-            self._keeper = asyncio.ensure_future(self._ping_the_silent())
+    def _start_pings(self) -> None:
+        if self._ping_task is None:
+            self._ping_task = asyncio.ensure_future(self._ping_idle())
 
-    async def _ping_the_silent(self) -> None:
+    async def _ping_idle(self) -> None:
         """Gives up connections whose peer or path has stalled unclosed.
 
         TCP alone reports a cut cable or a frozen peer after many minutes.
@@ -344,14 +354,14 @@
         """
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(self._timing.ping_s / 2)
+            await asyncio.sleep(self._timing.ping_after_s / 2)
             now = loop.time()
             for connection in self.connections():
-                silence = now - connection.heard_at
-                if silence > self._timing.silent_s:
+                silence_s = now - connection.last_received_at
+                if silence_s > self._timing.idle_timeout_s:
                     self._counters.add("wire.silent_closed")
                     connection.abort()
-                elif silence > self._timing.ping_s:
+                elif silence_s > self._timing.ping_after_s:
                     connection.notify(Kind.PING)
 
 
@@ -372,7 +382,7 @@
         exchange.close()
 
 
-def _is_spent(task: asyncio.Task[Connection]) -> bool:
+def _is_unusable(task: asyncio.Task[Connection]) -> bool:
     if not task.done():
         return False
     if task.cancelled() or task.exception() is not None:
@@ -380,6 +390,6 @@
     return task.result().closed
 
 
-def _retrieve(task: asyncio.Task) -> None:
+def _consume_exception(task: asyncio.Task) -> None:
     if not task.cancelled():
         task.exception()
--- a/src/clementinegw/wire/exchange.py
+++ b/src/clementinegw/wire/exchange.py
@@ -34,13 +34,13 @@
         call: int,
         write: Callable[[ttypes.Kind, int, bytes], None],
         drain: Callable,
-        forget: Callable[[int], None],
+        on_close: Callable[[int], None],
     ):
         """Opens this side; connections make exchanges, users do not."""
         self._call = call
         self._write = write
         self._drain = drain
-        self._forget = forget
+        self._on_close = on_close
         self._frames: collections.deque[Frame] = collections.deque()
         self._queued_bytes = 0
         self._waiter: asyncio.Future | None = None
@@ -93,7 +93,7 @@
         """Closes this side; frames that still come are dropped and counted."""
         if not self._closed:
             self._closed = True
-            self._forget(self._call)
+            self._on_close(self._call)
 
     def deliver(self, frame: Frame) -> bool:
         """Takes a frame from the connection.
@@ -121,7 +121,7 @@
         self._waiter = waiter
         handle = None
         if timeout is not None:
-            handle = loop.call_later(max(0.0, timeout), _release, waiter)
+            handle = loop.call_later(max(0.0, timeout), _resolve, waiter)
         try:
             await waiter
         finally:
@@ -131,9 +131,9 @@
 
     def _wake(self) -> None:
         if self._waiter is not None:
-            _release(self._waiter)
+            _resolve(self._waiter)
 
 
-def _release(waiter: asyncio.Future) -> None:
+def _resolve(waiter: asyncio.Future) -> None:
     if not waiter.done():
         waiter.set_result(None)
--- a/tests/gate_site.py
+++ b/tests/gate_site.py
@@ -21,7 +21,7 @@
 from clementinegw.wire.gen.requests import ttypes
 
 Kind = connection.Kind
-KEYS = auth.single(b"0123456789abcdef")
+KEYS = auth.single_key_ring(b"0123456789abcdef")
 PLACE = types.Place("noord", "groningen-hal")
 ANY_PORT = types.Address("127.0.0.1", 0)
 INCARNATION = 7
--- a/tests/membership_network.py
+++ b/tests/membership_network.py
@@ -19,7 +19,7 @@
 from clementinegw.membership import view
 from clementinegw.wire import auth
 
-KEYS = auth.single(b"k" * 32)
+KEYS = auth.single_key_ring(b"k" * 32)
 UDP_HEADER_BYTES = 28
 _DELAY_S = (0.0005, 0.003)
 
--- a/tests/requests_script.py
+++ b/tests/requests_script.py
@@ -19,7 +19,7 @@
 
 Kind = connection_lib.Kind
 PLACE = types.Place("noord", "groningen-hal")
-KEYS = auth.single(b"0" * 32)
+KEYS = auth.single_key_ring(b"0" * 32)
 _ANY = types.Address("127.0.0.1", 0)
 LOG = logs.Log()
 
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -29,7 +29,7 @@
     )
     return service.Membership(
         instance,
-        keys or auth.single(KEY),
+        keys or auth.single_key_ring(KEY),
         seeds=tuple(seeds),
         options=FAST,
         counters=counters.Counters(),
@@ -74,7 +74,7 @@
 
 async def test_other_key_is_refused_and_rotation_is_not():
     first, seed = await start("one")
-    stranger, _ = await start("two", [seed], auth.single(b"x" * 16))
+    stranger, _ = await start("two", [seed], auth.single_key_ring(b"x" * 16))
     await until(
         lambda: first._counters.value("membership.refused.datagram") > 0
     )
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -24,7 +24,7 @@
 def freeze(entry):
     """Stops a process: nothing comes from it, and nothing goes out."""
     endpoint = entry._relay._endpoint
-    endpoint._keeper.cancel()
+    endpoint._ping_task.cancel()
     for link in endpoint._links:
         link.data_received = lambda data: None
         link._transport = Mute()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -10,7 +10,7 @@
 from clementinegw.wire import auth
 from clementinegw.wire import connection
 
-KEY = auth.single(b"0123456789abcdef")
+KEY = auth.single_key_ring(b"0123456789abcdef")
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -14,7 +14,7 @@
 from clementinegw.wire import connection
 from clementinegw.wire.gen.weights import ttypes
 
-KEYS = auth.single(b"a key for tests only")
+KEYS = auth.single_key_ring(b"a key for tests only")
 CHUNK = 4096
 LIMITS = swarm.Limits(
     settle_s=0.1, stall_floor_s=0.5, advert_s=0.01, draw_deadline_s=2.0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,7 +15,7 @@
 from clementinegw.wire.gen.frame import ttypes
 from clementinegw.wire.gen.requests import ttypes as requests_ttypes
 
-KEY = auth.single(b"0123456789abcdef")
+KEY = auth.single_key_ring(b"0123456789abcdef")
 PLACE = types.Place("noord", "groningen-hal")
 ANY_PORT = types.Address("127.0.0.1", 0)
 
@@ -129,7 +129,7 @@
     """
     server = _endpoint("agent-1")
     address = await server.listen(ANY_PORT)
-    stranger = _endpoint("entry-9", auth.single(b"fedcba9876543210"))
+    stranger = _endpoint("entry-9", auth.single_key_ring(b"fedcba9876543210"))
     with pytest.raises(exceptions.ConnectionLost):
         await stranger.connect(address)
     assert server.connections() == []
