--- a/src/clementinegw/direct/fetcher.py
+++ b/src/clementinegw/direct/fetcher.py
@@ -72,7 +72,9 @@
 # domain that is first in line.
 _FAR_ADVERT_INTERVAL_S = 0.3
 # Allows for one ping before a silent peer is dropped.
-_TIMING = connections.Timing(connect_s=1.0, ping_s=1.0, silent_s=2.1)
+_TIMING = connections.Timing(
+    connect_timeout_s=1.0, ping_after_s=1.0, idle_timeout_s=2.1
+)
 
 
 def digest_of(data: bytes) -> bytes:
@@ -167,7 +169,7 @@
         self._me = me
         self._log = log
         self._endpoint = connections.Endpoint(
-            identity, auth.single(_KEY), log, counters, _TIMING
+            identity, auth.single_key_ring(_KEY), log, counters, _TIMING
         )
         self._clock = clock
         self._origin = _OriginBlobStore(counters, clock)
--- a/src/clementinegw/weights/_transfer_connections.py
+++ b/src/clementinegw/weights/_transfer_connections.py
@@ -140,7 +140,7 @@
             return
         del self._by_peer[name]
         self._update_retry_delay(name)
-        self._emit(swarm.PeerDown(name, connection.ended_by_peer))
+        self._emit(swarm.PeerDown(name, connection.closed_by_peer))
         if name in self._connect_tasks:
             self.keep_connected(name)
 
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -25,7 +25,7 @@
 def freeze(entry):
     """Freezes the relay of an entry: it neither receives nor sends."""
     endpoint = entry._relay._endpoint
-    endpoint._keeper.cancel()
+    endpoint._ping_task.cancel()
     for link in endpoint._links:
         link.data_received = lambda data: None
         link._transport = SilentTransport()
