--- a/src/clementinegw/backend/_http.py
+++ b/src/clementinegw/backend/_http.py
@@ -27,7 +27,7 @@
 )
 
 
-def end_to_end(
+def end_to_end_headers(
     headers: "multidict.CIMultiDictProxy[str]",
 ) -> types.Headers:
     """Returns an answer's headers without those of the connection."""
@@ -38,7 +38,7 @@
     )
 
 
-def outgoing(headers: types.Headers) -> "multidict.CIMultiDict[str]":
+def outgoing_headers(headers: types.Headers) -> "multidict.CIMultiDict[str]":
     """Returns a caller's headers without those of the connection."""
     result: multidict.CIMultiDict[str] = multidict.CIMultiDict()
     for name, value in headers:
@@ -55,14 +55,14 @@
 
 
 @contextlib.contextmanager
-def errors(what: str) -> Iterator[None]:
+def translate_errors(operation: str) -> Iterator[None]:
     """Turns aiohttp's errors into ours.
 
     The difference between "no connection" and all others carries weight: only
     the first proves that nothing was handed to the backend server.
 
     Args:
-      what: The exchange, for the error's text.
+      operation: The exchange, for the error's text.
 
     Raises:
       exceptions.BackendUnreachable: No connection could be made.
@@ -72,8 +72,12 @@
     try:
         yield
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as e:
-        raise exceptions.BackendUnreachable(f"{what}: {e}") from e
+        raise exceptions.BackendUnreachable(f"{operation}: {e}") from e
     except TimeoutError as e:
-        raise exceptions.BackendStalled(f"{what}: no answer in time") from e
+        raise exceptions.BackendStalled(
+            f"{operation}: no answer in time"
+        ) from e
     except (aiohttp.ClientError, OSError, ValueError, KeyError) as e:
-        raise exceptions.BackendLost(f"{what}: {e or type(e).__name__}") from e
+        raise exceptions.BackendLost(
+            f"{operation}: {e or type(e).__name__}"
+        ) from e
--- a/src/clementinegw/backend/_stream.py
+++ b/src/clementinegw/backend/_stream.py
@@ -9,7 +9,7 @@
 from clementinegw.backend import _http
 from clementinegw.backend import types
 
-EVENT_LIMIT_BYTES = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 _BLANK_LINE = b"\n\n"
 _DONE = b"data: [DONE]"
 _ID = b"id:"
@@ -23,9 +23,9 @@
     which the engine stops generating.
     """
 
-    def __init__(self, response: aiohttp.ClientResponse, what: str):
+    def __init__(self, response: aiohttp.ClientResponse, operation: str):
         self._response = response
-        self._what = what
+        self._operation = operation
         self._events = self._read()
 
     def __aiter__(self) -> "AnswerStream":
@@ -41,45 +41,45 @@
 
     async def _read(self) -> AsyncIterator[types.AnswerEvent]:
         response = self._response
-        yield _head(response)
-        with _http.errors(self._what):
+        yield _make_head(response)
+        with _http.translate_errors(self._operation):
             if response.content_type == "text/event-stream":
-                source = _events(response.content)
+                source = _read_events(response.content)
             else:
-                source = _whole(response)
+                source = _read_body(response)
             async for event in source:
                 yield event
         response.release()
 
 
-def _head(response: aiohttp.ClientResponse) -> types.Head:
+def _make_head(response: aiohttp.ClientResponse) -> types.Head:
     headers = response.headers
     return types.Head(
         status=response.status,
-        headers=_http.end_to_end(headers),
+        headers=_http.end_to_end_headers(headers),
         version=headers.get(types.VERSION_HEADER, ""),
         digest=headers.get(types.DIGEST_HEADER, ""),
         refused=headers.get(types.REFUSED_HEADER, ""),
     )
 
 
-async def _whole(
+async def _read_body(
     response: aiohttp.ClientResponse,
 ) -> AsyncIterator[types.AnswerEvent]:
     body = await response.read()
-    tokens = _usage(body)
+    tokens = _completion_tokens(body)
     yield types.Data(body, tokens)
     yield types.End(tokens)
 
 
-def _usage(body: bytes) -> int:
+def _completion_tokens(body: bytes) -> int:
     try:
         return int(json.loads(body)["usage"]["completion_tokens"])
     except (ValueError, KeyError, TypeError):
         return 0
 
 
-async def _events(
+async def _read_events(
     content: aiohttp.StreamReader,
 ) -> AsyncIterator[types.AnswerEvent]:
     buffer = b""
@@ -99,11 +99,11 @@
             if event.startswith(_DONE):
                 yield types.End(tokens)
                 return
-        if len(buffer) > EVENT_LIMIT_BYTES:
+        if len(buffer) > MAX_EVENT_BYTES:
             raise exceptions.BackendLost("an event exceeds its limit")
 
 
-def _event_tokens(event: bytes, before: int) -> int:
+def _event_tokens(event: bytes, previous: int) -> int:
     if not event.startswith(_ID):
-        return before
+        return previous
     return int(event[len(_ID) : event.find(b"\n")])
--- a/src/clementinegw/backend/engine.py
+++ b/src/clementinegw/backend/engine.py
@@ -70,8 +70,8 @@
           An iterator over a Head, Data pieces and an End. It raises
           `exceptions.BackendLost` when the answer is cut.
         """
-        what = f"complete at {self._base_url}"
-        with _http.errors(what):
+        operation = f"complete at {self._base_url}"
+        with _http.translate_errors(operation):
             response = await self._session.post(
                 self._base_url + request.path,
                 data=request.body,
@@ -79,7 +79,7 @@
                 timeout=self._answer_timeout,
                 allow_redirects=False,
             )
-        return _stream.AnswerStream(response, what)
+        return _stream.AnswerStream(response, operation)
 
     async def resume(
         self, request: types.Completion, tokens: int, version: str
@@ -108,7 +108,7 @@
         self, chunk_digest: str, data: bytes
     ) -> types.StageResult:
         """Puts a chunk into the staging memory, which verifies it."""
-        with _http.errors(f"stage at {self._base_url}"):
+        with _http.translate_errors(f"stage at {self._base_url}"):
             async with self._session.put(
                 f"{self._base_url}/staging/{chunk_digest}",
                 data=data,
@@ -117,12 +117,12 @@
                 await response.read()
                 return _STAGE_RESULTS[response.status]
 
-    async def staged(self, chunk_digest: str) -> bytes | None:
+    async def get_staged_chunk(self, chunk_digest: str) -> bytes | None:
         """Returns a staged chunk; None when it is not there.
 
         The caller verifies it: memory of the host may have been damaged.
         """
-        with _http.errors(f"staged at {self._base_url}"):
+        with _http.translate_errors(f"staged at {self._base_url}"):
             async with self._session.get(
                 f"{self._base_url}/staging/{chunk_digest}",
                 timeout=self._order_timeout,
@@ -132,16 +132,16 @@
                 response.raise_for_status()
                 return await response.read()
 
-    async def unstage(self, chunk_digest: str) -> None:
+    async def unstage_chunk(self, chunk_digest: str) -> None:
         """Takes a chunk out of the staging memory."""
-        with _http.errors(f"unstage at {self._base_url}"):
+        with _http.translate_errors(f"unstage at {self._base_url}"):
             async with self._session.delete(
                 f"{self._base_url}/staging/{chunk_digest}",
                 timeout=self._query_timeout,
             ) as response:
                 await response.read()
 
-    async def staging(self) -> types.StagingStatus:
+    async def staging_status(self) -> types.StagingStatus:
         """Returns what the staging memory holds."""
         answer = await self._get("/staging")
         return types.StagingStatus(
@@ -186,7 +186,7 @@
     async def status(self) -> types.EngineStatus:
         """Returns what the engine says of itself."""
         answer = await self._get("/status")
-        with _http.errors(f"status at {self._base_url}"):
+        with _http.translate_errors(f"status at {self._base_url}"):
             answer["adapters"] = tuple(sorted(answer["adapters"].items()))
             answer["role"] = types.EngineRole(answer["role"])
             return types.EngineStatus(**answer)
@@ -194,7 +194,7 @@
     async def cache_events(self, after: int) -> types.CacheEvents:
         """Returns cache events whose sequence number is above `after`."""
         answer = await self._get(f"/cache/events?after={after}")
-        with _http.errors(f"cache events at {self._base_url}"):
+        with _http.translate_errors(f"cache events at {self._base_url}"):
             events = tuple(
                 types.CacheEvent(
                     event["sequence"],
@@ -207,7 +207,7 @@
 
     async def export_kv(self, request_id: str) -> bytes | None:
         """Returns the KV cache of a running request; None without one."""
-        with _http.errors(f"export at {self._base_url}"):
+        with _http.translate_errors(f"export at {self._base_url}"):
             async with self._session.get(
                 f"{self._base_url}/kv/{request_id}",
                 timeout=self._order_timeout,
@@ -222,7 +222,7 @@
 
         It fits an engine with the same weights only.
         """
-        with _http.errors(f"import at {self._base_url}"):
+        with _http.translate_errors(f"import at {self._base_url}"):
             async with self._session.put(
                 f"{self._base_url}/kv/{request_id}",
                 data=data,
@@ -232,7 +232,7 @@
                 return response.status == _HTTP_OK
 
     async def _get(self, path: str) -> Any:
-        with _http.errors(f"{path} at {self._base_url}"):
+        with _http.translate_errors(f"{path} at {self._base_url}"):
             async with self._session.get(
                 self._base_url + path, timeout=self._query_timeout
             ) as response:
@@ -240,7 +240,7 @@
                 return await response.json()
 
     async def _post(self, path: str, body: Any) -> Any:
-        with _http.errors(f"{path} at {self._base_url}"):
+        with _http.translate_errors(f"{path} at {self._base_url}"):
             async with self._session.post(
                 self._base_url + path, json=body, timeout=self._query_timeout
             ) as response:
@@ -248,7 +248,7 @@
                 return await response.json()
 
     async def _order(self, path: str, body: Any) -> Any:
-        with _http.errors(f"{path} at {self._base_url}"):
+        with _http.translate_errors(f"{path} at {self._base_url}"):
             async with self._session.post(
                 self._base_url + path, json=body, timeout=self._order_timeout
             ) as response:
@@ -266,7 +266,7 @@
 def _request_headers(
     request: types.Completion,
 ) -> "multidict.CIMultiDict[str]":
-    headers = _http.outgoing(request.headers)
+    headers = _http.outgoing_headers(request.headers)
     headers["Content-Type"] = "application/json"
     headers[types.REQUEST_ID_HEADER] = request.request_id
     headers[types.PRIORITY_HEADER] = request.priority.name.lower()
--- a/src/clementinegw/backend/prefixes.py
+++ b/src/clementinegw/backend/prefixes.py
@@ -15,19 +15,19 @@
 _RANGE = 1 << 64
 
 
-def block_hashes(prompt: str, limit: int | None = None) -> tuple[int, ...]:
+def block_hashes(prompt: str, max_blocks: int | None = None) -> tuple[int, ...]:
     """Returns the hashes of a prompt's whole blocks, shortest prefix first.
 
     Args:
       prompt: The prompt's text.
-      limit: How many blocks at most; None for all.
+      max_blocks: How many blocks at most; None for all.
 
     Returns:
       Signed 64-bit numbers, as thrift and JSON carry them.
     """
     count = len(prompt) // BLOCK_CHARS
-    if limit is not None:
-        count = min(count, limit)
+    if max_blocks is not None:
+        count = min(count, max_blocks)
     hashes = []
     seed = 0
     for index in range(count):
--- a/src/clementinegw/backend/service.py
+++ b/src/clementinegw/backend/service.py
@@ -5,7 +5,7 @@
 from clementinegw.backend import _http
 from clementinegw.backend import types
 
-ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
 
 class PlainClient:
@@ -49,16 +49,18 @@
           exceptions.BackendUnreachable: Nothing was handed over.
           exceptions.BackendLost: It may have run.
         """
-        with _http.errors(f"{method} {self._base_url}"):
+        with _http.translate_errors(f"{method} {self._base_url}"):
             async with self._session.request(
                 method,
                 self._base_url + path,
-                headers=_http.outgoing(headers),
+                headers=_http.outgoing_headers(headers),
                 data=body or None,
                 timeout=self._timeout,
                 allow_redirects=False,
             ) as response:
                 data = await response.read()
                 return types.PlainAnswer(
-                    response.status, _http.end_to_end(response.headers), data
+                    response.status,
+                    _http.end_to_end_headers(response.headers),
+                    data,
                 )
--- a/src/clementinegw/backend/sessions.py
+++ b/src/clementinegw/backend/sessions.py
@@ -2,7 +2,7 @@
 
 import aiohttp
 
-CONNECTIONS_PER_HOST = 0  # no limit: the gate bounds what is in flight
+MAX_CONNECTIONS = 0  # no limit: the gate bounds what is in flight
 
 
 def create() -> aiohttp.ClientSession:
@@ -16,7 +16,7 @@
     aiohttp's test client does it.
     """
     session = aiohttp.ClientSession(
-        connector=aiohttp.TCPConnector(limit=CONNECTIONS_PER_HOST),
+        connector=aiohttp.TCPConnector(limit=MAX_CONNECTIONS),
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
     )
--- a/src/clementinegw/matrix/engines.py
+++ b/src/clementinegw/matrix/engines.py
@@ -105,7 +105,7 @@
         self._world.reached("chunk_staged")
         return backend.StageResult.STORED
 
-    async def staged(self, chunk_digest: str) -> bytes | None:
+    async def get_staged_chunk(self, chunk_digest: str) -> bytes | None:
         """Returns a chunk, perhaps damaged."""
         await asyncio.sleep(_STAGE_S)
         self._reach()
@@ -115,12 +115,12 @@
             return _changed(data)
         return data
 
-    async def unstage(self, chunk_digest: str) -> None:
+    async def unstage_chunk(self, chunk_digest: str) -> None:
         """Takes a chunk out."""
         self._reach()
         self._chunks.pop(chunk_digest, None)
 
-    async def staging(self) -> backend.StagingStatus:
+    async def staging_status(self) -> backend.StagingStatus:
         """Returns what is staged."""
         self._reach()
         used = sum(map(len, self._chunks.values()))
--- a/src/clementinegw/weights/_manifest_source.py
+++ b/src/clementinegw/weights/_manifest_source.py
@@ -123,7 +123,7 @@
 
     async def _from_staging(self, digest: str) -> manifests.Manifest | None:
         try:
-            data = await self._staging.staged(digest)
+            data = await self._staging.get_staged_chunk(digest)
         except exceptions.BackendError:
             return None
         return self._check(data or b"", digest, "staging")
--- a/src/clementinegw/weights/store.py
+++ b/src/clementinegw/weights/store.py
@@ -118,13 +118,13 @@
     ) -> backend.StageResult:
         """Puts a chunk in."""
 
-    async def staged(self, chunk_digest: str) -> bytes | None:
+    async def get_staged_chunk(self, chunk_digest: str) -> bytes | None:
         """Returns a chunk, unverified; None when it is not there."""
 
-    async def unstage(self, chunk_digest: str) -> None:
+    async def unstage_chunk(self, chunk_digest: str) -> None:
         """Takes a chunk out."""
 
-    async def staging(self) -> backend.StagingStatus:
+    async def staging_status(self) -> backend.StagingStatus:
         """Returns what is there."""
 
 
@@ -190,7 +190,7 @@
         if cached is not None:
             return cached
         try:
-            data = await self._staging.staged(chunk_digest.hex())
+            data = await self._staging.get_staged_chunk(chunk_digest.hex())
         except exceptions.BackendError:
             self._counters.add("weights.staging.unreachable")
             return None
@@ -245,13 +245,13 @@
         Raises:
           exceptions.BackendError: The engine's host did not answer.
         """
-        status = await self._staging.staging()
+        status = await self._staging.staging_status()
         for name in status.digests:
             digest = bytes.fromhex(name)
             if digest not in self._kept:
                 self._index.pop(digest, None)
                 self._cache.drop(digest)
-                await self._staging.unstage(name)
+                await self._staging.unstage_chunk(name)
                 self._counters.add("weights.staging.dropped")
 
     async def recover(self, manifest: manifests.Manifest) -> None:
@@ -262,7 +262,7 @@
         Raises:
           exceptions.BackendError: The engine's host did not answer.
         """
-        status = await self._staging.staging()
+        status = await self._staging.staging_status()
         there = {bytes.fromhex(name) for name in status.digests}
         for chunk in manifest.chunks:
             if chunk.digest in there and chunk.digest not in self._index:
@@ -270,7 +270,7 @@
 
     async def _recover_chunk(self, chunk: manifests.Chunk) -> None:
         name = chunk.digest.hex()
-        data = await self._staging.staged(name)
+        data = await self._staging.get_staged_chunk(name)
         if data is None:
             return
         found = await asyncio.to_thread(manifests.digest_of, data)
@@ -279,4 +279,4 @@
             self._counters.add("weights.staging.recovered")
             return
         self._counters.add("weights.staging.corrupt")
-        await self._staging.unstage(name)
+        await self._staging.unstage_chunk(name)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -199,14 +199,14 @@
         assert stored is types.StageResult.STORED
         assert wrong is types.StageResult.CORRUPT
         assert full is types.StageResult.FULL
-        assert await client.staged(digest_of(one)) == one
-        assert await client.staged(digest_of(two)) is None
+        assert await client.get_staged_chunk(digest_of(one)) == one
+        assert await client.get_staged_chunk(digest_of(two)) is None
         s.engine.faults.corrupt_staged = True
-        assert await client.staged(digest_of(one)) != one
-        status = await client.staging()
+        assert await client.get_staged_chunk(digest_of(one)) != one
+        status = await client.staging_status()
         assert status.digests == (digest_of(one),)
-        await client.unstage(digest_of(one))
-        assert (await client.staging()).used_bytes == 0
+        await client.unstage_chunk(digest_of(one))
+        assert (await client.staging_status()).used_bytes == 0
 
 
 async def test_load_reports_the_digest_of_the_bytes_loaded():
--- a/tests/weights_fakes.py
+++ b/tests/weights_fakes.py
@@ -76,17 +76,17 @@
         self.puts += 1
         return backend.StageResult.STORED
 
-    async def staged(self, chunk_digest):
+    async def get_staged_chunk(self, chunk_digest):
         """Returns a chunk."""
         self._reach()
         return self.chunks.get(chunk_digest)
 
-    async def unstage(self, chunk_digest):
+    async def unstage_chunk(self, chunk_digest):
         """Takes a chunk out."""
         self._reach()
         self.chunks.pop(chunk_digest, None)
 
-    async def staging(self):
+    async def staging_status(self):
         """Returns what is there."""
         self._reach()
         used = sum(map(len, self.chunks.values()))
