--- a/src/clementinegw/daemons/agent.py
+++ b/src/clementinegw/daemons/agent.py
@@ -14,7 +14,7 @@
 from clementinegw.backend import service as plain_client
 from clementinegw.backend import sessions
 from clementinegw.daemons import core as core_lib
-from clementinegw.daemons import fleet_weights
+from clementinegw.daemons import engine_weights
 from clementinegw.daemons import status as status_lib
 from clementinegw.gate import backends
 from clementinegw.gate import service as gate_lib
@@ -22,7 +22,7 @@
 from clementinegw.settings import model as model_lib
 from clementinegw.telemetry import events
 
-_LOAD_S = 1.0
+_LOAD_REPORT_INTERVAL_S = 1.0
 
 
 class Agent(mode.Service):
@@ -41,9 +41,9 @@
         self._backend = file.backend
         self._core = core_lib.Core(file, clock, rng)
         self._gate: gate_lib.GateService
-        self._weights: fleet_weights.FleetWeights | None = None
+        self._weights: engine_weights.EngineWeights | None = None
         self._session: aiohttp.ClientSession | None = None
-        self._status: status_lib.StatusPages | None = None
+        self._status: status_lib.StatusServer | None = None
 
     @property
     def core(self) -> core_lib.Core:
@@ -76,8 +76,10 @@
             await self._start_gate(backends.PlainBackend(client))
         core.follower.subscribe(self._on_settings)
         if self._file.listen.admin is not None:
-            self._status = status_lib.StatusPages(
-                self._file.listen.admin, self._report, self._not_ready
+            self._status = status_lib.StatusServer(
+                self._file.listen.admin,
+                self._status_report,
+                self._not_ready_reasons,
             )
             await self.add_runtime_dependency(self._status)
         core.event_log.write(
@@ -92,7 +94,9 @@
         """
         core = self._core
         core.event_log.write(events.PROCESS_STOPPING)
-        grace_s = core.effective(self._backend.service).shutdown.grace_s
+        grace_s = core.effective_settings(
+            self._backend.service
+        ).shutdown.grace_s
         finishing = self.add_future(self._gate.leave(grace_s))
         await core.leave()
         await finishing
@@ -107,7 +111,7 @@
         assert self._session is not None
         client = engine_client.EngineClient(self._backend.url, self._session)
         await self._start_gate(backends.EngineBackend(client))
-        self._weights = fleet_weights.FleetWeights(
+        self._weights = engine_weights.EngineWeights(
             self._core, self._backend.service, client, self._gate
         )
         await self.add_runtime_dependency(self._weights)
@@ -126,20 +130,20 @@
         await self.add_runtime_dependency(self._gate)
 
     @mode.Service.task
-    async def _tell_load(self) -> None:
+    async def _report_load_loop(self) -> None:
         while not self.should_stop:
-            await self.sleep(_LOAD_S)
+            await self.sleep(_LOAD_REPORT_INTERVAL_S)
             load = self._gate.load
-            busy = load.in_flight / max(1, load.capacity)
+            load_ratio = load.in_flight / max(1, load.capacity)
             self._core.membership.set_self(
-                load=busy, version=self._gate.version
+                load=load_ratio, version=self._gate.version
             )
 
     def _on_settings(self, state: follower_lib.State) -> None:
         if self._weights is not None:
             self._weights.apply(state)
 
-    def _not_ready(self) -> Mapping[str, Any]:
+    def _not_ready_reasons(self) -> Mapping[str, Any]:
         reasons = {}
         if self._core.leaving:
             reasons["leaving"] = "told to stop"
@@ -147,7 +151,7 @@
             reasons["gate"] = "the backend server does not serve"
         return reasons
 
-    def _report(self) -> Mapping[str, Any]:
+    def _status_report(self) -> Mapping[str, Any]:
         core = self._core
         return {
             "instance_id": self._file.instance_id,
--- a/src/clementinegw/daemons/core.py
+++ b/src/clementinegw/daemons/core.py
@@ -26,10 +26,10 @@
 from clementinegw.wire import connection as connection_lib
 
 # Peers without a key file belong to a test or a demo on one machine.
-_OPEN_KEY = b"no key file was given"
-_MILLIS = 1000
+_DEFAULT_KEY = b"no key file was given"
+_MS_PER_S = 1000
 _ANNOUNCE_RETRY_S = 2.0
-_BIND_TRIES = 20
+_MAX_BIND_ATTEMPTS = 20
 
 
 class Core(mode.Service):
@@ -74,23 +74,23 @@
         self.counters = counters_lib.Counters(
             file.statsd, f"clementinegw.{file.role.value}"
         )
-        self._ring = _key_ring(file)
-        self._incarnation = int(self.clock.wall() * _MILLIS)
+        self._key_ring = _load_key_ring(file)
+        self._incarnation = int(self.clock.wall() * _MS_PER_S)
         identity = connection_lib.Identity(
             file.instance_id, file.role, file.type_place(), self._incarnation
         )
         self.endpoint = connection_lib.Endpoint(
             identity,
-            self._ring,
+            self._key_ring,
             self.event_log,
             self.counters,
-            tls=None if file.tls is None else tls_lib.contexts(file.tls),
+            tls=None if file.tls is None else tls_lib.make_contexts(file.tls),
         )
         self.session: aiohttp.ClientSession
         self.log_client: log_lib.HttpLog
         self.membership: membership_lib.Membership
         self.follower: follower_lib.Follower
-        self._list: instances_lib.HttpInstanceList
+        self._instance_list: instances_lib.HttpInstanceList
         self._leaving = False
 
     @property
@@ -108,7 +108,7 @@
         """Whether it was told to leave."""
         return self._leaving
 
-    def effective(self, service: str = "") -> tree_lib.Effective:
+    def effective_settings(self, service: str = "") -> tree_lib.Effective:
         """Returns the knobs that hold here; defaults before any settings."""
         state = self.follower.current
         tree = model_lib.Tree() if state is None else state.tree
@@ -124,7 +124,7 @@
             counters=self.counters,
             log=self.event_log,
         )
-        self._list = instances_lib.HttpInstanceList(
+        self._instance_list = instances_lib.HttpInstanceList(
             platform.instances,
             self.session,
             counters=self.counters,
@@ -142,7 +142,7 @@
         self._leaving = True
         self.membership.set_self(state=views.MemberState.LEAVING)
         try:
-            await self._list.announce(
+            await self._instance_list.announce(
                 self.instance, instances_lib.State.LEAVING
             )
         except exceptions.PlatformError:
@@ -158,9 +158,9 @@
 
     async def _bind(self) -> None:
         """Takes one port number for both TCP and UDP."""
-        wanted = self.file.listen.peer
-        for last in (*(False,) * (_BIND_TRIES - 1), True):
-            address = await self.endpoint.listen(wanted)
+        requested = self.file.listen.peer
+        for is_last_attempt in (*(False,) * (_MAX_BIND_ATTEMPTS - 1), True):
+            address = await self.endpoint.listen(requested)
             self.membership = self._make_membership(address)
             try:
                 await self.membership.start()
@@ -169,7 +169,7 @@
                 # The kernel chose a TCP port whose UDP twin is taken. Only a
                 # port that it chose can be exchanged for another.
                 await self.endpoint.stop_listening()
-                if wanted.port or last:
+                if requested.port or is_last_attempt:
                     raise
 
     def _make_membership(
@@ -186,9 +186,9 @@
         )
         return membership_lib.Membership(
             instance,
-            self._ring,
+            self._key_ring,
             seeds=tuple(views.Seed(seed) for seed in self.file.seeds),
-            source=_ListedSeeds(self._list),
+            source=_InstanceListSeeds(self._instance_list),
             rng=self.rng,
             clock=self.clock,
             log=self.event_log,
@@ -206,14 +206,14 @@
             counters=self.counters,
             log=self.event_log,
         )
-        settings_peers.answer_pulls(self.endpoint, follower)
+        settings_peers.register_pull_handler(self.endpoint, follower)
         return follower
 
     def _on_settings(self, state: follower_lib.State) -> None:
         self.membership.set_self(settings_revision=state.revision)
         security = tree_lib.resolve(state.tree, self.place).security
-        ring = keys_lib.narrowed(
-            self._ring, security.key_id, security.accepted_key_ids
+        ring = keys_lib.select_keys(
+            self._key_ring, security.key_id, security.accepted_key_ids
         )
         self.endpoint.rotate(ring)
         self.membership.set_keys(ring)
@@ -224,7 +224,7 @@
     async def _announce(self, state: instances_lib.State) -> None:
         while not self.should_stop:
             try:
-                await self._list.announce(self.instance, state)
+                await self._instance_list.announce(self.instance, state)
                 return
             except exceptions.PlatformError:
                 self.counters.add("daemon.announce_retry")
@@ -232,7 +232,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _ListedSeeds:
+class _InstanceListSeeds:
     """Seeds for membership from the platform's lagging list."""
 
     source: instances_lib.InstanceList
@@ -246,7 +246,7 @@
         ]
 
 
-def _key_ring(file: model_lib.InstanceFile) -> auth.KeyRing:
+def _load_key_ring(file: model_lib.InstanceFile) -> auth.KeyRing:
     if file.key_file is None:
-        return auth.single(_OPEN_KEY)
+        return auth.single(_DEFAULT_KEY)
     return keys_lib.load(file.key_file)
--- a/src/clementinegw/daemons/fleet_weights.py
+++ b/src/clementinegw/daemons/engine_weights.py
@@ -20,8 +20,8 @@
 from clementinegw.weights import swarm
 from clementinegw.weights import transfer as transfer_lib
 
-_MEMBERS_S = 0.5
-_MB = 1 << 20
+_PEER_REFRESH_INTERVAL_S = 0.5
+_BYTES_PER_MB = 1 << 20
 
 # A policy `none` has each agent draw for itself: it is its own group.
 _DRAW_POLICIES = {
@@ -31,7 +31,7 @@
 }
 
 
-class FleetWeights(mode.Service):
+class EngineWeights(mode.Service):
     """The weights of the engine beside one agent."""
 
     def __init__(
@@ -71,20 +71,20 @@
         if self._weights is None:
             self.add_future(self._start_parts(state))
         else:
-            self._want(self._weights, state)
+            self._declare_versions(self._weights, state)
 
     @mode.Service.task
-    async def _follow_members(self) -> None:
+    async def _refresh_peers_loop(self) -> None:
         while not self.should_stop:
-            await self.sleep(_MEMBERS_S)
-            self._refresh()
+            await self.sleep(_PEER_REFRESH_INTERVAL_S)
+            self._refresh_peers()
 
     async def _start_parts(self, state: follower_lib.State) -> None:
-        knob_set = self._core.effective(self._service).weights
+        knob_set = self._core.effective_settings(self._service).weights
         core = self._core
         platform = core.file.platform
         store = chunk_stores.StagedStore(
-            self._engine, knob_set.memory_mb * _MB, core.counters
+            self._engine, knob_set.memory_mb * _BYTES_PER_MB, core.counters
         )
         origin = store_lib.HttpStore(platform.origin, core.session)
         weight_store = store_lib.HttpStore(platform.store, core.session)
@@ -100,15 +100,15 @@
             store,
             exchange=self._transfer,
             endpoint=core.endpoint,
-            checks_fencing=self._declared(state).checks_fencing,
+            checks_fencing=self._declared_service(state).checks_fencing,
             policy=self._policy(),
             clock=core.clock,
             rng=core.rng,
             log=core.event_log,
             counters=core.counters,
         )
-        self._refresh()
-        self._want(self._weights, self._state or state)
+        self._refresh_peers()
+        self._declare_versions(self._weights, self._state or state)
         if self._transfer is not None:
             await self.add_runtime_dependency(self._transfer)
         await self.add_runtime_dependency(self._weights)
@@ -144,17 +144,17 @@
             counters=core.counters,
         )
 
-    def _declared(self, state: follower_lib.State) -> model_lib.Service:
+    def _declared_service(self, state: follower_lib.State) -> model_lib.Service:
         found = state.tree.services.get(self._service)
         if found is not None:
             return found
         return model_lib.Service(kind=types.ServiceKind.MODEL_ENGINE)
 
     def _policy(self) -> weights_lib.Policy:
-        found = self._core.effective(self._service)
+        found = self._core.effective_settings(self._service)
         state = self._state
         # Views of the members differ for a while; a declared number does not.
-        workers = self._declared(state).workers if state else None
+        workers = self._declared_service(state).workers if state else None
         return weights_lib.Policy(
             max_out_share=found.weights.max_out_share,
             workers=workers or max(1, len(self._peers)),
@@ -162,11 +162,11 @@
             load_timeout_s=found.weights.load_timeout_s,
         )
 
-    def _want(
+    def _declare_versions(
         self, weights: weights_lib.Weights, state: follower_lib.State
     ) -> None:
         weights.set_policy(self._policy())
-        service = self._declared(state)
+        service = self._declared_service(state)
         if service.model is None:
             return
         previous = None
@@ -179,7 +179,7 @@
         )
         weights.want(target, previous, adapters)
 
-    def _refresh(self) -> None:
+    def _refresh_peers(self) -> None:
         """Takes over who else is in the fleet."""
         members = self._core.membership.members(
             role=types.Role.AGENT, service=self._service
--- a/src/clementinegw/daemons/entry.py
+++ b/src/clementinegw/daemons/entry.py
@@ -23,8 +23,8 @@
 from clementinegw.settings import model as model_lib
 from clementinegw.telemetry import events
 
-_MS = 1000.0
-_MB = 1 << 20
+_MS_PER_S = 1000.0
+_BYTES_PER_MB = 1 << 20
 
 
 class Entry(mode.Service):
@@ -45,7 +45,7 @@
         self._suspects: suspects_lib.SuspectsService
         self._runner: web.AppRunner | None = None
         self._http = file.listen.http
-        self._status: status_lib.StatusPages | None = None
+        self._status: status_lib.StatusServer | None = None
 
     @property
     def core(self) -> core_lib.Core:
@@ -76,17 +76,19 @@
             counters=core.counters,
         )
         self._requests = self._make_requests()
-        for part in (self._claims, self._suspects, self._requests):
-            await self.add_runtime_dependency(part)
+        for service in (self._claims, self._suspects, self._requests):
+            await self.add_runtime_dependency(service)
         core.membership.subscribe(lambda _: self._requests.refresh())
         core.follower.subscribe(lambda _: self._requests.settings_changed())
         core.follower.subscribe(
-            lambda _: self._claims.apply(*self._claim_bounds())
+            lambda _: self._claims.apply(*self._claim_limits())
         )
         await self._serve_http()
         if self._file.listen.admin is not None:
-            self._status = status_lib.StatusPages(
-                self._file.listen.admin, self._report, self._not_ready
+            self._status = status_lib.StatusServer(
+                self._file.listen.admin,
+                self._status_report,
+                self._not_ready_reasons,
             )
             await self.add_runtime_dependency(self._status)
         core.event_log.write(events.PROCESS_STARTED, http=str(self._http))
@@ -100,7 +102,7 @@
         """
         core = self._core
         core.event_log.write(events.PROCESS_STOPPING)
-        shutdown = core.effective().shutdown
+        shutdown = core.effective_settings().shutdown
         await core.leave()
         await self.sleep(shutdown.leave_s)
         await self._requests.pipeline.drain(shutdown.grace_s)
@@ -117,7 +119,7 @@
             core.instance,
             core.endpoint,
             rules_lib.SettingsRules(lambda: core.follower.current, core.place),
-            self._members,
+            self._fleet_members,
             claims=self._claims,
             suspects=self._suspects,
             clock=core.clock,
@@ -131,23 +133,23 @@
         return claims_lib.ClaimsService(
             core.endpoint,
             core.log_client,
-            self._entries,
-            *self._claim_bounds(),
+            self._alive_entries,
+            *self._claim_limits(),
             clock=core.clock,
             log=core.event_log,
             counters=core.counters,
         )
 
-    def _claim_bounds(self) -> tuple[claims_lib.Limits, claims_lib.Timing]:
-        found = self._core.effective().claims
+    def _claim_limits(self) -> tuple[claims_lib.Limits, claims_lib.Timing]:
+        settings = self._core.effective_settings().claims
         limits = claims_lib.Limits(
-            horizon=claim_lib.Horizon(found.horizon_s),
-            kept_bytes=found.memory_mb * _MB,
-            answer_bytes=found.kept_answer_bytes,
+            horizon=claim_lib.Horizon(settings.horizon_s),
+            kept_bytes=settings.memory_mb * _BYTES_PER_MB,
+            answer_bytes=settings.kept_answer_bytes,
         )
-        return limits, claims_lib.Timing(group_s=found.group_ms / _MS)
+        return limits, claims_lib.Timing(group_s=settings.group_ms / _MS_PER_S)
 
-    def _entries(self) -> list[types.Instance]:
+    def _alive_entries(self) -> list[types.Instance]:
         """Returns the entries that a claim may be handed to."""
         members = self._core.membership.members(role=types.Role.ENTRY)
         return [
@@ -156,7 +158,7 @@
             if member.state is views.MemberState.ALIVE
         ]
 
-    def _members(self) -> list[fleet_lib.Member]:
+    def _fleet_members(self) -> list[fleet_lib.Member]:
         return [
             fleet_lib.Member(
                 # What the agent itself says of its incarnation comes with its
@@ -179,7 +181,7 @@
             self._file.instance_id,
         )
         app = http_lib.make_app(handlers)
-        status_lib.add_health_routes(app, self._not_ready)
+        status_lib.add_health_routes(app, self._not_ready_reasons)
         self._runner = http_lib.make_runner(app)
         await self._runner.setup()
         site = web.TCPSite(self._runner, self._http.host, self._http.port)
@@ -187,7 +189,7 @@
         port = self._runner.addresses[0][1]
         self._http = types.Address(self._http.host, port)
 
-    def _not_ready(self) -> Mapping[str, Any]:
+    def _not_ready_reasons(self) -> Mapping[str, Any]:
         reasons = {}
         if self._core.follower.current is None:
             reasons["settings"] = "none folded yet"
@@ -195,7 +197,7 @@
             reasons["leaving"] = "told to stop"
         return reasons
 
-    def _report(self) -> Mapping[str, Any]:
+    def _status_report(self) -> Mapping[str, Any]:
         core = self._core
         lanes = self._requests.fleet.lanes()
         return {
--- a/src/clementinegw/daemons/keys.py
+++ b/src/clementinegw/daemons/keys.py
@@ -54,7 +54,7 @@
         raise exceptions.SettingsError(f"{path}: {error}") from None
 
 
-def narrowed(
+def select_keys(
     ring: auth.KeyRing, active: str, accepted: tuple[str, ...]
 ) -> auth.KeyRing:
     """Returns the ring that the settings ask for.
--- a/src/clementinegw/daemons/settings_peers.py
+++ b/src/clementinegw/daemons/settings_peers.py
@@ -13,8 +13,8 @@
 Kind = connection_lib.Kind
 
 # No member tells of a revision as low as this.
-_BEFORE_ANY = -1
-_PRESENT = frozenset({views.MemberState.ALIVE, views.MemberState.LEAVING})
+_BELOW_ANY_REVISION = -1
+_LIVE_STATES = frozenset({views.MemberState.ALIVE, views.MemberState.LEAVING})
 
 
 class SettingsPeers:
@@ -40,14 +40,14 @@
         names = {
             member.instance.instance_id
             for member in self._membership.members()
-            if member.state in _PRESENT
+            if member.state in _LIVE_STATES
             and member.instance.place.failure_domain == me.place.failure_domain
         }
         return sorted(names | {me.instance_id})
 
     def others(self) -> list[str]:
         """Returns live members anywhere, without this one."""
-        return self.ahead_of(_BEFORE_ANY)
+        return self.ahead_of(_BELOW_ANY_REVISION)
 
     def newest_revision(self) -> int:
         """Returns the newest revision that a live member told of."""
@@ -60,7 +60,7 @@
             member.instance.instance_id
             for member in self._membership.members()
             if member.instance.instance_id != me
-            and member.state in _PRESENT
+            and member.state in _LIVE_STATES
             and member.settings_revision > revision
         )
 
@@ -87,7 +87,7 @@
         raise exceptions.ConnectionLost(f"no member {peer}")
 
 
-def answer_pulls(
+def register_pull_handler(
     endpoint: connection_lib.Endpoint, follower: follower_lib.Follower
 ) -> None:
     """Lets peers ask this process for its settings."""
--- a/src/clementinegw/daemons/status.py
+++ b/src/clementinegw/daemons/status.py
@@ -13,25 +13,30 @@
 
 from clementinegw import types
 
-Report = Callable[[], Mapping[str, Any]]
+StatusCallback = Callable[[], Mapping[str, Any]]
 
 
-class StatusPages(mode.Service):
+class StatusServer(mode.Service):
     """Serves the pages of one daemon."""
 
-    def __init__(self, address: types.Address, report: Report, ready: Report):
+    def __init__(
+        self,
+        address: types.Address,
+        report: StatusCallback,
+        not_ready_reasons: StatusCallback,
+    ):
         """Prepares the pages.
 
         Args:
           address: Where they are served; port 0 lets the kernel choose.
           report: Returns what `/status` shows.
-          ready: Returns the reasons why the daemon should get no new work, by
-            name; empty when it should.
+          not_ready_reasons: Returns the reasons why the daemon should get no
+            new work, by name; empty when it should.
         """
         super().__init__()
         self._address = address
         self._report = report
-        self._ready = ready
+        self._not_ready_reasons = not_ready_reasons
         self._runner: web.AppRunner | None = None
 
     @property
@@ -42,7 +47,7 @@
     async def on_start(self) -> None:
         """Starts to serve."""
         app = web.Application()
-        add_health_routes(app, self._ready)
+        add_health_routes(app, self._not_ready_reasons)
         app.router.add_get("/status", self._status)
         self._runner = web.AppRunner(app, access_log=None)
         await self._runner.setup()
@@ -61,7 +66,9 @@
         return web.json_response(dict(self._report()))
 
 
-def add_health_routes(app: web.Application, ready: Report) -> None:
+def add_health_routes(
+    app: web.Application, not_ready_reasons: StatusCallback
+) -> None:
     """Adds `/healthz` and `/readyz`, which the balancer asks for."""
 
     async def _healthz(request: web.Request) -> web.Response:
@@ -70,7 +77,7 @@
 
     async def _readyz(request: web.Request) -> web.Response:
         del request
-        reasons = dict(ready())
+        reasons = dict(not_ready_reasons())
         status = 503 if reasons else 200
         return web.json_response(
             {"ready": not reasons, "reasons": reasons}, status=status
--- a/src/clementinegw/daemons/tls.py
+++ b/src/clementinegw/daemons/tls.py
@@ -11,7 +11,7 @@
 from clementinegw.settings import model as model_lib
 
 
-def contexts(
+def make_contexts(
     files: model_lib.TlsFiles,
 ) -> tuple[ssl.SSLContext, ssl.SSLContext]:
     """Returns the contexts for listening and for connecting.
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -69,5 +69,5 @@
     """
     path = tmp_path / "keys.json"
     path.write_text('{"active":"k1","keys":{"k1":"%s"}}' % ("ab" * 16))
-    ring = keys.narrowed(keys.load(path), "k2", ("k2",))
+    ring = keys.select_keys(keys.load(path), "k2", ("k2",))
     assert ring.active == "k1"
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -36,7 +36,7 @@
 GRACE_S = 0.001
 TICK_S = 0.005
 # Virtual seconds after which a test has failed.
-BOUND_S = 120
+TIMEOUT_S = 120
 COMPLETION = {
     "model": "assistent",
     "prompt": "a spur gear",
@@ -59,17 +59,17 @@
             await deployment.declare(
                 "start", *deployment.tree_operations({"assistent": model})
             )
-            await _until(lambda: _serving(deployment, "v1"))
-            await _until_answered(deployment)
+            await _wait_until(lambda: _serving(deployment, "v1"))
+            await _wait_until_answered(deployment)
             return await body(deployment, published)
 
     clock = clocks.VirtualClock()
     make_loop = functools.partial(processes.ProcessLoop, tick_s=TICK_S)
-    return clocks.run(bounded(main, clock), clock, GRACE_S, make_loop)
+    return clocks.run(with_timeout(main, clock), clock, GRACE_S, make_loop)
 
 
-async def bounded(main, clock):
-    async with asyncio.timeout(BOUND_S):
+async def with_timeout(main, clock):
+    async with asyncio.timeout(TIMEOUT_S):
         return await main(clock)
 
 
@@ -98,12 +98,12 @@
     )
 
 
-async def _until(condition):
+async def _wait_until(condition):
     while not condition():
         await asyncio.sleep(0.1)
 
 
-async def _until_answered(deployment):
+async def _wait_until_answered(deployment):
     while (await _look_up(deployment))[0] != "answered":
         await asyncio.sleep(0.2)
 
@@ -141,7 +141,7 @@
             "roll out",
             changes.Set("services.assistent.model", _model(published[1])),
         )
-        await _until(lambda: _serving(deployment, "v2"))
+        await _wait_until(lambda: _serving(deployment, "v2"))
         return await _stream(deployment), published[1]
 
     (version, answer), manifest = _run(body, tmp_path)
@@ -189,15 +189,15 @@
     async def body(deployment, published):
         first = [asyncio.ensure_future(_stream(deployment)) for _ in range(4)]
         await asyncio.sleep(0.5)
-        leaver = deployment.workers[0]
-        draining = asyncio.ensure_future(leaver.agent.drain())
-        while not leaver.agent.core.leaving:
+        leaving_worker = deployment.workers[0]
+        draining = asyncio.ensure_future(leaving_worker.agent.drain())
+        while not leaving_worker.agent.core.leaving:
             await asyncio.sleep(0.01)
-        runs_before = len(_runs(deployment, leaver.server.name))
+        runs_before = len(_runs(deployment, leaving_worker.server.name))
         more = [asyncio.ensure_future(_stream(deployment)) for _ in range(4)]
         answers = await asyncio.gather(*first, *more)
         await draining
-        runs_after = len(_runs(deployment, leaver.server.name))
+        runs_after = len(_runs(deployment, leaving_worker.server.name))
         return answers, runs_before, runs_after, published[0]
 
     answers, runs_before, runs_after, manifest = _run(body, tmp_path)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -41,7 +41,7 @@
     identity = connection.Identity(
         name, types.Role.ENTRY, types.Place("r", "d")
     )
-    contexts = None if files is None else tls.contexts(files)
+    contexts = None if files is None else tls.make_contexts(files)
     return connection.Endpoint(identity, KEY, tls=contexts)
 
 
@@ -77,4 +77,4 @@
 
 def test_missing_file_is_named(folder):
     with pytest.raises(exceptions.SettingsError, match="nobody.pem"):
-        tls.contexts(_files(folder, "nobody"))
+        tls.make_contexts(_files(folder, "nobody"))
--- a/tests/test_weights_service.py
+++ b/tests/test_weights_service.py
@@ -328,7 +328,7 @@
     served = []
     for page in pages:
         here = types.Address("127.0.0.1", 0)
-        served.append(status_pages.StatusPages(here, lambda p=page: p, dict))
+        served.append(status_pages.StatusServer(here, lambda p=page: p, dict))
         await served[-1].start()
     addresses = ",".join(str(one.address) for one in served)
     argv = ["rollout", "status", f"--status={addresses}", *arguments]
