--- a/src/clementinegw/commands/_daemon.py
+++ b/src/clementinegw/commands/_daemon.py
@@ -20,7 +20,7 @@
     )
 
 
-def read_file(flag_values, role: types.Role) -> model_lib.InstanceFile:
+def read_instance_file(flag_values, role: types.Role) -> model_lib.InstanceFile:
     """Reads the instance file that the flags name.
 
     Raises:
--- a/src/clementinegw/commands/capacity.py
+++ b/src/clementinegw/commands/capacity.py
@@ -51,14 +51,14 @@
         return 0
     print(table.render(found))
     print()
-    print(_verdict(found))
+    print(_summary(found))
     if flag_values.slopes:
         print()
         print(table.render_slopes(slopes.values()))
     return 0
 
 
-def _verdict(found: list[quantities.Row]) -> str:
+def _summary(found: list[quantities.Row]) -> str:
     first = model.first_to_break(found)
     unknown = sum(row.value is None for row in found)
     if first is None or first.used is None:
--- a/src/clementinegw/commands/daemons_entry.py
+++ b/src/clementinegw/commands/daemons_entry.py
@@ -18,5 +18,5 @@
     """Runs the daemon until it is told to stop."""
     if args:
         raise exceptions.UsageError(f"entry: unexpected {args[0]!r}")
-    file = _daemon.read_file(flag_values, types.Role.ENTRY)
+    file = _daemon.read_instance_file(flag_values, types.Role.ENTRY)
     return await _daemon.run_until_signal(entry.Entry(file))
--- a/src/clementinegw/commands/demo.py
+++ b/src/clementinegw/commands/demo.py
@@ -17,7 +17,7 @@
 live requests, declares the next version in mid-load, waits until every replica
 serves it, and checks each answer. Exit code 5 when a check failed."""
 
-_CHECK_FAILED = exceptions.CheckFailed.exit_code
+_CHECK_FAILED_EXIT_CODE = exceptions.CheckFailed.exit_code
 
 
 def define(flag_values) -> None:
@@ -65,14 +65,14 @@
         seed=flag_values.seed,
     )
     # Who reads the account from a pipe wants it as it comes.
-    say = functools.partial(print, flush=True)
-    demo = demo_lib.Demo(plan, say)
+    print_line = functools.partial(print, flush=True)
+    demo = demo_lib.Demo(plan, print_line)
     try:
         result = await demo.run()
         if flag_values.json:
-            say(json.dumps(result))
+            print_line(json.dumps(result))
         if flag_values.stay:
-            await demo_lib.stay(demo, say)
+            await demo_lib.stay(demo, print_line)
     finally:
         await demo.stop()
-    return _CHECK_FAILED if result["checks_failed"] else 0
+    return _CHECK_FAILED_EXIT_CODE if result["checks_failed"] else 0
--- a/src/clementinegw/commands/main.py
+++ b/src/clementinegw/commands/main.py
@@ -20,7 +20,7 @@
 from clementinegw.telemetry import logs
 
 PROGRAM = "clementinegw"
-_SUGGESTED = 3
+_MAX_SUGGESTIONS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -113,9 +113,9 @@
 def _dispatch(name: str, rest: list[str]) -> int:
     command = COMMANDS.get(name)
     if command is None:
-        raise exceptions.UsageError(_unknown(name))
+        raise exceptions.UsageError(_unknown_command_message(name))
     module = importlib.import_module(f"clementinegw.commands.{command.module}")
-    if hasattr(module, "choose") and not _asks_help_only(rest):
+    if hasattr(module, "choose") and not _is_help_request(rest):
         module, rest = module.choose(rest)
     if not hasattr(module, "define"):
         print(module.HELP)
@@ -146,7 +146,7 @@
         ) from error
 
 
-def _asks_help_only(rest: list[str]) -> bool:
+def _is_help_request(rest: list[str]) -> bool:
     return rest in (["--help"], ["-h"])
 
 
@@ -171,7 +171,7 @@
     )
 
 
-def _unknown(name: str) -> str:
-    near = difflib.get_close_matches(name, COMMANDS, _SUGGESTED)
-    hint = f"; did you mean {' or '.join(near)}?" if near else ""
+def _unknown_command_message(name: str) -> str:
+    matches = difflib.get_close_matches(name, COMMANDS, _MAX_SUGGESTIONS)
+    hint = f"; did you mean {' or '.join(matches)}?" if matches else ""
     return f"no command {name!r}{hint} (see `{PROGRAM} --help`)"
--- a/src/clementinegw/commands/matrix.py
+++ b/src/clementinegw/commands/matrix.py
@@ -82,17 +82,17 @@
     if args:
         raise exceptions.UsageError(f"matrix: unexpected {args[0]!r}")
     if flag_values.cell:
-        return await asyncio.to_thread(_play_one, flag_values.cell)
+        return await asyncio.to_thread(_run_cell, flag_values.cell)
     names = flag_values.paths or list(paths.all_paths())
     _check_names(names)
-    report = await asyncio.to_thread(_play_all, names, flag_values)
+    report = await asyncio.to_thread(_run_matrix, names, flag_values)
     _print(report, flag_values.json)
     failed = bool(report.failed or report.uncaught)
     return exceptions.CheckFailed.exit_code if failed else 0
 
 
-def _play_all(names: list[str], flag_values) -> runner.Report:
-    def _play(player: players.Player) -> runner.Report:
+def _run_matrix(names: list[str], flag_values) -> runner.Report:
+    def _run_with(player: players.Player) -> runner.Report:
         return runner.run(
             names,
             flag_values.pairs,
@@ -103,11 +103,11 @@
         )
 
     if not flag_values.hosts:
-        return _play(players.Here())
+        return _run_with(players.Here())
     desk = desks.Desk(types.Address("127.0.0.1", flag_values.desk_port))
     hosts = players.Hosts(desk, flag_values.hosts)
     try:
-        return _play(hosts)
+        return _run_with(hosts)
     finally:
         hosts.close()
         desk.close()
@@ -122,7 +122,7 @@
             )
 
 
-def _play_one(text: str) -> int:
+def _run_cell(text: str) -> int:
     cell = engine.parse(text)
     _check_names([cell.path])
     path = paths.all_paths()[cell.path]
--- a/src/clementinegw/commands/rollout.py
+++ b/src/clementinegw/commands/rollout.py
@@ -23,10 +23,10 @@
 whose `listen.admin` says where they are. With --wait_s it asks again until all
 serve the version; exit code 5 if they do not in that time."""
 
-_TIMEOUT_S = 3.0
-_ASKED_AT_ONCE = 64
-_AGAIN_S = 1.0
-_BAR = 40
+_REQUEST_TIMEOUT_S = 3.0
+_MAX_CONCURRENT_REQUESTS = 64
+_POLL_INTERVAL_S = 1.0
+_BAR_WIDTH = 40
 _PERCENT = 100
 
 
@@ -66,10 +66,12 @@
     end = time.monotonic() + flag_values.wait_s
     async with aiohttp.ClientSession() as session:
         while True:
-            found = await _ask_all(session, flag_values.service, addresses)
+            found = await _fetch_rollout(
+                session, flag_values.service, addresses
+            )
             if found.complete or time.monotonic() >= end:
                 break
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
     print(_as_json(found) if flag_values.json else _as_text(found))
     if flag_values.wait_s and not found.complete:
         raise exceptions.CheckFailed(
@@ -96,32 +98,35 @@
     return addresses
 
 
-async def _ask_all(
+async def _fetch_rollout(
     session: aiohttp.ClientSession, service: str, addresses: list[str]
 ) -> rollout.Rollout:
-    limit = asyncio.Semaphore(_ASKED_AT_ONCE)
+    limit = asyncio.Semaphore(_MAX_CONCURRENT_REQUESTS)
     answers = await asyncio.gather(
-        *(_ask(session, address, limit) for address in addresses)
+        *(_fetch_page(session, address, limit) for address in addresses)
     )
     pages = [page for page in answers if isinstance(page, rollout.Page)]
-    silent = {
+    unreachable = {
         address: answer
         for address, answer in zip(addresses, answers, strict=True)
         if isinstance(answer, str)
     }
     if not any(page.service == service for page in pages):
-        told = "; ".join(f"{name}: {why}" for name, why in silent.items())
+        details = "; ".join(
+            f"{name}: {why}" for name, why in unreachable.items()
+        )
         raise exceptions.PlatformError(
-            f"no agent of {service!r} answered" + (f" ({told})" if told else "")
+            f"no agent of {service!r} answered"
+            + (f" ({details})" if details else "")
         )
-    return rollout.collect(service, pages, silent)
+    return rollout.collect(service, pages, unreachable)
 
 
-async def _ask(
+async def _fetch_page(
     session: aiohttp.ClientSession, address: str, limit: asyncio.Semaphore
 ) -> rollout.Page | str:
     """Returns a page, or why there is none."""
-    timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
+    timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
     try:
         async with (
             limit,
@@ -130,7 +135,7 @@
             answer.raise_for_status()
             return rollout.Page.model_validate_json(await answer.read())
     except TimeoutError:
-        return f"no answer in {_TIMEOUT_S:g} s"
+        return f"no answer in {_REQUEST_TIMEOUT_S:g} s"
     except pydantic.ValidationError:
         return "its answer is no status page"
     except (aiohttp.ClientError, OSError) as error:
@@ -143,12 +148,12 @@
 
 def _as_text(found: rollout.Rollout) -> str:
     share = found.serving / found.replicas
-    bar = "#" * int(_BAR * share)
+    bar = "#" * int(_BAR_WIDTH * share)
     lines = [
         f"{found.service}: version {found.target or '(none)'}, manifest "
         f"{found.target_digest or '(none)'}, settings revision "
         f"{found.revision}",
-        f"[{bar:-<{_BAR}}] {int(_PERCENT * share)}%  "
+        f"[{bar:-<{_BAR_WIDTH}}] {int(_PERCENT * share)}%  "
         f"{found.serving} of {found.replicas} serve it",
         "",
     ]
--- a/src/clementinegw/commands/scenario.py
+++ b/src/clementinegw/commands/scenario.py
@@ -20,7 +20,7 @@
 expectations did not hold; `check` only reads the files. The same file and seed
 give the same verdict each time. docs/scenarios.md teaches the language."""
 
-_VERBS = ("run", "check")
+_ACTIONS = ("run", "check")
 
 
 def define(flag_values) -> None:
@@ -40,7 +40,7 @@
       exceptions.UsageError: No verb, no file, or a file that does not fit.
       exceptions.CheckFailed: An expectation did not hold.
     """
-    if len(args) < 2 or args[0] not in _VERBS:
+    if len(args) < 2 or args[0] not in _ACTIONS:
         raise exceptions.UsageError(
             "scenario: expected `run FILE...` or `check FILE...` "
             "(see `clementinegw scenario --help`)"
@@ -68,7 +68,7 @@
         report = await asyncio.to_thread(play.play, scenario)
         reports.append(report)
         if not as_json:
-            print(_readable(path, report), flush=True)
+            print(_format_report(path, report), flush=True)
     failures = [str(f) for report in reports for f in report.failures]
     held = sum(report.held for report in reports)
     if as_json:
@@ -84,7 +84,7 @@
     return 0
 
 
-def _readable(path: str, report: runner.Report) -> str:
+def _format_report(path: str, report: runner.Report) -> str:
     word = "held" if report.held else "FAILED"
     lines = [
         f"{word:6} {path}: {report.title} ({report.expectations} expectations, "
--- a/src/clementinegw/commands/settings.py
+++ b/src/clementinegw/commands/settings.py
@@ -12,7 +12,7 @@
 
 from clementinegw import exceptions
 from clementinegw import types
-from clementinegw.commands import _settings_text as text
+from clementinegw.commands import _settings_format as formats
 from clementinegw.platform import log as log_lib
 from clementinegw.settings import changes
 from clementinegw.settings import fold as fold_lib
@@ -59,7 +59,7 @@
 
 def define(flag_values) -> None:
     """Defines the command's flags."""
-    for name, default, help_text in _STRINGS:
+    for name, default, help_text in _STRING_FLAGS:
         flags.DEFINE_string(name, default, help_text, flag_values=flag_values)
     flags.DEFINE_integer(
         "base",
@@ -79,7 +79,7 @@
     )
 
 
-_STRINGS = (
+_STRING_FLAGS = (
     ("log", None, "Base URL of the platform's log."),
     ("who", None, "The operator, for the history; by default the login."),
     ("why", "", "The reason, for the history."),
@@ -109,23 +109,23 @@
         return await action(_Session(log, fold, flag_values), args[1:])
 
 
-def _one(args: list[str], action: str, expected: str) -> str:
+def _single_argument(args: list[str], action: str, expected: str) -> str:
     if len(args) != 1:
         raise exceptions.UsageError(f"settings {action}: expected {expected}")
     return args[0]
 
 
-def _none_or_one(args: list[str], action: str) -> str:
-    return _one(args, action, "at most one PATH") if args else ""
+def _optional_path(args: list[str], action: str) -> str:
+    return _single_argument(args, action, "at most one PATH") if args else ""
 
 
-def _show(session: _Session, data: Any, lines: str) -> int:
+def _print_result(session: _Session, data: Any, lines: str) -> int:
     print(json.dumps(data) if session.flags.json else lines)
     return 0
 
 
 async def _get(session: _Session, args: list[str]) -> int:
-    path = _none_or_one(args, "get")
+    path = _optional_path(args, "get")
     try:
         value = changes.lookup(
             session.fold.raw, changes.split(path) if path else ()
@@ -136,7 +136,9 @@
             " explain` shows inherited and default values"
         ) from None
     data = {"revision": session.fold.revision, "path": path, "value": value}
-    return _show(session, data, json.dumps(value, indent=2, sort_keys=True))
+    return _print_result(
+        session, data, json.dumps(value, indent=2, sort_keys=True)
+    )
 
 
 def parse_assignment(argument: str) -> changes.Set:
@@ -187,7 +189,9 @@
     operations: list[changes.Operation] = []
     for difference in changes.diff(before, after):
         if difference.kind is changes.DiffKind.REMOVED:
-            unset = changes.Unset(_first_absent(after, difference.path))
+            unset = changes.Unset(
+                _shortest_missing_path(after, difference.path)
+            )
             if unset not in operations:
                 operations.append(unset)
         else:
@@ -197,7 +201,7 @@
     return tuple(operations)
 
 
-def _first_absent(tree: changes.Json, path: str) -> str:
+def _shortest_missing_path(tree: changes.Json, path: str) -> str:
     """Returns the path or the shortest part of it that a tree lacks."""
     keys = changes.split(path)
     for length in range(1, len(keys)):
@@ -209,11 +213,11 @@
 
 
 async def _apply(session: _Session, args: list[str]) -> int:
-    wanted = _read_tree(_one(args, "apply", "FILE"))
+    wanted = _read_tree(_single_argument(args, "apply", "FILE"))
     operations = operations_between(session.fold.raw, wanted)
     if not operations:
         data = {"revision": session.fold.revision, "changed": 0}
-        return _show(session, data, "nothing to change")
+        return _print_result(session, data, "nothing to change")
     return await _publish(session, operations)
 
 
@@ -239,7 +243,7 @@
 
 
 async def _diff(session: _Session, args: list[str]) -> int:
-    what = _one(args, "diff", "FILE or REVISION")
+    what = _single_argument(args, "diff", "FILE or REVISION")
     if what.isdigit():
         before, after = tree_at(session.fold, int(what)), session.fold.raw
     else:
@@ -249,21 +253,21 @@
         "revision": session.fold.revision,
         "differences": [dataclasses.asdict(d) for d in differences],
     }
-    return _show(session, data, text.differences(differences))
+    return _print_result(session, data, formats.format_differences(differences))
 
 
 async def _history(session: _Session, args: list[str]) -> int:
-    entries = session.fold.history(_none_or_one(args, "history"))
+    entries = session.fold.history(_optional_path(args, "history"))
     entries = entries[-max(session.flags.limit, 1) :]
     data = {
         "revision": session.fold.revision,
         "changes": [entry.to_json() for entry in entries],
     }
-    return _show(session, data, text.history(entries))
+    return _print_result(session, data, formats.format_history(entries))
 
 
 async def _explain(session: _Session, args: list[str]) -> int:
-    path = _one(args, "explain", "GROUP.KNOB")
+    path = _single_argument(args, "explain", "GROUP.KNOB")
     values = session.flags
     tree = session.fold.tree
     for section, name in (
@@ -287,7 +291,9 @@
     )
     data = {"revision": session.fold.revision, "path": path}
     data.update(dataclasses.asdict(explained))
-    return _show(session, data, text.explained(path, explained))
+    return _print_result(
+        session, data, formats.format_explained(path, explained)
+    )
 
 
 def find_change(fold: fold_lib.Fold, what: str) -> fold_lib.HistoryEntry:
@@ -308,7 +314,9 @@
 
 
 async def _undo(session: _Session, args: list[str]) -> int:
-    entry = find_change(session.fold, _one(args, "undo", "REVISION or PATH"))
+    entry = find_change(
+        session.fold, _single_argument(args, "undo", "REVISION or PATH")
+    )
     why = session.flags.why or f"undo of revision {entry.revision}"
     # Made for the undone revision: whatever moved after it is not overridden.
     return await _publish(session, entry.inverse, entry.revision, why)
@@ -340,7 +348,9 @@
             "base": change.base,
             "differences": [dataclasses.asdict(d) for d in differences],
         }
-        return _show(session, data, text.differences(differences))
+        return _print_result(
+            session, data, formats.format_differences(differences)
+        )
     result = await publisher.publish(session.log, change)
     if isinstance(result, results.Rejected):
         raise _rejected(await publisher.read_fold(session.log), result)
@@ -351,7 +361,9 @@
         "differences": [dataclasses.asdict(d) for d in differences],
     }
     lines = f"accepted at revision {result.revision}"
-    return _show(session, data, f"{text.differences(differences)}\n{lines}")
+    return _print_result(
+        session, data, f"{formats.format_differences(differences)}\n{lines}"
+    )
 
 
 def _rejected(
--- a/src/clementinegw/commands/standin.py
+++ b/src/clementinegw/commands/standin.py
@@ -35,7 +35,7 @@
 _PLACE = types.Place("region-1", "domain-1")
 _ENGINE = "assistant"
 _PLAIN = "lookup"
-_TREE: dict[str, Any] = {
+_SETTINGS_TREE: dict[str, Any] = {
     "regions": {_PLACE.region: {}},
     "failure_domains": {_PLACE.failure_domain: {"region": _PLACE.region}},
     "services": {
@@ -89,48 +89,52 @@
     for server in servers:
         await server.start()
     try:
-        await _declare(platform.log_address)
+        await _publish_settings(platform.log_address)
         urls = {_ENGINE: engine.base_url, _PLAIN: plain.base_url}
-        for path in _write(folder, platform, urls, flag_values.http_port):
+        for path in _write_instance_files(
+            folder, platform, urls, flag_values.http_port
+        ):
             print(path)
         print(f"log: {platform.log_address}\norigin: {platform.origin_address}")
-        await _interrupted()
+        await _wait_for_signal()
     finally:
         for server in servers:
             await server.stop()
     return 0
 
 
-async def _declare(log_url: str) -> None:
+async def _publish_settings(log_url: str) -> None:
     async with aiohttp.ClientSession() as session:
         log = log_lib.HttpLog(log_url, session)
         change = publisher.new_change(
             0,
             "standin",
             "the services of the stand-ins",
-            tuple(changes_lib.Set(path, v) for path, v in _TREE.items()),
+            tuple(
+                changes_lib.Set(path, v) for path, v in _SETTINGS_TREE.items()
+            ),
         )
         result = await publisher.publish(log, change)
     if not isinstance(result, results.Accepted):
         raise exceptions.InvariantError(f"own settings were refused: {result}")
 
 
-def _write(
+def _write_instance_files(
     folder: pathlib.Path,
     platform: platform_lib.PlatformStandIn,
     urls: dict[str, str],
     http_port: int,
 ) -> list[pathlib.Path]:
     kinds = {_ENGINE: "engine", _PLAIN: "plain"}
-    files = {"entry": _instance("entry", platform, http_port, None)}
+    files = {"entry": _instance_file("entry", platform, http_port, None)}
     for service, url in urls.items():
         backend = {
             "service": service,
-            "kind": _TREE["services"][service]["kind"],
+            "kind": _SETTINGS_TREE["services"][service]["kind"],
             "url": url,
         }
         name = f"agent-{kinds[service]}"
-        files[name] = _instance(name, platform, 0, backend)
+        files[name] = _instance_file(name, platform, 0, backend)
     try:
         folder.mkdir(parents=True, exist_ok=True)
         for name, data in files.items():
@@ -141,7 +145,7 @@
     return [folder / f"{name}.json" for name in files]
 
 
-def _instance(
+def _instance_file(
     name: str,
     platform: platform_lib.PlatformStandIn,
     http_port: int,
@@ -172,7 +176,7 @@
     return data
 
 
-async def _interrupted() -> None:
+async def _wait_for_signal() -> None:
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/src/clementinegw/commands/weights.py
+++ b/src/clementinegw/commands/weights.py
@@ -67,7 +67,7 @@
     def show(progress: publish.Progress) -> None:
         nonlocal last
         last = progress
-        _show(progress)
+        _print_progress(progress)
 
     async with aiohttp.ClientSession() as session:
         manifest = await publish.publish(
@@ -80,17 +80,17 @@
         )
     if sys.stderr.isatty():
         print(file=sys.stderr)
-    print(_result(manifest, last, flag_values.json))
+    print(_format_result(manifest, last, flag_values.json))
     return 0
 
 
-def _show(progress: publish.Progress) -> None:
+def _print_progress(progress: publish.Progress) -> None:
     if sys.stderr.isatty():
         share = _PERCENT * progress.done_bytes // progress.total_bytes
         print(f"\r{share:3d}%", end="", file=sys.stderr, flush=True)
 
 
-def _result(
+def _format_result(
     manifest: manifests.Manifest, progress: publish.Progress, as_json: bool
 ) -> str:
     if not as_json:
