--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -5,7 +5,7 @@
 import random
 import signal
 
-import judge as judges
+import checker as checkers
 import platform_site as sites
 import process as processes
 import proxy as proxies
@@ -15,12 +15,12 @@
 CALLERS = 16
 EVENTS = 8
 # Tighter than a platform's, so that a few callers come near them.
-RATIO, SLACK = 0.02, 6.0
+RETRY_RATIO, RETRY_SLACK = 0.02, 6.0
 KEYS = ("key-of-one", "key-of-two", "key-of-three")
-MOST_MB = 120
+MAX_MEMORY_MB = 120
 # How long it must have been calm at the end, and a stall of this process that
 # is no calm, in seconds.
-CALM_S = 4.0
+QUIET_S = 4.0
 STALL_S = 0.5
 
 
@@ -36,31 +36,31 @@
         self._seconds = seconds
         self._code = code
         self._folder = folder
-        self._version = 1
-        self._ids = 0
+        self._config_version = 1
+        self._last_id = 0
         self._keys = list(KEYS)
-        self._shed_share = 0.03
-        self._began = 0.0
-        self.judge = judges.Judge(RATIO, SLACK)
+        self._reject_share = 0.03
+        self._started_at = 0.0
+        self.checker = checkers.Checker(RETRY_RATIO, RETRY_SLACK)
         self.store = sites.Store()
         self.servers = []
-        self.proxies = []
+        self.server_proxies = []
         self.entries = []
-        self.asked_at = {}
+        self.entry_of = {}
         self.plan = []
 
     @property
-    def counted(self):
+    def operation_count(self):
         """How many requests were sent."""
-        return len(self.judge.sent)
+        return len(self.checker.sent)
 
     @property
     def now(self):
-        return asyncio.get_running_loop().time() - self._began
+        return asyncio.get_running_loop().time() - self._started_at
 
     async def run(self):
         loop = asyncio.get_running_loop()
-        self._began = loop.time()
+        self._started_at = loop.time()
         await self.store.start()
         self.store_proxy = proxies.Proxy(self.store.address.port)
         store_port = await self.store_proxy.start()
@@ -71,62 +71,70 @@
                 number,
                 self._code,
                 self._folder,
-                {"repeat_ratio": RATIO, "repeat_slack": SLACK, **self.bounds},
+                {
+                    "repeat_ratio": RETRY_RATIO,
+                    "repeat_slack": RETRY_SLACK,
+                    **self.bounds,
+                },
             )
             self.entries.append(entry)
             await entry.start(store_port)
         await asyncio.sleep(1.5)
-        callers = [asyncio.create_task(self._call()) for _ in range(CALLERS)]
-        faults = asyncio.create_task(self._faults(store_port))
+        callers = [
+            asyncio.create_task(self._run_caller()) for _ in range(CALLERS)
+        ]
+        faults = asyncio.create_task(self._run_faults(store_port))
         while not faults.done():
             await asyncio.sleep(0.2)
             for entry in self.entries:
-                entry.look()
+                entry.poll()
         faults.result()
-        calm_at = await self._calm()
+        quiet_since = await self._wait_until_quiet()
         for caller in callers:
             caller.cancel()
         await asyncio.gather(*callers, return_exceptions=True)
         for entry in self.entries:
-            entry.look()
+            entry.poll()
             await entry.end(signal.SIGKILL)
-        self._finish(calm_at)
-        for proxy in self.proxies:
+        self._finish(quiet_since)
+        for proxy in self.server_proxies:
             await proxy.stop()
         await self.store_proxy.stop()
         for server in self.servers:
             await server.stop()
         await self.store.stop()
-        return self.judge.broken
+        return self.checker.violations
 
-    async def _calm(self):
+    async def _wait_until_quiet(self):
         """Waits until it has been calm for a while; returns since when.
 
         Callers, servers and the store are this process: while it stands still,
         nobody is answered. Seen with seed 1 at a load of 38 on 16 cores: no
         request for 2.04 s, and a call to the store given up meanwhile.
         """
-        calm_at = self.now
-        while self.now < calm_at + CALM_S:
+        quiet_since = self.now
+        while self.now < quiet_since + QUIET_S:
             before = self.now
             await asyncio.sleep(0.1)
             if self.now - before > STALL_S:
-                calm_at = self.now
-        return calm_at
+                quiet_since = self.now
+        return quiet_since
 
-    def _finish(self, calm_at):
-        self.judge.finish()
+    def _finish(self, quiet_since):
+        self.checker.finish()
         # The first seconds of calm are for what was on its way.
-        served = self.judge.served_since(calm_at + 2.5)
+        served = self.checker.served_share_since(quiet_since + 2.5)
         if served < 0.25:
             told = collections.Counter(
                 sent.status
-                for sent in self.judge.sent.values()
-                if sent.at >= calm_at + 2.5
+                for sent in self.checker.sent.values()
+                if sent.sent_at >= quiet_since + 2.5
+            )
+            self.checker.violations.append(
+                f"recovery: {served:.2f} served, {told}"
             )
-            self.judge.broken.append(f"recovery: {served:.2f} served, {told}")
         for entry in self.entries:
-            self.judge.broken += entry.broken(MOST_MB)
+            self.checker.violations += entry.violations(MAX_MEMORY_MB)
 
     # Servers.
 
@@ -141,23 +149,23 @@
         proxy = proxies.Proxy(int(server.address.rpartition(":")[2]))
         port = await proxy.start()
         self.servers.append(server)
-        self.proxies.append(proxy)
-        server.listed = f"127.0.0.1:{port}"
-        self._list(server)
+        self.server_proxies.append(proxy)
+        server.listed_address = f"127.0.0.1:{port}"
+        self._put_record(server)
 
-    def _list(self, server):
-        entry = server.record(address=server.listed)
+    def _put_record(self, server):
+        entry = server.record(address=server.listed_address)
         self.store.put("keyed.servers", server.name, entry)
 
     async def _serve(self, server, call):
-        self.judge.arrived(call.attempt_id, self.now)
+        self.checker.record_arrival(call.attempt_id, self.now)
         chance = self._rng.random()
-        if self._rng.random() < self._shed_share:
+        if self._rng.random() < self._reject_share:
             call.reject()
             return
         if not self._accepts(server, call):
             return
-        self.judge.ran(server, call)
+        self.checker.record_run(server, call)
         await asyncio.sleep(self._rng.uniform(0.005, 0.05))
         if chance < 0.03:
             call.reset()
@@ -192,7 +200,7 @@
 
     # Callers.
 
-    async def _call(self):
+    async def _run_caller(self):
         """Keeps a connection for as long as its process serves it."""
         while True:
             entry = self._rng.choice(self.entries)
@@ -205,18 +213,18 @@
                 await asyncio.sleep(0.1)
                 continue
             try:
-                while await self._ask(caller):
+                while await self._send_request(caller):
                     await asyncio.sleep(self._rng.uniform(0.0, 0.05))
             finally:
                 caller.writer.transport.abort()
 
-    async def _ask(self, caller):
-        self._ids += 1
-        attempt_id = f"s{self._ids}"
+    async def _send_request(self, caller):
+        self._last_id += 1
+        attempt_id = f"s{self._last_id}"
         kind = self._rng.choice(self.kinds)
         key = self._rng.choice(KEYS)
-        self.judge.asked(attempt_id, kind, key, self.now)
-        self.asked_at[attempt_id] = caller.entry
+        self.checker.record_sent(attempt_id, kind, key, self.now)
+        self.entry_of[attempt_id] = caller.entry
         try:
             caller.send(
                 f"/{kind}/x",
@@ -231,29 +239,29 @@
                 answer = await caller.answer()
         except (OSError, TimeoutError):
             return False
-        self.judge.answered(attempt_id, answer)
+        self.checker.record_answer(attempt_id, answer)
         return answer.complete and answer.headers.get("connection") != "close"
 
     # Faults.
 
-    def _table(self, store_port):
+    def _fault_actions(self, store_port):
         return {
             "link": self._fault_link,
             "store_link": self._fault_store_link,
             "store": self._fault_store,
             "stop": self._fault_stop,
-            "kill": lambda: self._fault_end(signal.SIGKILL, store_port),
-            "term": lambda: self._fault_end(signal.SIGTERM, store_port),
+            "kill": lambda: self._fault_restart(signal.SIGKILL, store_port),
+            "term": lambda: self._fault_restart(signal.SIGTERM, store_port),
             "hup": self._fault_hup,
-            "server": self._fault_server,
+            "server": self._fault_replace_server,
             "config": self._fault_config,
             "revoke": self._fault_revoke,
             "cut_and_revoke": self._fault_cut_and_revoke,
-            "shed": self._fault_shed,
+            "shed": self._fault_reject,
         }
 
-    async def _faults(self, store_port):
-        table = self._table(store_port)
+    async def _run_faults(self, store_port):
+        table = self._fault_actions(store_port)
         running = set()
         while self.now < self._seconds:
             kind = self._rng.choice(sorted(table))
@@ -263,11 +271,11 @@
         await asyncio.gather(*running)
 
     async def _fault_link(self):
-        proxy = self._rng.choice(self.proxies)
-        await proxy.disturb(self._rng)
+        proxy = self._rng.choice(self.server_proxies)
+        await proxy.inject_fault(self._rng)
 
     async def _fault_store_link(self):
-        await self.store_proxy.disturb(self._rng)
+        await self.store_proxy.inject_fault(self._rng)
 
     async def _fault_store(self):
         self.store.status = self._rng.choice((503, 429))
@@ -278,25 +286,25 @@
         entry = self._rng.choice(self.entries)
         await entry.pause(self._rng)
 
-    async def _fault_end(self, number, store_port):
+    async def _fault_restart(self, signal_number, store_port):
         entry = self._rng.choice(self.entries)
-        if entry.expected_end:
+        if entry.exit_expected:
             return
-        await entry.end(number)
+        await entry.end(signal_number)
         await entry.start(store_port)
 
     async def _fault_hup(self):
         entry = self._rng.choice(self.entries)
-        if entry.takes(signal.SIGHUP):
+        if entry.handles(signal.SIGHUP):
             entry.signal(signal.SIGHUP)
 
-    async def _fault_server(self):
+    async def _fault_replace_server(self):
         """Another start takes a server's address before the list says so."""
         server = self._rng.choice(self.servers)
         former, server.name = server.name, f"{server.name}x"
         await asyncio.sleep(self._rng.uniform(0.2, 1.5))
         self.store.put("keyed.servers", former, None)
-        self._list(server)
+        self._put_record(server)
 
     async def _fault_config(self):
         self._put_config()
@@ -305,7 +313,7 @@
         if len(self._keys) > 1:
             key = self._keys.pop()
             self._put_config()
-            self.judge.revoked[key] = self.now
+            self.checker.revoked_at[key] = self.now
 
     async def _fault_cut_and_revoke(self):
         """A key is taken away while no entry reaches the store."""
@@ -315,20 +323,20 @@
         await asyncio.sleep(7.5)
         self.store_proxy.mode = "pass"
 
-    async def _fault_shed(self):
+    async def _fault_reject(self):
         """Servers are full for a while."""
-        self._shed_share = 0.7
+        self._reject_share = 0.7
         await asyncio.sleep(self._rng.uniform(1.0, 3.0))
-        self._shed_share = 0.03
+        self._reject_share = 0.03
 
     def _put_config(self):
-        self._version += self._rng.randint(1, 5)
+        self._config_version += self._rng.randint(1, 5)
         tenants = [
             {"name": f"of-{key}", "api_keys": [key]} for key in self._keys
         ]
-        config = {**sites.config(self._version), "tenants": tenants}
-        self.store.put("keyed.op", "config", {**config, **self._more()})
+        config = {**sites.config(self._config_version), "tenants": tenants}
+        self.store.put("keyed.op", "config", {**config, **self._extra_config()})
 
-    def _more(self):
+    def _extra_config(self):
         """Returns what the configuration says besides."""
         return {}
--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -24,15 +24,15 @@
         self._folder = folder
         self._process = None
         self.number = number
-        self.expected_end = False
+        self.exit_expected = False
         self.started_at = 0.0
-        self.ended_by_itself = ""
-        self.paused = 0
+        self.unexpected_exit = ""
+        self.pause_count = 0
         self.peak_mb = 0.0
 
     async def start(self, store_port):
         path = self._folder / f"{self.role}-{self.number}.json"
-        path.write_text(json.dumps(self._instance(store_port)))
+        path.write_text(json.dumps(self._instance_file(store_port)))
         log = (self._folder / f"{self.role}-{self.number}.log").open("ab")
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -44,15 +44,15 @@
             stderr=log,
         )
         self.started_at = asyncio.get_running_loop().time()
-        # Only now: until the new process is there, `look` would take the end
+        # Only now: until the new process is there, `poll` would take the end
         # of the former one for its own.
-        self.expected_end = False
+        self.exit_expected = False
 
-    def signal(self, number):
+    def signal(self, signal_number):
         if self._process is not None and self._process.returncode is None:
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
 
-    def takes(self, number):
+    def handles(self, signal_number):
         """Returns whether the program ignores or handles a signal by now.
 
         Before its first line runs, the kernel ends it at SIGHUP; nothing in
@@ -67,21 +67,21 @@
             for line in status.read_text().splitlines()
             if line.startswith(("SigIgn", "SigCgt"))
         ]
-        return any(mask >> (number - 1) & 1 for mask in masks)
+        return any(mask >> (signal_number - 1) & 1 for mask in masks)
 
-    async def end(self, number):
-        self.expected_end = True
+    async def end(self, signal_number):
+        self.exit_expected = True
         self.signal(signal.SIGCONT)
-        self.signal(number)
+        self.signal(signal_number)
         await self._process.wait()
 
-    def look(self):
+    def poll(self):
         """Notes an end that nobody asked for, and the memory."""
-        if self._process is None or self.expected_end:
+        if self._process is None or self.exit_expected:
             return
         if self._process.returncode is not None:
-            self.ended_by_itself = f"code {self._process.returncode}"
-            self.expected_end = True
+            self.unexpected_exit = f"code {self._process.returncode}"
+            self.exit_expected = True
             return
         status = pathlib.Path(f"/proc/{self._process.pid}/status")
         for line in status.read_text().splitlines():
@@ -90,21 +90,21 @@
 
     async def pause(self, rng):
         """Stands still for a while."""
-        self.paused += 1
+        self.pause_count += 1
         self.signal(signal.SIGSTOP)
         await asyncio.sleep(rng.uniform(0.5, 3.0))
         self.signal(signal.SIGCONT)
 
-    def broken(self, most_mb):
+    def violations(self, max_mb):
         """Returns the promises of a process that it broke."""
         found = []
-        if self.ended_by_itself:
-            found.append(f"ended by itself: {self.ended_by_itself}")
-        if self.peak_mb > most_mb:
+        if self.unexpected_exit:
+            found.append(f"ended by itself: {self.unexpected_exit}")
+        if self.peak_mb > max_mb:
             found.append(f"memory: {self.peak_mb:.0f} MB")
         return found
 
-    def _instance(self, store_port):
+    def _instance_file(self, store_port):
         raise NotImplementedError
 
 
@@ -118,7 +118,7 @@
         self._bounds = bounds
         self.port = free_port()
 
-    def _instance(self, store_port):
+    def _instance_file(self, store_port):
         first = free_port()
         return {
             "name": f"entry-{self.number}",
@@ -147,7 +147,7 @@
         self._hosts = hosts
         self._ports = ports
 
-    def _instance(self, store_port):
+    def _instance_file(self, store_port):
         domains = [f"d{number}" for number in range(len(self._hosts))]
         host = self._hosts[self.number]
         return {
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -20,7 +20,7 @@
         self._server.close()
         self.reset()
 
-    async def disturb(self, rng):
+    async def inject_fault(self, rng):
         """Does one kind of harm for a while."""
         self.mode = rng.choice(("delay", "silence", "one_way", "reset"))
         if self.mode == "reset":
@@ -38,32 +38,32 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far = await asyncio.open_connection(
+            server_reader, server_writer = await asyncio.open_connection(
                 "127.0.0.1", self._port
             )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far}
+        self._writers |= {writer, server_writer}
         try:
             await asyncio.gather(
-                self._copy(reader, far, back=False),
-                self._copy(far_reader, writer, back=True),
+                self._copy(reader, server_writer, to_client=False),
+                self._copy(server_reader, writer, to_client=True),
             )
         finally:
-            self._writers -= {writer, far}
+            self._writers -= {writer, server_writer}
             writer.close()
-            far.close()
+            server_writer.close()
 
-    async def _copy(self, reader, writer, back):
+    async def _copy(self, reader, writer, to_client):
         try:
             while data := await reader.read(65536):
                 if self.mode == "delay":
                     await asyncio.sleep(0.2)
-                swallowed = self.mode == "silence" or (
-                    self.mode == "one_way" and back
+                dropped = self.mode == "silence" or (
+                    self.mode == "one_way" and to_client
                 )
-                if not swallowed:
+                if not dropped:
                     writer.write(data)
                     await writer.drain()
         except OSError:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -87,34 +87,34 @@
 }
 
 
-def code_with(guard, folder):
+def prepare_code(guard, folder):
     """Returns where the code is; a copy with one guard broken."""
     if not guard:
         return ROOT
-    path, text, instead = GUARDS[guard]
+    path, text, replacement = GUARDS[guard]
     for name in ("src", "platform"):
         shutil.copytree(ROOT / name, folder / name)
     file = folder / path
     before = file.read_text()
     assert text in before, f"{path}: the guard {guard} is written otherwise"
-    file.write_text(before.replace(text, instead))
+    file.write_text(before.replace(text, replacement))
     return folder
 
 
-def play(seed, seconds, guard="", subject="requests"):
+def run_seed(seed, seconds, guard="", subject="requests"):
     """Plays one seed and returns the promises that were broken."""
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        code = code_with(guard, folder)
+        code = prepare_code(guard, folder)
         soak = SUBJECTS[subject](seed, seconds, code, folder)
-        broken = asyncio.run(soak.run())
-        if broken and not guard:
-            kept = (
+        violations = asyncio.run(soak.run())
+        if violations and not guard:
+            saved = (
                 pathlib.Path(tempfile.gettempdir()) / f"soak-{subject}-{seed}"
             )
-            shutil.copytree(folder, kept, dirs_exist_ok=True)
-            (kept / "plan.txt").write_text(str(soak.plan))
-        return broken, soak.counted, len(soak.plan)
+            shutil.copytree(folder, saved, dirs_exist_ok=True)
+            (saved / "plan.txt").write_text(str(soak.plan))
+        return violations, soak.operation_count, len(soak.plan)
 
 
 def main():
@@ -128,18 +128,18 @@
     )
     parser.add_argument("--guard", choices=sorted(GUARDS), default="")
     args = parser.parse_args()
-    red = 0
+    failed = 0
     for seed in range(args.first, args.first + args.seeds):
-        broken, counted, faults = play(
+        violations, count, faults = run_seed(
             seed, args.seconds, args.guard, args.subject
         )
-        red += bool(broken)
-        verdict = "; ".join(broken[:3]) or "held"
+        failed += bool(violations)
+        verdict = "; ".join(violations[:3]) or "held"
         print(
-            f"seed {seed}: {counted} {args.subject}, {faults} faults: {verdict}"
+            f"seed {seed}: {count} {args.subject}, {faults} faults: {verdict}"
         )
-    print(f"{args.seeds - red} held, {red} broken")
-    return 1 if red else 0
+    print(f"{args.seeds - failed} held, {failed} broken")
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/server_signals.py
+++ b/tests/soak/server_signals.py
@@ -10,25 +10,25 @@
 
 import entries
 
-SPAN_S = 4.0
-SETTLED_S = 3.0
+LIMIT_WINDOW_S = 4.0
+LIMIT_SETTLE_S = 3.0
 DRAIN_S = 2.0
-NOTICE_S = 0.5
-MOST_IN_PAUSE = 2
+REPORT_DELAY_S = 0.5
+MAX_IN_BACKOFF = 2
 
 
-class Said:
+class Signals:
     """What one start of a server says, and to whom it has said it."""
 
     def __init__(self):
         self.limit = None
-        self.limit_since = 0.0
+        self.limit_set_at = 0.0
         self.leaving = False
-        self.pause_until = 0.0
-        self.told_limit = {}
-        self.told_leaving = {}
-        self.pauses = []
-        self.arrived = []
+        self.backoff_until = 0.0
+        self.limit_reported_at = {}
+        self.leaving_reported_at = {}
+        self.backoffs = []
+        self.arrivals = []
 
     def headers(self):
         found = []
@@ -44,92 +44,95 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self._said = collections.defaultdict(Said)
+        self._signals = collections.defaultdict(Signals)
 
     async def _serve(self, server, call):
-        said, now = self._said[server.name], self.now
-        sent = self.judge.sent.get(call.attempt_id)
-        entry = self.asked_at.get(call.attempt_id)
+        signals, now = self._signals[server.name], self.now
+        sent = self.checker.sent.get(call.attempt_id)
+        entry = self.entry_of.get(call.attempt_id)
         if sent is not None and entry is not None:
-            self._judge(server.name, said, entry, sent.at, now)
-        call.extra_headers = said.headers()
-        if now < said.pause_until:
-            self.judge.arrived(call.attempt_id, now)
-            pause_s = round(said.pause_until - now, 2)
+            self._check_request(server.name, signals, entry, sent.sent_at, now)
+        call.extra_headers = signals.headers()
+        if now < signals.backoff_until:
+            self.checker.record_arrival(call.attempt_id, now)
+            pause_s = round(signals.backoff_until - now, 2)
             call.extra_headers += (f"Retry-After: {pause_s}",)
             call.reject()
             if entry is not None:
                 mark = (_incarnation(entry), now, now + pause_s, [])
-                said.pauses.append(mark)
+                signals.backoffs.append(mark)
             return
         if entry is not None and call.extra_headers:
-            self._tell(said, entry)
+            self._record_reported(signals, entry)
         await super()._serve(server, call)
 
-    def _tell(self, said, entry):
+    def _record_reported(self, signals, entry):
         told = _incarnation(entry)
         # Its answer leaves within a moment.
-        if said.limit is not None:
-            said.told_limit.setdefault(told, self.now)
-        if said.leaving:
-            said.told_leaving.setdefault(told, self.now)
+        if signals.limit is not None:
+            signals.limit_reported_at.setdefault(told, self.now)
+        if signals.leaving:
+            signals.leaving_reported_at.setdefault(told, self.now)
 
-    def _judge(self, name, said, entry, asked_at, now):
+    def _check_request(self, name, signals, entry, sent_at, now):
         told = _incarnation(entry)
-        left_at = said.told_leaving.get(told)
+        left_at = signals.leaving_reported_at.get(told)
         # A request is half a second under way at most, its answer too.
-        if left_at is not None and asked_at > left_at + DRAIN_S + NOTICE_S:
-            late_s = round(asked_at - left_at, 2)
-            self.judge.broken.append(f"leaving: {name} {late_s} s after")
-        for whom, began, end, got in said.pauses:
-            if whom == told and began + NOTICE_S < now < end:
+        if left_at is not None and sent_at > left_at + DRAIN_S + REPORT_DELAY_S:
+            late_s = round(sent_at - left_at, 2)
+            self.checker.violations.append(f"leaving: {name} {late_s} s after")
+        for whom, began, end, got in signals.backoffs:
+            if whom == told and began + REPORT_DELAY_S < now < end:
                 got.append(now)
-                if len(got) > MOST_IN_PAUSE:
-                    self.judge.broken.append(f"pause: {name} got {got}")
-        if said.limit is not None:
-            self._judge_limit(name, said, told, now)
-
-    def _judge_limit(self, name, said, told, now):
-        if said.told_limit.get(told, now) <= now - NOTICE_S:
-            said.arrived.append(now)
-        if now < said.limit_since + SETTLED_S + SPAN_S:
+                if len(got) > MAX_IN_BACKOFF:
+                    self.checker.violations.append(f"pause: {name} got {got}")
+        if signals.limit is not None:
+            self._check_limit(name, signals, told, now)
+
+    def _check_limit(self, name, signals, told, now):
+        if signals.limit_reported_at.get(told, now) <= now - REPORT_DELAY_S:
+            signals.arrivals.append(now)
+        if now < signals.limit_set_at + LIMIT_SETTLE_S + LIMIT_WINDOW_S:
             return
-        count = sum(at > now - SPAN_S for at in said.arrived)
-        if count > 1.5 * said.limit * SPAN_S + 5:
-            self.judge.broken.append(
-                f"limit: {name} got {count} at {said.limit} a second"
+        count = sum(at > now - LIMIT_WINDOW_S for at in signals.arrivals)
+        if count > 1.5 * signals.limit * LIMIT_WINDOW_S + 5:
+            self.checker.violations.append(
+                f"limit: {name} got {count} at {signals.limit} a second"
             )
 
-    def _table(self, store_port):
+    def _fault_actions(self, store_port):
         more = {
             "limit": self._fault_limit,
             "leave": self._fault_leave,
             "leave_unlisted": self._fault_leave_unlisted,
-            "pause": self._fault_pause,
+            "pause": self._fault_backoff,
         }
-        return {**super()._table(store_port), **more}
+        return {**super()._fault_actions(store_port), **more}
 
     async def _fault_limit(self):
         """A server is in need for a while."""
-        said = self._said[self._rng.choice(self.servers).name]
-        if said.limit is not None:
+        signals = self._signals[self._rng.choice(self.servers).name]
+        if signals.limit is not None:
             return
-        said.arrived.clear()
-        said.told_limit.clear()
-        said.limit, said.limit_since = self._rng.choice((0.5, 1, 2.4)), self.now
+        signals.arrivals.clear()
+        signals.limit_reported_at.clear()
+        signals.limit, signals.limit_set_at = (
+            self._rng.choice((0.5, 1, 2.4)),
+            self.now,
+        )
         await asyncio.sleep(self._rng.uniform(4.0, 9.0))
-        said.limit = None
+        signals.limit = None
 
     async def _fault_leave(self):
         """A server says so itself, well before the list does."""
         server = self._rng.choice(self.servers)
-        said = self._said[server.name]
-        if said.leaving:
+        signals = self._signals[server.name]
+        if signals.leaving:
             return
-        said.leaving = True
+        signals.leaving = True
         await asyncio.sleep(self._rng.uniform(2.0, 5.0))
-        if server in self.servers and self._said[server.name] is said:
-            await self._fault_server_of(server)
+        if server in self.servers and self._signals[server.name] is signals:
+            await self._replace_server(server)
 
     async def _fault_leave_unlisted(self):
         """A server leaves while the store answers nobody."""
@@ -137,17 +140,17 @@
         await self._fault_leave()
         self.store_proxy.mode = "pass"
 
-    async def _fault_server_of(self, server):
+    async def _replace_server(self, server):
         former, server.name = server.name, f"{server.name}y"
         self.store.put("keyed.servers", former, None)
-        self._list(server)
+        self._put_record(server)
 
-    async def _fault_pause(self):
+    async def _fault_backoff(self):
         """A server rejects all and asks for pauses."""
-        said = self._said[self._rng.choice(self.servers).name]
-        said.pause_until = self.now + self._rng.uniform(1.0, 3.0)
+        signals = self._signals[self._rng.choice(self.servers).name]
+        signals.backoff_until = self.now + self._rng.uniform(1.0, 3.0)
 
 
 def _incarnation(entry):
     """Names one start of an entry, up to its last pause."""
-    return (entry.number, entry.started_at, entry.paused)
+    return (entry.number, entry.started_at, entry.pause_count)
--- a/tests/soak/versions.py
+++ b/tests/soak/versions.py
@@ -7,12 +7,12 @@
 import platform_site as sites
 
 MODEL = "m"
-DUE_S = 4.0
+DUE_AFTER_S = 4.0
 # A process is held to a time only when it has run for so long, in seconds: as a
 # platform's window of calm.
-IN_TOUCH_S = 3.0
+MIN_UPTIME_S = 3.0
 # What a busy machine may take from a send to its arrival, in seconds.
-ON_THE_WAY_S = 0.3
+MAX_TRANSIT_S = 0.3
 
 
 class Soak(entries.Soak):
@@ -26,12 +26,12 @@
 
     kinds = ("stream",)
     headers = (f"X-Clementinegw-Model: {MODEL}",)
-    bounds = {"weights_ms": DUE_S * 1e3}
+    bounds = {"weights_ms": DUE_AFTER_S * 1e3}
 
     def __init__(self, seed, seconds, code, folder):
         super().__init__(seed, seconds, code, folder)
-        self._weights = 1
-        self._declared = []
+        self._newest_version = 1
+        self._declarations = []
         self._declaring = False
 
     # Servers.
@@ -40,11 +40,13 @@
         for number in range(entries.SERVERS):
             await self._add_server(f"m-{number}")
 
-    def _list(self, server):
+    def _put_record(self, server):
         server.version = getattr(server, "version", 1)
         layers = {"from": 0, "target": 1, "version": server.version}
         held = {"name": MODEL, "version": server.version, "layers": layers}
-        entry = server.record("engine", address=server.listed, models=[held])
+        entry = server.record(
+            "engine", address=server.listed_address, models=[held]
+        )
         self.store.put("keyed.servers", server.name, entry)
 
     def _accepts(self, server, call):
@@ -53,19 +55,19 @@
             name = f"X-Clementinegw-Instance-Id: {server.name}"
             call.answer(b"", 421, extra_headers=(name,))
             return False
-        self._judge_version(server, call)
+        self._check_version(server, call)
         return True
 
-    def _judge_version(self, server, call):
-        entry = self.asked_at.get(call.attempt_id)
-        if entry is None or entry.expected_end:
+    def _check_version(self, server, call):
+        entry = self.entry_of.get(call.attempt_id)
+        if entry is None or entry.exit_expected:
             return
-        if self.now - (entry.started_at - self._began) < IN_TOUCH_S:
+        if self.now - (entry.started_at - self._started_at) < MIN_UPTIME_S:
             return
-        for version, at in self._declared:
-            late_s = self.now - at - DUE_S
-            if version > server.version and late_s > ON_THE_WAY_S:
-                self.judge.broken.append(
+        for version, at in self._declarations:
+            late_s = self.now - at - DUE_AFTER_S
+            if version > server.version and late_s > MAX_TRANSIT_S:
+                self.checker.violations.append(
                     f"version: {call.attempt_id} begins on {server.version}, "
                     f"{late_s:.2f} s after {version} was due, "
                     f"from entry-{entry.number}"
@@ -74,23 +76,23 @@
 
     # Faults.
 
-    def _table(self, store_port):
+    def _fault_actions(self, store_port):
         return {
             "declare": self._fault_declare,
-            "kill_while_due": lambda: self._fault_while_due(
+            "kill_while_due": lambda: self._fault_restart_while_due(
                 signal.SIGKILL, store_port
             ),
-            "term_while_due": lambda: self._fault_while_due(
+            "term_while_due": lambda: self._fault_restart_while_due(
                 signal.SIGTERM, store_port
             ),
             "hup": self._fault_hup,
-            "server": self._fault_server,
+            "server": self._fault_replace_server,
         }
 
-    async def _fault_while_due(self, number, store_port):
+    async def _fault_restart_while_due(self, signal_number, store_port):
         declaring = asyncio.create_task(self._fault_declare())
-        await asyncio.sleep(self._rng.uniform(0.0, DUE_S - 1.5))
-        await self._fault_end(number, store_port)
+        await asyncio.sleep(self._rng.uniform(0.0, DUE_AFTER_S - 1.5))
+        await self._fault_restart(signal_number, store_port)
         await declaring
 
     async def _fault_declare(self):
@@ -98,26 +100,28 @@
         if self._declaring:
             return
         self._declaring = True
-        self._weights += 1
-        version = self._weights
+        self._newest_version += 1
+        version = self._newest_version
         declared = {"model": MODEL, "version": version}
         self.store.put("keyed.op", f"version/{MODEL}", declared)
-        self._declared.append((version, self.now))
+        self._declarations.append((version, self.now))
         *timely, slow = self._rng.sample(self.servers, len(self.servers))
         loads = [
-            self._load(server, version, self._rng.uniform(0.3, DUE_S - 1.0))
+            self._load(
+                server, version, self._rng.uniform(0.3, DUE_AFTER_S - 1.0)
+            )
             for server in timely
         ]
-        late_s = DUE_S + self._rng.uniform(2.0, 3.0)
+        late_s = DUE_AFTER_S + self._rng.uniform(2.0, 3.0)
         await asyncio.gather(*loads, self._load(slow, version, late_s))
         self._declaring = False
 
     async def _load(self, server, version, after_s):
         await asyncio.sleep(after_s)
         server.version = version
-        self._list(server)
+        self._put_record(server)
 
-    def _more(self):
+    def _extra_config(self):
         config = sites.config()
         *others, stream = config["routes"]
         route = {**stream, "service": "engine"}
--- a/tests/soak/weights.py
+++ b/tests/soak/weights.py
@@ -22,11 +22,11 @@
 LOAD_S = 0.2
 # Between the check of a piece and the order it may rot unseen: the rules allow
 # three seconds. Here both are in one process's reach, and far quicker.
-UNSEEN_S = 0.5
+MAX_UNDETECTED_S = 0.5
 # After the last fault, until every server must hold the newest version: what
 # was left aside is tried again after four seconds, and then comes and loads.
-CALM_S = 14.0
-MOST_MB = 120
+CONVERGENCE_TIMEOUT_S = 14.0
+MAX_MEMORY_MB = 120
 
 
 def piece(version, number):
@@ -37,31 +37,31 @@
 class ModelServer:
     """A model server that checks nothing, as the real one."""
 
-    def __init__(self, name, broken):
+    def __init__(self, name, violations):
         self.name = name
-        self.starts = 0
-        self.loads = 0
-        self._broken = broken
+        self.start_count = 0
+        self.load_count = 0
+        self._violations = violations
         self._server = servers.Server(self._handle)
         self.restart()
 
     @property
     def server_id(self):
-        return f"{self.name}-{self.starts}"
+        return f"{self.name}-{self.start_count}"
 
     def restart(self):
         """Loses its layers and what was staged."""
-        self.starts += 1
+        self.start_count += 1
         self.version = 0
         self.sequence = 0
         self.staged = {}
-        self._rotted_at = {}
+        self._corrupted_at = {}
 
-    def rot(self, rng):
+    def corrupt_staged(self, rng):
         if self.staged:
             number = rng.choice(sorted(self.staged))
             self.staged[number] = b"r" * PIECE_BYTES
-            self._rotted_at[number] = asyncio.get_running_loop().time()
+            self._corrupted_at[number] = asyncio.get_running_loop().time()
 
     async def start(self, host, port):
         await self._server.listen(shared_types.Address(host, port))
@@ -109,32 +109,32 @@
         order = json.loads(body)
         if self.version < 0 or order["expect"] != self.sequence:
             return 409, b""
-        self._judge(order["version"])
+        self._check_staged(order["version"])
         self.sequence += 1
-        self.loads += 1
+        self.load_count += 1
         self.version = -1
-        start = self.starts
+        start = self.start_count
         asyncio.get_running_loop().call_later(
-            LOAD_S, self._loaded, start, order["version"]
+            LOAD_S, self._finish_load, start, order["version"]
         )
         return 202, b""
 
-    def _loaded(self, start, version):
-        if start == self.starts:
+    def _finish_load(self, start, version):
+        if start == self.start_count:
             self.version = version
 
-    def _judge(self, version):
+    def _check_staged(self, version):
         right = [piece(version, number) for number in range(PIECES)]
         found = [self.staged.get(number) for number in range(PIECES)]
-        since = asyncio.get_running_loop().time() - UNSEEN_S
+        since = asyncio.get_running_loop().time() - MAX_UNDETECTED_S
         wrong = [
             number
             for number in range(PIECES)
             if found[number] != right[number]
-            and self._rotted_at.get(number, since) <= since
+            and self._corrupted_at.get(number, since) <= since
         ]
         if wrong:
-            self._broken.append(
+            self._violations.append(
                 f"weights whole: {self.name} loads {version} with {wrong}"
             )
 
@@ -144,7 +144,7 @@
 
     def __init__(self, rng):
         self._rng = rng
-        self.spoilt_share = 0.0
+        self.corrupt_share = 0.0
         self.server = servers.Server(self._handle)
 
     async def _handle(self, request, responder):
@@ -163,7 +163,7 @@
                     "chunk_bytes": PIECE_BYTES,
                 }
             ).encode()
-        elif self._rng.random() < self.spoilt_share:
+        elif self._rng.random() < self.corrupt_share:
             body = b"s" * PIECE_BYTES
         else:
             body = piece(version, int(query["num"]))
@@ -178,18 +178,19 @@
         self._seconds = seconds
         self._code = code
         self._folder = folder
-        self._version = 1
-        self._began = 0.0
+        self._declared_version = 1
+        self._started_at = 0.0
         # Addresses of this process alone: several soaks may run at once.
         net = f"127.{1 + os.getpid() % 250}.{1 + seed % 250}"
         self._hosts = [f"{net}.{11 + number}" for number in range(AGENTS)]
         self._ports = (17_841, 17_844, 17_845)
-        self.broken = []
+        self.violations = []
         self.plan = []
         self.store = sites.Store()
         self.origin = Origin(random.Random(seed + 1))
         self.servers = [
-            ModelServer(f"i-{number}", self.broken) for number in range(AGENTS)
+            ModelServer(f"i-{number}", self.violations)
+            for number in range(AGENTS)
         ]
         self.agents = [
             processes.Agent(number, code, folder, self._hosts, self._ports)
@@ -197,17 +198,17 @@
         ]
 
     @property
-    def counted(self):
+    def operation_count(self):
         """How many loads were ordered."""
-        return sum(server.loads for server in self.servers)
+        return sum(server.load_count for server in self.servers)
 
     @property
     def now(self):
-        return asyncio.get_running_loop().time() - self._began
+        return asyncio.get_running_loop().time() - self._started_at
 
     async def run(self):
         """Plays the seed and returns the promises that were broken."""
-        self._began = asyncio.get_running_loop().time()
+        self._started_at = asyncio.get_running_loop().time()
         await self.store.start()
         self.store_proxy = proxies.Proxy(self.store.address.port)
         self._store_port = await self.store_proxy.start()
@@ -216,46 +217,48 @@
         self._put_config(await self.origin_proxy.start())
         for number, server in enumerate(self.servers):
             await server.start(self._hosts[number], self._ports[2])
-            self._list(number)
+            self._put_record(number)
         for agent in self.agents:
             await agent.start(self._store_port)
-        await self._faults()
-        await self._calm()
+        await self._run_faults()
+        await self._wait_until_converged()
         for agent in self.agents:
-            agent.look()
+            agent.poll()
             await agent.end(signal.SIGKILL)
-            self.broken += agent.broken(MOST_MB)
+            self.violations += agent.violations(MAX_MEMORY_MB)
         for server in self.servers:
             await server.stop()
         await self.origin_proxy.stop()
         await self.origin.server.stop()
         await self.store_proxy.stop()
         await self.store.stop()
-        return self.broken
+        return self.violations
 
-    async def _calm(self):
+    async def _wait_until_converged(self):
         """Waits until every server holds the newest version."""
-        until = self.now + CALM_S
+        until = self.now + CONVERGENCE_TIMEOUT_S
         while self.now < until:
-            if all(s.version == self._version for s in self.servers):
+            if all(s.version == self._declared_version for s in self.servers):
                 return
             await asyncio.sleep(0.1)
         held = [server.version for server in self.servers]
-        self.broken.append(f"declared: {held} hold, {self._version} is named")
+        self.violations.append(
+            f"declared: {held} hold, {self._declared_version} is named"
+        )
 
     # Faults.
 
-    async def _faults(self):
+    async def _run_faults(self):
         table = {
             "declare": self._fault_declare,
             "two_versions": self._fault_two_versions,
             "kill": self._fault_kill,
             "stop": self._fault_stop,
-            "rot": self._fault_rot,
-            "spoil": self._fault_spoil,
-            "server": self._fault_server,
-            "origin_link": lambda: self.origin_proxy.disturb(self._rng),
-            "store_link": lambda: self.store_proxy.disturb(self._rng),
+            "rot": self._fault_corrupt_staged,
+            "spoil": self._fault_corrupt_origin,
+            "server": self._fault_restart_server,
+            "origin_link": lambda: self.origin_proxy.inject_fault(self._rng),
+            "store_link": lambda: self.store_proxy.inject_fault(self._rng),
         }
         running = set()
         while self.now < self._seconds:
@@ -264,12 +267,12 @@
             running.add(asyncio.create_task(table[kind]()))
             await asyncio.sleep(self._rng.uniform(0.3, 1.5))
             for agent in self.agents:
-                agent.look()
+                agent.poll()
         await asyncio.gather(*running)
 
     async def _fault_declare(self):
-        self._version += 1
-        declared = {"model": MODEL, "version": self._version}
+        self._declared_version += 1
+        declared = {"model": MODEL, "version": self._declared_version}
         self.store.put("keyed.op", f"version/{MODEL}", declared)
 
     async def _fault_two_versions(self):
@@ -279,7 +282,7 @@
 
     async def _fault_kill(self):
         agent = self._rng.choice(self.agents)
-        if agent.expected_end:
+        if agent.exit_expected:
             return
         await agent.end(signal.SIGKILL)
         await agent.start(self._store_port)
@@ -288,26 +291,26 @@
         agent = self._rng.choice(self.agents)
         await agent.pause(self._rng)
 
-    async def _fault_rot(self):
+    async def _fault_corrupt_staged(self):
         for _ in range(20):
-            self._rng.choice(self.servers).rot(self._rng)
+            self._rng.choice(self.servers).corrupt_staged(self._rng)
             await asyncio.sleep(0.1)
 
-    async def _fault_spoil(self):
-        self.origin.spoilt_share = 0.3
+    async def _fault_corrupt_origin(self):
+        self.origin.corrupt_share = 0.3
         await asyncio.sleep(self._rng.uniform(0.5, 3.0))
-        self.origin.spoilt_share = 0.0
+        self.origin.corrupt_share = 0.0
 
-    async def _fault_server(self):
+    async def _fault_restart_server(self):
         """A model server starts again, with nothing."""
         number = self._rng.randrange(AGENTS)
         former = self.servers[number].server_id
         self.servers[number].restart()
         await asyncio.sleep(self._rng.uniform(0.2, 1.0))
         self.store.put("keyed.servers", former, None)
-        self._list(number)
+        self._put_record(number)
 
-    def _list(self, number):
+    def _put_record(self, number):
         server = self.servers[number]
         entry = {
             "service": "engine",
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -23,30 +23,36 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_promises_hold_under_a_seeded_plan_of_faults(seed):
-    broken, requests, faults = run.play(seed, seconds=6.0)
-    assert broken == []
+    violations, requests, faults = run.run_seed(seed, seconds=6.0)
+    assert violations == []
     assert requests > 0
     assert faults > 0
 
 
 @pytest.mark.parametrize("seed", WEIGHTS_SEEDS)
 def test_versions_come_whole_under_a_seeded_plan_of_faults(seed):
-    broken, loads, faults = run.play(seed, seconds=6.0, subject="weights")
-    assert broken == []
+    violations, loads, faults = run.run_seed(
+        seed, seconds=6.0, subject="weights"
+    )
+    assert violations == []
     assert loads > 0
     assert faults > 0
 
 
 def test_what_servers_report_is_heeded_under_a_seeded_plan_of_faults():
-    broken, requests, faults = run.play(3, seconds=6.0, subject="signals")
-    assert broken == []
+    violations, requests, faults = run.run_seed(
+        3, seconds=6.0, subject="signals"
+    )
+    assert violations == []
     assert requests > 0
     assert faults > 0
 
 
 def test_versions_are_kept_to_by_entries_that_start_again():
     """Entries are killed or stopped while a version is due; see the soak."""
-    broken, requests, faults = run.play(1, seconds=6.0, subject="versions")
-    assert broken == []
+    violations, requests, faults = run.run_seed(
+        1, seconds=6.0, subject="versions"
+    )
+    assert violations == []
     assert requests > 0
     assert faults > 0
