--- a/src/clementinegw/weights/__init__.py
+++ b/src/clementinegw/weights/__init__.py
@@ -1,6 +1,7 @@
-"""Weights from the origin to every instance, in a burst.
+"""Distribution of model weights from the origin to every instance.
 
-In the order in which a version travels: `publish` cuts it up, `manifest` names
-its parts, `store` keeps verified chunks, `loader` gives the engine one order
-at a time, `swap` keeps enough instances serving, `service` ties them together.
+In the order in which a version passes through them: `publish` splits it into
+chunks, `manifest` lists the chunks by digest, `store` keeps verified chunks,
+`loader` sends the engine one order at a time, `swap` keeps enough instances
+serving, and `service` connects them.
 """
--- a/src/clementinegw/weights/_fetch.py
+++ b/src/clementinegw/weights/_fetch.py
@@ -1,4 +1,4 @@
-"""Brings the chunks of a version into the staging memory."""
+"""Fetches the chunks of a version into the staging memory."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -28,17 +28,17 @@
         """Whether every chunk of the target was stored."""
 
     def set_target(self, manifest: manifests.Manifest) -> None:
-        """Says which version is wanted now; an earlier one is abandoned."""
+        """Sets the version to fetch; a previous target is abandoned."""
 
     def recheck(self) -> None:
-        """Fetches anew what the store has lost since it arrived."""
+        """Fetches again the chunks that the store has lost."""
 
     def on_complete(self, callback: Callable[[str], None]) -> None:
-        """Registers what is told the digest of each manifest that is whole."""
+        """Registers a callback for the digest of each completed manifest."""
 
 
 class Fetcher:
-    """Fetches by the exchange, or without one from the store itself."""
+    """Fetches through the exchange, or directly from the sources."""
 
     def __init__(
         self,
@@ -49,15 +49,16 @@
         log: logs.Log,
         counters: metrics.Counters,
     ):
-        """Prepares the fetcher.
+        """Initializes the fetcher.
 
         Args:
-          store: Where chunks go.
+          store: Where fetched chunks are staged.
           sources: The weight store, then the origin.
-          exchange: The exchange between agents; None draws each chunk.
-          rng: The order of draws and the pauses' jitter.
-          log: Where events go.
-          counters: Counts what failed.
+          exchange: The exchange between agents; None to fetch every chunk from
+            the sources.
+          rng: Shuffles the order of fetches and adds jitter to pauses.
+          log: Where events are logged.
+          counters: Counts failures.
         """
         self._store = store
         self._sources = sources
@@ -70,7 +71,7 @@
             exchange.on_complete(lambda digest: self._changed.set())
 
     async def recover(self, wanted: Sequence[manifests.Manifest]) -> None:
-        """Takes in what is staged already, and makes room."""
+        """Verifies chunks that are already staged and drops unwanted ones."""
         self._store.retain(wanted)
         attempts = 0
         while True:
@@ -84,7 +85,7 @@
                 await self._pause(attempts, error.message)
 
     async def fetch(self, manifest: manifests.Manifest) -> None:
-        """Returns once every chunk is staged; cancelled, it just stops."""
+        """Returns once every chunk is staged; it may be cancelled."""
         if self._exchange is not None:
             await self._fetch_by_exchange(self._exchange, manifest)
         await self._fetch_missing(manifest)
--- a/src/clementinegw/weights/_retry_delay.py
+++ b/src/clementinegw/weights/_retry_delay.py
@@ -1,23 +1,23 @@
-"""Pauses after failures in a row."""
+"""Delays between retries after consecutive failures."""
 
 import random
 
 from clementinegw.platform import retries as retry_lib
 from clementinegw.weights import _orders
 
-# Beyond these the longest pause is reached, and powers of two overflow.
+# The longest delay is reached well before, and larger powers of two overflow.
 _MAX_DOUBLINGS = 16
 
 
 class RetryDelay:
-    """When the next load may be tried, and why not sooner."""
+    """When the next load may be tried, and the failure it is delayed by."""
 
     def __init__(self, retries: retry_lib.RetryPolicy, rng: random.Random):
-        """Starts without a failure.
+        """Starts without failures.
 
         Args:
-          retries: The pauses.
-          rng: Their jitter.
+          retries: The delays.
+          rng: Adds jitter to the delays.
         """
         self._retries = retries
         self._rng = rng
@@ -27,26 +27,26 @@
 
     @property
     def until(self) -> float:
-        """When the pause ends, monotonic seconds."""
+        """When the delay ends, in monotonic seconds."""
         return self._until
 
     @property
     def reason(self) -> _orders.Reason:
-        """The newest failure."""
+        """The reason of the latest failure."""
         return self._reason
 
     def active(self, now: float) -> bool:
-        """Returns whether the pause goes on."""
+        """Returns whether the delay has not ended yet."""
         return now < self._until
 
     def record_failure(self, now: float, reason: _orders.Reason) -> None:
-        """Begins a pause, longer than the one before."""
+        """Starts a delay, longer after each consecutive failure."""
         self._failures += 1
         self._reason = reason
         attempts = min(self._failures, _MAX_DOUBLINGS)
         self._until = now + self._retries.pause_s(attempts, self._rng)
 
     def clear(self) -> None:
-        """Ends the pause and forgets the failures."""
+        """Ends the delay and resets the count of failures."""
         self._failures = 0
         self._until = 0.0
--- a/src/clementinegw/weights/_service_types.py
+++ b/src/clementinegw/weights/_service_types.py
@@ -1,4 +1,4 @@
-"""What the service of an agent's weights is given and told."""
+"""Dependencies and settings of the service of an agent's weights."""
 
 import dataclasses
 from typing import Protocol
@@ -8,7 +8,7 @@
 
 
 class Engine(chunk_stores.Staging, Protocol):
-    """What is needed of `backend.engine.EngineClient`."""
+    """The part of `backend.engine.EngineClient` that the service uses."""
 
     async def load(
         self, order: backend.LoadOrder
@@ -21,17 +21,26 @@
         """Orders a load of an adapter and waits for the report."""
 
     async def status(self) -> backend.EngineStatus:
-        """Returns what the engine says of itself."""
+        """Returns the status that the engine reports."""
 
 
 class Drainable(Protocol):
-    """The gate, as `gate.service.GateService`."""
+    """The part of `gate.service.GateService` that the service uses."""
 
     async def drain(self, timeout_s: float) -> bool:
-        """Takes nothing new; returns whether nothing is in flight any more."""
+        """Rejects new requests; returns whether all requests have ended.
+
+        Args:
+          timeout_s: How long to wait for requests in flight, in seconds.
+        """
 
     def resume(self, version: str = "", digest: str = "") -> None:
-        """Takes requests again, for a version whose load is proved."""
+        """Accepts requests again, for a version whose load was verified.
+
+        Args:
+          version: The version's name.
+          digest: The digest that the engine reported.
+        """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,9 +48,9 @@
     """A version as the settings declare it.
 
     Attributes:
-      version: Its name.
-      manifest: The digest of its manifest.
-      revision: The settings revision.
+      version: The version's name.
+      manifest: The digest of the version's manifest.
+      revision: The settings revision that declares it.
     """
 
     version: str
@@ -54,9 +63,9 @@
     """An adapter as the settings declare it.
 
     Attributes:
-      name: Its name, as requests give it.
+      name: The adapter's name as requests specify it.
       version: The version's name.
-      manifest: The digest of its manifest.
+      manifest: The digest of the version's manifest.
     """
 
     name: str
@@ -66,14 +75,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SwapPolicy:
-    """Knobs of the swap.
+    """Settings of the swap.
 
     Attributes:
-      max_out_share: The share of the workers that may be out for loading; 1.0
-        lets all swap at once, without a word to one another.
-      workers: The service's workers.
-      drain_timeout_s: How long requests in flight may take to finish.
-      load_timeout_s: The longest that a load may take.
+      max_out_share: The share of the service's instances that may be out of
+        service to load; 1.0 lets all swap at once, without coordination.
+      workers: The number of instances of the service.
+      drain_timeout_s: How long requests in flight may take to finish, in
+        seconds.
+      load_timeout_s: How long a load may take, in seconds.
     """
 
     max_out_share: float = 0.34
--- a/src/clementinegw/weights/bitset.py
+++ b/src/clementinegw/weights/bitset.py
@@ -1,7 +1,7 @@
-"""Which chunks of a manifest are held: one bit a chunk.
+"""A bitset of the chunks of a manifest that are held.
 
 Chunk `i` is bit `i % 8`, counted from the lowest, of byte `i // 8`. The same
-bytes travel in `ChunksHeld.bits`.
+bytes are sent in `ChunksHeld.bits`.
 """
 
 from collections.abc import Iterable
@@ -31,7 +31,7 @@
 
 
 def total(bits: bytes | bytearray) -> int:
-    """Returns how many chunks are held."""
+    """Returns the number of chunks that are held."""
     return int.from_bytes(bits, "little").bit_count()
 
 
--- a/src/clementinegw/weights/origin_fetchers.py
+++ b/src/clementinegw/weights/origin_fetchers.py
@@ -1,8 +1,8 @@
-"""Who draws a chunk from the origin: a ranked list for each chunk.
+"""Ranking of the agents that fetch each chunk from the origin.
 
-The lists come from rendezvous hashing, so that every agent that knows the same
-members computes the same lists without a word to the others, and a member that
-comes or goes moves only the chunks it ranked first for.
+Agents are ranked by rendezvous hashing: every agent that knows the same members
+computes the same rankings without communication, and a member that joins or
+leaves affects only the chunks that it ranks first for.
 """
 
 from collections.abc import Iterable
@@ -12,13 +12,14 @@
 
 import xxhash
 
-# Below this rank an agent never draws: were so many drawers of one chunk dead
-# at once, their members would have left the list long before.
+# Agents that rank lower never fetch a chunk from the origin. If this many
+# agents ranked for one chunk were dead at once, they would have been removed
+# from the members long before.
 MAX_RANKED_FETCHERS = 6
 
 
 class DrawPolicy(enum.StrEnum):
-    """Within what group the origin sends each chunk once."""
+    """The group within which the origin sends each chunk once."""
 
     FLEET = "fleet"
     REGION = "region"
@@ -30,9 +31,9 @@
     """An agent that takes part in a rollout.
 
     Attributes:
-      instance_id: A name that no two live processes share.
-      region: Where it stands.
-      failure_domain: Where it stands.
+      instance_id: An id that is unique among live processes.
+      region: The agent's region.
+      failure_domain: The agent's failure domain.
     """
 
     instance_id: str
@@ -41,10 +42,14 @@
 
 
 class Fleet:
-    """The agents of one rollout and their ranks; never changes."""
+    """The agents of one rollout and their rankings; immutable."""
 
     def __init__(self, members: Iterable[Member]):
-        """Sorts the members; of two with one id the last one counts."""
+        """Sorts the members; of several with the same id, the last one counts.
+
+        Args:
+          members: The agents.
+        """
         by_id = {member.instance_id: member for member in members}
         self._members = {name: by_id[name] for name in sorted(by_id)}
         self._groups: dict[tuple[DrawPolicy, str], list[Member]] = {}
@@ -66,25 +71,25 @@
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """All agents in the order of their ids."""
+        """All agents, sorted by id."""
         return tuple(self._members.values())
 
     def find(self, instance_id: str) -> Member | None:
-        """Returns the agent of that id."""
+        """Returns the agent with an id, or None."""
         return self._members.get(instance_id)
 
     def group(self, policy: DrawPolicy, name: str) -> tuple[Member, ...]:
-        """Returns the agents of one group in the order of their ids."""
+        """Returns the agents of one group, sorted by id."""
         return tuple(self._groups.get((policy, name), ()))
 
     def ranked(
         self, chunk_digest: bytes, policy: DrawPolicy, group: str
     ) -> tuple[str, ...]:
-        """Returns the ids of the first `RANKED` drawers of a chunk in a group.
+        """Returns the ids of a chunk's `MAX_RANKED_FETCHERS` best agents.
 
         Args:
           chunk_digest: The chunk's digest.
-          policy: What a group is.
+          policy: The kind of group.
           group: The group's name, from `group_of`.
         """
         key = (policy, group, chunk_digest)
@@ -97,7 +102,15 @@
     def rank(
         self, chunk_digest: bytes, policy: DrawPolicy, member: Member
     ) -> int:
-        """Returns an agent's place in a chunk's list; `RANKED` if not on it."""
+        """Returns an agent's rank for a chunk, counted from 0.
+
+        The result is `MAX_RANKED_FETCHERS` if the agent is not ranked.
+
+        Args:
+          chunk_digest: The chunk's digest.
+          policy: The kind of group.
+          member: The agent.
+        """
         names = self.ranked(chunk_digest, policy, group_of(member, policy))
         try:
             return names.index(member.instance_id)
@@ -116,8 +129,8 @@
 
 
 def _rank(chunk_digest: bytes, ids: list[bytes]) -> tuple[str, ...]:
-    # The largest score draws first. With thousands of chunks this runs for
-    # each chunk and member while the event loop waits.
+    # The largest score ranks first. This runs for each chunk and member while
+    # it blocks the event loop, and there may be thousands of chunks.
     score = xxhash.xxh64_intdigest
     scored = [(score(chunk_digest + name), name) for name in ids]
     best = heapq.nlargest(MAX_RANKED_FETCHERS, scored)
--- a/src/clementinegw/weights/pacing.py
+++ b/src/clementinegw/weights/pacing.py
@@ -1,8 +1,8 @@
-"""How fast chunks may pass on the machine's link beside live requests.
+"""Pacing of chunks on the machine's link alongside live requests.
 
-A rollout takes what live requests leave of the link, and never less than a
-small floor, so that it ends. One bucket a direction; a flag makes both
-directions share one.
+A rollout uses the bandwidth that live requests leave, but at least a small
+floor, so that it completes. There is one token bucket per direction; a flag
+makes both directions share one.
 """
 
 import asyncio
@@ -13,23 +13,23 @@
 
 from clementinegw import clock as clocks
 
-# Seconds after which live traffic of the past counts for 1/e.
+# The time constant of the running mean of the live rate, in seconds.
 _LIVE_RATE_DECAY_S = 0.5
 _BURST_S = 0.02
 
 
 class Link(Protocol):
-    """A link whose rate something else enforces; used by the benches."""
+    """A link whose rate is enforced elsewhere; used by the benches."""
 
     async def send(self, count: int) -> None:
-        """Waits until that many bytes have left."""
+        """Waits until that many bytes have been sent."""
 
     async def receive(self, count: int) -> None:
-        """Waits until that many bytes have come in."""
+        """Waits until that many bytes have been received."""
 
 
 class Bucket:
-    """Tokens that come in at the rate that live requests leave."""
+    """A token bucket that refills at the rate that live requests leave."""
 
     def __init__(
         self,
@@ -41,10 +41,11 @@
         """Starts full.
 
         Args:
-          rate: The link's rate in bytes a second; infinity paces nothing.
-          now: Monotonic seconds.
-          floor: The share of the rate that is left in any case.
-          burst: The most tokens held; a fiftieth of a second by default.
+          rate: The link's rate in bytes per second; infinity disables pacing.
+          now: The current time in monotonic seconds.
+          floor: The minimum share of the rate that is available.
+          burst: The bucket's capacity in bytes; by default the bytes of a
+            fiftieth of a second.
         """
         self._rate = rate
         self._floor = floor
@@ -55,25 +56,32 @@
 
     @property
     def live_rate(self) -> float:
-        """Live bytes a second, a running mean."""
+        """The running mean of live bytes per second."""
         return self._live_bytes_per_s
 
     @property
     def rate(self) -> float:
-        """Tokens that come in a second at the moment."""
+        """The current refill rate in tokens per second."""
         return max(
             self._floor * self._rate, self._rate - self._live_bytes_per_s
         )
 
     def record_live(self, count: int, now: float) -> None:
-        """Notes bytes of live requests that passed."""
+        """Records bytes of live requests that passed."""
         self._refill(now)
         self._live_bytes_per_s += count / _LIVE_RATE_DECAY_S
 
     def take(self, count: int, now: float) -> bool:
-        """Takes tokens once the level is above zero; it may then go below.
+        """Takes tokens if the level is above zero; it may drop below zero.
 
-        A part larger than the burst could else never pass.
+        Otherwise a part larger than the burst could never pass.
+
+        Args:
+          count: The number of tokens, which are bytes.
+          now: The current time in monotonic seconds.
+
+        Returns:
+          Whether the tokens were taken.
         """
         if math.isinf(self._rate):
             return True
@@ -90,11 +98,11 @@
             self._tokens -= count
 
     def ready_in(self, now: float) -> float:
-        """Returns seconds until `take` succeeds."""
+        """Returns the time until `take` succeeds, in seconds."""
         if math.isinf(self._rate):
             return 0.0
         self._refill(now)
-        # A little above zero, or rounding would wake the taker too early.
+        # Slightly above zero, or rounding would wake the waiter too early.
         return max(0.0, (1.0 - self._tokens) / self.rate)
 
     def _refill(self, now: float) -> None:
@@ -107,13 +115,13 @@
 
 
 class Pacer:
-    """Lets coroutines pass at a bucket's rate, the smallest order first."""
+    """Admits coroutines at a bucket's rate, lowest order first."""
 
     def __init__(self, bucket: Bucket, clock: clocks.Clock):
-        """Starts with nobody waiting.
+        """Starts without waiters.
 
         Args:
-          bucket: The rate.
+          bucket: Determines the rate.
           clock: The source of time.
         """
         self._bucket = bucket
@@ -124,20 +132,20 @@
 
     @property
     def bucket(self) -> Bucket:
-        """The rate."""
+        """The bucket that determines the rate."""
         return self._bucket
 
     def record_live(self, count: int) -> None:
-        """Notes bytes of live requests that passed."""
+        """Records bytes of live requests that passed."""
         self._bucket.record_live(count, self._clock.now())
 
     async def take(self, count: int, order: float = 0.0) -> None:
         """Waits until that many bytes may pass.
 
         Args:
-          count: Bytes.
-          order: Those with a smaller one pass first. Chunks that are sent one
-            after the other arrive earlier on average than side by side.
+          count: The number of bytes.
+          order: Waiters with a lower order pass first. Chunks sent one after
+            another arrive earlier on average than chunks sent in parallel.
         """
         now = self._clock.now()
         if not self._waiting and self._bucket.take(count, now):
@@ -149,7 +157,7 @@
         await future
 
     def charge(self, count: int) -> None:
-        """Notes bytes that passed without waiting; the next wait longer."""
+        """Records bytes that passed unpaced; later bytes wait longer."""
         self._bucket.charge(count, self._clock.now())
 
     def _schedule_wake(self) -> None:
@@ -172,7 +180,7 @@
 
 
 class Pacing:
-    """Both directions of one machine's link."""
+    """Paces both directions of one machine's link."""
 
     def __init__(
         self,
@@ -185,11 +193,12 @@
         """Starts idle.
 
         Args:
-          rate: Bytes a second each way; infinity paces nothing.
+          rate: The rate per direction in bytes per second; infinity disables
+            pacing.
           clock: The source of time.
           shared: Whether both directions share the rate.
-          floor: The share that live requests leave in any case.
-          burst: See `Bucket`.
+          floor: The minimum share of the rate that is available.
+          burst: The capacity of each bucket; see `Bucket`.
         """
         now = clock.now()
         self._up = Pacer(Bucket(rate, now, floor, burst), clock)
@@ -199,15 +208,15 @@
 
     @property
     def up(self) -> Pacer:
-        """What the machine sends."""
+        """Paces what the machine sends."""
         return self._up
 
     @property
     def down(self) -> Pacer:
-        """What the machine receives."""
+        """Paces what the machine receives."""
         return self._down
 
     def record_live(self, sent: int, received: int) -> None:
-        """Notes bytes of live requests on the machine's link."""
+        """Records bytes of live requests on the machine's link."""
         self._up.record_live(sent)
         self._down.record_live(received)
--- a/src/clementinegw/weights/store.py
+++ b/src/clementinegw/weights/store.py
@@ -1,7 +1,7 @@
 """Bounded stores of verified chunks.
 
-A store never keeps bytes whose digest is not the one they were put under, so
-whatever it gives back is whole and right.
+A store never keeps bytes whose digest differs from the one they were put under,
+so every chunk that it returns is complete and correct.
 """
 
 import asyncio
@@ -17,24 +17,25 @@
 
 
 class ChunkStore(Protocol):
-    """Verified chunks by digest; a chunk that two versions share is one."""
+    """Verified chunks by digest; versions share chunks with equal digests."""
 
     def held(self, manifest: manifests.Manifest) -> bytearray:
         """Returns which chunks of a manifest are held, as a `bitset`."""
 
     async def get(self, chunk_digest: bytes) -> bytes | None:
-        """Returns a chunk, or None when it is not held (any more)."""
+        """Returns a chunk, or None if it is not held (any more)."""
 
     async def put(self, chunk_digest: bytes, data: bytes) -> bool:
-        """Keeps a chunk; False when its digest is wrong: nothing is kept.
+        """Stores a chunk; returns False and stores nothing if it is corrupt.
 
         Raises:
-          exceptions.BackendError: It is right but cannot be kept for now.
+          exceptions.BackendError: The digest matches but the chunk cannot be
+            stored for now.
         """
 
 
 class MemoryStore:
-    """Keeps chunks in memory; the chunk used longest ago goes first."""
+    """Keeps chunks in memory and evicts the least recently used."""
 
     def __init__(
         self,
@@ -44,8 +45,8 @@
         """Starts empty.
 
         Args:
-          limit_bytes: The most that is kept, in bytes of chunks.
-          digest_of: How chunks are named; whoever publishes them decides.
+          limit_bytes: The capacity in bytes of chunks.
+          digest_of: Computes a chunk's digest; the publisher determines which.
         """
         self._limit_bytes = limit_bytes
         self._digest_of = digest_of
@@ -56,17 +57,17 @@
 
     @property
     def used_bytes(self) -> int:
-        """The bytes of all chunks that are kept."""
+        """The size of all stored chunks in bytes."""
         return self._used_bytes
 
     @property
     def limit_bytes(self) -> int:
-        """The most that is kept, in bytes of chunks."""
+        """The capacity in bytes of chunks."""
         return self._limit_bytes
 
     @property
     def evicted(self) -> int:
-        """How many chunks had to go for others."""
+        """The number of chunks evicted to make room for others."""
         return self._evicted
 
     def held(self, manifest: manifests.Manifest) -> bytearray:
@@ -82,14 +83,14 @@
         return chunk_digest in self._chunks
 
     async def get(self, chunk_digest: bytes) -> bytes | None:
-        """Returns a chunk, or None when it is not held (any more)."""
+        """Returns a chunk, or None if it is not held (any more)."""
         data = self._chunks.get(chunk_digest)
         if data is not None:
             self._chunks.move_to_end(chunk_digest)
         return data
 
     async def put(self, chunk_digest: bytes, data: bytes) -> bool:
-        """Keeps a chunk; False when its digest is wrong or it is too large."""
+        """Stores a chunk; returns False if it is corrupt or too large."""
         if self._digest_of(data) != chunk_digest:
             return False
         if len(data) > self._limit_bytes:
@@ -98,42 +99,45 @@
         self._chunks[chunk_digest] = bytes(data)
         self._used_bytes += len(data)
         while self._used_bytes > self._limit_bytes:
-            oldest = next(iter(self._chunks))
-            self.drop(oldest)
+            least_recent = next(iter(self._chunks))
+            self.drop(least_recent)
             self._evicted += 1
         return True
 
     def drop(self, chunk_digest: bytes) -> None:
-        """Forgets a chunk, if it is held."""
+        """Removes a chunk, if it is held."""
         data = self._chunks.pop(chunk_digest, None)
         if data is not None:
             self._used_bytes -= len(data)
 
 
 class Staging(Protocol):
-    """The memory of the engine's host, as `backend.engine.EngineClient`."""
+    """The staging memory of the engine's host.
+
+    `backend.engine.EngineClient` implements it.
+    """
 
     async def stage_chunk(
         self, chunk_digest: str, data: bytes
     ) -> backend.StageResult:
-        """Puts a chunk in."""
+        """Writes a chunk to the staging memory."""
 
     async def staged(self, chunk_digest: str) -> bytes | None:
-        """Returns a chunk, unverified; None when it is not there."""
+        """Returns a chunk, unverified, or None if it is not staged."""
 
     async def unstage(self, chunk_digest: str) -> None:
-        """Takes a chunk out."""
+        """Removes a chunk from the staging memory."""
 
     async def staging(self) -> backend.StagingStatus:
-        """Returns what is there."""
+        """Returns which chunks are staged."""
 
 
 class StagedStore:
-    """Keeps chunks where the engine loads them from.
+    """Keeps chunks in the staging memory that the engine loads them from.
 
-    The agent's own memory holds an index and a bounded number of chunks for
-    peers that ask; the chunks of the target and the previous version lie in
-    the staging memory of the engine's host. Counters begin with
+    The agent's own memory holds an index and a bounded cache of chunks for
+    requests of peers; the chunks of the target and the previous version are in
+    the staging memory of the engine's host. Counters start with
     `weights.staging.`.
     """
 
@@ -143,12 +147,13 @@
         cache_bytes: int,
         counters: metrics.Counters,
     ):
-        """Starts without knowledge of what is staged; see `recover`.
+        """Starts with an empty index; `recover` finds what is staged.
 
         Args:
           staging: The engine's client.
-          cache_bytes: The most that is kept in the agent, in bytes.
-          counters: Counts chunks that were lost, corrupt or found no room.
+          cache_bytes: The capacity of the agent's cache in bytes.
+          counters: Counts chunks that were lost, corrupt or could not be
+            staged.
         """
         self._staging = staging
         self._cache = MemoryStore(cache_bytes)
@@ -158,12 +163,12 @@
 
     @property
     def cached_bytes(self) -> int:
-        """The agent's own memory for chunks."""
+        """The size of the chunks in the agent's own memory, in bytes."""
         return self._cache.used_bytes
 
     @property
     def staged_bytes(self) -> int:
-        """The bytes of all chunks that are known to be staged."""
+        """The size of all chunks known to be staged, in bytes."""
         return sum(self._index.values())
 
     def held(self, manifest: manifests.Manifest) -> bytearray:
@@ -175,7 +180,7 @@
         )
 
     def count(self, manifest: manifests.Manifest) -> int:
-        """Returns how many chunks of a manifest are staged."""
+        """Returns the number of chunks of a manifest that are staged."""
         return sum(chunk.digest in self._index for chunk in manifest.chunks)
 
     def holds_all(self, manifest: manifests.Manifest) -> bool:
@@ -183,7 +188,7 @@
         return all(chunk.digest in self._index for chunk in manifest.chunks)
 
     async def get(self, chunk_digest: bytes) -> bytes | None:
-        """Returns a chunk, or None when it is not held (any more)."""
+        """Returns a chunk, or None if it is not held (any more)."""
         if chunk_digest not in self._index:
             return None
         cached = await self._cache.get(chunk_digest)
@@ -209,8 +214,8 @@
             return True
         result = await self._staging.stage_chunk(chunk_digest.hex(), data)
         if result is backend.StageResult.FULL:
-            # Chunks of abandoned versions make room at once; else a change in
-            # mid-rollout would wait for ever.
+            # Drops chunks of abandoned versions at once. Otherwise a change of
+            # version in the middle of a rollout would wait forever.
             await self.drop_unretained()
             result = await self._staging.stage_chunk(chunk_digest.hex(), data)
         if result is not backend.StageResult.STORED:
@@ -221,9 +226,9 @@
         return True
 
     def retain(self, wanted: Iterable[manifests.Manifest]) -> None:
-        """Says which versions stay: the target and the previous one.
+        """Sets the versions to retain: the target and the previous one.
 
-        Their manifests are staged beside their chunks and stay as well.
+        Their manifests are staged alongside their chunks and are retained too.
         """
         versions = list(wanted)
         names = {bytes.fromhex(manifest.digest) for manifest in versions}
@@ -232,7 +237,11 @@
         self._retained = frozenset(names)
 
     def forget(self, chunk_digests: Iterable[bytes] | None = None) -> None:
-        """Takes these chunks, or all, for not staged: the engine said so."""
+        """Marks chunks as not staged, as reported by the engine.
+
+        Args:
+          chunk_digests: The chunks' digests; None for all chunks.
+        """
         if chunk_digests is None:
             self._index.clear()
             return
@@ -240,7 +249,7 @@
             self._index.pop(digest, None)
 
     async def drop_unretained(self) -> None:
-        """Takes out of the staging memory what `retain` did not name.
+        """Removes from the staging memory what `retain` did not list.
 
         Raises:
           exceptions.BackendError: The engine's host did not answer.
@@ -255,9 +264,9 @@
                 self._counters.add("weights.staging.dropped")
 
     async def recover(self, manifest: manifests.Manifest) -> None:
-        """Finds which chunks of a manifest are staged already, and verifies.
+        """Adds the chunks of a manifest that are staged already, if verified.
 
-        An agent that was started anew goes on where its predecessor ended.
+        A restarted agent continues where the previous process ended.
 
         Raises:
           exceptions.BackendError: The engine's host did not answer.
