--- a/src/clementinegw/weights/_swarm_adverts.py
+++ b/src/clementinegw/weights/_swarm_adverts.py
@@ -1,9 +1,9 @@
-"""What an agent tells its peers of the chunks it holds.
+"""Announcements of the chunks that an agent has gained.
 
-The load is that of a rollout among dozens of agents, each with dozens of
-peers: told of each chunk at once, all of them take in several hundred messages
-a second, most of which say nothing that they may act on. A chunk enters a
-failure domain through one agent; the others of that domain take it from there.
+In a rollout among dozens of agents with dozens of peers each, announcing every
+chunk at once costs each agent several hundred messages a second, and most of
+them announce chunks that the agent may not request. A chunk enters a failure
+domain through one agent; the other agents of that domain fetch it from there.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Batch:
-    """Chunks that some peers have not been told of yet."""
+    """Chunks that have not been announced to some of the peers yet."""
 
     interval_s: float
     indices: list[int] = dataclasses.field(default_factory=list)
@@ -29,7 +29,7 @@
         return self.sent_at + self.interval_s
 
     def take(self, now: float, last: bool) -> list[int]:
-        """Returns the chunks that are told of now; none while none is due."""
+        """Returns the chunks to announce now; none before the batch is due."""
         if now < self.due_at and not (last and self.indices):
             return []
         self.sent_at = now
@@ -38,14 +38,14 @@
 
 
 class Adverts:
-    """Chunks that came and have not been announced, batched by time."""
+    """Gained chunks that have not been announced yet, batched by time."""
 
     def __init__(
         self,
         limits: types_.Limits,
         is_importer: Callable[[int, peers_lib.Peer], bool],
     ):
-        """Starts with nothing to tell.
+        """Starts with nothing to announce.
 
         Args:
           limits: How often gained chunks are announced.
@@ -54,21 +54,22 @@
         """
         self._is_importer = is_importer
         self._pending = _Batch(limits.advert_s)
-        # Of these the peers elsewhere were not told that only help out.
+        # Not announced yet to peers of other failure domains through which
+        # these chunks do not enter their domain.
         self._pending_remote = _Batch(max(limits.advert_s, limits.far_advert_s))
 
     @property
     def due_at(self) -> float:
-        """When the next announcement is due; infinity without news."""
+        """When the next announcement is due; infinity when none is pending."""
         return min(self._pending.due_at, self._pending_remote.due_at)
 
     def reset(self) -> None:
-        """Forgets news of another manifest."""
+        """Discards pending chunks, which belong to another manifest."""
         self._pending.indices = []
         self._pending_remote.indices = []
 
     def add(self, index: int) -> None:
-        """Notes a chunk that came."""
+        """Adds a chunk to announce."""
         self._pending.indices.append(index)
 
     def flush(
@@ -80,28 +81,29 @@
     ) -> list[types_.AdvertiseGained]:
         """Returns the announcements that are due.
 
-        A peer that holds all that is new will ask for none of it and is not
-        told.
+        A peer that holds all of the gained chunks would request none of them,
+        so nothing is announced to it.
 
         Args:
           digest: The manifest's digest.
-          peers: Who is told.
-          now: Monotonic seconds.
-          last: Whether no later one will tell of what is not due yet.
+          peers: The connected peers.
+          now: The current time in monotonic seconds.
+          last: Whether chunks that are not due yet are announced too, because
+            there will be no later announcement.
         """
         indices = self._pending.take(now, last)
         self._pending_remote.indices += indices
-        soon = [
+        prompt_peers = [
             peer
             for peer in peers
             if peer.local
             or any(self._is_importer(index, peer) for index in indices)
         ]
-        later = self._pending_remote.take(now, last)
-        far = [peer for peer in peers if not peer.local]
+        remote_indices = self._pending_remote.take(now, last)
+        remote_peers = [peer for peer in peers if not peer.local]
         adverts = (
-            _make_advert(digest, soon, indices),
-            _make_advert(digest, far, later),
+            _make_advert(digest, prompt_peers, indices),
+            _make_advert(digest, remote_peers, remote_indices),
         )
         return [advert for advert in adverts if advert is not None]
 
@@ -110,9 +112,9 @@
     digest: str, peers: list[peers_lib.Peer], indices: list[int]
 ) -> types_.AdvertiseGained | None:
     bits = sum(1 << index for index in indices)
-    names = tuple(
+    peer_ids = tuple(
         peer.member.instance_id for peer in peers if bits & ~peer.bits
     )
-    if not names:
+    if not peer_ids:
         return None
-    return types_.AdvertiseGained(names, digest, tuple(indices))
+    return types_.AdvertiseGained(peer_ids, digest, tuple(indices))
--- a/src/clementinegw/weights/_swarm_choice.py
+++ b/src/clementinegw/weights/_swarm_choice.py
@@ -1,4 +1,7 @@
-"""Which chunk to ask of which peer: rarest first, local first."""
+"""Choice of the next chunk and the peer to request it from.
+
+Rarest chunks and local peers come first.
+"""
 
 from collections.abc import Callable
 import random
@@ -14,21 +17,21 @@
     may_import: Callable[[int], bool],
     rng: random.Random,
 ) -> tuple[int, peers_lib.Peer] | None:
-    """Chooses a chunk and whom to ask for it.
+    """Chooses a chunk and the peer to request it from.
 
-    A chunk that no local peer holds comes first where this agent may import
-    it: the whole failure domain waits for it. Else a local peer is asked for
-    the chunk that the fewest neighbours hold.
+    A chunk that no local peer holds comes first if this agent may import it,
+    because the whole failure domain waits for it. Otherwise the chunk that the
+    fewest neighbours hold is requested from a local peer.
 
     Args:
-      wanted: The chunks that are neither held nor asked for.
-      peers: The neighbours that can be asked now.
-      holders: For each chunk how many neighbours hold it.
-      may_import: Whether a chunk may be taken from another failure domain.
+      wanted: The chunks that are neither held nor requested.
+      peers: The neighbours that accept requests now.
+      holders: For each chunk, the number of neighbours that hold it.
+      may_import: Whether a chunk may be fetched from another failure domain.
       rng: Breaks ties.
 
     Returns:
-      The chunk's index and the peer; None when nothing can be asked for.
+      The chunk's index and the peer; None when nothing can be requested.
     """
     local, remote = 0, 0
     for peer in peers:
@@ -36,8 +39,8 @@
             local |= peer.bits
         else:
             remote |= peer.bits
-    far = peers_lib.indices(remote & ~local & wanted)
-    imports = [index for index in far if may_import(index)]
+    remote_only = peers_lib.indices(remote & ~local & wanted)
+    imports = [index for index in remote_only if may_import(index)]
     candidates = imports or peers_lib.indices(local & wanted)
     if not candidates:
         return None
@@ -49,7 +52,11 @@
 def choose_holder(
     index: int, peers: list[peers_lib.Peer], rng: random.Random
 ) -> peers_lib.Peer | None:
-    """Returns the holder to ask: a local one, that gave least so far."""
+    """Returns the holder to request a chunk from.
+
+    Local holders come first, then those with the fewest outstanding requests,
+    then those that have sent the fewest chunks.
+    """
     candidates = [peer for peer in peers if peer.bits >> index & 1]
     return min(
         candidates,
@@ -69,16 +76,16 @@
     rng: random.Random,
     now: float,
 ) -> tuple[int, peers_lib.Peer] | None:
-    """Chooses, in the endgame, another peer for a chunk long in coming.
+    """Chooses another peer for an overdue chunk in the endgame.
 
-    A stalled peer would else hold up the last chunks until the deadline of
-    its request.
+    Without it, a stalled peer would delay the last chunks until the deadline
+    of its request.
 
     Args:
-      requests: The open requests; all missing chunks are among them.
-      peers: The neighbours that can be asked now.
+      requests: The open requests, which cover all missing chunks.
+      peers: The neighbours that accept requests now.
       rng: Breaks ties.
-      now: Monotonic seconds.
+      now: The current time in monotonic seconds.
     """
     for request in requests.all():
         if len(requests.for_chunk(request.index)) > 1:
--- a/src/clementinegw/weights/_swarm_fleet.py
+++ b/src/clementinegw/weights/_swarm_fleet.py
@@ -1,4 +1,4 @@
-"""The agents that take part, also while some of them are out of sight."""
+"""The agents of a rollout, including those that are temporarily not visible."""
 
 import math
 
@@ -9,13 +9,13 @@
 
 
 class FleetView:
-    """The fleet as the draws of one agent see it.
+    """The fleet that one agent plans its origin fetches for.
 
-    A partition looks as if all agents of the other failure domains had died.
-    Were their chunks drawn again, the origin would send a second copy of what
-    they hold, in the very hour in which its link may be narrow. So domains
-    that vanish whole stay in the fleet for a while, and an agent that reaches
-    no other domain leaves the origin alone as long.
+    In a partition, all agents of the other failure domains seem to have died.
+    If their chunks were fetched again, the origin would send a second copy of
+    what they hold, possibly while its bandwidth is reduced. Domains that vanish
+    as a whole therefore stay in the fleet for a while, and an agent that
+    reaches no other domain does not use the origin for the same time.
     """
 
     def __init__(
@@ -28,8 +28,9 @@
 
         Args:
           me: This agent.
-          policy: Within what group a chunk is drawn once.
-          cut_off_s: How long a domain that vanished is waited for, in seconds.
+          policy: The group within which a chunk is fetched once.
+          cut_off_s: How long a domain that vanished stays in the fleet, in
+            seconds.
         """
         self._me = me
         self._policy = policy
@@ -41,12 +42,15 @@
 
     @property
     def fleet(self) -> origin_fetchers.Fleet:
-        """All agents, those out of sight included."""
+        """All agents, including those of vanished failure domains."""
         return self._fleet
 
     @property
     def absent_since(self) -> dict[str, float]:
-        """When each agent that is out of sight vanished, by id."""
+        """When each agent that is no longer visible vanished, by id.
+
+        Times are in monotonic seconds.
+        """
         return {
             member.instance_id: vanished_at
             for domain, vanished_at in self._vanished_at.items()
@@ -54,7 +58,7 @@
         }
 
     def update(self, seen: origin_fetchers.Fleet, now: float) -> bool:
-        """Takes the agents that are in sight; returns whether it matters."""
+        """Sets the visible agents; returns whether anything changed."""
         members = list(seen.members)
         for name in _domains(self._fleet) - _domains(seen):
             vanished_at = self._vanished_at.setdefault(name, now)
@@ -70,7 +74,14 @@
     def avoid_origin_until(
         self, peers: list[peers_lib.Peer], now: float
     ) -> float:
-        """Returns until when nothing is drawn; a past time when it may be."""
+        """Returns until when the origin is not used, in monotonic seconds.
+
+        The time lies in the past if chunks may be fetched from the origin now.
+
+        Args:
+          peers: The connected peers.
+          now: The current time in monotonic seconds.
+        """
         if not self._has_others() or any(not peer.local for peer in peers):
             self._isolated_since = None
             return -math.inf
@@ -79,10 +90,10 @@
         return self._isolated_since + self._cut_off_s
 
     def _has_others(self) -> bool:
-        mine = origin_fetchers.group_of(self._me, self._policy)
-        group = self._fleet.group(self._policy, mine)
-        near = self._fleet.group(_DOMAIN, self._me.failure_domain)
-        return len(group) > len(near)
+        own_group = origin_fetchers.group_of(self._me, self._policy)
+        group = self._fleet.group(self._policy, own_group)
+        same_domain = self._fleet.group(_DOMAIN, self._me.failure_domain)
+        return len(group) > len(same_domain)
 
 
 def _domains(fleet: origin_fetchers.Fleet) -> set[str]:
--- a/src/clementinegw/weights/_swarm_imports.py
+++ b/src/clementinegw/weights/_swarm_imports.py
@@ -1,4 +1,4 @@
-"""Which chunks an agent takes from other failure domains."""
+"""Which chunks an agent fetches from other failure domains."""
 
 import math
 
@@ -6,13 +6,13 @@
 from clementinegw.weights import origin_fetchers
 from clementinegw.weights import peers as peers_lib
 
-# How many mean request times each in rank gives those before it.
+# How many mean request durations an agent waits for each one ranked before it.
 _WAIT_FACTOR = 2.0
 _DOMAIN = origin_fetchers.DrawPolicy.FAILURE_DOMAIN
 
 
 class Imports:
-    """The imports of one agent for one manifest."""
+    """The chunks that one agent imports for one manifest."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         """Starts with nothing imported.
 
         Args:
-          limits: The copies that may enter a domain.
+          limits: Bounds the copies that may enter a failure domain.
           me: This agent.
           peers: The connected peers.
         """
@@ -33,11 +33,11 @@
         self._imported = 0
 
     def reset(self) -> None:
-        """Starts again with another manifest."""
+        """Resets the count for another manifest."""
         self._imported = 0
 
     def record_import(self) -> None:
-        """Notes a chunk that came from another domain."""
+        """Records a chunk that arrived from another failure domain."""
         self._imported += 1
 
     def is_allowed(
@@ -49,38 +49,44 @@
         arrived_at: float,
         now: float,
     ) -> bool:
-        """Whether to take a chunk from another domain that nobody near has.
+        """Returns whether to import a chunk from another failure domain.
 
-        The first in the domain's list always may. The others may help out when
-        the first does not seem to bring the chunk, but all together only
-        within the budget. Helping out whenever they had nothing else to do
-        took 3.2 copies over three domains in place of 2.0, and no less time.
+        The agent ranked first in its domain always may, unless a peer of the
+        domain holds the chunk. The others may import it if the first does not
+        seem to, but together only within the budget. Importing whenever they
+        were idle took 3.2 copies across three domains instead of 2.0, and was
+        no faster.
 
         Args:
-          index: The chunk.
-          digests: Of all chunks.
+          index: The chunk's index.
+          digests: The digests of all chunks.
           fleet: All agents.
-          mean_s: How long a request takes on average, in seconds.
-          arrived_at: When a chunk last arrived here.
-          now: Monotonic seconds.
+          mean_s: The mean duration of a request to a peer, in seconds.
+          arrived_at: When a chunk last arrived at this agent, in monotonic
+            seconds.
+          now: The current time in monotonic seconds.
         """
         rank = fleet.rank(digests[index], _DOMAIN, self._me)
         if not rank:
             return not self._peers.held_locally(index)
         if self._imported >= self._budget(len(digests), fleet):
-            # The budget must not keep a chunk out that is nowhere near.
+            # The budget must not exclude a chunk that no agent of this domain
+            # can provide.
             return now >= arrived_at + self._limits.draw_deadline_s
         if self._peers.held_locally(index):
             return False
         group = self._me.failure_domain
         first = fleet.ranked(digests[index], _DOMAIN, group)[0]
         if self._peers.find(first) is None:
-            # Nobody brings it who is waited for; each chunk of one that died
-            # would else come later, and its next drawers draw later still.
+            # The first-ranked agent is not connected. Waiting for it would
+            # delay each of its chunks if it is dead, and the other agents that
+            # would fetch them from the origin even more.
             return True
         seen_at = self._peers.first_seen_remote_at(index, now)
         return now >= seen_at + _WAIT_FACTOR * (1 + rank) * mean_s
 
     def _budget(self, chunks: int, fleet: origin_fetchers.Fleet) -> int:
-        near = len(fleet.group(_DOMAIN, self._me.failure_domain))
-        return math.ceil(self._limits.cross_copies * chunks / max(1, near))
+        domain_size = len(fleet.group(_DOMAIN, self._me.failure_domain))
+        return math.ceil(
+            self._limits.cross_copies * chunks / max(1, domain_size)
+        )
--- a/src/clementinegw/weights/_swarm_machine.py
+++ b/src/clementinegw/weights/_swarm_machine.py
@@ -35,7 +35,7 @@
 
         Args:
           me: This agent.
-          limits: What bounds its part.
+          limits: Limits on this agent's part.
           rng: Breaks ties.
         """
         self._me = me
@@ -52,7 +52,7 @@
         self._previous_targets: dict[str, targets.Target] = {}
         self._requests = requests.Requests(limits, 0)
         self._uploads = uploads.Uploads(limits, rng)
-        # Agents whose processes are over, and since when.
+        # When the process of each ended agent ended, by id.
         self._ended_at: dict[str, float] = {}
         self._origin_fetches = origin_fetches.OriginFetches(
             limits, me, self._fleet_view.fleet, (), 0.0, {}, self._ended_at
@@ -82,7 +82,7 @@
         }
 
     def set_origin_rate(self, bytes_per_s: float) -> None:
-        """Says how fast the origin sends; holds from the next plan on."""
+        """Sets the origin's rate; applies from the next planning on."""
         self._limits = dataclasses.replace(
             self._limits, origin_bytes_per_s=bytes_per_s
         )
@@ -94,7 +94,7 @@
 
     @property
     def have(self) -> int:
-        """The chunks held, as an integer with a bit a chunk."""
+        """The chunks held, as an integer with one bit per chunk."""
         return self._target.have
 
     @property
@@ -104,20 +104,17 @@
 
     @property
     def unspread(self) -> int:
-        """How many of the target's chunks lie neither here nor near.
-
-        Near are the neighbours.
-        """
+        """The number of missing chunks that no neighbour holds either."""
         return self._peers.held_by_none(self._target.missing).bit_count()
 
     @property
     def outstanding(self) -> int:
-        """How many requests are open."""
+        """The number of open requests."""
         return len(self._requests)
 
     @property
     def serving(self) -> int:
-        """How many chunks are being sent."""
+        """The number of chunks being sent."""
         return len(self._uploads)
 
     @property
@@ -127,15 +124,15 @@
 
     @property
     def _neighbours_known(self) -> bool:
-        """Whether every neighbour has told what it holds."""
+        """Whether all neighbours are connected and have advertised chunks."""
         if any(not peer.known for peer in self._peers.all()):
             return False
         return self._neighbours <= self._peers.names()
 
     def handle(self, event: types_.Event, now: float) -> list[types_.Action]:
-        """Takes one event and returns what is to be done, in order."""
+        """Handles one event and returns the actions to execute, in order."""
         if isinstance(event, types_.Progressed):
-            # By far the most frequent event; nothing follows from it.
+            # By far the most frequent event; it causes no action.
             self._on_progressed(event, now)
             return []
         self._actions = []
@@ -160,7 +157,7 @@
                 times += (peer.busy_until, peer.excluded_until)
         return min((t for t in times if t > now), default=_NEVER)
 
-    # What was told.
+    # Events about the target, the fleet and peers.
 
     def _on_target_set(self, event: types_.TargetSet, now: float) -> None:
         if event.digest == self._target.digest:
@@ -178,8 +175,8 @@
         self._choose_neighbours()
         self._plan_origin_fetches(now)
         if event.is_new:
-            # What neighbours would tell is known. Each moment counts while
-            # the origin has the only copy.
+            # No neighbour holds any of it, so there is nothing to wait for
+            # while the origin has the only copy.
             self._settle_at = now
         for peer in self._peers.all():
             self._advertise_all(peer)
@@ -194,8 +191,8 @@
             self._plan_origin_fetches(now)
 
     def _on_peer_up(self, event: types_.PeerUp, now: float) -> None:
-        gone = types_.CancelReason.PEER_GONE
-        self._cancel_requests_to(event.peer.instance_id, gone)
+        reason = types_.CancelReason.PEER_GONE
+        self._cancel_requests_to(event.peer.instance_id, reason)
         peer = self._peers.add(event.peer)
         self._settle_at = max(self._settle_at, now + self._limits.settle_s)
         if self._target.digest:
@@ -212,13 +209,14 @@
         bits = int.from_bytes(event.bits, "little")
         self._peers.record_held(event.peer_id, event.digest, bits, now)
         if event.digest == self._target.digest:
-            # It is at work again, and draws its chunks itself.
+            # The peer is running again and fetches its chunks itself.
             self._ended_at.pop(event.peer_id, None)
         previous = self._previous_targets.get(event.digest)
-        # Two agents that both went on would answer each other without an end.
+        # Without this check, two agents that both have a newer target would
+        # answer each other forever.
         if previous is not None and not event.answer:
-            # It wants what this agent wanted before. Nobody else may hold the
-            # last chunks: who came late would never be whole.
+            # The peer's target is a previous target of this agent. If no other
+            # agent holds the last chunks, the peer would never complete.
             held = previous.held_bits
             self._actions.append(
                 types_.AdvertiseAll(
@@ -231,7 +229,7 @@
             event.peer_id, event.digest, event.indices, now
         )
 
-    # What came of requests.
+    # Events about this agent's requests.
 
     def _on_progressed(self, event: types_.Progressed, now: float) -> None:
         if event.digest == self._target.digest:
@@ -334,7 +332,7 @@
         self._peers.exclude(source, now + seconds)
         self._actions.append(types_.PeerExcluded(source, reason, seconds))
 
-    # What others ask.
+    # Events about peers' requests.
 
     def _on_requested(self, event: types_.ChunkRequested, now: float) -> None:
         target = self._previous_targets.get(event.digest, self._target)
@@ -344,15 +342,15 @@
         self._uploads.free(event.peer_id, event.index)
 
     def _on_tick(self, event: types_.Tick, now: float) -> None:
-        """Whatever depends on time runs after each event."""
+        """Does nothing: `handle` does all timed work after each event."""
 
-    # What this agent does next.
+    # The next requests and announcements.
 
     def _fetch_from_origin(self, now: float) -> None:
         self._next_fetch_at = _NEVER
         wanted = self._peers.held_by_none(self._target.missing)
-        # What comes from a peer has appeared there before; counted again as it
-        # arrives here, a late copy would hide that drawers are silent.
+        # A chunk from a peer has appeared at that peer before. If its arrival
+        # here counted too, a late copy would hide silent first-ranked agents.
         new_chunk_at = max(
             self._last_origin_arrival_at, self._peers.new_chunk_at
         )
@@ -362,8 +360,8 @@
         if self._requests.origin_requests >= self._limits.draws:
             return
         if now < self._settle_at and not self._neighbours_known:
-            # A neighbour may hold what this agent would draw: an agent that
-            # was replaced would else draw its share a second time.
+            # A neighbour may hold what this agent would fetch. Otherwise an
+            # agent that was replaced would fetch its share a second time.
             self._next_fetch_at = self._settle_at
             return
         until = self._fleet_view.avoid_origin_until(self._peers.all(), now)
@@ -439,7 +437,7 @@
         )
         wanted = {member.instance_id: member for member in chosen}
         for name in sorted(self._neighbours - wanted.keys()):
-            self._actions.append(types_.Disconnect(name))
+            self._actions.append(types_.StopConnecting(name))
         for name, member in wanted.items():
             if name not in self._neighbours:
                 self._actions.append(types_.Connect(member))
@@ -468,7 +466,7 @@
             self._actions.append(types_.StopServing(name, index))
 
     def _keep_previous_target(self, digest: str) -> None:
-        """Remembers the target that another one replaces."""
+        """Keeps the target that is being replaced by another one."""
         self._previous_targets.pop(digest, None)
         if self._target.digest:
             self._previous_targets[self._target.digest] = self._target
--- a/src/clementinegw/weights/_swarm_origin_fetches.py
+++ b/src/clementinegw/weights/_swarm_origin_fetches.py
@@ -1,4 +1,4 @@
-"""When an agent draws a chunk from the weight store or the origin."""
+"""When an agent fetches a chunk from the weight store or the origin."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -8,28 +8,29 @@
 from clementinegw.weights import manifest as manifests
 from clementinegw.weights import origin_fetchers
 
-# More deadlines that an agent waits after a failure of its own, until some
-# chunk appears: by then the first drawers, who try at least twice a deadline,
-# have all found the store to be back.
+# Additional deadlines that an agent waits after a failure of its own, until a
+# new chunk appears. The first-ranked agents retry at least twice per deadline,
+# so by then all of them have noticed that the store has recovered.
 _EXTRA_DEADLINES_AFTER_FAILURE = 3
-# The share of a deadline after which a silence is taken for a whole one, if a
-# chunk ends it. Peers see a chunk a few chunk times apart.
+# A period without new chunks that a new chunk ends counts as a whole deadline
+# from this share of one: peers see a chunk a few chunk times apart.
 _SILENCE_SHARE = 0.9
-# The share of the first drawers that may be taken for dead at once.
+# The share of the first-ranked agents that may be presumed dead at once.
 _MAX_SILENT_SHARE = 0.1
-# The origin's rate in machines' links, where it is not set. Draws that are
-# spread over half the time of a rollout do not make it longer.
+# The origin's rate in multiples of a machine's link, if it is not configured.
+# Fetches spread over half of a rollout's duration do not prolong it.
 _DEFAULT_ORIGIN_LINKS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Assignment:
-    """A chunk that this agent is on the list for.
+    """A chunk in whose ranking this agent is listed.
 
     Attributes:
-      index: The chunk.
-      earlier: The ids of those that rank before this agent.
-      turn_s: Its first drawer's turn, in seconds after the rollout's start.
+      index: The chunk's index.
+      earlier: The ids of the agents that rank before this one.
+      turn_s: When the first-ranked agent fetches the chunk, in seconds after
+        the start of the rollout.
     """
 
     index: int
@@ -38,7 +39,7 @@
 
 
 class OriginFetches:
-    """The duties of one agent for one manifest and fleet."""
+    """The assignments of one agent for one manifest and fleet."""
 
     def __init__(
         self,
@@ -50,16 +51,18 @@
         absent_since: Mapping[str, float],
         ended_at: Mapping[str, float],
     ):
-        """Computes the duties.
+        """Computes the assignments.
 
         Args:
-          limits: The policy, its deadline and the origin's rate.
+          limits: The draw policy, its deadline and the origin's rate.
           me: This agent.
           fleet: All agents.
           chunks: The manifest's chunks.
-          now: When the rollout started here, in monotonic seconds.
-          absent_since: When each agent that is out of sight vanished, by id.
-          ended_at: When each agent whose process is over ended, by id.
+          now: When the rollout started at this agent, in monotonic seconds.
+          absent_since: When each agent that is no longer visible vanished, in
+            monotonic seconds by id.
+          ended_at: When each agent whose process has ended did so, in monotonic
+            seconds by id.
         """
         self._limits = limits
         self._started_at = now
@@ -76,11 +79,16 @@
         )
 
     def record_failure(self, now: float, retry_after_s: float = 0.0) -> None:
-        """Waits before the next draw, longer after each failure.
+        """Delays the next fetch, longer after each consecutive failure.
 
-        A store that is down explains why no chunk appears. Were the first
-        drawers still taken for dead, all in rank would draw the same chunks
-        the moment the store is back.
+        A store that is down explains why no chunk appears. If the first-ranked
+        agents were still presumed dead, all agents in a ranking would fetch the
+        same chunks as soon as the store has recovered.
+
+        Args:
+          now: The current time in monotonic seconds.
+          retry_after_s: The minimum delay that the source requested, in
+            seconds.
         """
         self._retry_at = now + max(retry_after_s, self._retry_delay_s)
         longest = self._limits.draw_deadline_s / 2
@@ -89,35 +97,35 @@
         self._silent_fetchers.clear()
 
     def record_success(self) -> None:
-        """Ends the waiting after failures."""
+        """Ends the delay after failures."""
         self._retry_at = 0.0
         self._retry_delay_s = self._limits.settle_s
 
     def record_fetch(self, index: int) -> None:
-        """Notes that this agent draws a chunk.
+        """Records that this agent fetches a chunk.
 
-        Those before it on the list did not. Their other chunks need not wait
-        for a deadline of their own: of a drawer with many chunks that died
-        each would else cost one.
+        The agents that rank before it have not fetched the chunk, so their
+        other chunks do not wait for a deadline each. Otherwise a dead agent
+        with many chunks would cost one deadline per chunk.
         """
         for assignment in self._assignments:
             if assignment.index == index:
                 self._silent_fetchers.update(assignment.earlier)
 
     def due_at(self, assignment: Assignment) -> float:
-        """Returns when a duty falls due, in monotonic seconds.
+        """Returns when an assignment is due, in monotonic seconds.
 
-        A dead first drawer shows only in that its chunk does not appear. But
-        a chunk that is merely late behind others at the origin does not
-        appear either, and drawing that one twice wastes the origin's link.
-        So the deadline counts from the last time that any new chunk appeared:
-        while the origin delivers, nobody steps in.
+        A dead first-ranked agent can only be detected by its chunk not
+        appearing. A chunk queued behind others at the origin does not appear
+        either, and fetching it twice wastes the origin's bandwidth. The
+        deadline therefore counts from the last time that any new chunk
+        appeared: while the origin delivers, no other agent takes over.
 
         Args:
           assignment: The assignment.
         """
         deadline = self._limits.draw_deadline_s
-        turn = self._started_at + assignment.turn_s
+        due_time = self._started_at + assignment.turn_s
         earlier = [
             name
             for name in assignment.earlier
@@ -126,79 +134,86 @@
         out_of_sight = self._absent_since.keys() | self._ended_at.keys()
         silent = sum(1 for name in earlier if name not in out_of_sight)
         if silent:
-            quiet_from = max(turn, self._new_chunk_at, self._failed_at)
+            silent_since = max(due_time, self._new_chunk_at, self._failed_at)
             if self._failed_at > self._new_chunk_at:
                 silent += _EXTRA_DEADLINES_AFTER_FAILURE
-            turn = quiet_from + silent * deadline
-        gone = [
+            due_time = silent_since + silent * deadline
+        vanished_at = [
             self._absent_since[name]
             for name in earlier
             if name in self._absent_since
         ]
-        if gone:
-            # It may have drawn the chunk before it vanished.
-            turn = max(turn, max(gone) + deadline)
+        if vanished_at:
+            # It may have fetched the chunk before it vanished.
+            due_time = max(due_time, max(vanished_at) + deadline)
         ended_at = [
             self._ended_at[name] for name in earlier if name in self._ended_at
         ]
         if ended_at:
-            # Whoever has what it drew last has told so by then, and one that
-            # lost its connections alone is back. With a deadline in place of
-            # this the origin was gone before anybody drew the pieces anew.
-            turn = max(turn, max(ended_at) + self._limits.settle_s)
-        return max(turn, self._retry_at)
+            # By then every peer that holds what the ended agent fetched last
+            # has advertised it, and an agent that only lost its connections has
+            # reconnected. With a deadline instead, the origin became
+            # unreachable before any agent fetched the chunks again.
+            due_time = max(due_time, max(ended_at) + self._limits.settle_s)
+        return max(due_time, self._retry_at)
 
     def record_appearance(self, wanted: int, new_chunk_at: float) -> None:
-        """Notes when a chunk that was new to this agent last appeared.
+        """Records when a chunk that was new to this agent last appeared.
 
-        One that ends a silence of nearly a deadline is likely to come from a
-        peer whose deadline ran out a little earlier than this agent's. It must
-        not begin the deadline anew: a dead drawer of many chunks would cost
-        one for each of them.
+        A chunk that ends a period of almost a deadline without new chunks was
+        probably fetched by a peer whose deadline expired slightly before this
+        agent's. It must not restart the deadline: a dead agent with many chunks
+        would then cost one deadline per chunk.
 
         Args:
-          wanted: The chunks that are neither held nor held by a neighbour.
+          wanted: The chunks that neither this agent nor a neighbour holds.
           new_chunk_at: When it appeared, in monotonic seconds.
         """
         if new_chunk_at <= self._new_chunk_at:
             return
-        quiet_from = max(self._new_chunk_at, self._failed_at)
+        silent_since = max(self._new_chunk_at, self._failed_at)
         latest = new_chunk_at - _SILENCE_SHARE * self._limits.draw_deadline_s
-        if quiet_from <= latest:
+        if silent_since <= latest:
             self._silent_fetchers |= self._find_silent(wanted, latest)
         self._new_chunk_at = new_chunk_at
 
     def _find_silent(self, wanted: int, latest: float) -> set[str]:
-        """Returns the first drawers whose turn came by then in vain.
+        """Returns the first-ranked agents that missed their turn by then.
 
-        When they are many, the origin is to blame rather than they.
+        If there are many, the origin is the probable cause and the result is
+        empty.
+
+        Args:
+          wanted: The chunks that neither this agent nor a neighbour holds.
+          latest: Turns up to this time count, in monotonic seconds.
         """
         silent = {
             name
             for index, (name, turn_s) in enumerate(self._first_fetchers)
             if wanted >> index & 1 and self._started_at + turn_s <= latest
         }
-        everyone = len({name for name, _ in self._first_fetchers})
+        fetcher_count = len({name for name, _ in self._first_fetchers})
         return (
             silent
-            if len(silent) <= max(1, _MAX_SILENT_SHARE * everyone)
+            if len(silent) <= max(1, _MAX_SILENT_SHARE * fetcher_count)
             else set()
         )
 
     def due(self, wanted: int, now: float) -> tuple[int | None, float]:
-        """Returns the chunk to draw now and when the next duty falls due.
+        """Returns the chunk to fetch now and when the next assignment is due.
 
         Args:
-          wanted: The chunks that no neighbour holds either.
-          now: Monotonic seconds.
+          wanted: The chunks that neither this agent nor a neighbour holds and
+            that are not requested.
+          now: The current time in monotonic seconds.
         """
         next_at = math.inf
         for assignment in self._assignments:
             if wanted >> assignment.index & 1:
-                at = self.due_at(assignment)
-                if at <= now:
+                due_time = self.due_at(assignment)
+                if due_time <= now:
                     return assignment.index, now
-                next_at = min(next_at, at)
+                next_at = min(next_at, due_time)
         return None, next_at
 
 
@@ -208,7 +223,7 @@
     fleet: origin_fetchers.Fleet,
     chunks: tuple[manifests.Chunk, ...],
 ) -> list[tuple[str, float]]:
-    """Returns each chunk's first drawer and its turn after the start."""
+    """Returns each chunk's first-ranked agent and its turn in seconds."""
     policy = limits.draw_policy
     groups = {origin_fetchers.group_of(m, policy) for m in fleet.members}
     group = origin_fetchers.group_of(me, policy)
--- a/src/clementinegw/weights/_swarm_requests.py
+++ b/src/clementinegw/weights/_swarm_requests.py
@@ -1,29 +1,31 @@
-"""Chunks that were asked for and have not arrived, and when to give up."""
+"""Requested chunks that have not arrived, and the deadlines of requests."""
 
 import dataclasses
 
 from clementinegw.weights import _swarm_types as types_
 
-# The share of the newest duration in the running mean.
+# The weight of the latest duration in the running mean.
 _MEAN_WEIGHT = 0.2
-# A second source is asked for the last chunks after this many mean durations.
+# The last chunks are requested from a second source after this many mean
+# durations.
 _ENDGAME_FACTOR = 2.0
-# With small chunks and a fast link a request takes a fraction of a millisecond.
-# An agent that waits for a slow origin and looks again that often keeps its
-# core busy for nothing; its counter of requests stands still meanwhile. With
-# this floor, in seconds, it looks at most 200 times a second.
+# With small chunks and a fast link, a request takes a fraction of a
+# millisecond. An agent that waits for a slow origin and polls at that interval
+# keeps its core busy although no requests are sent. This minimum limits it to
+# 200 polls per second.
 _MIN_POLL_INTERVAL_S = 0.005
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One chunk asked of one source.
+    """A request for one chunk to one source.
 
     Attributes:
-      index: The chunk.
+      index: The chunk's index.
       source: A peer's id or `ORIGIN`.
-      started_at: When it was asked, in monotonic seconds.
-      progress_at: When the last part of it came, or `started_at`.
+      started_at: When the request was sent, in monotonic seconds.
+      progress_at: When the last part arrived, or `started_at` before the first
+        one, in monotonic seconds.
     """
 
     index: int
@@ -33,14 +35,14 @@
 
 
 class Requests:
-    """The open requests of one agent and how long requests take."""
+    """The open requests of one agent and the mean duration of requests."""
 
     def __init__(self, limits: types_.Limits, chunk_bytes: int):
         """Starts without requests.
 
         Args:
-          limits: For the deadlines.
-          chunk_bytes: The size of the largest chunk.
+          limits: Determines the deadlines.
+          chunk_bytes: The size of the largest chunk in bytes.
         """
         self._limits = limits
         self._open: dict[tuple[int, str], Request] = {}
@@ -54,7 +56,7 @@
 
     @property
     def pending(self) -> int:
-        """The chunks asked for, as an integer with a bit a chunk."""
+        """The requested chunks, as an integer with one bit per chunk."""
         return self._pending
 
     @property
@@ -64,12 +66,12 @@
 
     @property
     def mean_s(self) -> float:
-        """How long a request to a peer takes on average, in seconds."""
+        """The mean duration of a request to a peer, in seconds."""
         return self._mean[False]
 
     @property
     def poll_interval_s(self) -> float:
-        """How long to wait before looking for a source again, in seconds."""
+        """How long to wait before searching for a source again, in seconds."""
         return max(self.mean_s, _MIN_POLL_INTERVAL_S)
 
     def all(self) -> list[Request]:
@@ -81,37 +83,37 @@
         return [r for r in self._open.values() if r.index == index]
 
     def start(self, index: int, source: str, now: float) -> None:
-        """Notes that a source was asked."""
+        """Records a new request."""
         self._open[index, source] = Request(index, source, now, now)
         self._pending |= 1 << index
 
     def record_progress(self, index: int, source: str, now: float) -> None:
-        """Notes that a part of a chunk came."""
+        """Records that a part of a chunk arrived."""
         request = self._open.get((index, source))
         if request is not None:
             request.progress_at = now
 
     def end(self, index: int, source: str) -> Request | None:
-        """Closes a request; returns None when it was not open."""
+        """Closes a request and returns it; None if it was not open."""
         request = self._open.pop((index, source), None)
         if request is not None and not self.for_chunk(index):
             self._pending &= ~(1 << index)
         return request
 
     def record_duration(self, request: Request, now: float) -> None:
-        """Learns from the duration of a request that succeeded."""
+        """Updates the mean with the duration of a successful request."""
         origin = request.source == types_.ORIGIN
         mean = self._mean[origin]
         duration = now - request.started_at
         self._mean[origin] = mean + _MEAN_WEIGHT * (duration - mean)
 
     def stall_deadline(self, request: Request) -> float:
-        """Returns when a request counts as stalled.
+        """Returns when a request counts as stalled, in monotonic seconds.
 
-        A stalled link does not close its connection: without a deadline the
-        chunk, and with it the whole rollout of this agent, would hang. The
-        time counts from the last part that came, so that a slow link is not
-        taken for a stalled one.
+        A stalled link does not close its connection. Without a deadline the
+        chunk, and with it the whole rollout at this agent, would hang. The time
+        counts from the last part that arrived, so that a slow link does not
+        count as stalled.
         """
         mean = self._mean[request.source == types_.ORIGIN]
         stall_s = self._limits.stall_factor * mean
@@ -122,5 +124,5 @@
         return [r for r in self._open.values() if self.stall_deadline(r) <= now]
 
     def second_source_at(self, request: Request) -> float:
-        """Returns from when on a second source may be asked in the endgame."""
+        """Returns when a second source may be used in the endgame."""
         return request.started_at + _ENDGAME_FACTOR * self._mean[False]
--- a/src/clementinegw/weights/_swarm_target.py
+++ b/src/clementinegw/weights/_swarm_target.py
@@ -1,4 +1,4 @@
-"""The manifest that an agent follows and what it holds of it."""
+"""The manifest that an agent fetches and the chunks it holds."""
 
 import dataclasses
 
@@ -7,13 +7,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Target:
-    """One manifest's chunks; sets of them are integers with a bit a chunk.
+    """One manifest's chunks; sets are integers with one bit per chunk.
 
     Attributes:
       digest: The manifest's digest; empty without a target.
       chunks: The manifest's chunks.
       have: The chunks held.
-      started_at: When it was set, in monotonic seconds.
+      started_at: When the target was set, in monotonic seconds.
       digests: The digests of all chunks.
       all_chunks: All chunks.
     """
@@ -47,9 +47,9 @@
 
     @property
     def held_bits(self) -> bytes:
-        """The chunks held, as a `bitset`."""
+        """The chunks held, in the format of `bitset`."""
         return self.have.to_bytes((len(self.chunks) + 7) // 8, "little")
 
     def holds(self, index: int) -> bool:
-        """Whether there is such a chunk and it is held."""
+        """Returns whether the index is valid and the chunk is held."""
         return 0 <= index < len(self.chunks) and bool(self.have >> index & 1)
--- a/src/clementinegw/weights/_swarm_types.py
+++ b/src/clementinegw/weights/_swarm_types.py
@@ -1,4 +1,4 @@
-"""Events, actions and limits of the swarm's decisions."""
+"""Events, actions and limits of the swarm state machine."""
 
 import dataclasses
 import enum
@@ -6,43 +6,50 @@
 from clementinegw.weights import manifest as manifests
 from clementinegw.weights import origin_fetchers
 
-# The source of a chunk that comes from the weight store or the origin.
+# The source id of chunks from the weight store or the origin.
 ORIGIN = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What bounds an agent's part in a rollout.
+    """Limits on an agent's part in a rollout.
+
+    The bench's `--limits` flag takes these fields by name.
 
     Attributes:
-      outstanding: Chunks asked for and not arrived; bounds memory as well.
-      upload_slots: Chunks sent at once; one more request is refused.
-      asks_a_peer: Chunks asked of one peer at once.
-      formers: Earlier targets of which chunks are still sent.
+      outstanding: The maximum number of requested chunks that have not
+        arrived; this also bounds memory.
+      upload_slots: The maximum number of chunks sent at once; further requests
+        are refused.
+      asks_a_peer: The maximum number of chunks requested from one peer at once.
+      formers: The number of previous targets whose chunks are still sent.
       local_neighbours: Connections opened within the failure domain.
       remote_neighbours: Connections opened to other failure domains.
-      import_neighbours: Connections opened to first drawers elsewhere.
-      draws: Chunks drawn from the origin at once.
-      draw_policy: Within what group the origin sends each chunk once.
-      draw_deadline_s: How long the group may go without any new chunk before
-        the next drawer in rank steps in, in seconds.
-      cut_off_s: How long an agent that reaches no other failure domain leaves
-        the origin alone, in seconds.
-      settle_s: How long neighbours have to tell what they hold before the
-        first draw, in seconds.
-      origin_bytes_per_s: Draws are spread over time so that the origin serves
-        few at once; 0 stands for twice the machine's link.
-      link_bytes_per_s: The machine's link, for the first deadlines.
-      stall_factor: A request is given up after this many times the time that
-        requests have taken.
-      stall_floor_s: A request is never given up earlier, in seconds.
-      aside_s: How long a peer that stalled twice or corrupted once is not
-        asked, in seconds.
-      cross_copies: Copies of a version that may enter a failure domain from
-        others in the ordinary course.
-      advert_s: Gained chunks are announced at most this often, in seconds.
-      far_advert_s: The same to agents of other failure domains through which a
-        chunk does not enter theirs; not less than `advert_s`.
+      import_neighbours: The maximum number of connections opened to
+        first-ranked agents of other failure domains.
+      draws: The maximum number of chunks fetched from the origin at once.
+      draw_policy: The group within which the origin sends each chunk once.
+      draw_deadline_s: How long no new chunk may appear in the group before the
+        next agent in the ranking takes over, in seconds.
+      cut_off_s: How long an agent that reaches no other failure domain does
+        not use the origin, in seconds.
+      settle_s: How long neighbours may take to advertise what they hold before
+        the first fetch from the origin, in seconds.
+      origin_bytes_per_s: The origin's rate. Fetches are spread over time so
+        that the origin serves few at once; 0 stands for twice the machine's
+        link.
+      link_bytes_per_s: The rate of the machine's link, for the first deadlines.
+      stall_factor: A request is cancelled after this multiple of the mean
+        duration of requests.
+      stall_floor_s: The minimum time before a request is cancelled, in seconds.
+      aside_s: How long no chunks are requested from a peer after two
+        consecutive failures or one corrupt chunk, in seconds.
+      cross_copies: The number of copies of a version that may normally enter a
+        failure domain from others.
+      advert_s: The minimum interval between announcements of gained chunks, in
+        seconds.
+      far_advert_s: The same for peers of other failure domains through which a
+        chunk does not enter their domain, in seconds; `advert_s` if it is less.
     """
 
     outstanding: int = 3
@@ -68,7 +75,7 @@
 
 
 class RefuseReason(enum.StrEnum):
-    """Why a peer is not sent a chunk."""
+    """Why a peer's request for a chunk is refused."""
 
     BUSY = "busy"
     NOT_HELD = "not_held"
@@ -76,14 +83,14 @@
 
 
 class ExclusionReason(enum.StrEnum):
-    """Why a peer is not asked for a while."""
+    """Why a peer is excluded for a while."""
 
     CORRUPT = "corrupt"
     STALLED = "stalled"
 
 
 class CancelReason(enum.StrEnum):
-    """Why a request is given up."""
+    """Why a request is cancelled."""
 
     STALLED = "stalled"
     OTHER_WAS_FASTER = "other_was_faster"
@@ -97,13 +104,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetSet:
-    """The settings intend another version, or the first one.
+    """A version became the target.
 
     Attributes:
       digest: The manifest's digest.
       chunks: The manifest's chunks.
-      held: Those in the store already, as a `bitset`.
-      is_new: Whether it was named only now, so that nobody holds any of it.
+      held: The chunks that are already in the store, as a `bitset`.
+      is_new: Whether the version was declared just now, so that no agent holds
+        any of its chunks.
     """
 
     digest: str
@@ -114,14 +122,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetChanged:
-    """Other agents take part than before."""
+    """The set of agents in the rollout changed."""
 
     fleet: origin_fetchers.Fleet
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUp:
-    """There is a connection to a peer, whoever opened it."""
+    """A connection to a peer was established by either end."""
 
     peer: origin_fetchers.Member
 
@@ -131,9 +139,10 @@
     """The connection to a peer ended.
 
     Attributes:
-      peer_id: The peer.
-      by_peer: Whether its end of the connection closed: as a rule its process
-        is over. A cut or a machine without power closes nothing.
+      peer_id: The peer's id.
+      by_peer: Whether the peer closed the connection, which usually means that
+        its process has ended. A partition or a machine without power does not
+        close connections.
     """
 
     peer_id: str
@@ -142,10 +151,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerHolds:
-    """A peer told all that it holds of a manifest, as a `bitset`.
+    """A peer advertised all chunks that it holds of a manifest.
 
     Attributes:
-      answer: Whether that answers what this agent told, and is not answered.
+      peer_id: The peer's id.
+      digest: The manifest's digest.
+      bits: The chunks, as a `bitset`.
+      answer: Whether this answers an advertisement of this agent. Answers are
+        not answered.
     """
 
     peer_id: str
@@ -156,7 +169,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerGained:
-    """A peer told which chunks it holds besides those it told before."""
+    """A peer advertised chunks in addition to those it advertised before."""
 
     peer_id: str
     digest: str
@@ -165,7 +178,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progressed:
-    """A part of a chunk came in."""
+    """A part of a chunk arrived."""
 
     digest: str
     index: int
@@ -174,7 +187,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrived:
-    """A chunk was verified and stored."""
+    """A chunk arrived, was verified and stored."""
 
     digest: str
     index: int
@@ -183,7 +196,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """A chunk that was held is in the store no more."""
+    """A chunk that was held is no longer in the store."""
 
     digest: str
     index: int
@@ -191,7 +204,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Corrupt:
-    """A chunk came with another digest and was thrown away."""
+    """A chunk arrived with a wrong digest and was discarded."""
 
     digest: str
     index: int
@@ -200,7 +213,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """A source will not send a chunk for now."""
+    """A source refused to send a chunk for now."""
 
     digest: str
     index: int
@@ -211,7 +224,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """A source did not send a whole chunk."""
+    """A source did not send a complete chunk."""
 
     digest: str
     index: int
@@ -220,7 +233,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkRequested:
-    """A peer asks for a chunk."""
+    """A peer requested a chunk."""
 
     peer_id: str
     digest: str
@@ -229,7 +242,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Served:
-    """Sending a chunk to a peer ended, well or not."""
+    """Sending a chunk to a peer ended.
+
+    Attributes:
+      peer_id: The peer's id.
+      index: The chunk's index.
+      whole: Whether the whole chunk was sent.
+    """
 
     peer_id: str
     index: int
@@ -238,7 +257,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; due by `Swarm.wake_at` at the latest."""
+    """Time has passed; due at `Swarm.wake_at` at the latest."""
 
 
 Event = (
@@ -265,21 +284,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Connect:
-    """Open a connection to a peer, and again when it breaks."""
+    """Open a connection to a peer and reopen it when it ends."""
 
     peer: origin_fetchers.Member
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Disconnect:
-    """Keep no connection to a peer."""
+class StopConnecting:
+    """Stop opening connections to a peer."""
 
     peer_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestChunk:
-    """Ask a source for a chunk; `ORIGIN` for the store or the origin."""
+    """Request a chunk from a source.
+
+    Attributes:
+      digest: The manifest's digest.
+      index: The chunk's index.
+      source: A peer's id, or `ORIGIN` for the weight store or the origin.
+    """
 
     digest: str
     index: int
@@ -298,7 +323,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdvertiseAll:
-    """Tell a peer all that is held, as a `bitset`; see `PeerHolds`."""
+    """Advertise all held chunks to a peer, as a `bitset`; see `PeerHolds`."""
 
     peer_id: str
     digest: str
@@ -308,7 +333,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdvertiseGained:
-    """Tell peers which chunks came since they were told last."""
+    """Advertise the chunks gained since the last advertisement to peers."""
 
     peer_ids: tuple[str, ...]
     digest: str
@@ -317,7 +342,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Serve:
-    """Send a chunk to the peer that asked."""
+    """Send a chunk to the peer that requested it."""
 
     peer_id: str
     digest: str
@@ -334,7 +359,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Do not send a chunk to the peer that asked."""
+    """Refuse a peer's request for a chunk."""
 
     peer_id: str
     index: int
@@ -344,7 +369,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerExcluded:
-    """A peer is not asked for a while; for the log and the counters."""
+    """A peer was excluded for a while; for the log and the counters."""
 
     peer_id: str
     reason: ExclusionReason
@@ -360,7 +385,7 @@
 
 Action = (
     Connect
-    | Disconnect
+    | StopConnecting
     | RequestChunk
     | Cancel
     | AdvertiseAll
--- a/src/clementinegw/weights/_transfer_connections.py
+++ b/src/clementinegw/weights/_transfer_connections.py
@@ -14,7 +14,7 @@
 
 
 class PeerConnections:
-    """Keeps a connection to each wanted peer and tells of all that come."""
+    """Keeps connections to chosen peers and reports those of all peers."""
 
     def __init__(
         self,
@@ -24,8 +24,8 @@
         """Registers with the endpoint.
 
         Args:
-          endpoint: Where connections come and go.
-          emit: Takes `PeerUp` and `PeerDown`.
+          endpoint: Opens connections and reports when they start and end.
+          emit: Called with each `PeerUp` and `PeerDown`.
         """
         self._endpoint = endpoint
         self._emit = emit
@@ -33,29 +33,30 @@
         self._connect_tasks: dict[str, asyncio.Task | None] = {}
         self._by_peer: dict[str, list[connections.Connection]] = {}
         self._connected_since: dict[str, float] = {}
-        # After a connection that lasted shorter than the longest pause: else a
-        # peer that takes connections and ends them is asked without a pause.
+        # Delays after connections that lasted less than the longest delay.
+        # Without them, a peer that accepts connections and closes them would be
+        # reconnected to without a pause.
         self._retry_delays_s: dict[str, float] = {}
         self._running = False
         endpoint.on_connected(self._on_connected)
         endpoint.on_disconnected(self._on_disconnected)
 
     def set_addresses(self, addresses: Mapping[str, types.Address]) -> None:
-        """Says where peers take connections, by id."""
+        """Sets the addresses that peers listen on, by id."""
         self._addresses = addresses
-        kept = self._retry_delays_s.items()
+        delays = self._retry_delays_s.items()
         self._retry_delays_s = {
-            n: delay_s for n, delay_s in kept if n in addresses
+            n: delay_s for n, delay_s in delays if n in addresses
         }
 
     def start(self) -> None:
-        """Begins to connect."""
+        """Starts connecting."""
         self._running = True
         for name in list(self._connect_tasks):
             self.keep_connected(name)
 
     async def stop(self) -> None:
-        """Stops connecting; connections stay with the endpoint."""
+        """Stops connecting; the endpoint keeps open connections."""
         self._running = False
         tasks = [
             task for task in self._connect_tasks.values() if task is not None
@@ -65,7 +66,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def keep_connected(self, peer_id: str) -> None:
-        """Connects to a peer, again and again until it is up."""
+        """Connects to a peer, retries until it is up, and reconnects."""
         task = self._connect_tasks.get(peer_id)
         if not self._running or peer_id in self._by_peer:
             self._connect_tasks.setdefault(peer_id, None)
@@ -75,18 +76,18 @@
             )
 
     def stop_connecting(self, peer_id: str) -> None:
-        """Stops connecting to a peer."""
+        """Stops connecting to a peer; an open connection stays open."""
         task = self._connect_tasks.pop(peer_id, None)
         if task is not None:
             task.cancel()
 
     def find(self, peer_id: str) -> connections.Connection | None:
-        """Returns a connection to a peer."""
+        """Returns a connection to a peer, or None."""
         found = self._by_peer.get(peer_id)
         return found[0] if found else None
 
     def notify(self, peer_id: str, kind: connections.Kind, body: bytes) -> None:
-        """Sends a frame that no call waits for, if the peer is up."""
+        """Sends a one-way frame, if the peer is connected."""
         connection = self.find(peer_id)
         if connection is not None:
             connection.notify(kind, body)
@@ -103,14 +104,15 @@
                     pass
             if peer_id in self._by_peer:
                 return
-            # Also after a connection: one that is kept is returned without
-            # waiting, and if it belongs to another peer that took the address,
-            # asking again at once would block the whole process.
+            # Also waits after a successful connect. The endpoint returns an
+            # existing connection without waiting; if it belongs to another
+            # peer that took over the address, retrying at once would block the
+            # whole process.
             await asyncio.sleep(delay_s)
             delay_s = min(2 * delay_s, _MAX_RETRY_S)
 
     def _adopt(self, connection: connections.Connection) -> None:
-        """Takes a connection that others opened before this one listened."""
+        """Adopts a connection that was opened before the callback was set."""
         existing = self._by_peer.get(connection.peer.instance_id, [])
         if connection not in existing and not connection.closed:
             self._on_connected(connection)
@@ -151,7 +153,8 @@
         if lasted_s >= _MAX_RETRY_S:
             self._retry_delays_s.pop(name, None)
             return
-        # None after a first one: a peer that started again is wanted at once.
+        # No delay after the first short connection: a peer that was restarted
+        # is reconnected to at once.
         previous_s = self._retry_delays_s.get(name)
         delay_s = (
             0.0 if previous_s is None else max(_MIN_RETRY_S, 2 * previous_s)
--- a/src/clementinegw/weights/_transfer_context.py
+++ b/src/clementinegw/weights/_transfer_context.py
@@ -1,4 +1,4 @@
-"""What the receiving and the sending half of a transfer share."""
+"""Dependencies shared by the receiver and the sender of a transfer."""
 
 from collections.abc import Callable
 import dataclasses
@@ -14,19 +14,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Context:
-    """One agent's surroundings.
+    """The dependencies of one agent's receiver and sender.
 
     Attributes:
       domain: The agent's failure domain.
       store: Where chunks are kept.
-      pacing: The machine's link.
-      link: Books the bytes of parts on a shaped link; for benches.
-      emit: Hands an event to the swarm.
+      pacing: Paces both directions of the machine's link.
+      link: Accounts for the bytes of parts on a shaped link; for benches.
+      emit: Passes an event to the swarm.
       clock: The source of time.
-      log: Where events go.
+      log: Where events are logged.
       counters: Where refusals, retries and bytes are counted.
-      part_bytes: What is asked for at once.
-      manifest: The target.
+      part_bytes: The size of a requested part in bytes.
+      manifest: The target's manifest; None without a target.
     """
 
     domain: str
--- a/src/clementinegw/weights/_transfer_receive.py
+++ b/src/clementinegw/weights/_transfer_receive.py
@@ -14,12 +14,12 @@
 from clementinegw.wire.gen.weights import ttypes
 
 PART_BYTES = 128 << 10
-# Parts asked for and not yet in, per chunk: the sender then always has the
-# next one at hand, and no more than this waits in the network.
+# Requested parts in flight per chunk: the sender always has the next request
+# at hand, and no more than this many parts queue in the network.
 _MAX_PARTS_IN_FLIGHT = 2
-# Parts of a chunk that one request to the store or the origin asks for.
+# Parts of a chunk that one request to the weight store or the origin reads.
 _PARTS_PER_ORIGIN_READ = 4
-# When a chunk that could not be stored is asked for again, in seconds.
+# The delay before a chunk that could not be stored is requested again.
 _STORE_RETRY_S = 1.0
 _ORIGIN_NAME = "origin"
 
@@ -27,7 +27,7 @@
 
 
 class Receiver:
-    """The chunks that are on their way to this agent."""
+    """Receives chunks that the swarm requests from peers and the origin."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
         peers: peer_connections.PeerConnections,
         origin: blobs.BlobStore,
     ):
-        """Starts with nothing on its way.
+        """Starts with nothing in transit.
 
         Args:
-          context: The agent's surroundings.
+          context: The shared dependencies.
           peers: The connections to peers.
           origin: The weight store or the origin.
         """
@@ -49,7 +49,7 @@
         self._tasks: dict[tuple[str, int, str], asyncio.Task] = {}
 
     def start(self, action: swarm.RequestChunk) -> None:
-        """Begins to receive a chunk."""
+        """Starts to receive a chunk."""
         assert self._context.manifest is not None
         chunk = self._context.manifest.chunks[action.index]
         key = (action.digest, action.index, action.source)
@@ -65,7 +65,7 @@
             task.cancel()
 
     async def stop(self) -> None:
-        """Stops receiving."""
+        """Stops receiving all chunks."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
@@ -92,13 +92,13 @@
     async def _store_chunk(
         self, action: swarm.RequestChunk, chunk: manifests.Chunk, data: bytes
     ) -> swarm.Arrived | swarm.Corrupt | swarm.Refused:
-        # The store checks the digest. Were a chunk passed on unchecked, one
-        # bad network card would spread its errors to the whole fleet.
+        # The store checks the digest. If unverified chunks were passed on, one
+        # faulty network card would spread its errors to the whole fleet.
         try:
             stored = await self._context.store.put(chunk.digest, data)
         except exceptions.BackendError:
-            # The memory that chunks are staged in is out of reach or full.
-            # The source is not to blame, so it gets no strike.
+            # The staging memory is unreachable or full. The source is not the
+            # cause, so this does not count as a failure of the source.
             self._context.counters.add("weights.keep_failed")
             return swarm.Refused(
                 action.digest, action.index, action.source, _STORE_RETRY_S
@@ -126,7 +126,7 @@
             except exceptions.PlatformError as error:
                 return self._origin_fetch_failed(failed, error.message)
             if not part:
-                return self._origin_fetch_failed(failed, "a short chunk")
+                return self._origin_fetch_failed(failed, "chunk incomplete")
             self._context.counters.add("weights.drawn_bytes", len(part))
             await self._record_progress(action, len(part))
             data += part
@@ -179,9 +179,10 @@
             refused = _refused(action, frame.body)
             self._context.counters.add(f"weights.refused.{refused.reason}")
             return refused
-        # Only now is more asked for: a refusal ends the call at the sender,
-        # which would take a second request on it for a new call and keep an
-        # upload slot for nobody. And a refusal must not use up the pace.
+        # Further parts are requested only now. A refusal ends the call at the
+        # sender, which would treat a second request on it as a new call and
+        # reserve an upload slot that nobody uses. Also, a refusal must not
+        # consume bandwidth of the pacing.
         self._context.pacing.down.charge(first)
         window = asyncio.Semaphore(_MAX_PARTS_IN_FLIGHT - 1)
         requesting = asyncio.ensure_future(
@@ -210,7 +211,7 @@
         exchange: connections.Exchange,
         window: asyncio.Semaphore,
     ) -> None:
-        """Asks for all parts but the first, at the pace of the link."""
+        """Requests all parts but the first, paced by the link's rate."""
         order = self._context.clock.now()
         for offset in range(
             self._context.part_bytes, chunk.size, self._context.part_bytes
@@ -221,7 +222,7 @@
             try:
                 await self._request_part(exchange, action, chunk, offset, size)
             except exceptions.ConnectionLost:
-                # The receiving side of the call learns of it as well.
+                # `_receive` gets the same error from the call.
                 return
 
     async def _record_part(
@@ -260,7 +261,7 @@
 
 
 async def _send_cancel(exchange: connections.Exchange) -> None:
-    """Tells the sender to stop; its slot would else stay taken a while."""
+    """Cancels the call, so that the sender frees its upload slot at once."""
     try:
         await exchange.send(connections.Kind.CANCEL)
     except exceptions.ConnectionLost:
--- a/src/clementinegw/weights/_transfer_send.py
+++ b/src/clementinegw/weights/_transfer_send.py
@@ -1,4 +1,4 @@
-"""Sends chunks to peers that ask."""
+"""Sends chunks to peers that request them."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 from clementinegw.wire import connection as connections
 from clementinegw.wire.gen.weights import ttypes
 
-# A receiver that asks for no further part for this long has gone on.
+# A receiver that requests no further part for this long has moved on.
 _IDLE_TIMEOUT_S = 10.0
 
 
 class Sender:
-    """The chunks that are on their way to peers."""
+    """Sends the chunks that the swarm agrees to serve."""
 
     def __init__(
         self, context: contexts.Context, endpoint: connections.Endpoint
@@ -22,8 +22,8 @@
         """Registers with the endpoint.
 
         Args:
-          context: The agent's surroundings.
-          endpoint: Where peers ask.
+          context: The shared dependencies.
+          endpoint: Where requests of peers arrive.
         """
         self._context = context
         self._decision: swarm.Serve | swarm.Refuse | None = None
@@ -31,11 +31,11 @@
         endpoint.on_call(connections.Kind.CHUNK_GET, self._on_get)
 
     def serve(self, action: swarm.Serve) -> None:
-        """Takes the swarm's consent to the request it was just given."""
+        """Accepts the request that was just passed to the swarm."""
         self._decision = action
 
     def refuse(self, action: swarm.Refuse) -> None:
-        """Takes the swarm's refusal of the request it was just given."""
+        """Refuses the request that was just passed to the swarm."""
         self._decision = action
 
     def stop(self, action: swarm.StopServing) -> None:
@@ -50,74 +50,90 @@
         exchange: connections.Exchange,
         frame: connections.Frame,
     ) -> None:
-        first = codec.decode(ttypes.ChunkGet, frame.body)
-        if first.offset:
-            # It crossed the end of its call; see `Receiver`.
+        first_request = codec.decode(ttypes.ChunkGet, frame.body)
+        if first_request.offset:
+            # The request crossed the end of its call; see `Receiver`.
             self._context.counters.add("weights.late_get")
             return
-        name = connection.peer.instance_id
+        peer_id = connection.peer.instance_id
         self._decision = None
         self._context.emit(
-            swarm.ChunkRequested(name, first.digest, first.index)
+            swarm.ChunkRequested(
+                peer_id, first_request.digest, first_request.index
+            )
         )
         decision = self._decision
         if isinstance(decision, swarm.Serve):
-            await self._serve(name, exchange, first)
+            await self._serve(peer_id, exchange, first_request)
         elif isinstance(decision, swarm.Refuse):
-            wait = decision.retry_after_s
-            await _send_refusal(exchange, decision.reason, wait)
+            retry_after_s = decision.retry_after_s
+            await _send_refusal(exchange, decision.reason, retry_after_s)
 
     async def _serve(
-        self, name: str, exchange: connections.Exchange, first: ttypes.ChunkGet
+        self,
+        peer_id: str,
+        exchange: connections.Exchange,
+        first_request: ttypes.ChunkGet,
     ) -> None:
         task = asyncio.current_task()
         assert task is not None
-        key = name, first.index
+        key = peer_id, first_request.index
         self._tasks[key] = task
         whole = False
         try:
-            whole = await self._send(exchange, first)
+            whole = await self._send(exchange, first_request)
         except (TimeoutError, exceptions.ConnectionLost):
             pass
         except asyncio.CancelledError:
-            # The version was abandoned; the receiver would else wait for its
-            # deadline.
+            # The version was abandoned. Without a refusal, the receiver would
+            # wait for its deadline.
             await _send_refusal(exchange, swarm.RefuseReason.OTHER_TARGET, 0.0)
             raise
         finally:
             if self._tasks.get(key) is task:
                 del self._tasks[key]
-                self._context.emit(swarm.Served(name, first.index, whole))
+                self._context.emit(
+                    swarm.Served(peer_id, first_request.index, whole)
+                )
 
     async def _send(
-        self, exchange: connections.Exchange, first: ttypes.ChunkGet
+        self, exchange: connections.Exchange, first_request: ttypes.ChunkGet
     ) -> bool:
-        data = await self._context.store.get(first.chunk_digest)
+        data = await self._context.store.get(first_request.chunk_digest)
         if data is None:
-            self._context.emit(swarm.Lost(first.digest, first.index))
+            self._context.emit(
+                swarm.Lost(first_request.digest, first_request.index)
+            )
             reason = swarm.RefuseReason.NOT_HELD
             await _send_refusal(exchange, reason, 0.0)
             return False
         order = self._context.clock.now()
         view = memoryview(data)
-        part = first
+        part_request = first_request
         sent = 0
         while True:
-            if part.offset < 0 or part.length <= 0:
-                raise exceptions.DecodeError("ChunkGet: a part out of bounds")
-            piece = bytes(view[part.offset : part.offset + part.length])
-            await self._context.pacing.up.take(len(piece), order)
+            if part_request.offset < 0 or part_request.length <= 0:
+                raise exceptions.DecodeError(
+                    "ChunkGet: offset or length out of range"
+                )
+            part_data = bytes(
+                view[
+                    part_request.offset : part_request.offset
+                    + part_request.length
+                ]
+            )
+            await self._context.pacing.up.take(len(part_data), order)
             if self._context.link is not None:
-                await self._context.link.send(len(piece))
-            await exchange.send(connections.Kind.CHUNK_DATA, piece)
-            self._context.counters.add("weights.sent_bytes", len(piece))
-            sent += len(piece)
-            if not piece or sent >= len(data):
+                await self._context.link.send(len(part_data))
+            await exchange.send(connections.Kind.CHUNK_DATA, part_data)
+            self._context.counters.add("weights.sent_bytes", len(part_data))
+            sent += len(part_data)
+            if not part_data or sent >= len(data):
                 return sent >= len(data)
             frame = await exchange.receive(_IDLE_TIMEOUT_S)
             if frame.kind == connections.Kind.CANCEL:
                 return False
-            part = codec.decode(ttypes.ChunkGet, frame.body)
+            part_request = codec.decode(ttypes.ChunkGet, frame.body)
 
 
 async def _send_refusal(
--- a/src/clementinegw/weights/peers.py
+++ b/src/clementinegw/weights/peers.py
@@ -1,8 +1,8 @@
-"""What an agent knows of the peers it exchanges chunks with.
+"""The peers that an agent exchanges chunks with and what they hold.
 
-No agent talks to all others: at 560 agents that would be 156,520 connections,
-and each chunk would be announced 559 times. Each has a bounded set of
-neighbours instead, most of them in its own failure domain.
+No agent connects to all others: with 560 agents that would be 156,520
+connections, and each chunk would be announced 559 times. Instead, each agent
+has a bounded set of neighbours, most of them in its own failure domain.
 """
 
 from collections.abc import Sequence
@@ -18,15 +18,17 @@
     """A neighbour.
 
     Attributes:
-      member: Who it is.
-      local: Whether it stands in the same failure domain.
-      known: Whether what it holds of the target is known.
-      bits: The chunks it holds, as an integer with a bit a chunk.
-      outstanding: Chunks that were asked of it and have not arrived.
-      received: Chunks that it sent.
-      busy_until: It refuses until then.
-      excluded_until: It is not asked until then.
-      consecutive_failures: Timeouts in a row.
+      member: The peer's id and place.
+      local: Whether it is in the same failure domain as this agent.
+      known: Whether the chunks of the target that it holds are known.
+      bits: The chunks it holds, as an integer with one bit per chunk.
+      outstanding: The number of chunks requested from it that have not arrived.
+      received: The number of chunks received from it.
+      busy_until: No requests are sent to it until then, after a refusal or a
+        failure, in monotonic seconds.
+      excluded_until: When its exclusion ends, in monotonic seconds.
+      consecutive_failures: The number of failed or stalled requests since the
+        last success.
     """
 
     member: origin_fetchers.Member
@@ -40,11 +42,12 @@
     consecutive_failures: int = 0
 
     def usable(self, now: float, max_outstanding: int) -> bool:
-        """Whether it can be asked for a chunk now.
+        """Returns whether a chunk can be requested from the peer now.
 
         Args:
-          now: Monotonic seconds.
-          max_outstanding: Chunks that may be asked of it at once.
+          now: The current time in monotonic seconds.
+          max_outstanding: The maximum number of chunks requested from it at
+            once.
         """
         return (
             self.known
@@ -61,9 +64,9 @@
         """Starts without peers.
 
         Args:
-          domain: The failure domain of the agent itself.
-          manifests_per_peer: How many manifests' advertised chunks are kept
-            for each peer.
+          domain: This agent's failure domain.
+          manifests_per_peer: The number of manifests for which each peer's
+            advertised chunks are kept.
         """
         self._manifests_per_peer = manifests_per_peer
         self._domain = domain
@@ -77,12 +80,15 @@
 
     @property
     def holders(self) -> list[int]:
-        """For each chunk how many peers hold it."""
+        """For each chunk, the number of peers that hold it."""
         return self._holders
 
     @property
     def new_chunk_at(self) -> float:
-        """When a peer last told of a chunk that no peer had told of."""
+        """When a peer last advertised a chunk that no other peer held.
+
+        In monotonic seconds.
+        """
         return self._new_chunk_at
 
     def all(self) -> list[Peer]:
@@ -94,37 +100,50 @@
         return set(self._peers)
 
     def find(self, peer_id: str) -> Peer | None:
-        """Returns the peer of that id."""
+        """Returns the peer with an id, or None."""
         return self._peers.get(peer_id)
 
     def usable(self, now: float, max_outstanding: int) -> list[Peer]:
-        """Returns the peers that can be asked for a chunk now.
+        """Returns the peers that a chunk can be requested from now.
 
         Args:
-          now: Monotonic seconds.
-          max_outstanding: Chunks that may be asked of one of them at once.
+          now: The current time in monotonic seconds.
+          max_outstanding: The maximum number of chunks requested from one peer
+            at once.
         """
         return [
             p for p in self._peers.values() if p.usable(now, max_outstanding)
         ]
 
     def held_by_none(self, bits: int) -> int:
-        """Returns those of the chunks that no peer holds."""
+        """Returns the subset of the chunks that no peer holds."""
         for peer in self._peers.values():
             bits &= ~peer.bits
         return bits
 
     def held_locally(self, index: int) -> bool:
-        """Whether a peer of the own failure domain holds a chunk."""
-        near = (peer for peer in self._peers.values() if peer.local)
-        return any(peer.bits >> index & 1 for peer in near)
+        """Returns whether a peer of this failure domain holds a chunk."""
+        same_domain = (peer for peer in self._peers.values() if peer.local)
+        return any(peer.bits >> index & 1 for peer in same_domain)
 
     def first_seen_remote_at(self, index: int, now: float) -> float:
-        """Returns when a peer of another domain first held a chunk."""
+        """Returns when a peer of another domain first advertised a chunk.
+
+        Args:
+          index: The chunk's index.
+          now: The current time, returned if no such peer has advertised it, in
+            monotonic seconds.
+        """
         return self._first_seen_remote.get(index, now)
 
     def set_target(self, digest: str, count: int, now: float) -> None:
-        """Follows another manifest, with what peers have told of it already."""
+        """Switches to another manifest and applies earlier advertisements.
+
+        Args:
+          digest: The manifest's digest.
+          count: The number of its chunks.
+          now: The current time in monotonic seconds.
+        """
         self._digest = digest
         self._all_chunks = (1 << count) - 1
         self._holders = [0] * count
@@ -135,14 +154,14 @@
             self._apply_advertised(name, peer, now)
 
     def add(self, member: origin_fetchers.Member) -> Peer:
-        """Adds a peer that has just been connected."""
+        """Adds a peer that has just connected."""
         self.remove(member.instance_id)
         peer = Peer(member, member.failure_domain == self._domain)
         self._peers[member.instance_id] = peer
         return peer
 
     def remove(self, peer_id: str) -> None:
-        """Forgets a peer whose connection ended."""
+        """Removes a peer whose connection ended."""
         peer = self._peers.pop(peer_id, None)
         self._advertised.pop(peer_id, None)
         if peer is not None:
@@ -151,7 +170,7 @@
     def record_held(
         self, peer_id: str, digest: str, bits: int, now: float
     ) -> None:
-        """Takes the whole of what a peer holds."""
+        """Records all chunks that a peer holds of a manifest."""
         peer = self._peers.get(peer_id)
         if peer is None:
             return
@@ -166,7 +185,7 @@
     def record_gained(
         self, peer_id: str, digest: str, indices: tuple[int, ...], now: float
     ) -> None:
-        """Takes what a peer holds besides what it told before."""
+        """Records chunks that a peer holds in addition to those advertised."""
         peer = self._peers.get(peer_id)
         advertised = self._advertised.get(peer_id)
         if peer is None or advertised is None or digest not in advertised:
@@ -177,15 +196,20 @@
             self._apply_advertised(peer_id, peer, now)
 
     def invalidate(self, peer_id: str) -> None:
-        """Disregards what a peer told until it tells all again."""
+        """Discards a peer's advertisements until it advertises all again."""
         self._advertised.pop(peer_id, None)
         self._clear_held(self._peers[peer_id])
 
     def exclude(self, peer_id: str, until: float) -> None:
-        """Disregards a peer for a while.
+        """Excludes a peer for a while.
 
-        What it holds does not count meanwhile: it would make a chunk look safe
-        that nobody else has, and nobody would draw it from the origin.
+        The chunks it holds do not count meanwhile. Otherwise a chunk that no
+        other peer holds would seem available, and no agent would fetch it from
+        the origin.
+
+        Args:
+          peer_id: The peer's id.
+          until: When the exclusion ends, in monotonic seconds.
         """
         peer = self._peers[peer_id]
         peer.excluded_until = until
@@ -193,7 +217,7 @@
         self._clear_held(peer)
 
     def readmit(self, now: float) -> None:
-        """Regards the peers again whose time aside is over."""
+        """Readmits the peers whose exclusion has ended."""
         for name, peer in self._peers.items():
             if not peer.known and 0.0 < peer.excluded_until <= now:
                 peer.excluded_until = 0.0
@@ -222,7 +246,7 @@
 
 
 def indices(bits: int) -> list[int]:
-    """Returns the positions of the bits that are set, lowest first."""
+    """Returns the positions of the set bits in ascending order."""
     found = []
     while bits:
         lowest = bits & -bits
@@ -237,30 +261,30 @@
     local: int,
     remote: int,
 ) -> list[origin_fetchers.Member]:
-    """Chooses whom an agent opens connections to.
+    """Chooses the peers that an agent opens connections to.
 
     Both ends use a connection, so an agent has about twice as many neighbours
-    as it chooses. The successor by id in the domain is always among them,
-    which keeps the graph of a domain in one piece.
+    as it chooses. The successor by id in the failure domain is always chosen,
+    which keeps the graph of a domain connected.
 
     Args:
       me: The agent.
       fleet: All agents.
-      local: How many to choose in the own failure domain.
-      remote: How many to choose elsewhere.
+      local: The number of peers to choose in the same failure domain.
+      remote: The number of peers to choose in other failure domains.
 
     Returns:
       The chosen members, in no particular order.
     """
-    near: list[origin_fetchers.Member] = []
-    far: list[origin_fetchers.Member] = []
+    same_domain: list[origin_fetchers.Member] = []
+    other_domains: list[origin_fetchers.Member] = []
     for member in fleet.members:
         if member.instance_id == me.instance_id:
             continue
         same = member.failure_domain == me.failure_domain
-        (near if same else far).append(member)
-    chosen = _successor(me, near)
-    for group, count in ((near, local), (far, remote)):
+        (same_domain if same else other_domains).append(member)
+    chosen = _successor(me, same_domain)
+    for group, count in ((same_domain, local), (other_domains, remote)):
         scored = sorted(group, key=lambda other: _pair_score(me, other))
         chosen += [m for m in scored[:count] if m not in chosen]
     return chosen
@@ -273,38 +297,39 @@
     digests: Sequence[bytes],
     limit: int,
 ) -> list[origin_fetchers.Member]:
-    """Chooses connections by which chunks enter an agent's failure domain.
+    """Chooses the peers that an agent imports chunks from.
 
-    The first in a domain's list of a chunk takes it from the chunk's first
-    drawer, the moment it is there. Without a connection between just these
-    two it would hear of the chunk only after it had spread in the other domain.
+    The agent that ranks first for a chunk in a failure domain imports it from
+    the agent that fetches it from the origin, as soon as it has arrived there.
+    Without a direct connection between these two, the importer would learn of
+    the chunk only after it had spread in the other domain.
 
     Args:
       me: The agent.
       fleet: All agents.
-      policy: Within what group a chunk is drawn once.
-      digests: The chunks.
-      limit: The most connections.
+      policy: The group within which a chunk is fetched once.
+      digests: The chunks' digests.
+      limit: The maximum number of peers.
     """
-    near = origin_fetchers.DrawPolicy.FAILURE_DOMAIN
+    domain_policy = origin_fetchers.DrawPolicy.FAILURE_DOMAIN
     group = origin_fetchers.group_of(me, policy)
     chosen: dict[str, origin_fetchers.Member] = {}
     for digest in digests:
         if len(chosen) >= limit:
             break
-        if fleet.rank(digest, near, me):
+        if fleet.rank(digest, domain_policy, me):
             continue
-        drawer = fleet.find(fleet.ranked(digest, policy, group)[0])
-        if drawer and drawer.failure_domain != me.failure_domain:
-            chosen[drawer.instance_id] = drawer
+        fetcher = fleet.find(fleet.ranked(digest, policy, group)[0])
+        if fetcher and fetcher.failure_domain != me.failure_domain:
+            chosen[fetcher.instance_id] = fetcher
     return list(chosen.values())
 
 
 def _successor(
-    me: origin_fetchers.Member, near: list[origin_fetchers.Member]
+    me: origin_fetchers.Member, same_domain: list[origin_fetchers.Member]
 ) -> list[origin_fetchers.Member]:
-    later = [m for m in near if m.instance_id > me.instance_id]
-    return (later or near)[:1]
+    later = [m for m in same_domain if m.instance_id > me.instance_id]
+    return (later or same_domain)[:1]
 
 
 def _pair_score(
--- a/src/clementinegw/weights/swarm.py
+++ b/src/clementinegw/weights/swarm.py
@@ -1,7 +1,8 @@
 """Decisions of one agent in the exchange of a version's chunks.
 
-A state machine without I/O: events and the time go in, actions come out.
-`weights.transfer` carries them out; docs/design/swarm.md weighs the ways.
+A state machine without I/O that maps events and the current time to actions.
+`weights.transfer` executes the actions; docs/design/swarm.md compares the
+alternatives.
 """
 
 from clementinegw.weights import _swarm_machine
@@ -33,7 +34,7 @@
 Event = types_.Event
 
 Connect = types_.Connect
-Disconnect = types_.Disconnect
+StopConnecting = types_.StopConnecting
 RequestChunk = types_.RequestChunk
 Cancel = types_.Cancel
 AdvertiseAll = types_.AdvertiseAll
--- a/src/clementinegw/weights/transfer.py
+++ b/src/clementinegw/weights/transfer.py
@@ -1,9 +1,9 @@
-"""Carries out what the swarm decides: connections, chunks, pacing.
+"""Executes the swarm's decisions: connections, transfers of chunks, pacing.
 
-A chunk travels in parts. The receiver asks for each part, so that what comes
-in never exceeds what its link takes and a sender never fills a queue in the
-network that live requests would wait in. Each chunk is verified before it is
-stored, and only what is stored is passed on.
+A chunk is transferred in parts. The receiver requests each part, so that it
+never receives more than its link carries and a sender never fills a network
+queue that live requests would wait in. Each chunk is verified before it is
+stored, and only stored chunks are sent to other agents.
 """
 
 import asyncio
@@ -35,8 +35,9 @@
 
 _MAX_SLEEP_S = 5.0
 
-# What is logged of a version that has come: by name, the counter that grew
-# meanwhile. Many refusals or chunks given up say that links were not full.
+# The counters whose increase is logged for a completed version, by the name of
+# the log field. Many refusals or stalled requests mean that links were not
+# fully used.
 _LOGGED_COUNTERS = {
     "asked": "ask",
     "drawn": "draw",
@@ -48,12 +49,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """How far the target's chunks have come.
+    """Progress of the target's chunks.
 
     Attributes:
       digest: The target manifest's digest; empty without a target.
-      held: Chunks that are verified and stored.
-      total: Chunks of the target.
+      held: The number of chunks that are verified and stored.
+      total: The number of the target's chunks.
     """
 
     digest: str
@@ -86,14 +87,14 @@
           endpoint: Where peers connect.
           store: Where chunks are kept.
           origin: The weight store or the origin.
-          limits: What bounds this agent's part.
+          limits: Limits on this agent's part.
           rng: Breaks ties.
-          pacing: The machine's link; unpaced by default.
-          link: Books the bytes of parts on a shaped link; for benches.
+          pacing: Paces the machine's link; unpaced by default.
+          link: Accounts for the bytes of parts on a shaped link; for benches.
           clock: The source of time.
-          log: Where events go.
-          counters: Where refusals and retries are counted.
-          part_bytes: What is asked for at once.
+          log: Where events are logged.
+          counters: Where refusals, retries and bytes are counted.
+          part_bytes: The size of a requested part in bytes.
         """
         super().__init__()
         clock = clock or clocks.SystemClock()
@@ -133,7 +134,7 @@
 
     @property
     def progress(self) -> Progress:
-        """How far the target's chunks have come."""
+        """The progress of the target's chunks."""
         manifest = self._context.manifest
         total = len(manifest.chunks) if manifest else 0
         held = self._swarm.have.bit_count()
@@ -146,25 +147,25 @@
 
     @property
     def unspread(self) -> int:
-        """How many of its chunks lie neither here nor with neighbours."""
+        """The number of missing chunks that no neighbour holds either."""
         return self._swarm.unspread
 
     @property
     def counters(self) -> counters_lib.Counters:
-        """Refusals, retries and bytes."""
+        """The counters of refusals, retries and bytes."""
         return self._counters
 
     def on_complete(self, callback: Callable[[str], None]) -> None:
-        """Registers what is told the digest of each manifest that is whole."""
+        """Registers a callback for the digest of each completed manifest."""
         self._completion_callbacks.append(callback)
 
     @property
     def fleet(self) -> origin_fetchers.Fleet:
-        """The agents that take part, this one among them."""
+        """The agents that take part, including this one."""
         return self._fleet
 
     def set_fleet(self, instances: Iterable[types.Instance]) -> None:
-        """Says which agents take part; this one may be left out."""
+        """Sets the agents that take part; this one may be omitted."""
         others = {i.instance_id: i for i in instances}
         others.pop(self._me.instance_id, None)
         self._connections.set_addresses(
@@ -175,7 +176,13 @@
         self._dispatch(swarm.FleetChanged(self._fleet))
 
     def assigned_chunks(self, manifest: manifests.Manifest) -> list[int]:
-        """Returns the chunks of a manifest that this agent draws first."""
+        """Returns the chunks that this agent is the first to fetch.
+
+        It ranks first for them among the agents of its group.
+
+        Args:
+          manifest: The chunks' manifest.
+        """
         return [
             index
             for index, chunk in enumerate(manifest.chunks)
@@ -183,28 +190,29 @@
         ]
 
     def set_origin_rate(self, bytes_per_s: float) -> None:
-        """Says how fast the origin sends: draws are spread by that."""
+        """Sets the origin's rate, by which fetches are spread over time."""
         self._swarm.set_origin_rate(bytes_per_s)
 
     def _counter_values(self) -> list[int]:
-        """Returns the counters that tell how a version came."""
+        """Returns the values of the counters logged for a version."""
         return [
             self._counters.value(f"weights.{counter}")
             for counter in _LOGGED_COUNTERS.values()
         ]
 
     async def wait_for_bandwidth(self, count: int) -> None:
-        """Waits until the link has room for bytes outside the exchange."""
+        """Waits until bytes outside the exchange may be received."""
         await self._context.pacing.down.take(count, math.inf)
 
     def set_target(
         self, manifest: manifests.Manifest, is_new: bool = False
     ) -> None:
-        """Says which version is wanted now; an earlier one is abandoned.
+        """Sets the version to fetch; a previous target is abandoned.
 
         Args:
-          manifest: What the version consists of.
-          is_new: Whether it was named only now, so that nobody holds any of it.
+          manifest: The version's manifest.
+          is_new: Whether the version was declared just now, so that no agent
+            holds any of its chunks.
         """
         if manifest.digest == self._swarm.digest:
             return
@@ -222,19 +230,19 @@
         )
 
     def recheck(self) -> None:
-        """Fetches anew what the store has lost since it arrived.
+        """Fetches again the chunks that the store has lost.
 
-        An engine's host that restarts loses its staging memory. Taken for
-        held, those chunks would be drawn from the origin though peers have
-        them.
+        When an engine's host restarts, it loses its staging memory. If the lost
+        chunks still counted as held, they would be fetched from the origin
+        although peers hold them.
         """
         manifest = self._context.manifest
         if manifest is None:
             return
         held = self._context.store.held(manifest)
-        gone = self._swarm.have & ~int.from_bytes(held, "little")
-        for index in range(gone.bit_length()):
-            if gone >> index & 1:
+        lost = self._swarm.have & ~int.from_bytes(held, "little")
+        for index in range(lost.bit_length()):
+            if lost >> index & 1:
                 self._dispatch(swarm.Lost(manifest.digest, index))
 
     def _make_handlers(self) -> dict[type, Callable]:
@@ -242,7 +250,7 @@
             swarm.Connect: lambda a: self._connections.keep_connected(
                 a.peer.instance_id
             ),
-            swarm.Disconnect: lambda a: self._connections.stop_connecting(
+            swarm.StopConnecting: lambda a: self._connections.stop_connecting(
                 a.peer_id
             ),
             swarm.RequestChunk: self._request_chunk,
@@ -257,7 +265,7 @@
         }
 
     async def on_start(self) -> None:
-        """Begins to connect and to exchange."""
+        """Starts to connect and to exchange chunks."""
         self._running = True
         self._connections.start()
         self._dispatch(swarm.Tick())
@@ -288,8 +296,8 @@
             return
         wake_at = min(self._swarm.wake_at(now), now + _MAX_SLEEP_S)
         if self._timer is not None:
-            # Most events move the next wake a little later. Waking early once
-            # costs less than setting a timer with each event.
+            # Most events move the next wake-up slightly later. One early
+            # wake-up costs less than setting a timer for each event.
             if self._wake_at <= wake_at:
                 return
             self._timer.cancel()
@@ -377,7 +385,7 @@
 
 
 def member_of(instance: types.Instance) -> origin_fetchers.Member:
-    """Returns what the swarm needs to know of an instance."""
+    """Returns an instance as a member of the swarm."""
     place = instance.place
     return origin_fetchers.Member(
         instance.instance_id, place.region, place.failure_domain
--- a/tests/swarm_network.py
+++ b/tests/swarm_network.py
@@ -249,7 +249,7 @@
             self.give(agent, swarm.PeerUp(member))
             self.give(other, swarm.PeerUp(agent.member))
 
-    def _disconnect(self, agent, action):
+    def _stopconnecting(self, agent, action):
         pair = tuple(sorted((agent.member.instance_id, action.peer_id)))
         if pair in self._links:
             self._break(pair)
