--- a/tests/swarm_network.py
+++ b/tests/swarm_network.py
@@ -1,8 +1,8 @@
-"""A small fake of the network for tests of the swarm's decisions.
+"""A small simulated network for tests of the swarm's decisions.
 
-Each agent has a link with a rate each way; a chunk leaves its sender in turn
-and is in when its receiver's link has passed it. The origin has a link out.
-Time is virtual: the verdict is the same every time.
+Each agent has a link with a rate per direction. A sender sends its chunks one
+after another, and a chunk has arrived once the receiver's link has carried it.
+The origin has an outgoing link. Time is virtual, so results are deterministic.
 """
 
 import heapq
@@ -37,24 +37,24 @@
         self.member = member
         self.swarm = swarm.Swarm(member, limits, random.Random(seed))
         self.target = ()
-        self.up_free = 0.0
-        self.down_free = 0.0
+        self.up_free_at = 0.0
+        self.down_free_at = 0.0
         self.sent = 0
         self.received = 0
         self.alive = True
         self.stalled = False
         self.corrupts = False
-        self.domain_cut = False
-        self.origin_cut = False
+        self.domain_partitioned = False
+        self.origin_unreachable = False
         self.sessions = {}
         self.completed = {}
         self.verified = set()
         self.refusals = 0
         self.ticks = 0
-        self.aside = []
+        self.exclusions = []
 
     def verified_bits(self):
-        """What it received whole of its target, as a bit a chunk."""
+        """Returns the received chunks of the target, one bit per chunk."""
         return sum(
             1 << index
             for index, digest in enumerate(self.target)
@@ -63,7 +63,7 @@
 
 
 class Network:
-    """Agents, the origin and what is under way between them."""
+    """Agents, the origin and the events in transit between them."""
 
     def __init__(
         self,
@@ -91,22 +91,22 @@
         }
         self.delay = delay
         self.now = 0.0
-        self.origin_free = 0.0
+        self.origin_free_at = 0.0
         self.origin_bytes = 0
         self.origin_down = False
-        self.draws = []
-        self.asked = []
+        self.origin_fetches = []
+        self.chunk_requests = []
         self.cross_bytes = 0
-        self._order = itertools.count()
-        self._heap = []
-        self._wakes = {}
+        self._sequence = itertools.count()
+        self._queue = []
+        self._wake_times = {}
         self._cancelled = set()
-        self._links = set()
+        self._connections = set()
         self.chunks = {}
         self.fleet = origin_fetchers.Fleet(self.members)
         if connect:
             for agent in self.agents.values():
-                self.give(agent, swarm.FleetChanged(self.fleet))
+                self.dispatch(agent, swarm.FleetChanged(self.fleet))
 
     def default_limits(self, **changes):
         values = {
@@ -128,8 +128,8 @@
             n * self.total / (self.origin_rate + n * self.up_rate),
         )
 
-    def target(self, name, chunks, agents=None):
-        """Sets the target of some agents; they keep chunks they hold."""
+    def set_target(self, name, chunks, agents=None):
+        """Sets the target of agents, which keep the chunks they hold."""
         self.chunks[name] = chunks
         for agent in agents or self.agents.values():
             agent.target = tuple(chunk.digest for chunk in chunks)
@@ -137,25 +137,25 @@
             for index, chunk in enumerate(chunks):
                 if chunk.digest in agent.verified:
                     bitset.add(held, index)
-            self.give(agent, swarm.TargetSet(name, chunks, bytes(held)))
+            self.dispatch(agent, swarm.TargetSet(name, chunks, bytes(held)))
 
-    def at(self, when, action, *args):
-        heapq.heappush(self._heap, (when, next(self._order), action, args))
+    def schedule(self, when, action, *args):
+        heapq.heappush(self._queue, (when, next(self._sequence), action, args))
 
-    def give(self, agent, event):
+    def dispatch(self, agent, event):
         if not agent.alive:
             return
         for action in agent.swarm.handle(event, self.now):
             getattr(self, "_" + type(action).__name__.lower())(agent, action)
         wake = agent.swarm.wake_at(self.now)
         if wake < float("inf"):
-            self._wakes[agent.member.instance_id] = wake
-            self.at(wake, self._tick, agent, wake)
+            self._wake_times[agent.member.instance_id] = wake
+            self.schedule(wake, self._tick, agent, wake)
 
     def run(self, until, done=None):
         """Runs until a time, or until `done()`; returns the time."""
-        while self._heap and self._heap[0][0] <= until:
-            self.now, _, action, args = heapq.heappop(self._heap)
+        while self._queue and self._queue[0][0] <= until:
+            self.now, _, action, args = heapq.heappop(self._queue)
             action(*args)
             if done is not None and done():
                 return self.now
@@ -170,18 +170,20 @@
     def kill(self, name):
         agent = self.agents[name]
         agent.alive = False
-        for pair in [p for p in self._links if name in p]:
-            self._break(pair, by_peer=True)
+        for pair in [p for p in self._connections if name in p]:
+            self._drop_connection(pair, by_peer=True)
 
-    def cut(self, domain, is_cut):
-        """Separates a domain from the others and the origin, or heals it."""
+    def set_partitioned(self, domain, partitioned):
+        """Partitions a domain from the others and the origin, or heals it."""
         for agent in self.agents.values():
             if agent.member.failure_domain == domain:
-                agent.domain_cut = is_cut
-                agent.origin_cut = is_cut
-        if is_cut:
-            for pair in [p for p in self._links if not self._can_reach(*p)]:
-                self._break(pair)
+                agent.domain_partitioned = partitioned
+                agent.origin_unreachable = partitioned
+        if partitioned:
+            for pair in [
+                p for p in self._connections if not self._can_reach(*p)
+            ]:
+                self._drop_connection(pair)
             return
         for agent in self.agents.values():
             for member in peers.neighbours(
@@ -192,77 +194,79 @@
             ):
                 self._connect(agent, swarm.Connect(member))
 
-    def reachable_origin(self, domain):
-        """Lets a domain reach the origin again, and nothing else."""
+    def restore_origin(self, domain):
+        """Reconnects a domain to the origin but not to other domains."""
         for agent in self.agents.values():
             if agent.member.failure_domain == domain:
-                agent.origin_cut = False
+                agent.origin_unreachable = False
 
     def replace(self, name):
-        """Replaces an agent by one that holds nothing; returns it."""
+        """Replaces an agent with a new one without chunks and returns it."""
         self.kill(name)
         old = self.agents[name]
-        fresh = Agent(old.member, self.limits, f"fresh-{name}")
-        self.agents[name] = fresh
-        self.give(fresh, swarm.FleetChanged(self.fleet))
+        replacement = Agent(old.member, self.limits, f"fresh-{name}")
+        self.agents[name] = replacement
+        self.dispatch(replacement, swarm.FleetChanged(self.fleet))
         for agent in self.agents.values():
-            if agent is not fresh:
+            if agent is not replacement:
                 self._connect(agent, swarm.Connect(old.member))
-        return fresh
+        return replacement
 
     def _can_reach(self, one, other):
         a, b = self.agents[one], self.agents[other]
         same = a.member.failure_domain == b.member.failure_domain
-        return same or not (a.domain_cut or b.domain_cut)
+        return same or not (a.domain_partitioned or b.domain_partitioned)
 
-    def _break(self, pair, by_peer=False):
-        self._links.discard(pair)
+    def _drop_connection(self, pair, by_peer=False):
+        self._connections.discard(pair)
         one, other = pair
         self.agents[one].sessions.pop(other, None)
         self.agents[other].sessions.pop(one, None)
-        self.give(self.agents[one], swarm.PeerDown(other, by_peer))
-        self.give(self.agents[other], swarm.PeerDown(one, by_peer))
+        self.dispatch(self.agents[one], swarm.PeerDown(other, by_peer))
+        self.dispatch(self.agents[other], swarm.PeerDown(one, by_peer))
 
     def _tick(self, agent, wake):
-        if self._wakes.get(agent.member.instance_id) == wake:
+        if self._wake_times.get(agent.member.instance_id) == wake:
             agent.ticks += 1
-            self.give(agent, swarm.Tick())
+            self.dispatch(agent, swarm.Tick())
 
-    def _post(self, sender, to, event):
+    def _send(self, sender, to, event):
         pair = tuple(sorted((sender.member.instance_id, to)))
-        if pair in self._links:
-            self.at(self.now + self.delay, self._deliver, pair, to, event)
+        if pair in self._connections:
+            self.schedule(self.now + self.delay, self._deliver, pair, to, event)
 
     def _deliver(self, pair, to, event):
-        if pair in self._links:
-            self.give(self.agents[to], event)
+        if pair in self._connections:
+            self.dispatch(self.agents[to], event)
 
     def _connect(self, agent, action):
-        self.at(self.now + self.delay, self._connected, agent, action.peer)
+        self.schedule(
+            self.now + self.delay, self._connected, agent, action.peer
+        )
 
     def _connected(self, agent, member):
         other = self.agents[member.instance_id]
         pair = tuple(sorted((agent.member.instance_id, member.instance_id)))
-        usable = agent.alive and other.alive and pair not in self._links
+        usable = agent.alive and other.alive and pair not in self._connections
         if usable and self._can_reach(*pair):
-            self._links.add(pair)
-            self.give(agent, swarm.PeerUp(member))
-            self.give(other, swarm.PeerUp(agent.member))
+            self._connections.add(pair)
+            self.dispatch(agent, swarm.PeerUp(member))
+            self.dispatch(other, swarm.PeerUp(agent.member))
 
     def _stopconnecting(self, agent, action):
         pair = tuple(sorted((agent.member.instance_id, action.peer_id)))
-        if pair in self._links:
-            self._break(pair)
+        if pair in self._connections:
+            self._drop_connection(pair)
 
     def _requestchunk(self, agent, action):
-        self.asked.append((action.digest, action.index))
+        self.chunk_requests.append((action.digest, action.index))
         if action.source == swarm.ORIGIN:
             self._fetch_from_origin(agent, action)
             return
         event = swarm.ChunkRequested(
             agent.member.instance_id, action.digest, action.index
         )
-        self._post(agent, action.source, event)
+        self._send(agent, action.source, event)
 
     def _fetch_from_origin(self, agent, action):
         key = (
@@ -273,21 +277,23 @@
         )
         self._cancelled.discard(key)
         failed = swarm.Failed(action.digest, action.index, swarm.ORIGIN)
-        if self.origin_down or agent.origin_cut:
-            self.at(self.now + self.delay, self.give, agent, failed)
+        if self.origin_down or agent.origin_unreachable:
+            self.schedule(self.now + self.delay, self.dispatch, agent, failed)
             return
         if agent.stalled:
             return
         self.origin_bytes += CHUNK
-        self.draws.append((self.now, agent.member.instance_id, action.index))
-        start = max(self.now, self.origin_free)
-        self.origin_free = start + CHUNK / self.origin_rate
-        self._receive(agent, action, start, self.origin_free)
+        self.origin_fetches.append(
+            (self.now, agent.member.instance_id, action.index)
+        )
+        start = max(self.now, self.origin_free_at)
+        self.origin_free_at = start + CHUNK / self.origin_rate
+        self._receive(agent, action, start, self.origin_free_at)
 
     def _receive(self, agent, action, start, left):
-        begin = max(start, agent.down_free)
-        agent.down_free = max(left, begin + CHUNK / self.up_rate)
-        self.at(agent.down_free, self._arrive, agent, action)
+        begin = max(start, agent.down_free_at)
+        agent.down_free_at = max(left, begin + CHUNK / self.up_rate)
+        self.schedule(agent.down_free_at, self._arrive, agent, action)
 
     def _arrive(self, agent, action):
         key = (
@@ -311,13 +317,13 @@
         if kind is swarm.Arrived:
             digest = self.chunks[action.digest][action.index].digest
             agent.verified.add(digest)
-        self.give(agent, kind(action.digest, action.index, action.source))
+        self.dispatch(agent, kind(action.digest, action.index, action.source))
 
     def _cancel(self, agent, action):
         name = agent.member.instance_id
         self._cancelled.add((name, action.digest, action.index, action.source))
         if action.source != swarm.ORIGIN:
-            self.at(
+            self.schedule(
                 self.now + self.delay,
                 self._end_session,
                 self.agents[action.source],
@@ -329,7 +335,7 @@
     def _end_session(self, agent, peer_id, index, whole):
         if agent.sessions.get(peer_id) == index:
             del agent.sessions[peer_id]
-            self.give(agent, swarm.Served(peer_id, index, whole))
+            self.dispatch(agent, swarm.Served(peer_id, index, whole))
 
     def _advertiseall(self, agent, action):
         event = swarm.PeerHolds(
@@ -338,14 +344,14 @@
             action.bits,
             action.answer,
         )
-        self._post(agent, action.peer_id, event)
+        self._send(agent, action.peer_id, event)
 
     def _advertisegained(self, agent, action):
         event = swarm.PeerGained(
             agent.member.instance_id, action.digest, action.indices
         )
         for name in action.peer_ids:
-            self._post(agent, name, event)
+            self._send(agent, name, event)
 
     def _serve(self, agent, action):
         other = self.agents[action.peer_id]
@@ -358,18 +364,18 @@
         self._cancelled.discard(
             (action.peer_id, action.digest, action.index, ask.source)
         )
-        start = max(self.now, agent.up_free)
-        agent.up_free = start + CHUNK / self.up_rate
+        start = max(self.now, agent.up_free_at)
+        agent.up_free_at = start + CHUNK / self.up_rate
         agent.sent += CHUNK
-        self.at(
-            agent.up_free,
+        self.schedule(
+            agent.up_free_at,
             self._end_session,
             agent,
             action.peer_id,
             action.index,
             True,
         )
-        self._receive(other, ask, start, agent.up_free)
+        self._receive(other, ask, start, agent.up_free_at)
 
     def _stopserving(self, agent, action):
         agent.sessions.pop(action.peer_id, None)
@@ -383,10 +389,10 @@
             action.retry_after_s,
             action.reason,
         )
-        self._post(agent, action.peer_id, event)
+        self._send(agent, action.peer_id, event)
 
     def _peerexcluded(self, agent, action):
-        agent.aside.append((action.peer_id, action.reason))
+        agent.exclusions.append((action.peer_id, action.reason))
 
     def _completed(self, agent, action):
         agent.completed.setdefault(action.digest, self.now)
--- a/tests/test_swarm_bench.py
+++ b/tests/test_swarm_bench.py
@@ -1,4 +1,4 @@
-"""The rollout bench over loopback, in virtual time and small."""
+"""A small run of the rollout bench over loopback in virtual time."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 }
 
 
-def measured(*arguments):
+def run_bench(*arguments):
     values = flags.FlagValues()
     rollout.define(values)
     values(
@@ -40,29 +40,31 @@
     return asyncio.run(rollout.run(values))
 
 
-def test_the_swarm_is_faster_than_the_baselines_on_the_same_links():
-    found = measured("--compare=origin,tree")
-    assert found.keys() >= KEYS
-    assert found["origin_copies"] == 1.0
-    assert found["origin"]["origin_copies"] == 8.0
-    assert found["tree"]["max_sent_copies"] == 2.0
-    assert found["times_faster_than_origin"] > 1
-    assert found["times_faster_than_tree"] > 1
-    assert found["bound_seconds"] <= found["seconds_to_all"]
+def test_swarm_is_faster_than_the_baselines_on_the_same_links():
+    results = run_bench("--compare=origin,tree")
+    assert results.keys() >= KEYS
+    assert results["origin_copies"] == 1.0
+    assert results["origin"]["origin_copies"] == 8.0
+    assert results["tree"]["max_sent_copies"] == 2.0
+    assert results["times_faster_than_origin"] > 1
+    assert results["times_faster_than_tree"] > 1
+    assert results["bound_seconds"] <= results["seconds_to_all"]
 
 
-def test_faults_together_end_with_the_newest_version_and_no_mixed_answer():
-    found = measured("--faults=die,stall,corrupt,change,partition", "--seed=3")
-    assert found["serving_newest"] == found["live_replicas"] == 7
-    assert found["mixed_serves"] == 0
+def test_combined_faults_end_with_the_newest_version_and_no_mixed_answers():
+    results = run_bench(
+        "--faults=die,stall,corrupt,change,partition", "--seed=3"
+    )
+    assert results["serving_newest"] == results["live_replicas"] == 7
+    assert results["mixed_serves"] == 0
 
 
-def test_shared_directions_have_a_higher_bound():
-    apart, shared = measured(), measured("--shared_directions")
-    assert shared["bound_seconds"] > 1.5 * apart["bound_seconds"]
+def test_sharing_both_directions_raises_the_bound():
+    separate, shared = run_bench(), run_bench("--shared_directions")
+    assert shared["bound_seconds"] > 1.5 * separate["bound_seconds"]
     assert shared["seconds_to_all"] >= shared["bound_seconds"]
 
 
-def test_an_unknown_fault_is_a_usage_error_that_names_the_known_ones():
+def test_unknown_fault_is_a_usage_error_that_lists_the_known_ones():
     with pytest.raises(exceptions.UsageError, match="die, stall, corrupt"):
-        measured("--faults=dye")
+        run_bench("--faults=dye")
--- a/tests/test_swarm_machine.py
+++ b/tests/test_swarm_machine.py
@@ -1,4 +1,4 @@
-"""The exchange of chunks under any order of events and faults."""
+"""The exchange of chunks under arbitrary orders of events and faults."""
 
 import hypothesis
 from hypothesis import stateful
@@ -16,20 +16,20 @@
 NAMES = [f"a{number:03}" for number in range(AGENTS)]
 
 
-def fewer_slots(net):
+def limits_with_fewer_slots(net):
     return net.default_limits(outstanding=2, upload_slots=1)
 
 
 class Exchange(stateful.RuleBasedStateMachine):
-    """Agents that die, stall, corrupt and change their minds at any time."""
+    """Agents that die, stall, corrupt chunks and change target at any time."""
 
     @stateful.initialize(domains=st.sampled_from([1, 2, 3]), seed=st.integers())
     def begin(self, domains, seed):
         self.net = swarm_network.Network(
-            AGENTS, domains, VERSIONS["v1"], fewer_slots, seed=seed
+            AGENTS, domains, VERSIONS["v1"], limits_with_fewer_slots, seed=seed
         )
         self.version = "v1"
-        self.net.target("v1", VERSIONS["v1"])
+        self.net.set_target("v1", VERSIONS["v1"])
 
     @stateful.rule(chunk_times=st.floats(0.05, 8.0))
     def pass_time(self, chunk_times):
@@ -37,8 +37,8 @@
 
     @stateful.rule(name=st.sampled_from(NAMES))
     def replace(self, name):
-        fresh = self.net.replace(name)
-        self.net.target(self.version, VERSIONS[self.version], [fresh])
+        replacement = self.net.replace(name)
+        self.net.set_target(self.version, VERSIONS[self.version], [replacement])
 
     @stateful.rule(name=st.sampled_from(NAMES), stalled=st.booleans())
     def stall(self, name, stalled):
@@ -48,9 +48,9 @@
     def corrupt(self, name, corrupts):
         self.net.agents[name].corrupts = corrupts
 
-    @stateful.rule(is_cut=st.booleans())
-    def cut(self, is_cut):
-        self.net.cut("d0", is_cut)
+    @stateful.rule(partitioned=st.booleans())
+    def cut(self, partitioned):
+        self.net.set_partitioned("d0", partitioned)
 
     @stateful.rule(is_down=st.booleans())
     def origin(self, is_down):
@@ -59,7 +59,7 @@
     @stateful.rule(version=st.sampled_from(sorted(VERSIONS)))
     def change(self, version):
         self.version = version
-        self.net.target(version, VERSIONS[version])
+        self.net.set_target(version, VERSIONS[version])
 
     @stateful.invariant()
     def requests_and_uploads_are_bounded(self):
@@ -70,35 +70,35 @@
             assert agent.swarm.serving <= limits.upload_slots
 
     @stateful.invariant()
-    def what_is_held_came_in_whole(self):
+    def held_chunks_are_verified(self):
         for agent in self.net.agents.values():
             assert agent.swarm.have == agent.verified_bits()
 
     @stateful.invariant()
-    def counts_of_holders_match_what_peers_told(self):
+    def counts_of_holders_match_advertisements(self):
         for agent in self.net.agents.values():
             peers = agent.swarm.peers
             for index, count in enumerate(peers.holders):
-                told = sum(p.bits >> index & 1 for p in peers.all())
-                assert count == told
+                advertised = sum(p.bits >> index & 1 for p in peers.all())
+                assert count == advertised
 
     def teardown(self):
-        """Whatever happened: once the faults end, everyone gets everything."""
+        """Checks that every agent completes once all faults have ended."""
         if not hasattr(self, "net"):
             return
         net = self.net
         net.origin_down = False
-        net.cut("d0", False)
+        net.set_partitioned("d0", False)
         for agent in net.agents.values():
             agent.stalled = agent.corrupts = False
         until = net.now + 500 * net.chunk_s
-        net.run(until, lambda: all_whole(net))
-        assert all_whole(net), [
+        net.run(until, lambda: all_complete(net))
+        assert all_complete(net), [
             (name, bin(agent.swarm.have)) for name, agent in net.agents.items()
         ]
 
 
-def all_whole(net):
+def all_complete(net):
     return all(agent.swarm.complete for agent in net.agents.values())
 
 
@@ -112,12 +112,12 @@
 TestExchange = Exchange.TestCase
 
 
-def test_a_refusal_names_when_to_come_back():
-    net = swarm_network.Network(2, 1, VERSIONS["v1"], fewer_slots)
+def test_refusal_contains_a_retry_delay():
+    net = swarm_network.Network(2, 1, VERSIONS["v1"], limits_with_fewer_slots)
     holder = net.agents["a000"]
-    net.target("v1", VERSIONS["v1"], [holder])
+    net.set_target("v1", VERSIONS["v1"], [holder])
     full = swarm.TargetSet("v3", VERSIONS["v3"], b"\x3f")
-    net.give(holder, full)
+    net.dispatch(holder, full)
     first = holder.swarm.handle(swarm.ChunkRequested("x", "v3", 0), net.now)
     assert first == [swarm.Serve("x", "v3", 0)]
     (refusal,) = holder.swarm.handle(
--- a/tests/test_swarm_pacing.py
+++ b/tests/test_swarm_pacing.py
@@ -1,4 +1,4 @@
-"""Transfers take what live requests leave of the link."""
+"""Transfers use the bandwidth that live requests leave."""
 
 import asyncio
 
@@ -10,8 +10,8 @@
 RATE = 1_000.0
 
 
-def passed_a_second(live_per_s):
-    """Returns what passes beside steady live bytes, after 5 s of them."""
+def bytes_per_s(live_per_s):
+    """Returns the rate alongside steady live bytes, measured from 5 s on."""
     bucket = pacing.Bucket(RATE, 0.0, burst=20)
     total, step, begin, end = 0, 0.01, 5.0, 15.0
     for tick in range(round(end / step)):
@@ -23,13 +23,13 @@
 
 
 @pytest.mark.parametrize(
-    ("live", "left"), [(0, 1000), (300, 700), (800, 200), (5000, 100)]
+    ("live", "expected"), [(0, 1000), (300, 700), (800, 200), (5000, 100)]
 )
-def test_transfers_take_what_live_requests_leave(live, left):
-    assert passed_a_second(live) == pytest.approx(left, rel=0.05)
+def test_transfers_take_what_live_requests_leave(live, expected):
+    assert bytes_per_s(live) == pytest.approx(expected, rel=0.05)
 
 
-def test_a_burst_of_live_requests_is_forgotten_soon():
+def test_burst_of_live_requests_decays_quickly():
     bucket = pacing.Bucket(RATE, 0.0)
     bucket.record_live(400, 0.0)
     assert bucket.rate == pytest.approx(200)
@@ -37,7 +37,7 @@
     assert bucket.rate == pytest.approx(RATE, rel=0.01)
 
 
-def test_bytes_that_passed_unasked_are_paid_for_later():
+def test_unpaced_bytes_delay_later_ones():
     bucket = pacing.Bucket(RATE, 0.0, burst=20)
     bucket.charge(520, 0.0)
     assert not bucket.take(1, 0.4)
@@ -45,10 +45,10 @@
     assert bucket.take(1, 0.51)
 
 
-def test_the_older_transfer_passes_first_and_a_cancelled_one_holds_nobody_up():
-    # Symptom: no chunk passed any more. Sequence: a transfer that waits for
-    # the pace is cancelled. Cause: its place in the queue was never taken, and
-    # the ones behind it waited for it.
+def test_older_transfer_passes_first_and_a_cancelled_one_blocks_nobody():
+    # No chunk passed any more after a transfer that waited for the pacer was
+    # cancelled: its entry stayed at the head of the queue, and those behind it
+    # waited for it.
     clock = clocks.VirtualClock()
     order = []
 
@@ -71,10 +71,10 @@
     assert order == ["late", *["early"] * 3, *["late"] * 2]
 
 
-def test_both_directions_may_share_one_link():
+def test_both_directions_may_share_one_bucket():
     clock = clocks.VirtualClock()
     shared = pacing.Pacing(RATE, clock, shared=True)
     assert shared.up is shared.down
-    apart = pacing.Pacing(RATE, clock)
-    apart.record_live(sent=200, received=0)
-    assert apart.up.bucket.rate < apart.down.bucket.rate
+    separate = pacing.Pacing(RATE, clock)
+    separate.record_live(sent=200, received=0)
+    assert separate.up.bucket.rate < separate.down.bucket.rate
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -1,4 +1,4 @@
-"""Chunks between agents over real loopback connections."""
+"""Transfers of chunks between agents over real loopback connections."""
 
 import asyncio
 import random
@@ -21,8 +21,8 @@
 )
 
 
-class FlippingStore(stores.MemoryStore):
-    """Gives back damaged chunks, as a machine with bad memory does."""
+class CorruptingStore(stores.MemoryStore):
+    """Returns corrupt chunks, as a machine with faulty memory does."""
 
     async def get(self, chunk_digest):
         data = await super().get(chunk_digest)
@@ -52,8 +52,8 @@
             random.Random(self.name),
             part_bytes=CHUNK // 2,
         )
-        self.done = asyncio.Event()
-        self.transfer.on_complete(lambda digest: self.done.set())
+        self.completed = asyncio.Event()
+        self.transfer.on_complete(lambda digest: self.completed.set())
 
     async def stop(self):
         await self.transfer.stop()
@@ -87,10 +87,10 @@
 
 async def wait_all(agents):
     async with asyncio.timeout(20):
-        await asyncio.gather(*(agent.done.wait() for agent in agents))
+        await asyncio.gather(*(agent.completed.wait() for agent in agents))
 
 
-async def test_every_agent_gets_every_chunk_and_the_origin_sends_one_copy():
+async def test_every_agent_receives_every_chunk_and_the_origin_sends_one_copy():
     origin = memory.MemoryStore()
     manifest = make_version(origin)
     agents = [Agent(number, origin) for number in range(5)]
@@ -110,14 +110,14 @@
         await agent.stop()
 
 
-async def test_chunks_that_a_peer_damages_are_neither_kept_nor_passed_on():
-    # Symptom: an agent would hold, and pass on, bytes that are no weights.
-    # Sequence: a machine with bad memory holds all chunks and sends them with
-    # a flipped bit. Cause: nothing between two agents checks the bytes.
+async def test_corrupt_chunks_are_neither_stored_nor_forwarded():
+    # Guards against storing and forwarding corrupt weights: a machine with
+    # faulty memory holds all chunks and sends them with a flipped bit, and
+    # nothing else between two agents checks the bytes.
     origin = memory.MemoryStore()
     manifest = make_version(origin)
-    damaged = FlippingStore(1 << 20)
-    agents = [Agent(0, origin, damaged), Agent(2, origin), Agent(4, origin)]
+    corrupting = CorruptingStore(1 << 20)
+    agents = [Agent(0, origin, corrupting), Agent(2, origin), Agent(4, origin)]
     await start_all(agents)
     await fill(agents[0], origin, manifest)
     for agent in agents:
@@ -127,18 +127,18 @@
         for chunk in manifest.chunks:
             data = await agent.store.get(chunk.digest)
             assert manifests.digest_of(data) == chunk.digest
-    seen = [agent.transfer.counters for agent in agents[1:]]
-    assert sum(c.value("weights.corrupt") for c in seen) >= 1
-    assert sum(c.value("weights.put_aside.corrupt") for c in seen) >= 1
+    counters = [agent.transfer.counters for agent in agents[1:]]
+    assert sum(c.value("weights.corrupt") for c in counters) >= 1
+    assert sum(c.value("weights.put_aside.corrupt") for c in counters) >= 1
     for agent in agents:
         await agent.stop()
 
 
-async def test_a_request_that_crosses_the_end_of_its_call_takes_no_slot():
-    # Symptom: every agent refused every chunk for ten seconds at a time.
-    # Sequence: a receiver asked for a chunk's second part while the refusal of
-    # the first was under way. Cause: the sender had ended the call, took the
-    # late frame for a new one and kept an upload slot for it.
+async def test_request_that_crosses_the_end_of_its_call_reserves_no_slot():
+    # Every agent refused every chunk for ten seconds at a time: a receiver
+    # requested a chunk's second part while the refusal of the first one was in
+    # transit. The sender had ended the call, treated the late frame as a new
+    # call and reserved an upload slot for it.
     origin = memory.MemoryStore()
     manifest = make_version(origin)
     sender, other = Agent(0, origin), Agent(2, origin)
@@ -146,7 +146,7 @@
     await fill(sender, origin, manifest)
     sender.transfer.set_target(manifest)
     link = await other.endpoint.connect(sender.instance.address)
-    late = ttypes.ChunkGet(
+    late_request = ttypes.ChunkGet(
         digest=manifest.digest,
         index=0,
         chunk_digest=manifest.chunks[0].digest,
@@ -155,7 +155,9 @@
     )
     for _ in range(LIMITS.upload_slots):
         exchange = link.open()
-        await exchange.send(connection.Kind.CHUNK_GET, codec.encode(late))
+        await exchange.send(
+            connection.Kind.CHUNK_GET, codec.encode(late_request)
+        )
     other.transfer.set_target(manifest)
     await wait_all([other])
     late_gets = sender.transfer.counters.value("weights.late_get")
--- a/tests/test_transfer_links.py
+++ b/tests/test_transfer_links.py
@@ -1,4 +1,4 @@
-"""Connections of an agent to its peers that others opened first."""
+"""Connections of an agent to its peers."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 from clementinegw.weights import swarm
 from clementinegw.wire import connection
 
-MOST_CALLS = 100
+MAX_CALLS = 100
 
 
-class Kept:
-    """A connection that is up."""
+class FakeConnection:
+    """An open connection."""
 
     closed = False
 
@@ -23,10 +23,10 @@
 
 
 class Endpoint:
-    """Returns a kept connection without waiting, as the real one does."""
+    """Returns an existing connection without waiting, as the real one does."""
 
-    def __init__(self, kept):
-        self.kept = kept
+    def __init__(self, connection):
+        self.connection = connection
         self.calls = 0
 
     def on_connected(self, handler):
@@ -37,47 +37,49 @@
 
     async def connect(self, address):
         self.calls += 1
-        assert self.calls < MOST_CALLS, "it asks without pause"
-        return self.kept
+        assert self.calls < MAX_CALLS, "connects without a delay"
+        return self.connection
 
 
 async def run(name):
-    """Wants peer `a1` at an address where `name` answers."""
-    endpoint = Endpoint(Kept(name))
-    given = []
-    links = _transfer_connections.PeerConnections(endpoint, given.append)
-    links.set_addresses({"a1": types.Address("127.0.0.1", 1)})
-    links.keep_connected("a1")
-    links.start()
+    """Connects to peer `a1` at an address where `name` answers."""
+    endpoint = Endpoint(FakeConnection(name))
+    events = []
+    peer_connections = _transfer_connections.PeerConnections(
+        endpoint, events.append
+    )
+    peer_connections.set_addresses({"a1": types.Address("127.0.0.1", 1)})
+    peer_connections.keep_connected("a1")
+    peer_connections.start()
     await asyncio.sleep(0.05)
     failed = [
         task.exception()
-        for task in links._connect_tasks.values()
+        for task in peer_connections._connect_tasks.values()
         if task.done() and task.exception()
     ]
-    await links.stop()
-    return endpoint, given, failed
+    await peer_connections.stop()
+    return endpoint, events, failed
 
 
-async def test_connection_opened_by_others_is_taken():
-    # Symptom: an agent answers nobody and one core is busy. Sequence: the
-    # settings ask a peer before the weights listen for connections; the weights
-    # then want that peer. Cause: a kept connection is returned at once, was
-    # never told of, and was asked for again without a pause.
-    endpoint, given, failed = await run("a1")
+async def test_existing_connection_is_adopted():
+    # An agent did not respond and kept one core busy. The settings connect to a
+    # peer before the weights set their callback for connections, and then the
+    # weights connect to that peer. The existing connection was returned at
+    # once, was never reported, and was requested again without a delay.
+    endpoint, events, failed = await run("a1")
     assert failed == []
     assert endpoint.calls == 1
-    assert [type(event) for event in given] == [swarm.PeerUp]
+    assert [type(event) for event in events] == [swarm.PeerUp]
 
 
-async def test_other_peer_at_the_address_does_not_block_the_process():
+async def test_another_peer_at_the_address_does_not_block_the_process():
     endpoint, _, failed = await run("a2")
     assert failed == []
     assert endpoint.calls == 1
 
 
-class Brief(Endpoint):
-    """Connects, tells of it, and loses the connection at once."""
+class ClosingEndpoint(Endpoint):
+    """Connects, reports the connection, and loses it at once."""
 
     def __init__(self):
         super().__init__(None)
@@ -92,29 +94,29 @@
         del address
         self.calls += 1
         await asyncio.sleep(0.001)
-        kept = Kept("a1")
-        self._connected(kept)
-        asyncio.get_running_loop().call_soon(self._disconnected, kept)
-        return kept
+        opened = FakeConnection("a1")
+        self._connected(opened)
+        asyncio.get_running_loop().call_soon(self._disconnected, opened)
+        return opened
 
 
-def test_a_peer_that_ends_each_connection_is_not_asked_without_pause():
-    """A peer took connections and ended each, and kept an agent's core busy.
+def test_peer_that_closes_each_connection_is_retried_with_delays():
+    """A peer that accepted and closed connections kept an agent's core busy.
 
-    Pauses grew only while none came up: each that did began them anew, and the
-    next one was asked for at once.
+    Delays grew only while no connection was established. Each one that was
+    reset them, and the next one was opened at once.
     """
 
-    async def play():
-        endpoint = Brief()
-        links = _transfer_connections.PeerConnections(
+    async def run_connections():
+        endpoint = ClosingEndpoint()
+        peer_connections = _transfer_connections.PeerConnections(
             endpoint, lambda event: None
         )
-        links.set_addresses({"a1": types.Address("127.0.0.1", 1)})
-        links.keep_connected("a1")
-        links.start()
+        peer_connections.set_addresses({"a1": types.Address("127.0.0.1", 1)})
+        peer_connections.keep_connected("a1")
+        peer_connections.start()
         await asyncio.sleep(10.0)
-        await links.stop()
+        await peer_connections.stop()
         return endpoint.calls
 
-    assert clocks.run(play()) <= 10
+    assert clocks.run(run_connections()) <= 10
