--- a/tests/swarm_network.py
+++ b/tests/swarm_network.py
@@ -358,11 +358,11 @@
         agent.sessions[action.peer_id] = action.index
         if agent.stalled:
             return
-        ask = swarm.RequestChunk(
+        request = swarm.RequestChunk(
             action.digest, action.index, agent.member.instance_id
         )
         self._cancelled.discard(
-            (action.peer_id, action.digest, action.index, ask.source)
+            (action.peer_id, action.digest, action.index, request.source)
         )
         start = max(self.now, agent.up_free_at)
         agent.up_free_at = start + CHUNK / self.up_rate
@@ -375,7 +375,7 @@
             action.index,
             True,
         )
-        self._receive(other, ask, start, agent.up_free_at)
+        self._receive(other, request, start, agent.up_free_at)
 
     def _stopserving(self, agent, action):
         agent.sessions.pop(action.peer_id, None)
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -377,10 +377,10 @@
     name = members[1].instance_id
     actions = one.handle(swarm.PeerHolds(name, "v1", held), 0.0)
     requests = [a for a in actions if isinstance(a, swarm.RequestChunk)]
-    assert [ask.source for ask in requests] == [name] * max_requests
+    assert [request.source for request in requests] == [name] * max_requests
     answers = [
-        other.handle(swarm.ChunkRequested("a000", "v1", ask.index), 0.1)[0]
-        for ask in requests
+        other.handle(swarm.ChunkRequested("a000", "v1", request.index), 0.1)[0]
+        for request in requests
     ]
     assert [type(answer) for answer in answers] == [swarm.Serve] * max_requests
 
--- a/tests/test_swarm_pacing.py
+++ b/tests/test_swarm_pacing.py
@@ -61,7 +61,11 @@
         pacer = pacing.Pacing(RATE, clock, burst=100).up
         tasks = [
             asyncio.ensure_future(transfer(pacer, name, number))
-            for number, name in ((3.0, "late"), (2.0, "gone"), (1.0, "early"))
+            for number, name in (
+                (3.0, "late"),
+                (2.0, "cancelled"),
+                (1.0, "early"),
+            )
         ]
         await asyncio.sleep(0)
         tasks[1].cancel()
