--- a/src/clementinegw/backend/__init__.py
+++ b/src/clementinegw/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of backend servers: model engines and plain services."""
+"""Provides HTTP clients for model engines and plain services."""
--- a/src/clementinegw/backend/_http.py
+++ b/src/clementinegw/backend/_http.py
@@ -1,4 +1,4 @@
-"""What both clients share: headers, and aiohttp's errors as our own."""
+"""Header filtering, timeouts and error translation for both clients."""
 
 from collections.abc import Iterator
 import contextlib
@@ -11,6 +11,7 @@
 
 CONNECT_TIMEOUT_S = 2.0
 
+# Headers of a single connection, which are never forwarded.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -30,7 +31,7 @@
 def end_to_end_headers(
     headers: "multidict.CIMultiDictProxy[str]",
 ) -> types.Headers:
-    """Returns an answer's headers without those of the connection."""
+    """Returns an answer's headers without the hop-by-hop ones."""
     return tuple(
         (name.lower(), value)
         for name, value in headers.items()
@@ -39,7 +40,7 @@
 
 
 def outgoing_headers(headers: types.Headers) -> "multidict.CIMultiDict[str]":
-    """Returns a caller's headers without those of the connection."""
+    """Returns a caller's headers without the hop-by-hop ones."""
     result: multidict.CIMultiDict[str] = multidict.CIMultiDict()
     for name, value in headers:
         if name.lower() not in _HOP_BY_HOP:
@@ -48,7 +49,13 @@
 
 
 def timeout(total_s: float | None, idle_s: float | None = None):
-    """Returns the timeouts of one exchange, in seconds."""
+    """Returns the timeouts of one exchange.
+
+    Args:
+      total_s: Limit for the whole exchange, in seconds; None for no limit.
+      idle_s: Limit for the time without a received byte, in seconds; None for
+        no limit.
+    """
     return aiohttp.ClientTimeout(
         total=total_s, sock_connect=CONNECT_TIMEOUT_S, sock_read=idle_s
     )
@@ -56,18 +63,20 @@
 
 @contextlib.contextmanager
 def translate_errors(operation: str) -> Iterator[None]:
-    """Turns aiohttp's errors into ours.
+    """Translates aiohttp's errors into those of `exceptions`.
 
-    The difference between "no connection" and all others carries weight: only
-    the first proves that nothing was handed to the backend server.
+    Only a failed connection proves that nothing was sent to the backend
+    server; after any other error the request may have run.
 
     Args:
-      operation: The exchange, for the error's text.
+      operation: Describes the exchange in the error message.
 
     Raises:
-      exceptions.BackendUnreachable: No connection could be made.
-      exceptions.BackendStalled: Nothing came in time.
-      exceptions.BackendLost: The connection broke, or bytes made no sense.
+      exceptions.BackendUnreachable: The connection could not be
+        established.
+      exceptions.BackendStalled: The exchange timed out.
+      exceptions.BackendLost: The connection broke, or the answer could not
+        be parsed.
     """
     try:
         yield
--- a/src/clementinegw/backend/_stream.py
+++ b/src/clementinegw/backend/_stream.py
@@ -1,4 +1,4 @@
-"""The answer of a model engine as an iterator of events."""
+"""Parses the answer of a model engine into an iterator of events."""
 
 from collections.abc import AsyncIterator
 import json
@@ -16,11 +16,12 @@
 
 
 class AnswerStream:
-    """Iterates over `Head`, `Data` pieces and the explicit `End`.
+    """Iterates over a `Head`, `Data` events and a final `End`.
 
-    Without an `End` the answer is not whole: the iterator raises instead of
-    ending early. `aclose` drops the connection unless the answer is whole, by
-    which the engine stops generating.
+    An answer without `End` is incomplete: the iterator raises
+    `exceptions.BackendLost` instead of ending early. `aclose` closes the
+    connection unless the answer is complete, which makes the engine stop
+    generating.
     """
 
     def __init__(self, response: aiohttp.ClientResponse, operation: str):
@@ -35,7 +36,7 @@
         return await self._events.__anext__()
 
     async def aclose(self) -> None:
-        """Ends the exchange; the engine notices when it still generates."""
+        """Closes the exchange; an engine that still generates then stops."""
         await self._events.aclose()  # type: ignore[attr-defined]
         self._response.close()
 
@@ -87,8 +88,9 @@
     while True:
         data = await content.readany()
         if not data:
-            # A server that dies between two events ends the body as cleanly
-            # as one that is done; only the last event tells them apart.
+            # The body of a server that crashes between two events ends like
+            # that of a complete answer; only the final event distinguishes
+            # them.
             raise exceptions.BackendLost("stream ended without its last event")
         buffer += data
         while (end := buffer.find(_BLANK_LINE)) >= 0:
@@ -100,7 +102,9 @@
                 yield types.End(tokens)
                 return
         if len(buffer) > MAX_EVENT_BYTES:
-            raise exceptions.BackendLost("an event exceeds its limit")
+            raise exceptions.BackendLost(
+                f"an event exceeds {MAX_EVENT_BYTES} bytes"
+            )
 
 
 def _event_tokens(event: bytes, previous: int) -> int:
--- a/src/clementinegw/backend/engine.py
+++ b/src/clementinegw/backend/engine.py
@@ -1,4 +1,4 @@
-"""The client of a model engine and of its host's staging memory."""
+"""HTTP client of a model engine and of its host's staging memory."""
 
 import dataclasses
 from typing import Any
@@ -31,10 +31,10 @@
 
 
 class EngineClient:
-    """Speaks to one model engine. Repeats nothing by itself.
+    """Sends requests and orders to one model engine, without retries.
 
-    Every method raises `exceptions.BackendUnreachable` when nothing was handed
-    over, and `exceptions.BackendLost` when it may have taken effect.
+    Every method raises `exceptions.BackendUnreachable` when nothing was sent,
+    and `exceptions.BackendLost` when the call may have taken effect.
     """
 
     def __init__(
@@ -45,14 +45,17 @@
         order_timeout_s: float = ORDER_TIMEOUT_S,
         query_timeout_s: float = QUERY_TIMEOUT_S,
     ):
-        """Uses a session that `sessions.create` made.
+        """Initializes the client.
 
         Args:
           base_url: Scheme, address and port.
-          session: Shared by the clients of one process.
-          idle_timeout_s: Longest silence within an answer.
-          order_timeout_s: Longest time for an order, a load among them.
-          query_timeout_s: Longest time for a question.
+          session: A session from `sessions.create`, shared by the clients of
+            one process.
+          idle_timeout_s: Timeout between two received pieces of an answer, in
+            seconds.
+          order_timeout_s: Timeout of an order, including a load, and of a
+            transfer of a chunk or a KV cache, in seconds.
+          query_timeout_s: Timeout of any other call, in seconds.
         """
         self._base_url = base_url.rstrip("/")
         self._session = session
@@ -61,14 +64,14 @@
         self._query_timeout = _http.timeout(query_timeout_s)
 
     async def complete(self, request: types.Completion) -> AnswerStream:
-        """Hands a request over and returns its answer's events.
+        """Sends a request and returns the events of its answer.
 
         Args:
           request: The request.
 
         Returns:
-          An iterator over a Head, Data pieces and an End. It raises
-          `exceptions.BackendLost` when the answer is cut.
+          An iterator over a Head, Data events and an End. It raises
+          `exceptions.BackendLost` when the answer is truncated.
         """
         operation = f"complete at {self._base_url}"
         with _http.translate_errors(operation):
@@ -84,30 +87,30 @@
     async def resume(
         self, request: types.Completion, tokens: int, version: str
     ) -> AnswerStream:
-        """Goes on with a stream that broke, here or at another engine.
+        """Resumes an interrupted stream, on this or another engine.
 
         Args:
           request: The request as it was first sent.
-          tokens: Tokens that have reached the caller.
-          version: The version that the stream began with.
+          tokens: Number of tokens that the caller has received.
+          version: The version that the stream started with.
 
         Returns:
-          The events after those tokens. Its Head is refused with
-          `wrong_version` when the engine serves another version.
+          The events after those tokens. `Head.refused` is `wrong_version` when
+          the engine serves another version.
         """
         return await self.complete(
             dataclasses.replace(request, resume_tokens=tokens, version=version)
         )
 
     async def cancel(self, request_id: str) -> types.CancelState:
-        """Stops a request."""
+        """Cancels a request and returns the state it was in."""
         answer = await self._post("/cancel", {"request_id": request_id})
         return types.CancelState(answer["state"])
 
     async def stage_chunk(
         self, chunk_digest: str, data: bytes
     ) -> types.StageResult:
-        """Puts a chunk into the staging memory, which verifies it."""
+        """Sends a chunk to the staging memory, which verifies its digest."""
         with _http.translate_errors(f"stage at {self._base_url}"):
             async with self._session.put(
                 f"{self._base_url}/staging/{chunk_digest}",
@@ -118,9 +121,10 @@
                 return _STAGE_RESULTS[response.status]
 
     async def get_staged_chunk(self, chunk_digest: str) -> bytes | None:
-        """Returns a staged chunk; None when it is not there.
+        """Returns a staged chunk; None when it is not staged.
 
-        The caller verifies it: memory of the host may have been damaged.
+        The caller must verify the digest: the chunk may have been corrupted in
+        the host's memory.
         """
         with _http.translate_errors(f"staged at {self._base_url}"):
             async with self._session.get(
@@ -133,7 +137,7 @@
                 return await response.read()
 
     async def unstage_chunk(self, chunk_digest: str) -> None:
-        """Takes a chunk out of the staging memory."""
+        """Removes a chunk from the staging memory."""
         with _http.translate_errors(f"unstage at {self._base_url}"):
             async with self._session.delete(
                 f"{self._base_url}/staging/{chunk_digest}",
@@ -142,7 +146,7 @@
                 await response.read()
 
     async def staging_status(self) -> types.StagingStatus:
-        """Returns what the staging memory holds."""
+        """Returns the staged digests and the memory they use."""
         answer = await self._get("/staging")
         return types.StagingStatus(
             tuple(answer["digests"]),
@@ -153,7 +157,7 @@
     async def load(
         self, order: types.LoadOrder
     ) -> types.LoadReport | types.OrderRefused:
-        """Orders a load of staged chunks and waits for the report."""
+        """Orders a load of staged chunks and returns the engine's report."""
         answer = await self._order("/orders/load", dataclasses.asdict(order))
         if isinstance(answer, types.OrderRefused):
             return answer
@@ -164,7 +168,7 @@
     async def load_adapter(
         self, order: types.AdapterOrder
     ) -> types.LoadReport | types.OrderRefused:
-        """Orders a load of an adapter and waits for the report."""
+        """Orders a load of an adapter and returns the engine's report."""
         answer = await self._order("/orders/adapter", dataclasses.asdict(order))
         if isinstance(answer, types.OrderRefused):
             return answer
@@ -175,7 +179,7 @@
     async def set_role(
         self, role: types.EngineRole, fencing: int
     ) -> types.OrderDone | types.OrderRefused:
-        """Orders another role."""
+        """Orders the engine to change its role."""
         answer = await self._order(
             "/orders/role", {"role": role.value, "fencing": fencing}
         )
@@ -184,7 +188,7 @@
         return types.OrderDone(answer["fencing"])
 
     async def status(self) -> types.EngineStatus:
-        """Returns what the engine says of itself."""
+        """Returns the status that the engine reports."""
         answer = await self._get("/status")
         with _http.translate_errors(f"status at {self._base_url}"):
             answer["adapters"] = tuple(sorted(answer["adapters"].items()))
@@ -192,7 +196,7 @@
             return types.EngineStatus(**answer)
 
     async def cache_events(self, after: int) -> types.CacheEvents:
-        """Returns cache events whose sequence number is above `after`."""
+        """Returns the cache events with a sequence number above `after`."""
         answer = await self._get(f"/cache/events?after={after}")
         with _http.translate_errors(f"cache events at {self._base_url}"):
             events = tuple(
@@ -206,7 +210,7 @@
             return types.CacheEvents(answer["first"], answer["next"], events)
 
     async def export_kv(self, request_id: str) -> bytes | None:
-        """Returns the KV cache of a running request; None without one."""
+        """Returns the KV cache of a running request; None if it has none."""
         with _http.translate_errors(f"export at {self._base_url}"):
             async with self._session.get(
                 f"{self._base_url}/kv/{request_id}",
@@ -218,9 +222,9 @@
                 return await response.read()
 
     async def import_kv(self, request_id: str, data: bytes) -> bool:
-        """Puts an exported KV cache in; False when it does not fit.
+        """Imports an exported KV cache and returns whether it was accepted.
 
-        It fits an engine with the same weights only.
+        Only an engine with the same weights accepts it.
         """
         with _http.translate_errors(f"import at {self._base_url}"):
             async with self._session.put(
@@ -275,8 +279,9 @@
         types.RESUME_HEADER: str(request.resume_tokens or ""),
         types.WANTED_VERSION_HEADER: request.version,
     }
-    # Assigned also when empty: a caller's own header of that name would
-    # otherwise skip tokens of its answer or pass for another request.
+    # A caller's own header of that name is removed even when there is no value
+    # to set: otherwise it could skip tokens of the answer or make the request
+    # be taken for another one.
     for name, value in optional.items():
         headers.popall(name, None)
         if value:
--- a/src/clementinegw/backend/prefixes.py
+++ b/src/clementinegw/backend/prefixes.py
@@ -1,8 +1,8 @@
-"""Hashes of prompt prefixes, the same at entries and engines.
+"""Computes hashes of prompt prefixes, identical on entries and engines.
 
-A prompt is cut into blocks; the hash of a block covers all blocks before it, so
-that an equal hash means an equal prefix. An engine publishes the hashes that
-its cache holds, and an entry finds the worker with the longest match.
+A prompt is split into blocks. The hash of a block also covers all previous
+blocks, so equal hashes mean equal prefixes. An engine publishes the hashes of
+the blocks in its cache, and an entry selects the worker with the longest match.
 """
 
 import json
@@ -16,14 +16,14 @@
 
 
 def block_hashes(prompt: str, max_blocks: int | None = None) -> tuple[int, ...]:
-    """Returns the hashes of a prompt's whole blocks, shortest prefix first.
+    """Returns the hashes of a prompt's full blocks, shortest prefix first.
 
     Args:
       prompt: The prompt's text.
-      max_blocks: How many blocks at most; None for all.
+      max_blocks: The maximum number of blocks; None for all.
 
     Returns:
-      Signed 64-bit numbers, as thrift and JSON carry them.
+      Signed 64-bit integers, the form in which Thrift and JSON carry them.
     """
     count = len(prompt) // BLOCK_CHARS
     if max_blocks is not None:
@@ -44,10 +44,10 @@
       body: The body of `/v1/completions` or `/v1/chat/completions`.
 
     Returns:
-      The prompt, or the chat's messages, one a line, as `role: content`.
+      The prompt, or the chat's messages as lines of `role: content`.
 
     Raises:
-      ValueError: The body has neither; the text names what is wrong.
+      ValueError: The body has neither; the message names the invalid field.
     """
     if not isinstance(body, dict):
         raise ValueError("body: expected an object")
--- a/src/clementinegw/backend/service.py
+++ b/src/clementinegw/backend/service.py
@@ -1,4 +1,4 @@
-"""The client of a plain HTTP service."""
+"""HTTP client of a plain service."""
 
 import aiohttp
 
@@ -9,10 +9,7 @@
 
 
 class PlainClient:
-    """Forwards requests to one plain service, each exactly once.
-
-    The client itself repeats nothing.
-    """
+    """Forwards requests to one plain service, without retries."""
 
     def __init__(
         self,
@@ -20,12 +17,14 @@
         session: aiohttp.ClientSession,
         timeout_s: float | None = None,
     ):
-        """Uses a session that `sessions.create` made.
+        """Initializes the client.
 
         Args:
           base_url: Scheme, address and port.
-          session: Shared by the clients of one process.
-          timeout_s: For a whole exchange; None leaves it to the caller.
+          session: A session from `sessions.create`, shared by the clients of
+            one process.
+          timeout_s: Timeout of a whole exchange, in seconds; None leaves the
+            timeout to the caller.
         """
         self._base_url = base_url.rstrip("/")
         self._session = session
@@ -34,20 +33,22 @@
     async def forward(
         self, method: str, path: str, headers: types.Headers, body: bytes
     ) -> types.PlainAnswer:
-        """Sends one request and returns the whole answer.
+        """Sends one request and returns the complete answer.
 
         Args:
           method: The HTTP method.
           path: Path and query.
-          headers: Those of the caller and of the request's identity.
-          body: The whole body.
+          headers: The caller's headers and those that identify the request.
+          body: The complete body.
 
         Returns:
-          The whole answer, of any status.
+          The complete answer, whatever its status.
 
         Raises:
-          exceptions.BackendUnreachable: Nothing was handed over.
-          exceptions.BackendLost: It may have run.
+          exceptions.BackendUnreachable: Nothing was sent.
+          exceptions.BackendStalled: The exchange timed out; the request may
+            have run.
+          exceptions.BackendLost: The request may have run.
         """
         with _http.translate_errors(f"{method} {self._base_url}"):
             async with self._session.request(
--- a/src/clementinegw/backend/sessions.py
+++ b/src/clementinegw/backend/sessions.py
@@ -1,19 +1,19 @@
-"""The HTTP session that clients of backend servers share."""
+"""Creates the HTTP session that clients of backend servers share."""
 
 import aiohttp
 
-MAX_CONNECTIONS = 0  # no limit: the gate bounds what is in flight
+MAX_CONNECTIONS = 0  # Unlimited: the gate limits requests in flight.
 
 
 def create() -> aiohttp.ClientSession:
     """Returns a session that sends each request exactly once.
 
-    aiohttp repeats GET, PUT and DELETE by itself when a kept connection breaks
-    before the answer. A backend server that did its work and then died would
-    do it again: the caller's one booking by PUT shows up twice in the ledger
-    although no part of this system retried. Whether to retry is decided by
-    `requests.retry` alone, so the session's own repetition is turned off, as
-    aiohttp's test client does it.
+    By default aiohttp retries GET, PUT and DELETE when a kept-alive connection
+    breaks before the answer. If a backend server completes a request and then
+    crashes, that retry runs it a second time: one booking by PUT appears twice
+    in the ledger although no part of this system retried. Only `requests.retry`
+    decides on retries, so aiohttp's own are disabled, in the same way as in
+    aiohttp's test client.
     """
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=MAX_CONNECTIONS),
--- a/src/clementinegw/backend/types.py
+++ b/src/clementinegw/backend/types.py
@@ -1,6 +1,6 @@
 """Requests to backend servers, their answers, orders and reports.
 
-All of these are plain values; `engine` and `service` carry them over HTTP.
+These are plain data types; `engine` and `service` send them over HTTP.
 """
 
 from collections.abc import Iterable
@@ -14,14 +14,14 @@
 REQUEST_ID_HEADER = "Clementine-Request-Id"
 KEY_HEADER = "Idempotency-Key"
 PRIORITY_HEADER = "Clementine-Priority"
-# The token count a stream goes on from: the field that server-sent events
-# themselves use to resume.
+# The number of tokens after which to resume a stream. Server-sent events use
+# the same header to resume.
 RESUME_HEADER = "Last-Event-ID"
 VERSION_HEADER = "Engine-Version"
 DIGEST_HEADER = "Engine-Digest"
-# Set by an engine that refused a request before any of it ran.
+# Set by an engine that refused a request before running any of it.
 REFUSED_HEADER = "Engine-Refused"
-# Header of a request: it may run on this version only.
+# Request header: the only version that may answer the request.
 WANTED_VERSION_HEADER = "Engine-Wanted-Version"
 
 Headers = tuple[tuple[str, str], ...]
@@ -30,14 +30,14 @@
 def content_digest(chunk_digests: Iterable[str]) -> str:
     """Returns the digest of weights from the digests of their chunks.
 
-    An engine computes it from the bytes that it loaded, an agent from the
-    manifest, so that equal results prove equal weights.
+    An engine computes it from the loaded bytes and an agent from the manifest;
+    equal results prove that the weights are equal.
 
     Args:
-      chunk_digests: blake3 of each chunk as hexadecimal text, in order.
+      chunk_digests: The BLAKE3 digest of each chunk in hexadecimal, in order.
 
     Returns:
-      blake3 over the binary chunk digests, as hexadecimal text.
+      The BLAKE3 digest of the binary chunk digests, in hexadecimal.
     """
     hasher = blake3.blake3()
     for digest in chunk_digests:
@@ -47,16 +47,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Completion:
-    """One request to a model engine.
+    """A request to a model engine.
 
     Attributes:
-      request_id: The caller's request, the same for each attempt.
+      request_id: Identifies the caller's request; the same for all attempts.
       path: `/v1/completions` or `/v1/chat/completions`.
-      headers: End-to-end headers of the caller.
       body: The caller's JSON.
-      priority: Larger is served first.
+      headers: End-to-end headers of the caller.
+      priority: Higher priorities are served first.
       key: The caller's idempotency key; empty without one.
-      resume_tokens: Tokens already passed on to the caller.
+      resume_tokens: Number of tokens already sent to the caller.
       version: The only version that may answer; empty for any.
     """
 
@@ -77,10 +77,10 @@
     Attributes:
       status: The HTTP status.
       headers: End-to-end headers, names in lower case.
-      version: The version the engine says it answers with; empty for a plain
-        service.
+      version: The version that the engine reports to answer with; empty for a
+        plain service.
       digest: The content digest of the weights that answer.
-      refused: Why the engine did not run the request; empty when it runs.
+      refused: Why the engine refused the request; empty if it runs.
     """
 
     status: int
@@ -92,11 +92,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Data:
-    """A piece of the body: one server-sent event, or a whole JSON body.
+    """A part of the body: one server-sent event, or a complete JSON body.
 
     Attributes:
-      data: The bytes to pass on.
-      tokens: Tokens of the answer up to and with this piece.
+      data: The bytes to forward.
+      tokens: Number of tokens of the answer up to and including this part.
     """
 
     data: bytes
@@ -105,10 +105,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class End:
-    """The answer is whole.
+    """The last event of a complete answer.
 
     Attributes:
-      tokens: Tokens of the whole answer.
+      tokens: Number of tokens of the answer.
     """
 
     tokens: int = 0
@@ -119,7 +119,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainAnswer:
-    """The whole answer of a plain service."""
+    """The complete answer of a plain service."""
 
     status: int
     headers: Headers
@@ -127,24 +127,30 @@
 
 
 class CancelState(enum.StrEnum):
-    """What a cancel order met."""
+    """The state that a request was in when it was cancelled."""
 
-    WAITING = "waiting"  # it had not begun and never will
-    RUNNING = "running"  # it had begun and was stopped
-    UNKNOWN = "unknown"  # it is not there: ended, or never came
+    WAITING = "waiting"  # Not started, and never will be.
+    RUNNING = "running"  # Started, and stopped by the cancellation.
+    UNKNOWN = "unknown"  # Finished, or never received.
 
 
 class StageResult(enum.StrEnum):
-    """What became of a chunk that was offered for staging."""
+    """The result of staging a chunk."""
 
     STORED = "stored"
-    CORRUPT = "corrupt"  # the bytes do not have the digest
-    FULL = "full"  # the staging memory is full
+    CORRUPT = "corrupt"  # The bytes do not match the digest.
+    FULL = "full"  # The staging memory is full.
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StagingStatus:
-    """What the engine host's staging memory holds."""
+    """The contents of the staging memory of an engine's host.
+
+    Attributes:
+      digests: Digests of the staged chunks.
+      used_bytes: Memory in use.
+      limit_bytes: Memory that may be used.
+    """
 
     digests: tuple[str, ...]
     used_bytes: int
@@ -153,14 +159,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """Tells an engine to load weights from staged chunks.
+    """An order to load weights from staged chunks.
 
     Attributes:
       model: The model's name.
       version: The version's name.
-      manifest_digest: The manifest as the settings declare it.
+      manifest_digest: The manifest's digest as declared in the settings.
       chunks: Chunk digests in the order of their bytes.
-      fencing: The settings revision the order follows.
+      fencing: The settings revision that the order implements.
     """
 
     model: str
@@ -175,8 +181,8 @@
     """The engine's report after a load.
 
     Attributes:
-      version: The version that it loaded.
-      digest: `content_digest` of the bytes that it loaded.
+      version: The loaded version.
+      digest: `content_digest` of the loaded bytes.
       fencing: The order's fencing number.
     """
 
@@ -186,9 +192,9 @@
 
 
 class OrderRefusal(enum.StrEnum):
-    """Why an engine refused an order. Nothing was changed by it."""
+    """Why an engine refused an order; a refused order changes nothing."""
 
-    FENCING = "fencing"  # a newer order has been seen
+    FENCING = "fencing"  # The engine has received a newer order.
     CHUNK_MISSING = "chunk_missing"
     BAD_ORDER = "bad_order"
 
@@ -198,8 +204,8 @@
     """The engine refused an order.
 
     Attributes:
-      reason: Why.
-      current_fencing: The newest fencing number it has seen.
+      reason: Why it was refused.
+      current_fencing: The highest fencing number the engine has received.
       missing: Digests of chunks that are not staged.
     """
 
@@ -210,7 +216,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderDone:
-    """An order other than a load took effect.
+    """The result of an executed order other than a load.
 
     Attributes:
       fencing: The order's fencing number.
@@ -221,13 +227,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdapterOrder:
-    """Tells an engine to load a small adapter from staged chunks.
+    """An order to load a small adapter from staged chunks.
 
     Attributes:
-      name: The adapter's name, as requests give it.
+      name: The adapter's name, as used in requests.
       version: The version's name.
-      chunks: Chunk digests in order.
-      fencing: The settings revision the order follows.
+      chunks: Chunk digests in the order of their bytes.
+      fencing: The settings revision that the order implements.
     """
 
     name: str
@@ -237,7 +243,7 @@
 
 
 class EngineRole(enum.StrEnum):
-    """Which part of a request an engine takes."""
+    """Which phases of a request an engine runs."""
 
     MIXED = "mixed"
     PREFILL = "prefill"
@@ -246,19 +252,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """What an engine says of itself; its load lags behind.
+    """The status that an engine reports; its load figures lag behind.
 
     Attributes:
       model: The loaded model; empty without weights.
       version: The loaded version; empty without weights.
       digest: `content_digest` of the loaded bytes.
-      adapters: Loaded adapters, name and version.
-      role: The part of a request it takes.
-      fencing: The newest fencing number it has seen.
-      load: Running requests by capacity, some time ago.
-      running: Requests in the batch, some time ago.
-      waiting: Requests that wait for the batch, some time ago.
-      capacity: The largest batch.
+      adapters: Names and versions of the loaded adapters.
+      role: The phases of a request it runs.
+      fencing: The highest fencing number it has received.
+      load: Running requests divided by the capacity, some time ago.
+      running: Number of requests in the batch, some time ago.
+      waiting: Number of requests queued for the batch, some time ago.
+      capacity: The maximum batch size, in requests.
       loading: The version being loaded; empty without a load.
     """
 
@@ -276,7 +282,7 @@
 
 
 class CacheChange(enum.StrEnum):
-    """What happened to blocks of the prefix cache."""
+    """How blocks of the prefix cache changed."""
 
     STORED = "stored"
     EVICTED = "evicted"
@@ -287,9 +293,9 @@
     """A change of the engine's prefix cache.
 
     Attributes:
-      sequence: Its number; a jump means that events were lost.
-      change: What happened.
-      blocks: Hashes as of `prefixes.block_hashes`.
+      sequence: The event's sequence number; a gap means that events were lost.
+      change: Whether the blocks were stored or evicted.
+      blocks: Hashes of the blocks; see `prefixes.block_hashes`.
     """
 
     sequence: int
@@ -299,13 +305,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """Cache events from a sequence number onwards.
+    """Cache events from a given sequence number on.
 
     Attributes:
       first: The oldest sequence number that the engine still keeps.
-      next: The sequence number to ask for next; smaller than what was asked
-        for when the engine has begun anew.
-      events: The events, in order, perhaps with gaps.
+      next: The sequence number to request next; lower than the requested one
+        if the engine has restarted.
+      events: The events in order, possibly with gaps.
     """
 
     first: int
