--- a/src/clementinegw/daemons/__init__.py
+++ b/src/clementinegw/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""The two daemons, entry and agent: wiring over the library."""
+"""Assembles the entry and agent daemons from the library's services."""
--- a/src/clementinegw/daemons/agent.py
+++ b/src/clementinegw/daemons/agent.py
@@ -1,4 +1,4 @@
-"""The agent daemon: the gate to one backend server, and its weights."""
+"""The agent daemon: gates one backend server and manages its weights."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -26,7 +26,7 @@
 
 
 class Agent(mode.Service):
-    """One agent and its part of the backend server beside it."""
+    """Runs the gate of one backend server and, for an engine, its weights."""
 
     def __init__(
         self,
@@ -34,7 +34,13 @@
         clock: clock_lib.Clock | None = None,
         rng: random.Random | None = None,
     ):
-        """Prepares the daemon; see `daemons.core.Core`."""
+        """Initializes the daemon; see `daemons.core.Core`.
+
+        Args:
+          file: The validated instance file; must name a backend server.
+          clock: The source of time; the system clock by default.
+          rng: The source of random numbers; newly seeded by default.
+        """
         super().__init__()
         assert file.backend is not None
         self._file = file
@@ -47,25 +53,25 @@
 
     @property
     def core(self) -> core_lib.Core:
-        """What it shares with the entry daemon."""
+        """The services shared with the entry daemon."""
         return self._core
 
     @property
     def serving_version(self) -> str:
-        """The model version that requests are let through to."""
+        """The model version that the gate admits requests for."""
         return self._gate.version
 
     @property
     def status_address(self) -> types.Address | None:
-        """Where `/status` is served, once started."""
+        """The address of `/status`, or None when it is not served."""
         return None if self._status is None else self._status.address
 
     def weights_status(self) -> Mapping[str, Any]:
-        """Returns its part in a rollout; empty beside a plain service."""
+        """Returns the rollout status; empty for a plain service."""
         return {} if self._weights is None else self._weights.as_json()
 
     async def on_start(self) -> None:
-        """Starts the gate; an engine takes requests once its load is proved."""
+        """Starts the gate; an engine's opens once its load is verified."""
         await self.add_runtime_dependency(self._core)
         core = self._core
         self._session = sessions.create()
@@ -87,10 +93,10 @@
         )
 
     async def drain(self) -> None:
-        """Refuses new work at once and finishes what it has.
+        """Refuses new requests at once and completes those in flight.
 
-        The gate comes first: whoever has not heard yet is refused there, with
-        proof that nothing was run.
+        The gate does not wait for the announcement to succeed: it refuses
+        entries that have not received it yet, with proof that nothing was run.
         """
         core = self._core
         core.event_log.write(events.PROCESS_STOPPING)
@@ -102,7 +108,7 @@
         await finishing
 
     async def on_shutdown(self) -> None:
-        """Closes the session once the children have stopped."""
+        """Closes the session after the child services have stopped."""
         if self._session is not None:
             await self._session.close()
         self._core.event_log.write(events.PROCESS_STOPPED)
--- a/src/clementinegw/daemons/core.py
+++ b/src/clementinegw/daemons/core.py
@@ -1,4 +1,4 @@
-"""What both daemons are made of: sessions, links, settings, membership."""
+"""Services that both daemons use: connections, settings and membership."""
 
 import asyncio
 import dataclasses
@@ -25,7 +25,7 @@
 from clementinegw.wire import auth
 from clementinegw.wire import connection as connection_lib
 
-# Peers without a key file belong to a test or a demo on one machine.
+# Used without a key file, in tests and in demos on one machine.
 _DEFAULT_KEY = b"no key file was given"
 _MS_PER_S = 1000
 _ANNOUNCE_RETRY_S = 2.0
@@ -33,19 +33,19 @@
 
 
 class Core(mode.Service):
-    """The parts that an entry and an agent have in common.
+    """The services that an entry and an agent have in common.
 
     Attributes:
-      file: What the process was told at its start.
+      file: The instance file of this process.
       clock: The source of time.
-      rng: Random numbers of this process.
-      event_log: Numbered events.
-      counters: Metrics.
-      session: HTTP towards the platform and the backend server.
+      rng: The source of random numbers.
+      event_log: Writes numbered events.
+      counters: The metrics of this process.
+      session: The HTTP session for the platform.
       endpoint: Connections to peers.
-      log_client: The platform's log.
+      log_client: The client of the platform's log.
       membership: The other processes.
-      follower: The settings in force.
+      follower: Follows the settings.
     """
 
     def __init__(
@@ -54,15 +54,15 @@
         clock: clock_lib.Clock | None = None,
         rng: random.Random | None = None,
     ):
-        """Reads the key file; nothing is opened before `start`.
+        """Reads the key and TLS files; `start` opens the sockets.
 
         Args:
-          file: The checked instance file.
-          clock: The source of time; the machine's by default.
-          rng: The source of random numbers; a fresh one by default.
+          file: The validated instance file.
+          clock: The source of time; the system clock by default.
+          rng: The source of random numbers; newly seeded by default.
 
         Raises:
-          exceptions.SettingsError: The key file or a TLS file does not fit.
+          exceptions.SettingsError: The key file or a TLS file is invalid.
         """
         super().__init__()
         self.file = file
@@ -95,27 +95,31 @@
 
     @property
     def place(self) -> types.Place:
-        """Where this process stands."""
+        """The region and failure domain of this process."""
         return self.file.type_place()
 
     @property
     def instance(self) -> types.Instance:
-        """This process as its peers know it, once started."""
+        """The identity that peers see; available after the start."""
         return self.membership.instance
 
     @property
     def leaving(self) -> bool:
-        """Whether it was told to leave."""
+        """Whether this process is leaving."""
         return self._leaving
 
     def effective_settings(self, service: str = "") -> tree_lib.Effective:
-        """Returns the knobs that hold here; defaults before any settings."""
+        """Returns the settings in effect here; defaults before any are known.
+
+        Args:
+          service: The service whose settings apply; empty for none.
+        """
         state = self.follower.current
         tree = model_lib.Tree() if state is None else state.tree
         return tree_lib.resolve(tree, self.place, service)
 
     async def on_start(self) -> None:
-        """Opens the sockets, joins the members, follows the settings."""
+        """Opens the sockets, joins the membership and follows the settings."""
         self.session = aiohttp.ClientSession()
         platform = self.file.platform
         self.log_client = log_lib.HttpLog(
@@ -138,7 +142,10 @@
         self.add_future(self._announce(instances_lib.State.LIVE))
 
     async def leave(self) -> None:
-        """Says at once that this process leaves; refusal is its owner's."""
+        """Announces that this process leaves.
+
+        The daemon itself refuses new requests.
+        """
         self._leaving = True
         self.membership.set_self(state=views.MemberState.LEAVING)
         try:
@@ -146,18 +153,19 @@
                 self.instance, instances_lib.State.LEAVING
             )
         except exceptions.PlatformError:
-            # Peers know already; the list only speeds the balancer up.
+            # Membership has informed the peers; the list only lets the
+            # balancer react sooner.
             self.counters.add("daemon.leave_not_announced")
 
     async def on_shutdown(self) -> None:
-        """Closes what `on_start` opened, after the children have stopped."""
+        """Closes what `on_start` opened, after the child services stopped."""
         await self.membership.leave()
         await self.membership.stop()
         await self.endpoint.close()
         await self.session.close()
 
     async def _bind(self) -> None:
-        """Takes one port number for both TCP and UDP."""
+        """Binds the same port number for TCP and UDP."""
         requested = self.file.listen.peer
         for is_last_attempt in (*(False,) * (_MAX_BIND_ATTEMPTS - 1), True):
             address = await self.endpoint.listen(requested)
@@ -166,8 +174,8 @@
                 await self.membership.start()
                 return
             except exceptions.SettingsError:
-                # The kernel chose a TCP port whose UDP twin is taken. Only a
-                # port that it chose can be exchanged for another.
+                # The kernel chose a TCP port whose number is in use for UDP.
+                # Only a port chosen by the kernel can be replaced.
                 await self.endpoint.stop_listening()
                 if requested.port or is_last_attempt:
                     raise
@@ -233,12 +241,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _InstanceListSeeds:
-    """Seeds for membership from the platform's lagging list."""
+    """Membership seeds from the platform's instance list, which lags behind."""
 
     source: instances_lib.InstanceList
 
     async def seeds(self) -> list[views.Seed]:
-        """Returns the listed addresses."""
+        """Returns the listed instances as seeds."""
         listed = await self.source.fetch()
         return [
             views.Seed(one.instance.address, one.instance.place.failure_domain)
--- a/src/clementinegw/daemons/engine_weights.py
+++ b/src/clementinegw/daemons/engine_weights.py
@@ -1,4 +1,4 @@
-"""Wires an engine's weights to the settings, the members and the exchange."""
+"""Connects an engine's weights to settings, membership and the transfer."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -23,7 +23,8 @@
 _PEER_REFRESH_INTERVAL_S = 0.5
 _BYTES_PER_MB = 1 << 20
 
-# A policy `none` has each agent draw for itself: it is its own group.
+# The policy `none` is absent: each agent then fetches for itself, without
+# peers.
 _DRAW_POLICIES = {
     knobs.DrawPolicy.FLEET: drawers.DrawPolicy.FLEET,
     knobs.DrawPolicy.REGION: drawers.DrawPolicy.REGION,
@@ -32,7 +33,7 @@
 
 
 class EngineWeights(mode.Service):
-    """The weights of the engine beside one agent."""
+    """Manages the weights of the engine that one agent serves."""
 
     def __init__(
         self,
@@ -41,13 +42,13 @@
         engine: engine_client.EngineClient,
         gate: gate_lib.GateService,
     ):
-        """Prepares the parts; `core` must be started.
+        """Initializes the service; `core` must be started.
 
         Args:
-          core: The daemon's common part.
-          service: The service behind the agent.
+          core: The services shared by both daemons.
+          service: The name of the service that the agent serves.
           engine: The engine's client.
-          gate: Drained before a load and resumed after it.
+          gate: The gate, drained before a load and resumed after it.
         """
         super().__init__()
         self._core = core
@@ -60,13 +61,13 @@
         self._peers: frozenset[types.Instance] = frozenset()
 
     def as_json(self) -> Mapping[str, Any]:
-        """Returns what the `/status` page shows; empty before any settings."""
+        """Returns the weights for `/status`; empty before any settings."""
         if self._weights is None:
             return {}
         return self._weights.status().as_json()
 
     def apply(self, state: follower_lib.State) -> None:
-        """Takes over settings; the parts start with the first."""
+        """Applies settings; the first ones start the child services."""
         self._state = state
         if self._weights is None:
             self.add_future(self._start_parts(state))
@@ -80,16 +81,16 @@
             self._refresh_peers()
 
     async def _start_parts(self, state: follower_lib.State) -> None:
-        knob_set = self._core.effective_settings(self._service).weights
+        settings = self._core.effective_settings(self._service).weights
         core = self._core
         platform = core.file.platform
         store = chunk_stores.StagedStore(
-            self._engine, knob_set.memory_mb * _BYTES_PER_MB, core.counters
+            self._engine, settings.memory_mb * _BYTES_PER_MB, core.counters
         )
         origin = store_lib.HttpStore(platform.origin, core.session)
         weight_store = store_lib.HttpStore(platform.store, core.session)
-        if knob_set.draw_policy in _DRAW_POLICIES:
-            self._transfer = self._make_transfer(knob_set, store, origin)
+        if settings.draw_policy in _DRAW_POLICIES:
+            self._transfer = self._make_transfer(settings, store, origin)
         self._weights = weights_lib.Weights(
             core.file.instance_id,
             self._service,
@@ -115,22 +116,22 @@
 
     def _make_transfer(
         self,
-        knob_set: knobs.Weights,
+        settings: knobs.Weights,
         store: chunk_stores.StagedStore,
         origin: store_lib.HttpStore,
     ) -> transfer_lib.Transfer:
         core = self._core
         limits = swarm.Limits(
-            outstanding=knob_set.max_downloads,
-            upload_slots=knob_set.max_uploads,
-            draw_policy=_DRAW_POLICIES[knob_set.draw_policy],
-            draw_deadline_s=knob_set.deadline_s,
-            link_bytes_per_s=float(knob_set.download_rate),
-            cross_copies=knob_set.cross_domain_copies,
+            outstanding=settings.max_downloads,
+            upload_slots=settings.max_uploads,
+            draw_policy=_DRAW_POLICIES[settings.draw_policy],
+            draw_deadline_s=settings.deadline_s,
+            link_bytes_per_s=float(settings.download_rate),
+            cross_copies=settings.cross_domain_copies,
         )
         rate = float("inf")
-        if knob_set.pacing is not knobs.Pacing.NONE:
-            rate = float(knob_set.upload_rate)
+        if settings.pacing is not knobs.Pacing.NONE:
+            rate = float(settings.upload_rate)
         return transfer_lib.Transfer(
             core.instance,
             core.endpoint,
@@ -145,21 +146,22 @@
         )
 
     def _declared_service(self, state: follower_lib.State) -> model_lib.Service:
-        found = state.tree.services.get(self._service)
-        if found is not None:
-            return found
+        declared = state.tree.services.get(self._service)
+        if declared is not None:
+            return declared
         return model_lib.Service(kind=types.ServiceKind.MODEL_ENGINE)
 
     def _policy(self) -> weights_lib.Policy:
-        found = self._core.effective_settings(self._service)
+        settings = self._core.effective_settings(self._service)
         state = self._state
-        # Views of the members differ for a while; a declared number does not.
+        # The declared number of workers is the same everywhere, while views of
+        # the membership differ for a while.
         workers = self._declared_service(state).workers if state else None
         return weights_lib.Policy(
-            max_out_share=found.weights.max_out_share,
+            max_out_share=settings.weights.max_out_share,
             workers=workers or max(1, len(self._peers)),
-            drain_timeout_s=found.shutdown.grace_s,
-            load_timeout_s=found.weights.load_timeout_s,
+            drain_timeout_s=settings.shutdown.grace_s,
+            load_timeout_s=settings.weights.load_timeout_s,
         )
 
     def _declare_versions(
@@ -180,7 +182,7 @@
         weights.want(target, previous, adapters)
 
     def _refresh_peers(self) -> None:
-        """Takes over who else is in the fleet."""
+        """Applies the current set of the service's agents."""
         members = self._core.membership.members(
             role=types.Role.AGENT, service=self._service
         )
--- a/src/clementinegw/daemons/entry.py
+++ b/src/clementinegw/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: callers' HTTP in front, agents behind. Wiring only."""
+"""The entry daemon: accepts callers' HTTP and forwards it to agents."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -28,7 +28,7 @@
 
 
 class Entry(mode.Service):
-    """One entry instance."""
+    """Runs the HTTP server and the services that handle its requests."""
 
     def __init__(
         self,
@@ -36,7 +36,13 @@
         clock: clock_lib.Clock | None = None,
         rng: random.Random | None = None,
     ):
-        """Prepares the daemon; see `daemons.core.Core`."""
+        """Initializes the daemon; see `daemons.core.Core`.
+
+        Args:
+          file: The validated instance file.
+          clock: The source of time; the system clock by default.
+          rng: The source of random numbers; newly seeded by default.
+        """
         super().__init__()
         self._file = file
         self._core = core_lib.Core(file, clock, rng)
@@ -49,21 +55,21 @@
 
     @property
     def core(self) -> core_lib.Core:
-        """What it shares with the agent daemon."""
+        """The services shared with the agent daemon."""
         return self._core
 
     @property
     def http_address(self) -> types.Address:
-        """Where callers reach it, once started."""
+        """The address for callers; its port is final after the start."""
         return self._http
 
     @property
     def status_address(self) -> types.Address | None:
-        """Where `/status` is served, once started."""
+        """The address of `/status`, or None when it is not served."""
         return None if self._status is None else self._status.address
 
     async def on_start(self) -> None:
-        """Starts to serve; readiness follows once settings are known."""
+        """Starts to serve; the entry is ready once settings are known."""
         await self.add_runtime_dependency(self._core)
         core = self._core
         self._claims = self._make_claims()
@@ -94,11 +100,10 @@
         core.event_log.write(events.PROCESS_STARTED, http=str(self._http))
 
     async def drain(self) -> None:
-        """Finishes every request before the process may end.
+        """Announces the shutdown and completes all requests.
 
-        The balancer and the peers are told first. For a while requests are
-        still taken, since the balancer learns of it late: a refusal would
-        reach callers who have done nothing wrong.
+        New requests are still accepted for `leave_s` seconds: the balancer
+        notices the announcement late, and a refusal would fail valid requests.
         """
         core = self._core
         core.event_log.write(events.PROCESS_STOPPING)
@@ -108,7 +113,7 @@
         await self._requests.pipeline.drain(shutdown.grace_s)
 
     async def on_stop(self) -> None:
-        """Closes the callers' listener."""
+        """Stops the HTTP server."""
         if self._runner is not None:
             await self._runner.cleanup()
         self._core.event_log.write(events.PROCESS_STOPPED)
@@ -150,7 +155,7 @@
         return limits, claims_lib.Timing(group_s=settings.group_ms / _MS_PER_S)
 
     def _alive_entries(self) -> list[types.Instance]:
-        """Returns the entries that a claim may be handed to."""
+        """Returns the entries that may own a claim."""
         members = self._core.membership.members(role=types.Role.ENTRY)
         return [
             member.instance
@@ -161,13 +166,14 @@
     def _fleet_members(self) -> list[fleet_lib.Member]:
         return [
             fleet_lib.Member(
-                # What the agent itself says of its incarnation comes with its
-                # connection; a changing one here would only cause churn.
+                # The agent reports its incarnation when it connects; a changing
+                # value here would only cause reconnections.
                 dataclasses.replace(member.instance, incarnation=0),
                 member.state is views.MemberState.LEAVING,
             )
-            # Suspect ones among them: they may be alive and be cut off from
-            # the prober only; their own connection says more than gossip.
+            # Includes suspected members: they may be alive and unreachable only
+            # for the prober. The direct connection to a member is better
+            # evidence than gossip.
             for member in self._core.membership.members()
         ]
 
--- a/src/clementinegw/daemons/keys.py
+++ b/src/clementinegw/daemons/keys.py
@@ -1,7 +1,7 @@
-"""Reads the file with a deployment's keys.
+"""Reads the key file of a deployment.
 
 The file is JSON: `{"active": "k1", "keys": {"k1": "HEX"}}`. Keys never appear
-in a log line or an error.
+in log lines or error messages.
 """
 
 import pathlib
@@ -18,8 +18,8 @@
     """The keys of a deployment.
 
     Attributes:
-      active: The id of the key that proofs are made with.
-      keys: All keys that are accepted, hex digits by id.
+      active: The id of the key used to create proofs.
+      keys: All accepted keys in hexadecimal, by id.
     """
 
     active: knobs.Name
@@ -27,10 +27,10 @@
 
 
 def load(path: str | pathlib.Path) -> auth.KeyRing:
-    """Reads a key file.
+    """Returns the keys of a key file.
 
     Raises:
-      exceptions.SettingsError: It cannot be read or does not fit.
+      exceptions.SettingsError: The file cannot be read or is invalid.
     """
     try:
         text = pathlib.Path(path).read_bytes()
@@ -57,16 +57,16 @@
 def select_keys(
     ring: auth.KeyRing, active: str, accepted: tuple[str, ...]
 ) -> auth.KeyRing:
-    """Returns the ring that the settings ask for.
+    """Returns the subset of a key ring that the settings select.
 
-    A key that the settings name before the file holds it must not lock the
-    process out, so unknown ids are left aside and the file's active key is the
-    fallback.
+    Settings may name a key before the key file contains it, which must not lock
+    the process out: unknown ids are ignored, and the active key of the file is
+    the fallback.
 
     Args:
-      ring: What the key file holds.
-      active: The id of the key to prove with.
-      accepted: The ids that peers may prove with.
+      ring: The keys of the key file.
+      active: The id of the key to create proofs with.
+      accepted: The ids of the keys accepted from peers.
     """
     keys = {k: v for k, v in ring.keys.items() if k in accepted}
     if active in ring.keys:
--- a/src/clementinegw/daemons/settings_peers.py
+++ b/src/clementinegw/daemons/settings_peers.py
@@ -1,4 +1,4 @@
-"""Settings between peers: asks them, and answers them, over the endpoint."""
+"""Exchanges settings with peers over the endpoint."""
 
 import asyncio
 
@@ -12,30 +12,30 @@
 
 Kind = connection_lib.Kind
 
-# No member tells of a revision as low as this.
+# Lower than any revision that a member reports.
 _BELOW_ANY_REVISION = -1
 _LIVE_STATES = frozenset({views.MemberState.ALIVE, views.MemberState.LEAVING})
 
 
 class SettingsPeers:
-    """The other processes, as the settings' follower needs them."""
+    """Implements `settings.exchange.Peers` for the settings' follower."""
 
     def __init__(
         self,
         endpoint: connection_lib.Endpoint,
         membership: membership_lib.Membership,
     ):
-        """Keeps both.
+        """Initializes the peers.
 
         Args:
           endpoint: Connects to peers.
-          membership: Knows who they are.
+          membership: Provides the members and their settings revisions.
         """
         self._endpoint = endpoint
         self._membership = membership
 
     def domain(self) -> list[str]:
-        """Returns the live members of the failure domain, with this one."""
+        """Returns the live members of the failure domain, including itself."""
         me = self._membership.instance
         names = {
             member.instance.instance_id
@@ -46,15 +46,15 @@
         return sorted(names | {me.instance_id})
 
     def others(self) -> list[str]:
-        """Returns live members anywhere, without this one."""
+        """Returns the live members of all failure domains, without itself."""
         return self.ahead_of(_BELOW_ANY_REVISION)
 
     def newest_revision(self) -> int:
-        """Returns the newest revision that a live member told of."""
+        """Returns the newest revision that a live member reported."""
         return self._membership.newest_settings_revision
 
     def ahead_of(self, revision: int) -> list[str]:
-        """Returns the live members that told of a newer revision."""
+        """Returns the live members that reported a newer revision."""
         me = self._membership.instance.instance_id
         return sorted(
             member.instance.instance_id
@@ -67,7 +67,7 @@
     async def pull(
         self, peer: str, request: ttypes.SettingsPull, timeout_s: float
     ) -> ttypes.SettingsState:
-        """Asks a peer; see `settings.exchange.Peers`."""
+        """Requests settings from a peer; see `settings.exchange.Peers`."""
         async with asyncio.timeout(timeout_s):
             connection = await self._endpoint.connect(self._address(peer))
             frame = await connection_lib.call(
@@ -90,7 +90,7 @@
 def register_pull_handler(
     endpoint: connection_lib.Endpoint, follower: follower_lib.Follower
 ) -> None:
-    """Lets peers ask this process for its settings."""
+    """Registers the handler of peers' requests for settings."""
 
     async def _on_pull(
         connection: connection_lib.Connection,
--- a/src/clementinegw/daemons/status.py
+++ b/src/clementinegw/daemons/status.py
@@ -1,8 +1,8 @@
-"""The pages of a daemon for the balancer and for operators.
+"""Serves health and status pages for the balancer and operators.
 
-`/healthz` says that the process turns, `/readyz` whether it should be given
-work, `/status` what it knows. They are served on the admin address, apart from
-the port that callers reach.
+`/healthz` reports that the process runs, `/readyz` whether it should receive
+requests, and `/status` its state. They are served on the admin address,
+separate from the port for callers.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,7 +17,7 @@
 
 
 class StatusServer(mode.Service):
-    """Serves the pages of one daemon."""
+    """Serves the health and status pages of one daemon."""
 
     def __init__(
         self,
@@ -25,13 +25,13 @@
         report: StatusCallback,
         not_ready_reasons: StatusCallback,
     ):
-        """Prepares the pages.
+        """Initializes the server.
 
         Args:
-          address: Where they are served; port 0 lets the kernel choose.
-          report: Returns what `/status` shows.
-          not_ready_reasons: Returns the reasons why the daemon should get no
-            new work, by name; empty when it should.
+          address: The address to listen on; port 0 lets the kernel choose.
+          report: Returns the contents of `/status`.
+          not_ready_reasons: Returns the reasons why the daemon should receive
+            no new requests, by name; empty when it is ready.
         """
         super().__init__()
         self._address = address
@@ -41,11 +41,11 @@
 
     @property
     def address(self) -> types.Address:
-        """Where the pages are served, once started."""
+        """The listening address; its port is final after the start."""
         return self._address
 
     async def on_start(self) -> None:
-        """Starts to serve."""
+        """Starts the HTTP server."""
         app = web.Application()
         add_health_routes(app, self._not_ready_reasons)
         app.router.add_get("/status", self._status)
@@ -57,7 +57,7 @@
         self._address = types.Address(self._address.host, port)
 
     async def on_stop(self) -> None:
-        """Stops serving."""
+        """Stops the HTTP server."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -69,7 +69,13 @@
 def add_health_routes(
     app: web.Application, not_ready_reasons: StatusCallback
 ) -> None:
-    """Adds `/healthz` and `/readyz`, which the balancer asks for."""
+    """Adds `/healthz` and `/readyz`, which the balancer polls.
+
+    Args:
+      app: The application to add them to.
+      not_ready_reasons: Returns the reasons why the daemon should receive no
+        new requests, by name; empty when it is ready.
+    """
 
     async def _healthz(request: web.Request) -> web.Response:
         del request
--- a/src/clementinegw/daemons/tls.py
+++ b/src/clementinegw/daemons/tls.py
@@ -1,8 +1,9 @@
-"""TLS between our processes, where the platform gives certificates.
+"""Creates TLS contexts for connections between processes.
 
-Both sides show a certificate of the deployment's own authority. Instances are
-reached by IP numbers that change with every replacement, so names are not
-checked: who a peer is, the handshake of `wire` proves by the deployment's key.
+Used where the platform provides certificates. Both sides present a certificate
+of the deployment's own certificate authority. Instances are addressed by IP
+addresses that change with every replacement, so host names are not checked: the
+handshake of `wire` proves a peer's identity with the deployment's key.
 """
 
 import ssl
@@ -17,7 +18,7 @@
     """Returns the contexts for listening and for connecting.
 
     Raises:
-      exceptions.SettingsError: A file cannot be read or does not fit.
+      exceptions.SettingsError: A file cannot be read or is invalid.
     """
     listen = _context(ssl.PROTOCOL_TLS_SERVER, files)
     connect = _context(ssl.PROTOCOL_TLS_CLIENT, files)
