--- a/src/clementinegw/commands/__init__.py
+++ b/src/clementinegw/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one file a command, dispatched by `commands.main`."""
+"""Command line: one module per command, dispatched by `commands.main`."""
--- a/src/clementinegw/commands/_daemon.py
+++ b/src/clementinegw/commands/_daemon.py
@@ -1,4 +1,4 @@
-"""What the commands of both daemons share: flags and the instance file."""
+"""Flags and reading of the instance file for the daemon commands."""
 
 from absl import flags
 
@@ -11,7 +11,7 @@
 
 
 def define(flag_values) -> None:
-    """Defines the flags that both daemons have."""
+    """Defines the flags common to both daemons."""
     flags.DEFINE_string(
         "config",
         None,
@@ -21,15 +21,19 @@
 
 
 def read_instance_file(flag_values, role: types.Role) -> model_lib.InstanceFile:
-    """Reads the instance file that the flags name.
+    """Returns the parsed instance file given by the flags.
+
+    Args:
+      flag_values: The parsed flags.
+      role: The role that the file must be for.
 
     Raises:
-      exceptions.UsageError: No file is named.
-      exceptions.SettingsError: It does not fit, or is for the other role.
+      exceptions.UsageError: `--config` is missing.
+      exceptions.SettingsError: The file is invalid, or is for the other role.
     """
     if flag_values.config is None:
         raise exceptions.UsageError(
-            f"name the instance file: clementinegw {role.value} --config=FILE"
+            f"missing --config: clementinegw {role.value} --config=FILE"
         )
     file = model_lib.parse_instance_file(flag_values.config)
     if file.role is not role:
--- a/src/clementinegw/commands/_settings_format.py
+++ b/src/clementinegw/commands/_settings_format.py
@@ -1,4 +1,4 @@
-"""How the settings command shows things to a person."""
+"""Formats the output of the settings command for people."""
 
 import json
 import time
@@ -8,13 +8,16 @@
 from clementinegw.settings import tree as tree_lib
 
 
-def format_differences(found: list[changes.Difference]) -> str:
-    """Returns one line a difference."""
-    return "\n".join(str(difference) for difference in found) or "no difference"
+def format_differences(differences: list[changes.Difference]) -> str:
+    """Returns one line per difference."""
+    return (
+        "\n".join(str(difference) for difference in differences)
+        or "no difference"
+    )
 
 
 def format_history(entries: list[fold_lib.HistoryEntry]) -> str:
-    """Returns the changes with what they did, the oldest first."""
+    """Returns the changes with their operations, oldest first."""
     lines = []
     for entry in entries:
         when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(entry.time))
@@ -30,10 +33,12 @@
     return f"set {operation.path} = {json.dumps(operation.value)}"
 
 
-def format_explained(path: str, found: tree_lib.Explained) -> str:
-    """Returns the value, where it comes from, and what it overrides."""
-    lines = [f"{path} = {_format_value(found.value)}  from {found.level}"]
-    for level, value in found.overridden:
+def format_explained(path: str, explained: tree_lib.Explained) -> str:
+    """Returns a value, the level it is set at, and the values it overrides."""
+    lines = [
+        f"{path} = {_format_value(explained.value)}  from {explained.level}"
+    ]
+    for level, value in explained.overridden:
         lines.append(f"    overrides {_format_value(value)}  from {level}")
     return "\n".join(lines)
 
--- a/src/clementinegw/commands/bench.py
+++ b/src/clementinegw/commands/bench.py
@@ -1,4 +1,4 @@
-"""`clementinegw bench NAME`: one measurement, readable or as JSON."""
+"""`clementinegw bench NAME`: runs one benchmark."""
 
 import importlib
 import json
@@ -11,9 +11,9 @@
 HELP = """usage: clementinegw bench
        rollout|swap|requests|settings|control|report
 
-Runs one measurement on this machine over loopback. Baselines run in the same
-command with the same seed. The keys of the JSON line are stable.
-`clementinegw bench NAME --help` shows the flags of one measurement."""
+Runs one benchmark on this machine over the loopback interface. Baselines run in
+the same command with the same seed. The keys of the JSON line are stable.
+`clementinegw bench NAME --help` shows the flags of one benchmark."""
 
 BENCHES = (
     "rollout",
@@ -27,25 +27,26 @@
 
 
 class Bench:
-    """One measurement in the shape of a command."""
+    """Adapts a benchmark module to the command interface."""
 
     def __init__(self, name: str, module: python_types.ModuleType):
-        """Wraps a bench module.
+        """Initializes the command.
 
         Args:
-          name: The name on the command line.
-          module: Has `define(flag_values)` and `async run(flag_values)`.
+          name: The benchmark's name on the command line.
+          module: The benchmark, with `define(flag_values)` and
+            `async run(flag_values)`.
         """
         self._module = module
         self.NAME = f"{NAME} {name}"
         self.HELP = (module.__doc__ or "").strip()
 
     def define(self, flag_values) -> None:
-        """Defines the measurement's flags."""
+        """Defines the benchmark's flags."""
         self._module.define(flag_values)
 
     async def run(self, args: list[str], flag_values) -> int:
-        """Runs the measurement and prints what it found."""
+        """Runs the benchmark and prints its result."""
         if args:
             raise exceptions.UsageError(f"{self.NAME}: unexpected {args[0]!r}")
         result = await self._module.run(flag_values)
@@ -54,10 +55,10 @@
 
 
 def choose(rest: list[str]) -> tuple[Any, list[str]]:
-    """Picks the measurement that the first argument names.
+    """Returns the benchmark named by the first argument, and the rest.
 
     Raises:
-      exceptions.UsageError: There is none of that name.
+      exceptions.UsageError: No benchmark is named, or the name is unknown.
     """
     if not rest or rest[0].startswith("-"):
         raise exceptions.UsageError(f"name a bench: {', '.join(BENCHES)}")
@@ -70,7 +71,7 @@
 
 
 def print_result(result: dict[str, Any], as_json: bool) -> None:
-    """Prints a result as aligned lines, or as one line of JSON."""
+    """Prints a result as aligned lines or as one line of JSON."""
     if as_json:
         print(json.dumps(result))
         return
--- a/src/clementinegw/commands/capacity.py
+++ b/src/clementinegw/commands/capacity.py
@@ -1,4 +1,4 @@
-"""`clementinegw capacity`: each role's load at given sizes."""
+"""`clementinegw capacity`: computes each role's load at given sizes."""
 
 import dataclasses
 import json
@@ -16,13 +16,13 @@
 
 Computes state, messages, processor time and memory of each role from measured
 slopes. FILE is a JSON object, for example {"entries": 8, "agents": 10,
-"failure_domains": 3, "requests_per_s": 20}; what it leaves out keeps the value
-of the two-year target. --slopes also prints the slopes, each with the command
-that measures it again."""
+"failure_domains": 3, "requests_per_s": 20}; missing sizes take the values of
+the two-year target. --slopes also prints the slopes, each with the command that
+measures it."""
 
 
 def define(flag_values) -> None:
-    """Defines the flags."""
+    """Defines the command's flags."""
     flags.DEFINE_string(
         "sizes",
         None,
@@ -38,29 +38,29 @@
 
 
 async def run(args: list[str], flag_values) -> int:
-    """Prints the table."""
+    """Prints the computed rows as a table or as JSON."""
     if args:
         raise exceptions.UsageError(f"{NAME}: unexpected {args[0]!r}")
     sizes = quantities.Sizes()
     if flag_values.sizes is not None:
         sizes = border.read_sizes(flag_values.sizes)
     slopes = border.read_slopes()
-    found = model.rows(sizes, slopes)
+    rows = model.rows(sizes, slopes)
     if flag_values.json:
-        print(json.dumps(_as_json(sizes, found)))
+        print(json.dumps(_as_json(sizes, rows)))
         return 0
-    print(table.render(found))
+    print(table.render(rows))
     print()
-    print(_summary(found))
+    print(_summary(rows))
     if flag_values.slopes:
         print()
         print(table.render_slopes(slopes.values()))
     return 0
 
 
-def _summary(found: list[quantities.Row]) -> str:
-    first = model.first_to_break(found)
-    unknown = sum(row.value is None for row in found)
+def _summary(rows: list[quantities.Row]) -> str:
+    first = model.first_to_break(rows)
+    unknown = sum(row.value is None for row in rows)
     if first is None or first.used is None:
         return f"No row has a budget; {unknown} rows are not measured."
     return (
@@ -69,13 +69,13 @@
     )
 
 
-def _as_json(sizes: quantities.Sizes, found: list[quantities.Row]) -> dict:
-    first = model.first_to_break(found)
+def _as_json(sizes: quantities.Sizes, rows: list[quantities.Row]) -> dict:
+    first = model.first_to_break(rows)
     return {
         "sizes": dataclasses.asdict(sizes),
-        "rows": [{**dataclasses.asdict(r), "used": r.used} for r in found],
+        "rows": [{**dataclasses.asdict(r), "used": r.used} for r in rows],
         "first_to_break": None if first is None else first.what,
         "not_measured": [
-            f"{row.role}: {row.what}" for row in found if row.value is None
+            f"{row.role}: {row.what}" for row in rows if row.value is None
         ],
     }
--- a/src/clementinegw/commands/demo.py
+++ b/src/clementinegw/commands/demo.py
@@ -1,4 +1,4 @@
-"""`clementinegw demo`: the main job, with embedded stand-ins."""
+"""`clementinegw demo`: runs a whole deployment with embedded stand-ins."""
 
 import functools
 import json
@@ -13,15 +13,15 @@
 NAME = "demo"
 HELP = """usage: clementinegw demo [--weights=PATH] [--stay]
 
-Starts a whole deployment on the loopback, publishes a model version, serves
-live requests, declares the next version in mid-load, waits until every replica
-serves it, and checks each answer. Exit code 5 when a check failed."""
+Starts a whole deployment on the loopback interface, publishes a model version,
+serves requests, declares the next version under load, waits until every replica
+serves it, and checks each answer. Exit code 5 if a check failed."""
 
 _CHECK_FAILED_EXIT_CODE = exceptions.CheckFailed.exit_code
 
 
 def define(flag_values) -> None:
-    """Defines the demo's flags."""
+    """Defines the command's flags."""
     flags.DEFINE_string(
         "weights",
         None,
@@ -29,7 +29,7 @@
         flag_values=flag_values,
     )
     flags.DEFINE_boolean(
-        "stay", False, "Leave it running afterwards.", flag_values=flag_values
+        "stay", False, "Keep it running afterwards.", flag_values=flag_values
     )
     flags.DEFINE_enum(
         "size",
@@ -41,18 +41,18 @@
     flags.DEFINE_integer(
         "callers",
         24,
-        "Callers that send requests at once.",
+        "Number of concurrent callers.",
         lower_bound=1,
         upper_bound=512,
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
-        "seed", 1, "Seeds the mix of requests.", flag_values=flag_values
+        "seed", 1, "Seed of the request mix.", flag_values=flag_values
     )
 
 
 async def run(args: list[str], flag_values) -> int:
-    """Runs the demo and prints its account."""
+    """Runs the demo and prints its progress and results."""
     if args:
         raise exceptions.UsageError(f"demo: unexpected {args[0]!r}")
     weights = None
@@ -64,7 +64,7 @@
         callers=flag_values.callers,
         seed=flag_values.seed,
     )
-    # Who reads the account from a pipe wants it as it comes.
+    # Flushed, so that a reader of a pipe sees each line at once.
     print_line = functools.partial(print, flush=True)
     demo = demo_lib.Demo(plan, print_line)
     try:
--- a/src/clementinegw/commands/main.py
+++ b/src/clementinegw/commands/main.py
@@ -1,9 +1,9 @@
-"""The `clementinegw` command: finds the subcommand, reads its flags, runs it.
+"""The `clementinegw` command: parses the command line and runs a subcommand.
 
 A subcommand is a module with `NAME`, `HELP`, `define(flag_values)` and
-`async run(args, flag_values) -> int`. A module with `choose(rest)` picks one of
-several such commands by the next argument. Modules are imported when they are
-named, so that `settings get` does not pay for the daemons.
+`async run(args, flag_values) -> int`. A module with `choose(rest)` returns one
+of several such commands, selected by the next argument. A module is imported
+only when it is run, so that `settings get` does not load the daemons.
 """
 
 import asyncio
@@ -25,10 +25,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Command:
-    """A subcommand as the overview lists it.
+    """A subcommand in the overview.
 
     Attributes:
-      module: Where it is implemented.
+      module: The module in `clementinegw.commands` that implements it.
       summary: One line of help.
     """
 
@@ -44,22 +44,22 @@
     ),
     "settings": Command("settings", "Read and change the settings tree."),
     "weights": Command("weights", "Publish a model version."),
-    "rollout": Command("rollout", "Show who serves what and who is behind."),
+    "rollout": Command("rollout", "Show the progress of a rollout."),
     "demo": Command("demo", "Run a whole deployment and roll out a version."),
     "bench": Command("bench", "Measure rollouts, requests, settings, control."),
-    "matrix": Command("matrix", "Run every fault at every step."),
+    "matrix": Command("matrix", "Inject every fault at every step."),
     "scenario": Command("scenario", "Run scripted scenarios."),
     "capacity": Command("capacity", "Compute each role's load at given sizes."),
 }
 
 EXIT_CODES = (
     (0, "done"),
-    (1, "failed for a reason that the message names"),
-    (2, "a flag or argument is wrong"),
-    (3, "an instance file or settings value does not fit"),
+    (1, "failed for the reason in the message"),
+    (2, "a flag or argument is invalid"),
+    (3, "an instance file or settings value is invalid"),
     (4, "the platform or a peer could not be reached"),
     (5, "a check, cell or expectation did not hold"),
-    (70, "a defect of the program"),
+    (70, "an internal error"),
 )
 
 
@@ -85,7 +85,7 @@
 
 
 def run() -> None:
-    """Runs the command line of this process and exits with its code."""
+    """Runs the command line of this process and exits with its exit code."""
     sys.exit(main(sys.argv[1:]))
 
 
@@ -134,8 +134,13 @@
 def parse(values, name: str, rest: list[str]) -> list[str]:
     """Parses flags and returns the remaining arguments.
 
+    Args:
+      values: The defined flags, which receive the parsed values.
+      name: The command's name.
+      rest: The arguments after the name.
+
     Raises:
-      exceptions.UsageError: A flag is unknown or its value does not fit.
+      exceptions.UsageError: A flag is unknown or its value is invalid.
     """
     try:
         return list(values([name, *rest]))[1:]
@@ -155,7 +160,7 @@
         flags.DEFINE_boolean(
             "json",
             False,
-            "Print one JSON object as the last line.",
+            "Print a JSON object as the last line.",
             flag_values=values,
         )
     if "log_level" not in values:
@@ -163,7 +168,7 @@
             "log_level",
             "warning",
             [level.value for level in events.Level],
-            "The least level of log lines on standard error.",
+            "The minimum level of log lines on standard error.",
             flag_values=values,
         )
     flags.DEFINE_boolean(
--- a/src/clementinegw/commands/matrix.py
+++ b/src/clementinegw/commands/matrix.py
@@ -1,4 +1,4 @@
-"""`clementinegw matrix`: plays every fault at every step."""
+"""`clementinegw matrix`: injects every fault at every step."""
 
 import asyncio
 import json
@@ -17,68 +17,75 @@
 HELP = """usage: clementinegw matrix [--paths=NAME,...] [--pairs=N]
        clementinegw matrix --cell=PATH:FAULT@STEP[:FAULT@STEP]
 
-Plays each fault at each step of each path against the real decisions in
-virtual time, then pairs of faults, then the cells with one guard broken at a
-time: each broken guard must turn a cell red. Ends with exit code 5 when a
-promise was broken or a broken guard was not noticed.
+Injects each fault at each step of each path into the real decision code in
+virtual time, then pairs of faults, then repeats cells with one guard broken at
+a time: each broken guard must make a cell fail. Exit code 5 if an invariant was
+violated or a broken guard was not detected.
 
-By default one cell in --one_in is played, in this process. `make matrix` plays
-all of them on ten host processes."""
+By default one cell in --one_in runs, in this process. `make matrix` runs all of
+them on ten host processes."""
 
 _DEFAULT_PAIRS = 4
 _DEFAULT_ONE_IN = 8
 
 
 def define(flag_values) -> None:
-    """Defines the flags."""
+    """Defines the command's flags."""
     flags.DEFINE_list(
         "paths",
         [],
-        "The paths to play; all by default.",
+        "The paths to run; all by default.",
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "pairs",
         _DEFAULT_PAIRS,
-        "Pairs of faults to play of each path, chosen by the seed; -1 for all.",
+        "Pairs of faults to run per path, chosen by the seed; -1 for all.",
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
-        "seed", 1, "Chooses the pairs.", flag_values=flag_values
+        "seed",
+        1,
+        "Seed for the choice of cells and pairs.",
+        flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "one_in",
         _DEFAULT_ONE_IN,
-        "Play one cell in so many, chosen by the seed; 1 for all.",
+        "Run one cell in this many, chosen by the seed; 1 for all.",
         lower_bound=1,
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "hosts",
         0,
-        "Host processes that play; see `bench host`. 0: this one plays.",
+        "Number of host processes that run cells; see `bench host`. 0 runs"
+        " them in this process.",
         lower_bound=0,
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "desk_port",
         7700,
-        "Where host processes come.",
+        "Port on which host processes connect.",
         flag_values=flag_values,
     )
     flags.DEFINE_boolean(
-        "guards", True, "Break each guard as well.", flag_values=flag_values
+        "guards",
+        True,
+        "Also run cells with each guard broken.",
+        flag_values=flag_values,
     )
     flags.DEFINE_string(
         "cell",
         None,
-        "Play this one cell, PATH:FAULT@STEP[:FAULT@STEP].",
+        "Run this one cell, PATH:FAULT@STEP[:FAULT@STEP].",
         flag_values=flag_values,
     )
 
 
 async def run(args: list[str], flag_values) -> int:
-    """Plays the matrix and prints what it found."""
+    """Runs the matrix, or one cell, and prints the result."""
     if args:
         raise exceptions.UsageError(f"matrix: unexpected {args[0]!r}")
     if flag_values.cell:
@@ -150,5 +157,7 @@
     for result in report.failed:
         print(f"  FAILED {result.cell}: {', '.join(result.broken)}")
     for caught in report.guards:
-        verdict = f"red at {caught.cell}" if caught.cell else "NOT NOTICED"
+        verdict = (
+            f"detected at {caught.cell}" if caught.cell else "NOT DETECTED"
+        )
         print(f"  guard {caught.guard} broken: {verdict}")
--- a/src/clementinegw/commands/rollout.py
+++ b/src/clementinegw/commands/rollout.py
@@ -1,4 +1,4 @@
-"""`clementinegw rollout status`: who serves what, who is behind and why."""
+"""`clementinegw rollout status`: shows which agents lag and why."""
 
 import asyncio
 import dataclasses
@@ -17,11 +17,11 @@
 HELP = """usage: clementinegw rollout status --service=S
            [--status=HOST:PORT,...] [INSTANCE_FILE...]
 
-Asks the agents' status pages and shows how far the declared version has come:
-how many serve it, which versions the others serve, and what each of those
-waits for. The pages are named by address, or by the agents' instance files,
-whose `listen.admin` says where they are. With --wait_s it asks again until all
-serve the version; exit code 5 if they do not in that time."""
+Fetches the agents' status pages and shows the progress of the declared version:
+how many agents serve it, which versions the others serve, and what each of
+those waits for. The pages are given by address, or by the agents' instance
+files, which contain the address in `listen.admin`. With --wait_s it polls until
+all agents serve the version; exit code 5 if they do not in that time."""
 
 _REQUEST_TIMEOUT_S = 3.0
 _MAX_CONCURRENT_REQUESTS = 64
@@ -44,14 +44,14 @@
     flags.DEFINE_float(
         "wait_s",
         0.0,
-        "Seconds to wait until all serve the version.",
+        "Seconds to wait until all agents serve the version.",
         lower_bound=0.0,
         flag_values=flag_values,
     )
 
 
 async def run(args: list[str], flag_values) -> int:
-    """Shows the rollout."""
+    """Prints the state of the rollout."""
     if args[:1] != ["status"]:
         raise exceptions.UsageError(
             "rollout: expected `status` (see `clementinegw rollout --help`)"
@@ -66,24 +66,24 @@
     end = time.monotonic() + flag_values.wait_s
     async with aiohttp.ClientSession() as session:
         while True:
-            found = await _fetch_rollout(
+            state = await _fetch_rollout(
                 session, flag_values.service, addresses
             )
-            if found.complete or time.monotonic() >= end:
+            if state.complete or time.monotonic() >= end:
                 break
             await asyncio.sleep(_POLL_INTERVAL_S)
-    print(_as_json(found) if flag_values.json else _as_text(found))
-    if flag_values.wait_s and not found.complete:
+    print(_as_json(state) if flag_values.json else _as_text(state))
+    if flag_values.wait_s and not state.complete:
         raise exceptions.CheckFailed(
-            f"{found.service}: {found.serving} of {found.replicas} serve "
-            f"{found.target!r} after {flag_values.wait_s:g} s"
+            f"{state.service}: {state.serving} of {state.replicas} serve "
+            f"{state.target!r} after {flag_values.wait_s:g} s"
         )
     return 0
 
 
-def _addresses(named: list[str], paths: list[str]) -> list[str]:
+def _addresses(status_flags: list[str], paths: list[str]) -> list[str]:
     addresses = []
-    for text in named:
+    for text in status_flags:
         try:
             addresses.append(str(model_lib.parse_address(text)))
         except ValueError as error:
@@ -125,7 +125,7 @@
 async def _fetch_page(
     session: aiohttp.ClientSession, address: str, limit: asyncio.Semaphore
 ) -> rollout.Page | str:
-    """Returns a page, or why there is none."""
+    """Returns an agent's status page, or the reason why it has none."""
     timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
     try:
         async with (
@@ -137,34 +137,34 @@
     except TimeoutError:
         return f"no answer in {_REQUEST_TIMEOUT_S:g} s"
     except pydantic.ValidationError:
-        return "its answer is no status page"
+        return "its answer is not a status page"
     except (aiohttp.ClientError, OSError) as error:
         return str(error)
 
 
-def _as_json(found: rollout.Rollout) -> str:
-    return json.dumps({**dataclasses.asdict(found), "complete": found.complete})
+def _as_json(state: rollout.Rollout) -> str:
+    return json.dumps({**dataclasses.asdict(state), "complete": state.complete})
 
 
-def _as_text(found: rollout.Rollout) -> str:
-    share = found.serving / found.replicas
+def _as_text(state: rollout.Rollout) -> str:
+    share = state.serving / state.replicas
     bar = "#" * int(_BAR_WIDTH * share)
     lines = [
-        f"{found.service}: version {found.target or '(none)'}, manifest "
-        f"{found.target_digest or '(none)'}, settings revision "
-        f"{found.revision}",
+        f"{state.service}: version {state.target or '(none)'}, manifest "
+        f"{state.target_digest or '(none)'}, settings revision "
+        f"{state.revision}",
         f"[{bar:-<{_BAR_WIDTH}}] {int(_PERCENT * share)}%  "
-        f"{found.serving} of {found.replicas} serve it",
+        f"{state.serving} of {state.replicas} serve it",
         "",
     ]
-    for version, count in found.versions.items():
+    for version, count in state.versions.items():
         lines.append(f"  {count:4} serve {version or 'nothing'}")
-    if found.behind:
+    if state.behind:
         lines += ["", "behind:"]
-        width = max(len(one.name) for one in found.behind)
+        width = max(len(one.name) for one in state.behind)
         lines += [
             f"  {one.name:{width}}  {one.state:9}  "
             f"serves {one.serving_version or 'nothing'}: {one.why}"
-            for one in found.behind
+            for one in state.behind
         ]
     return "\n".join(lines)
--- a/src/clementinegw/commands/scenario.py
+++ b/src/clementinegw/commands/scenario.py
@@ -1,4 +1,4 @@
-"""`clementinegw scenario run FILE...`: plays scripted scenarios."""
+"""`clementinegw scenario run FILE...`: runs scripted scenarios."""
 
 import asyncio
 import dataclasses
@@ -16,9 +16,9 @@
 HELP = """usage: clementinegw scenario run FILE...
        clementinegw scenario check FILE...
 
-`run` plays each file against a whole deployment in virtual time and says which
-expectations did not hold; `check` only reads the files. The same file and seed
-give the same verdict each time. docs/scenarios.md teaches the language."""
+`run` runs each file against a whole deployment in virtual time and reports the
+expectations that did not hold; `check` only parses the files. The same file and
+seed always give the same result. docs/scenarios.md describes the language."""
 
 _ACTIONS = ("run", "check")
 
@@ -28,16 +28,16 @@
     flags.DEFINE_integer(
         "seed",
         None,
-        "Play with this seed in place of the files' own.",
+        "Run with this seed instead of those in the files.",
         flag_values=flag_values,
     )
 
 
 async def run(args: list[str], flag_values) -> int:
-    """Plays or checks the files.
+    """Runs or checks the files.
 
     Raises:
-      exceptions.UsageError: No verb, no file, or a file that does not fit.
+      exceptions.UsageError: No action, no file, or an invalid file.
       exceptions.CheckFailed: An expectation did not hold.
     """
     if len(args) < 2 or args[0] not in _ACTIONS:
@@ -45,8 +45,8 @@
             "scenario: expected `run FILE...` or `check FILE...` "
             "(see `clementinegw scenario --help`)"
         )
-    # All files are read first, so that a mistake in the last one does not
-    # show only after the others have run.
+    # All files are parsed first, so that an error in the last one is reported
+    # before the others have run.
     scenarios = [parser.parse_file(path) for path in args[1:]]
     if flag_values.seed is not None:
         scenarios = [
@@ -64,7 +64,7 @@
 ) -> int:
     reports = []
     for path, scenario in zip(paths, scenarios, strict=True):
-        # Virtual time needs an event loop of its own, hence the thread.
+        # Virtual time needs its own event loop, and so its own thread.
         report = await asyncio.to_thread(play.play, scenario)
         reports.append(report)
         if not as_json:
--- a/src/clementinegw/commands/settings.py
+++ b/src/clementinegw/commands/settings.py
@@ -24,28 +24,29 @@
 NAME = "settings"
 HELP = """usage: clementinegw settings ACTION --log=URL [ARGUMENT...]
 
-  get [PATH]           the tree, or what is at PATH
-  set PATH=VALUE...    sets values, written in JSON; plain words need no quotes
-  unset PATH...        takes values away, so that the level before counts
+  get [PATH]           prints the tree, or the value at PATH
+  set PATH=VALUE...    sets values, as JSON; plain words need no quotes
+  unset PATH...        removes values, so that inherited ones apply
   apply FILE           makes the tree equal to a JSON file
-  diff FILE|REVISION   what `apply FILE` would change, or what did change since
-  history [PATH]       who changed what, when and why
-  explain GROUP.KNOB   the value at a place and the level that it comes from
-  undo REVISION|PATH   undoes that change, or the newest that touched PATH
+  diff FILE|REVISION   shows what `apply FILE` would change, or the changes
+                       since REVISION
+  history [PATH]       shows who changed what, when and why
+  explain GROUP.KNOB   shows the effective value and the level that sets it
+  undo REVISION|PATH   undoes that change, or the latest that changed PATH
 
-A change is accepted or rejected by its place in the log, the same on every
-process: rejected when something that it touches has moved since --base, the
-revision that you saw (by default the newest). --dry_run shows what it would do
-and publishes nothing. Exit code 1: the change was rejected."""
+A change is accepted or rejected by its position in the log, with the same
+result on every process: it is rejected if a value that it touches has changed
+since --base, a revision (by default the newest). --dry_run shows the effect
+without publishing. Exit code 1: the change was rejected."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Session:
-    """What an action works with.
+    """The context of an action.
 
     Attributes:
-      log: The platform's log.
-      fold: The log's settings at the start.
+      log: The client of the platform's log.
+      fold: The settings in the log when the command started.
       flags: The command's flags.
     """
 
@@ -64,25 +65,32 @@
     flags.DEFINE_integer(
         "base",
         None,
-        "The revision that the change is made for.",
+        "The revision that the change is based on.",
         lower_bound=0,
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
-        "limit", 20, "Changes that `history` shows.", flag_values=flag_values
+        "limit",
+        20,
+        "Maximum number of changes that `history` shows.",
+        flag_values=flag_values,
     )
     flags.DEFINE_boolean(
         "dry_run",
         False,
-        "Show what the change would do.",
+        "Show the effect of the change without publishing it.",
         flag_values=flag_values,
     )
 
 
 _STRING_FLAGS = (
     ("log", None, "Base URL of the platform's log."),
-    ("who", None, "The operator, for the history; by default the login."),
-    ("why", "", "The reason, for the history."),
+    (
+        "who",
+        None,
+        "The operator recorded in the history; the login name by default.",
+    ),
+    ("why", "", "The reason recorded in the history."),
     ("region", "", "For explain: the region."),
     ("failure_domain", "", "For explain: the failure domain."),
     ("service", "", "For explain: the service."),
@@ -142,10 +150,10 @@
 
 
 def parse_assignment(argument: str) -> changes.Set:
-    """Returns the operation that `PATH=VALUE` stands for.
+    """Returns the operation that a `PATH=VALUE` argument describes.
 
     Raises:
-      exceptions.UsageError: There is no `=` or no path.
+      exceptions.UsageError: The argument has no `=` or no path.
     """
     path, equals, value = argument.partition("=")
     if not equals or not path:
@@ -185,7 +193,7 @@
 def operations_between(
     before: changes.Json, after: changes.Json
 ) -> tuple[changes.Operation, ...]:
-    """Returns the operations that make one tree into another."""
+    """Returns the operations that change one tree into another."""
     operations: list[changes.Operation] = []
     for difference in changes.diff(before, after):
         if difference.kind is changes.DiffKind.REMOVED:
@@ -196,13 +204,13 @@
                 operations.append(unset)
         else:
             operations.append(changes.Set(difference.path, difference.after))
-    # A value that becomes an object is taken away before its parts are set.
+    # A value that becomes an object must be removed before its parts are set.
     operations.sort(key=lambda o: isinstance(o, changes.Set))
     return tuple(operations)
 
 
 def _shortest_missing_path(tree: changes.Json, path: str) -> str:
-    """Returns the path or the shortest part of it that a tree lacks."""
+    """Returns the shortest prefix of a path that a tree does not contain."""
     keys = changes.split(path)
     for length in range(1, len(keys)):
         try:
@@ -213,8 +221,8 @@
 
 
 async def _apply(session: _Session, args: list[str]) -> int:
-    wanted = _read_tree(_single_argument(args, "apply", "FILE"))
-    operations = operations_between(session.fold.raw, wanted)
+    target = _read_tree(_single_argument(args, "apply", "FILE"))
+    operations = operations_between(session.fold.raw, target)
     if not operations:
         data = {"revision": session.fold.revision, "changed": 0}
         return _print_result(session, data, "nothing to change")
@@ -222,10 +230,10 @@
 
 
 def tree_at(fold: fold_lib.Fold, revision: int) -> changes.Json:
-    """Returns the tree as it was at an earlier revision.
+    """Returns the tree at an earlier revision.
 
     Raises:
-      exceptions.SettingsError: That is longer ago than the history goes.
+      exceptions.SettingsError: The history does not contain that revision.
     """
     history = fold.history()
     oldest = history[0].revision if history else 0
@@ -243,11 +251,11 @@
 
 
 async def _diff(session: _Session, args: list[str]) -> int:
-    what = _single_argument(args, "diff", "FILE or REVISION")
-    if what.isdigit():
-        before, after = tree_at(session.fold, int(what)), session.fold.raw
+    target = _single_argument(args, "diff", "FILE or REVISION")
+    if target.isdigit():
+        before, after = tree_at(session.fold, int(target)), session.fold.raw
     else:
-        before, after = session.fold.raw, _read_tree(what)
+        before, after = session.fold.raw, _read_tree(target)
     differences = changes.diff(before, after)
     data = {
         "revision": session.fold.revision,
@@ -296,19 +304,24 @@
     )
 
 
-def find_change(fold: fold_lib.Fold, what: str) -> fold_lib.HistoryEntry:
-    """Returns the change of a revision, or the newest that touched a path.
+def find_change(fold: fold_lib.Fold, target: str) -> fold_lib.HistoryEntry:
+    """Returns the change of a revision, or the latest that touched a path.
+
+    Args:
+      fold: The settings and their history.
+      target: A revision or a path.
 
     Raises:
-      exceptions.SettingsError: There is none in the history.
+      exceptions.SettingsError: The history contains no such change.
     """
-    if what.isdigit():
-        found = [e for e in fold.history() if e.revision == int(what)]
+    if target.isdigit():
+        found = [e for e in fold.history() if e.revision == int(target)]
     else:
-        found = fold.history(what)
+        found = fold.history(target)
     if not found:
         raise exceptions.SettingsError(
-            f"undo: expected a revision or path of the history, found {what!r}"
+            "undo: expected a revision or path of the history,"
+            f" found {target!r}"
         )
     return found[-1]
 
@@ -318,7 +331,8 @@
         session.fold, _single_argument(args, "undo", "REVISION or PATH")
     )
     why = session.flags.why or f"undo of revision {entry.revision}"
-    # Made for the undone revision: whatever moved after it is not overridden.
+    # Based on the undone revision, so that it is rejected rather than
+    # overriding later changes.
     return await _publish(session, entry.inverse, entry.revision, why)
 
 
@@ -369,7 +383,7 @@
 def _rejected(
     fold: fold_lib.Fold, rejected: results.Rejected
 ) -> exceptions.ClementineError:
-    """Returns the error that names what stood in the way."""
+    """Returns an error with the reason and the conflicting change."""
     if rejected.reason is results.RejectReason.INVALID:
         return exceptions.SettingsError(f"rejected: {rejected.detail}")
     line = f"rejected, {rejected.reason}"
--- a/src/clementinegw/commands/standin.py
+++ b/src/clementinegw/commands/standin.py
@@ -1,4 +1,4 @@
-"""`clementinegw standin`: what daemons need around them, to try them out."""
+"""`clementinegw standin`: runs stand-ins of the daemons' environment."""
 
 import asyncio
 import json
@@ -24,9 +24,9 @@
 HELP = """usage: clementinegw standin --write=DIR
 
 Runs a log, an instance list, a weight store, an origin, a model engine and a
-plain service on the loopback, declares both services, and writes an instance
-file for an entry and for the agent of each into DIR. Then, each in a terminal
-of its own:
+plain service on the loopback interface, declares both services, and writes the
+instance files of an entry and of an agent for each service to DIR. Then run,
+each in its own terminal:
 
   clementinegw agent --config=DIR/agent-plain.json
   clementinegw agent --config=DIR/agent-engine.json
@@ -59,13 +59,13 @@
     flags.DEFINE_string(
         "write",
         None,
-        "Folder for the instance files; made when missing.",
+        "Directory for the instance files; created if missing.",
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "http_port",
         8080,
-        "Port on which the entry will take callers' HTTP.",
+        "Port on which the entry accepts callers' HTTP.",
         lower_bound=0,
         upper_bound=65535,
         flag_values=flag_values,
@@ -73,12 +73,12 @@
 
 
 async def run(args: list[str], flag_values) -> int:
-    """Runs the stand-ins until interrupted."""
+    """Runs the stand-ins until SIGTERM or SIGINT."""
     if args:
         raise exceptions.UsageError(f"standin: unexpected {args[0]!r}")
     if flag_values.write is None:
         raise exceptions.UsageError(
-            "name a folder: clementinegw standin --write=DIR"
+            "missing --write: clementinegw standin --write=DIR"
         )
     folder = pathlib.Path(flag_values.write)
     platform = platform_lib.PlatformStandIn()
@@ -116,7 +116,9 @@
         )
         result = await publisher.publish(log, change)
     if not isinstance(result, results.Accepted):
-        raise exceptions.InvariantError(f"own settings were refused: {result}")
+        raise exceptions.InvariantError(
+            f"the settings of the stand-ins were rejected: {result}"
+        )
 
 
 def _write_instance_files(
--- a/src/clementinegw/commands/weights.py
+++ b/src/clementinegw/commands/weights.py
@@ -1,4 +1,4 @@
-"""`clementinegw weights publish PATH`: puts a version into a store."""
+"""`clementinegw weights publish PATH`: uploads a version to a store."""
 
 import json
 import sys
@@ -15,10 +15,10 @@
 HELP = """usage: clementinegw weights publish PATH --version=V --model=M
                                      --store=URL
 
-Cuts a file, or all files of a directory, into chunks, sends those that the
+Splits a file, or all files of a directory, into chunks, uploads those that the
 store does not have, then the manifest, and prints the manifest's digest: the
-value for `services.SERVICE.model.manifest`. Run it again after an error: what
-the store has is not sent a second time."""
+value for `services.SERVICE.model.manifest`. Run it again after an error: chunks
+that the store has are not uploaded again."""
 
 _PERCENT = 100
 
@@ -40,13 +40,13 @@
     flags.DEFINE_integer(
         "chunk_bytes",
         manifests.DEFAULT_CHUNK_BYTES,
-        "Length of a chunk; the same for all versions of a model.",
+        "Chunk size in bytes; must be the same for all versions of a model.",
         flag_values=flag_values,
     )
 
 
 async def run(args: list[str], flag_values) -> int:
-    """Publishes and prints the digest."""
+    """Publishes a version and prints the digest of its manifest."""
     if len(args) != 2 or args[0] != "publish":
         raise exceptions.UsageError(
             "weights: expected `publish PATH` "
