--- a/src/clementinegw/weights/_engine_calls.py
+++ b/src/clementinegw/weights/_engine_calls.py
@@ -1,4 +1,4 @@
-"""Questions and orders to the engine, and what becomes of them."""
+"""Sends status queries and load orders to the engine."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,11 @@
 
 
 class EngineCalls:
-    """Carries out the loader's questions and orders."""
+    """Carries out the loader's queries and orders.
+
+    Each method reports the outcome to the loader and returns the actions that
+    follow from it.
+    """
 
     def __init__(
         self,
@@ -23,13 +27,13 @@
         clock: clocks.Clock,
         log: logs.Log,
     ):
-        """Prepares; nothing is sent yet.
+        """Initializes the object without sending anything.
 
         Args:
           engine: The engine's client.
-          loader: Takes the answers.
+          loader: The loader that receives the outcomes.
           clock: The source of time.
-          log: Where events go.
+          log: The log to which events are written.
         """
         self._engine = engine
         self._loader = loader
@@ -39,7 +43,7 @@
     async def query_status(
         self, action: _loader_types.QueryStatus
     ) -> loaders.Actions:
-        """Asks for the status and returns what the loader makes of it."""
+        """Queries the engine's status and returns the loader's actions."""
         try:
             status = await self._engine.status()
         except exceptions.BackendError:
@@ -49,15 +53,15 @@
     async def send_order(
         self, action: _loader_types.SendOrder, timeout_s: float
     ) -> loaders.Actions:
-        """Sends an order and returns what the loader makes of its outcome.
+        """Sends a load order and returns the loader's actions on its outcome.
 
         Args:
           action: The order.
-          timeout_s: How long to wait for the report.
+          timeout_s: How long to wait for the engine's report, in seconds.
         """
         target, number = action.target, action.number
-        # A process that was paused since the decision would bring an order of
-        # the past to an engine that may follow another agent by now.
+        # The process may have been paused since the order was decided. A late
+        # order could reach an engine that follows another agent by now.
         if self._clock.now() > action.send_before:
             self._log.write(_events.LOAD_NOT_DONE, reason="too_late")
             return self._loader.on_not_sent(self._clock.now(), number)
@@ -121,11 +125,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _LoadResult:
-    """What an order has loaded by the engine's reports.
+    """What the engine reported as loaded for one order.
 
     Attributes:
-      digest: The content digest of the model; empty when none was loaded.
-      adapters: Names and versions of adapters with the right digest.
+      digest: The content digest of the model; empty when no model was loaded.
+      adapters: Names and versions of the adapters whose reported digest
+        matches their manifest.
     """
 
     digest: str = ""
--- a/src/clementinegw/weights/_engine_view.py
+++ b/src/clementinegw/weights/_engine_view.py
@@ -1,4 +1,4 @@
-"""What an agent knows of the weights in its engine."""
+"""What an agent knows about the weights that its engine has loaded."""
 
 import dataclasses
 
@@ -10,11 +10,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _OpenOrder:
-    """An order whose outcome is not known.
+    """An order whose outcome is unknown.
 
     Attributes:
-      target: What it loads.
-      settled_at: When it can no longer take effect unseen.
+      target: The target that the order loads.
+      settled_at: When the order can no longer take effect, in monotonic
+        seconds.
     """
 
     target: _loader_types.Target
@@ -22,21 +23,21 @@
 
 
 class EngineView:
-    """The engine by its own reports, and the order that is still open."""
+    """The engine's state by its own reports, and the order still open."""
 
     def __init__(self, checks_fencing: bool, settle_s: float):
-        """Starts without knowledge.
+        """Initializes the view with nothing known to be loaded.
 
         Args:
           checks_fencing: Whether the engine refuses old fencing numbers.
           settle_s: How long an order whose answer was lost may still take
-            effect.
+            effect, in seconds.
         """
         self._checks_fencing = checks_fencing
         self._settle_s = settle_s
         self._loaded_digest = NO_DIGEST
-        # An engine's status names adapters without a digest, so that only
-        # those count whose report on an order was right.
+        # An engine's status lists adapters without their digests, so only
+        # those count whose report on an order had the right digest.
         self._verified: frozenset[tuple[str, str]] = frozenset()
         self._adapters: frozenset[tuple[str, str]] = frozenset()
         self._fencing = 0
@@ -45,41 +46,42 @@
 
     @property
     def loaded_digest(self) -> str:
-        """The content digest it reported last; empty when not known."""
+        """The last reported content digest; empty when unknown."""
         return self._loaded_digest
 
     @property
     def loaded_target(self) -> _loader_types.Target | None:
-        """The known version that it has loaded: this one may be served."""
+        """The servable version that the engine has loaded, if any."""
         return next(filter(self.has_loaded, self._servable), None)
 
     def set_servable(
         self, target: _loader_types.Target, *others: _loader_types.Target | None
     ) -> None:
-        """Says which versions may be served once they are loaded.
+        """Sets which versions may be served once they are loaded.
 
-        What it has loaded, and what an open order loads, stays known: both
-        were declared before.
+        The version that is loaded and the version of an open order remain
+        servable, because both were declared earlier.
 
         Args:
           target: The declared version.
-          *others: Versions besides, in any order.
+          *others: Further versions, in any order.
         """
-        opened = self._open.target if self._open is not None else None
-        candidates = (target, self.loaded_target, opened, *others)
-        self._servable = [one for one in candidates if one is not None]
+        open_order = self._open.target if self._open is not None else None
+        candidates = (target, self.loaded_target, open_order, *others)
+        self._servable = [c for c in candidates if c is not None]
 
     def has_loaded(self, target: _loader_types.Target) -> bool:
-        """Returns whether it has loaded a version with its adapters."""
+        """Returns whether a version and its adapters are loaded."""
         same = target.content_digest == self._loaded_digest
         return same and target.adapter_keys <= self._adapters
 
     def missing(
         self, target: _loader_types.Target
     ) -> tuple[bool, tuple[_loader_types.Adapter, ...]]:
-        """Returns whether the model, and which adapters, have to be loaded.
+        """Returns whether to load the model, and which adapters to load.
 
-        With another model come all adapters: they may not outlive the old one.
+        All adapters are loaded again with another model, because they may not
+        survive the replacement of the old one.
         """
         if target.content_digest != self._loaded_digest:
             return True, target.adapters
@@ -87,7 +89,7 @@
         return False, tuple(a for a in target.adapters if a.key not in loaded)
 
     def would_refuse(self, target: _loader_types.Target) -> bool:
-        """Returns whether it has seen an order of later settings."""
+        """Returns whether the engine has seen an order of newer settings."""
         return target.revision < self._fencing
 
     def record_report(
@@ -95,12 +97,13 @@
         digest: str,
         adapters: frozenset[tuple[str, str]],
     ) -> None:
-        """Takes in the reports on an order.
+        """Records the engine's reports on an order.
 
         Args:
           digest: The content digest of the model; empty when no model was
             loaded.
-          adapters: Those that it loaded and whose reports were right.
+          adapters: The adapters that were loaded and reported with the right
+            digest.
         """
         if digest:
             self._loaded_digest = digest
@@ -110,43 +113,44 @@
         self._adapters = self._verified
 
     def record_refusal(self, refusal: backend.OrderRefused) -> None:
-        """Takes in a refusal; the weights are as they were."""
+        """Records a refused order; the loaded weights are unchanged."""
         if refusal.reason is backend.OrderRefusal.FENCING:
             self._fencing = refusal.current_fencing
 
     def record_crash(self) -> None:
-        """The engine has ended; it comes back without weights."""
+        """Records that the engine crashed; it restarts without weights."""
         self._loaded_digest = NO_DIGEST
         self._verified = self._adapters = frozenset()
         self._fencing = 0
 
     def leave_open(self, target: _loader_types.Target, now: float) -> None:
-        """The outcome of an order got lost.
+        """Records that the outcome of an order is unknown.
 
-        It may lie in the engine's accept queue. Were the old version served
-        again before it is too old to come, the engine would overwrite the
-        weights in the midst of answers; a fencing number does not help, since
-        no newer order has been sent.
+        The order may still be in the engine's accept queue. If the old version
+        were served again before the order can no longer take effect, the
+        engine could overwrite the weights while it generates answers. Fencing
+        numbers do not prevent this, because no newer order has been sent.
         """
         self._open = _OpenOrder(target, now + self._settle_s)
         self._verified -= target.adapter_keys
 
     def contradicts(self, status: backend.EngineStatus) -> bool:
-        """Returns whether a status contradicts what was known."""
+        """Returns whether a status contradicts the recorded state."""
         same = status.digest == self._loaded_digest
         same = same and self._verified <= frozenset(status.adapters)
         return not same or bool(status.loading)
 
     def update(self, status: backend.EngineStatus, now: float) -> bool:
-        """Takes in a status.
+        """Updates the view from a status.
 
         Args:
           status: The engine's answer.
-          now: Monotonic seconds.
+          now: The current time, in monotonic seconds.
 
         Returns:
-          Whether nothing is open any more: no load runs, and an order whose
-          answer was lost either shows in the status or is too old to come.
+          Whether the state is settled: no load is running, and an order whose
+          answer was lost is either visible in the status or can no longer take
+          effect.
         """
         self._loaded_digest = status.digest
         self._adapters = self._verified & frozenset(status.adapters)
@@ -154,10 +158,10 @@
             self._fencing = status.fencing
         if status.loading:
             return False
-        opened = self._open
-        if opened is not None:
-            landed = status.digest == opened.target.content_digest
-            if not landed and now < opened.settled_at:
+        open_order = self._open
+        if open_order is not None:
+            took_effect = status.digest == open_order.target.content_digest
+            if not took_effect and now < open_order.settled_at:
                 return False
         self._open = None
         return True
--- a/src/clementinegw/weights/_leases.py
+++ b/src/clementinegw/weights/_leases.py
@@ -1,8 +1,10 @@
-"""The fold of a service's swap leases: who may be out for loading.
+"""Replicated state of a service's swap leases.
 
-Every process that has read the same records of `swaps-SERVICE` holds the same
-state, without a word to the others: the offset of a record is its time. No
-clock takes part, so that a clock that jumps cannot grant a lease too many.
+A worker that holds a granted lease may be out of service to load weights. The
+state is computed from the records of the stream `swaps-SERVICE`: every process
+that has read the same records holds the same state without further
+communication. Offsets of records serve as time, and no clock is used, so a
+clock that jumps cannot cause one lease too many to be granted.
 """
 
 import collections
@@ -13,27 +15,27 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.swaps import ttypes
 
-# Leases that ended are remembered so that a copy of an ASK that reaches the
-# log late does not open its lease again.
+# Ended leases are remembered so that a duplicate ASK that is appended late does
+# not open its lease again.
 _MAX_ENDED = 4_096
 
 
 @dataclasses.dataclass(slots=True)
 class Lease:
-    """One worker's place among those that may be out.
+    """One worker's permit to be out of service, or its place in the queue.
 
     Attributes:
-      lease_id: Chosen at random by the asker.
-      instance_id: The asker.
-      max_out: How many may be out, by the asker's settings.
-      ttl_s: How long it lasts from `since_offset` on, in seconds.
-      since_offset: The offset from which it lasts: of its newest record, or of
-        the record by which it was granted.
-      sequence: Of its newest renewal; 0 before the first.
-      asked_offset: The offset of its ASK; 0 when that was not read.
-      granted: Whether its worker may be out; else it waits.
-      seen_at: When this process read the record at `since_offset`, by its own
-        clock; not part of what all agree on.
+      lease_id: A random id chosen by the worker.
+      instance_id: The worker's instance id.
+      max_out: How many workers may be out, by this worker's settings.
+      ttl_s: How long the lease lasts from `since_offset` on, in seconds.
+      since_offset: The offset at which the lease's time starts: that of its
+        latest record, or of the record that caused it to be granted.
+      sequence: The number of the latest renewal; 0 before the first.
+      asked_offset: The offset of its ASK; 0 when the ASK was not read.
+      granted: Whether the worker may be out; otherwise it waits.
+      seen_at: When this process read the record at `since_offset`, in seconds
+        of its own clock; not part of the replicated state.
     """
 
     lease_id: bytes
@@ -48,7 +50,7 @@
 
 
 class Leases:
-    """The state after a prefix of the stream."""
+    """The leases after the records of the stream read so far."""
 
     def __init__(self) -> None:
         self._next_offset = 1
@@ -68,21 +70,21 @@
 
     @property
     def next_offset(self) -> int:
-        """The offset to read from."""
+        """The offset from which to read next."""
         return self._next_offset
 
     @property
     def granted(self) -> list[Lease]:
-        """The leases whose workers may be out, oldest first."""
+        """The granted leases, oldest first."""
         return list(self._granted.values())
 
     @property
     def waiting(self) -> list[Lease]:
-        """The leases that wait, the next one first."""
+        """The waiting leases in queue order."""
         return list(self._waiting.values())
 
     def find(self, lease_id: bytes) -> Lease | None:
-        """Returns a lease that waits or is granted."""
+        """Returns a waiting or granted lease, or None."""
         return self._granted.get(lease_id) or self._waiting.get(lease_id)
 
     def has_ended(self, lease_id: bytes) -> bool:
@@ -90,11 +92,11 @@
         return lease_id in self._ended
 
     def find_by_instance(self, instance_id: str) -> Lease | None:
-        """Returns an instance's lease; it has one at most."""
+        """Returns an instance's lease, of which it has at most one."""
         return self.find(self._instances.get(instance_id, b""))
 
     def queue_position(self, lease_id: bytes) -> int:
-        """Returns how many wait before a lease; 0 when it does not wait."""
+        """Returns how many leases wait before this one; 0 if not waiting."""
         if lease_id not in self._waiting:
             return 0
         return list(self._waiting).index(lease_id)
@@ -102,19 +104,19 @@
     def take_changed(self) -> list[Lease]:
         """Returns the granted leases that changed since the last call.
 
-        A lease has changed if its `since_offset` has. It may be one that has
-        ended again.
+        A lease has changed if its `since_offset` has. The list may contain
+        leases that have ended in the meantime.
         """
         changed, self._changed = self._changed, []
         return changed
 
     def skip_to(self, offset: int) -> None:
-        """Goes on at a later offset: the records before it have expired."""
+        """Continues at a later offset; the records before it have expired."""
         self._next_offset = offset
         self._complete = False
 
     def apply(self, record: log.Record) -> None:
-        """Applies the next record; one that makes no sense changes nothing."""
+        """Applies the next record; an invalid record changes nothing."""
         self._next_offset = record.offset + 1
         try:
             parsed = codec.decode(ttypes.SwapRecord, record.value)
@@ -127,9 +129,9 @@
         self._grant(record.offset)
 
     def _apply_ask(self, parsed: ttypes.SwapRecord, offset: int) -> None:
-        # One lease an instance. Were the older one replaced, an ASK that
-        # reaches the log late would end the lease of a worker that is out,
-        # and another would be granted its place.
+        # Each instance has one lease. If a new ASK replaced the older lease, a
+        # late ASK would end the lease of a worker that is out, and its place
+        # would be granted to another worker.
         if parsed.instance_id in self._instances:
             return
         if parsed.lease_id in self._ended:
@@ -154,9 +156,10 @@
             self._changed.append(lease)
 
     def _restore(self, parsed: ttypes.SwapRecord, offset: int) -> None:
-        # The ASK may have been among records that expired before this process
-        # began to read. Left out, its worker would be out uncounted; taken in
-        # wrongly, a lease that had ended holds its place until it expires.
+        # The ASK may have expired from the log before this process began to
+        # read. Ignoring the renewal would leave a worker that is out uncounted.
+        # Accepting it wrongly only makes a lease that had ended hold its place
+        # until it expires.
         if self._complete or parsed.lease_id in self._ended:
             return
         if parsed.instance_id in self._instances:
@@ -174,8 +177,9 @@
     def _apply_expire(self, parsed: ttypes.SwapRecord, offset: int) -> None:
         del offset
         lease = self.find(parsed.lease_id)
-        # An observer that was paused may not have seen a renewal. Its word
-        # would end the lease of a live holder, and one too many would be out.
+        # The process that appended the record may have been paused and missed
+        # a renewal. Without this check it would end the lease of a live holder,
+        # and one worker too many would be out.
         if lease is not None and lease.since_offset <= parsed.seen:
             self._remove(parsed.lease_id)
 
@@ -189,10 +193,10 @@
             self._ended.popitem(last=False)
 
     def _grant(self, offset: int) -> None:
-        """Grants in the order of asking, as far as all those out allow.
+        """Grants waiting leases in queue order up to the limit.
 
-        Workers may have settings of different revisions; the smallest number
-        among those out and the next one counts.
+        Workers may have settings of different revisions, so the lowest limit
+        among the granted leases and the next waiting one applies.
         """
         while self._waiting:
             lease = next(iter(self._waiting.values()))
--- a/src/clementinegw/weights/_loader_types.py
+++ b/src/clementinegw/weights/_loader_types.py
@@ -1,4 +1,4 @@
-"""What the loader is told and what it asks for."""
+"""Types of the loader: its timing, inputs, states and actions."""
 
 import dataclasses
 import enum
@@ -10,16 +10,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """Times of the loader, in seconds.
+    """The loader's time settings, in seconds.
 
     Attributes:
-      poll_s: Between two questions while a load's outcome is open.
-      verify_s: Between two checks that the engine has what is served.
+      poll_s: The interval between status queries while a load is unsettled.
+      verify_s: The interval between checks that the engine still has the
+        weights that are served.
       settle_s: How long an order whose answer was lost may still take effect.
       max_send_delay_s: How long after the decision an order may be sent.
-      cover_timeout_s: How long to stay drained for a permit that covers the
-        load.
-      retries: The pauses after failures in a row.
+      cover_timeout_s: How long to stay drained while waiting for a permit that
+        covers the load.
+      retries: The delays after consecutive failures.
     """
 
     poll_s: float = 0.5
@@ -37,8 +38,8 @@
     """A declared adapter whose manifest is known.
 
     Attributes:
-      name: Its name, as requests give it.
-      manifest: The chunks.
+      name: The adapter's name as used in requests.
+      manifest: The adapter's manifest.
     """
 
     name: str
@@ -46,7 +47,7 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Its name and version, as an engine reports them."""
+        """The name and version as an engine reports them."""
         return self.name, self.manifest.version
 
 
@@ -55,9 +56,11 @@
     """A declared version whose manifests are known.
 
     Attributes:
-      manifest: The chunks of the model.
-      revision: The settings revision that declared it: the fencing number.
-      adapters: Loaded beside the model; without them it is not served.
+      manifest: The model's manifest.
+      revision: The settings revision that declared the version, used as the
+        fencing number.
+      adapters: The adapters to load with the model. The version is not served
+        without them.
     """
 
     manifest: manifests.Manifest
@@ -71,22 +74,22 @@
 
     @property
     def content_digest(self) -> str:
-        """What an engine reports that has loaded exactly this."""
+        """The digest an engine reports once it has loaded this model."""
         return self.manifest.content_digest
 
     @property
     def adapter_keys(self) -> frozenset[tuple[str, str]]:
-        """The names and versions of its adapters."""
+        """The names and versions of the adapters."""
         return frozenset(adapter.key for adapter in self.adapters)
 
     @property
     def manifest_digests(self) -> frozenset[str]:
-        """The digests of all its manifests."""
+        """The digests of the manifests of the model and the adapters."""
         adapters = {a.manifest.digest for a in self.adapters}
         return frozenset({self.manifest.digest} | adapters)
 
     def same_weights(self, other: "Target | None") -> bool:
-        """Returns whether another target consists of the same weights."""
+        """Returns whether another target has the same model and adapters."""
         if other is None or self.content_digest != other.content_digest:
             return False
         mine = {(a.name, a.manifest.digest) for a in self.adapters}
@@ -94,20 +97,20 @@
 
 
 class Phase(enum.StrEnum):
-    """What the loader waits for."""
+    """What the loader is waiting for."""
 
-    ASKING = "asking"  # what the engine has loaded
+    ASKING = "asking"  # the engine's status
     STEADY = "steady"  # a new target, or its chunks
     QUEUED = "queued"  # the permit to leave service
     DRAINING = "draining"  # the end of the requests in flight
     COVERING = "covering"  # a permit that covers the whole load
-    LOADING = "loading"  # the engine's report
+    LOADING = "loading"  # the engine's report on an order
 
 
 class Reason(enum.StrEnum):
     """Why the declared version is not served.
 
-    Those that come from a failure are counted as `weights.load.REASON`.
+    Reasons that are failures are counted as `weights.load.REASON`.
     """
 
     NONE = ""
@@ -132,43 +135,56 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueryStatus:
-    """Ask the engine; answered by `on_status` or `on_no_status`."""
+    """Query the engine's status.
+
+    Answered by `on_status` or `on_no_status`.
+
+    Attributes:
+      number: The query's number, given back with the answer.
+    """
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AcquirePermit:
-    """Ask for the permit to leave service."""
+    """Acquire the permit to leave service."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CoverLoad:
-    """Have the permit cover a whole load."""
+    """Extend the permit to cover a whole load."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleasePermit:
-    """Give the permit, or the place in its queue, back."""
+    """Release the permit or the place in its queue."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """Take no new work, wait until nothing runs; answered by `on_drained`."""
+    """Stop accepting work and wait until no request is running.
+
+    Answered by `on_drained`.
+
+    Attributes:
+      number: The drain's number, given back with the answer.
+    """
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Send a load order, unless it is too late.
+    """Send a load order unless it is too late.
 
     Attributes:
-      number: Names the order in the events that follow.
-      target: What to load.
-      load_model: Whether the model has to be loaded, and with it all adapters.
-      adapters: The adapters that have to be loaded.
-      send_before: Monotonic seconds; checked again right before sending.
+      number: The order's number, given back with its outcome.
+      target: The target to load.
+      load_model: Whether to load the model, and all adapters with it.
+      adapters: The adapters to load.
+      send_before: The latest time to send the order, in monotonic seconds;
+        checked again right before sending.
     """
 
     number: int
@@ -180,21 +196,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Serve:
-    """Let requests in: the engine has reported this version's digest."""
+    """Accept requests: the engine has reported this version's digest."""
 
     target: Target
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopServing:
-    """Let nothing in: what the engine has loaded is not known to be right."""
+    """Accept no requests: the loaded weights are not known to be right."""
 
     reason: Reason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunksLost:
-    """These chunks are not staged, though they were thought to be."""
+    """Report chunks as lost that were believed to be staged."""
 
     digests: tuple[str, ...]
 
--- a/src/clementinegw/weights/_manifest_model.py
+++ b/src/clementinegw/weights/_manifest_model.py
@@ -1,4 +1,4 @@
-"""The manifest as it stands in JSON, and what is wrong with one that is not."""
+"""The JSON schema of a manifest and its validation."""
 
 import pydantic
 
@@ -9,7 +9,7 @@
 
 
 class File(pydantic.BaseModel):
-    """A file as it stands in JSON."""
+    """A file entry in the JSON document."""
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True)
 
@@ -18,11 +18,11 @@
 
 
 class Manifest(pydantic.BaseModel):
-    """The manifest as it stands in JSON."""
+    """The JSON document of a manifest."""
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True)
 
-    # Named so that pydantic's own attributes are not shadowed.
+    # Not named `schema`, which would shadow an attribute of pydantic.
     schema_number: int = pydantic.Field(
         alias="schema", ge=manifests.SCHEMA_VERSION, le=manifests.SCHEMA_VERSION
     )
@@ -40,10 +40,10 @@
 
 
 def parse(data: bytes) -> Manifest:
-    """Reads JSON.
+    """Parses and validates the JSON document of a manifest.
 
     Raises:
-      exceptions.DecodeError: It is no manifest.
+      exceptions.DecodeError: The data is not a valid manifest.
     """
     try:
         return Manifest.model_validate_json(data)
--- a/src/clementinegw/weights/_manifest_source.py
+++ b/src/clementinegw/weights/_manifest_source.py
@@ -1,9 +1,9 @@
-"""Where manifests come from: staging, peers, the store, the origin.
+"""Finds manifests in the staging memory, at peers, the store or the origin.
 
-A manifest is small, but hundreds of agents ask for it in the same second.
-Each waits a random time before it turns to the store, and goes on asking its
-peers, also while the store makes it wait, so that few draw it and the others
-have it from those.
+A manifest is small, but hundreds of agents need it in the same second. Each
+waits a random time before it asks the store, and keeps polling its peers in
+the meantime, also while the store is slow to answer. So only a few agents
+fetch it from the store, and the others get it from those agents.
 """
 
 import asyncio
@@ -27,14 +27,14 @@
 PEER_RETRY_S = 0.2
 PEERS_PER_ROUND = 3
 MAX_CACHED = 4
-# By this time for each peer: the store is asked by a few in each 0.2 s, in
-# which the first of them hands it on.
+# The wait before asking the store is random, up to this time per peer. So only
+# a few agents ask in each 0.2 s, the interval at which peers are polled.
 SPREAD_PER_PEER_S = 0.01
-RETRIES = retries.RetryPolicy(base_s=0.5, max_s=5.0)
+RETRY_POLICY = retries.RetryPolicy(base_s=0.5, max_s=5.0)
 
 
 class ManifestSource:
-    """Finds manifests by digest and hands them on to peers."""
+    """Finds manifests by digest and serves them to peers."""
 
     def __init__(
         self,
@@ -45,16 +45,16 @@
         log: logs.Log,
         counters: metrics.Counters,
     ):
-        """Registers the handler for peers that ask.
+        """Registers the handler for requests from peers.
 
         Args:
-          staging: The engine's client: an agent that is started anew finds
-            the manifest there, also when nothing else can be reached.
+          staging: The engine's client. A restarted agent finds the manifest in
+            the staging memory even when nothing else is reachable.
           sources: The weight store, then the origin.
           endpoint: This agent's connections; None without peers.
-          rng: Spreads the reads of the store.
-          log: Where events go.
-          counters: Counts where manifests came from.
+          rng: The source of randomness that spreads reads of the store.
+          log: The log to which events are written.
+          counters: The counters of where manifests were found.
         """
         self._staging = staging
         self._sources = sources
@@ -67,18 +67,24 @@
             endpoint.on_call(connections.Kind.MANIFEST_GET, self._on_get)
 
     async def fetch(self, digest: str) -> manifests.Manifest:
-        """Returns a manifest, however long it takes to find one."""
-        tried = 0
+        """Returns a manifest, retrying until it is found."""
+        attempts = 0
         while True:
             found = await self.find(digest)
             if found is not None:
                 return found
-            tried += 1
+            attempts += 1
             self._log.write(_events.MANIFEST_MISSING, digest=digest)
-            await asyncio.sleep(RETRIES.pause_s(min(tried, 8), self._rng))
+            await asyncio.sleep(
+                RETRY_POLICY.pause_s(min(attempts, 8), self._rng)
+            )
 
     async def find(self, digest: str) -> manifests.Manifest | None:
-        """Asks every place once; None when none has it."""
+        """Returns a manifest, or None if no source has it.
+
+        The cache, the staging memory and the peers are tried in this order,
+        then the store and the origin while peers are polled.
+        """
         cached = self._cached.get(digest)
         if cached is not None:
             return cached
@@ -92,7 +98,7 @@
     async def _from_sources_or_peers(
         self, digest: str
     ) -> manifests.Manifest | None:
-        """Returns what the store or a peer gives first."""
+        """Returns the first result of the sources and the peers."""
         from_sources = asyncio.create_task(self._from_sources(digest))
         from_peers = asyncio.create_task(self._poll_peers(digest))
         try:
@@ -116,7 +122,7 @@
                 return found
 
     async def stage(self, manifest: manifests.Manifest) -> None:
-        """Puts a manifest into the staging memory, for a later agent."""
+        """Stores a manifest in the staging memory for a restarted agent."""
         try:
             await self._staging.stage_chunk(manifest.digest, manifest.encode())
         except exceptions.BackendError:
@@ -172,16 +178,16 @@
         return None
 
     def _decode(
-        self, data: bytes, digest: str, place: str
+        self, data: bytes, digest: str, source: str
     ) -> manifests.Manifest | None:
         if not data:
             return None
         try:
             found = manifests.decode(data, digest)
         except exceptions.DecodeError:
-            self._counters.add(f"weights.manifest.refused.{place}")
+            self._counters.add(f"weights.manifest.refused.{source}")
             return None
-        self._counters.add(f"weights.manifest.from.{place}")
+        self._counters.add(f"weights.manifest.from.{source}")
         return found
 
     async def _on_get(
@@ -191,7 +197,7 @@
         frame: connections.Frame,
     ) -> None:
         del connection
-        asked = codec.decode(ttypes.ManifestGet, frame.body)
-        cached = self._cached.get(asked.digest)
+        request = codec.decode(ttypes.ManifestGet, frame.body)
+        cached = self._cached.get(request.digest)
         body = cached.encode() if cached is not None else b""
         await exchange.send(connections.Kind.MANIFEST_DATA, body)
--- a/src/clementinegw/weights/_serving_state.py
+++ b/src/clementinegw/weights/_serving_state.py
@@ -1,4 +1,4 @@
-"""What the gate lets requests in to, and the permit to close it."""
+"""The state of the gate and of the permit to leave service."""
 
 from clementinegw.weights import _loader_types
 
@@ -6,7 +6,7 @@
 
 
 class ServingState:
-    """The gate and the permit as the loader has left them."""
+    """Tracks which version the gate serves and whether a permit is held."""
 
     def __init__(self) -> None:
         self._target: _loader_types.Target | None = None
@@ -16,41 +16,41 @@
 
     @property
     def target(self) -> _loader_types.Target | None:
-        """What requests run on; while the gate drains, its last requests."""
+        """The version that requests run on, also while the gate drains."""
         return self._target
 
     @property
     def has_permit(self) -> bool:
-        """Whether the worker may leave service."""
+        """Whether the worker holds the permit to leave service."""
         return self._has_permit
 
     def acquire_permit(self) -> _loader_types.AcquirePermit:
-        """Asks for the permit to leave service."""
+        """Returns the action that acquires the permit to leave service."""
         self._requested = True
         return _loader_types.AcquirePermit()
 
     def record_grant(self) -> None:
-        """The permit is there, if it is still wanted."""
+        """Records that the permit was granted, if it is still requested."""
         self._has_permit = self._requested
 
     def record_loss(self) -> None:
-        """The permit has lapsed; it stays asked for."""
+        """Records that the permit has expired; it stays requested."""
         self._has_permit = False
 
     def drain(self) -> None:
-        """The gate takes nothing new; what runs, runs on."""
+        """Records that the gate drains: it accepts no new requests."""
         self._drained = True
 
     def record_overwrite(self) -> None:
-        """The weights are overwritten from now on."""
+        """Records that the loaded weights are being overwritten."""
         self._target = None
 
     def serve(self, target: _loader_types.Target, release: bool) -> Actions:
-        """Lets requests in to a version that the engine has proved.
+        """Returns the actions that serve a version the engine has reported.
 
         Args:
-          target: The version.
-          release: Whether the permit is given back.
+          target: The version to serve.
+          release: Whether to release the permit.
         """
         actions: Actions = []
         if self._drained or not target.same_weights(self._target):
@@ -63,7 +63,7 @@
         return actions
 
     def stop(self, reason: _loader_types.Reason) -> Actions:
-        """Lets nothing in any more."""
+        """Returns the actions that stop serving, if anything is served."""
         if self._target is None:
             return []
         self._target = None
--- a/src/clementinegw/weights/_swap_runner.py
+++ b/src/clementinegw/weights/_swap_runner.py
@@ -1,4 +1,4 @@
-"""Carries out what a swap lease decides: reads and appends of the log."""
+"""Carries out the decisions of a swap lease: reads and appends to the log."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,12 +16,12 @@
 
 
 def stream_name(service: str) -> str:
-    """Returns the log stream of a service's leases."""
+    """Returns the name of the log stream with a service's leases."""
     return f"swaps-{service}"
 
 
 class SwapRunner:
-    """Follows the stream as long as the worker wants to be out."""
+    """Follows the stream while the worker holds or waits for a lease."""
 
     def __init__(
         self,
@@ -32,15 +32,15 @@
         counters: metrics.Counters,
         on_action: Callable[[swaps.Action], None],
     ):
-        """Prepares; `run` does the work.
+        """Initializes the runner; `run` does the work.
 
         Args:
-          swap: The decisions.
-          log_client: The platform's log.
-          service: Whose workers share the leases.
+          swap: The lease whose decisions are carried out.
+          log_client: The client of the platform's log.
+          service: The service whose workers share the leases.
           clock: The source of time.
-          counters: Counts appends and failures as `weights.swap.*`.
-          on_action: Takes `Granted`, `Covered` and `Lost`.
+          counters: The counters of appends and failures, `weights.swap.*`.
+          on_action: Called with `Granted`, `Covered` and `Lost`.
         """
         self._swap = swap
         self._log = log_client
@@ -54,40 +54,40 @@
 
     @property
     def queue_counts(self) -> tuple[int, int]:
-        """How many are out, and how many wait before this worker."""
+        """How many workers are out, and how many wait before this one."""
         return self._swap.queue_counts
 
     def set_max_load_s(self, max_load_s: float) -> None:
-        """Changes the longest that a load may take, in seconds."""
+        """Sets the longest time a load may take, in seconds."""
         self._swap.set_max_load_s(max_load_s)
 
     def acquire(self, limit: int, spread_s: float) -> None:
-        """Asks for the permit to be out; see `swap.Swap.acquire`."""
+        """Requests the permit to be out of service; see `swap.Swap.acquire`."""
         self._swap.acquire(self._clock.now(), limit, spread_s)
         self._wake.set()
 
     def cover(self) -> None:
-        """Has the permit cover a whole load."""
+        """Extends the permit to cover a whole load."""
         self._swap.cover()
         self._tick()
 
     def release(self) -> None:
-        """Gives the permit back."""
+        """Releases the permit."""
         self._swap.release()
         self._tick()
 
     async def run(self) -> None:
-        """Works until it is cancelled."""
+        """Runs until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._read_loop())
             group.create_task(self._tick_loop())
             group.create_task(self._append_loop())
 
     async def close(self) -> None:
-        """Gives back what is held or waited for; tries it once.
+        """Releases the lease or the place in the queue, in a single attempt.
 
-        Left to lapse, the place of a worker that leaves would be lost to the
-        others for as long as its lease lasts.
+        Otherwise the other workers could not use this worker's place until its
+        lease expires.
         """
         self._swap.release()
         for action in self._swap.on_tick(self._clock.now()):
@@ -137,8 +137,8 @@
                 await self._log.append(self._stream, value)
                 self._counters.add("weights.swap.appended")
             except exceptions.PlatformError:
-                # It may be in the log all the same. The decisions wait until
-                # they read it there, and repeat it when they do not.
+                # The record may be in the log all the same. The swap waits
+                # until it is read back and repeats it if it is not.
                 self._counters.add("weights.swap.append_unknown")
 
     def _tick(self) -> None:
@@ -152,7 +152,7 @@
                 self._on_action(action)
 
     def _send(self, value: bytes) -> None:
-        # While the log is slow only the newest record is worth sending.
+        # While the log is slow, only the latest record is worth sending.
         while not self._append_queue.empty():
             self._append_queue.get_nowait()
         self._read_now.set()
--- a/src/clementinegw/weights/_swap_types.py
+++ b/src/clementinegw/weights/_swap_types.py
@@ -1,26 +1,29 @@
-"""Times and actions of the swap."""
+"""Time settings and actions of the swap."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """Times of the protocol, in seconds.
+    """The protocol's time settings, in seconds.
 
     Attributes:
       ttl_s: How long a lease lasts while its holder drains.
-      max_load_s: The longest that a load may take; the lease covers it whole,
-        since a load that has begun cannot be given up.
-      holder_share: The part of a lease that its holder uses, so that clocks
-        of unequal rate do no harm.
-      retry_s: How long to wait for an append to be read back.
-      stagger_s: Between those that wait, before each ends a dead one's lease.
-      refresh_s: How long to wait in the queue before asking anew; far less
-        than the log keeps records.
-      max_send_delay_s: How long after its permit an order may still be sent.
-      read_pause_per_place_s: Between two reads, for each worker that waits
-        before this one.
-      max_read_pause_s: Between two reads.
+      max_load_s: The longest time a load may take. The lease covers all of it,
+        because a load that has begun cannot be aborted.
+      holder_share: The share of a lease's time that its holder uses, as a
+        margin for clocks that run at different rates.
+      retry_s: How long to wait for an append to be read back before it is
+        repeated.
+      stagger_s: The delay per place in the queue before a waiting worker ends
+        an expired lease, so that not all of them append an EXPIRE at once.
+      refresh_s: How long to wait in the queue before asking again; far shorter
+        than the retention time of the log.
+      max_send_delay_s: How long after the renewal that covers it an order may
+        be sent.
+      read_pause_per_place_s: The pause between two reads for each worker that
+        waits before this one.
+      max_read_pause_s: The longest pause between two reads.
     """
 
     ttl_s: float = 10.0
@@ -35,28 +38,34 @@
 
     @property
     def load_ttl_s(self) -> float:
-        """How long a lease lasts that covers a whole load."""
+        """The duration of a lease that covers a whole load, in seconds."""
         return (self.max_load_s + self.max_send_delay_s) / self.holder_share
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Append:
-    """Append a record to the service's stream; the read-back tells the end."""
+    """Append a record to the service's stream.
+
+    Whether it took effect is known once it is read back.
+
+    Attributes:
+      value: The encoded record.
+    """
 
     value: bytes
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """The worker may leave service."""
+    """Report that the worker may leave service."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Covered:
-    """The lease covers a whole load whose order is sent in time.
+    """Report that the lease covers a whole load if the order is sent in time.
 
     Attributes:
-      send_before: The order must not be sent later than this.
+      send_before: The latest time to send the order, in monotonic seconds.
     """
 
     send_before: float
@@ -64,7 +73,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """The lease has lapsed: a worker that is not yet loading must serve."""
+    """Report that the lease has expired.
+
+    A worker that is not yet loading must serve again.
+    """
 
 
 Action = Append | Granted | Covered | Lost
--- a/src/clementinegw/weights/_versions.py
+++ b/src/clementinegw/weights/_versions.py
@@ -17,19 +17,19 @@
 class Change(enum.Enum):
     """What a declaration changes."""
 
-    OUTDATED = enum.auto()  # it is older than the one that is known
-    NONE = enum.auto()  # only the settings revision
+    OUTDATED = enum.auto()  # older than the current declaration; ignored
+    NONE = enum.auto()  # at most the settings revision
     WEIGHTS = enum.auto()
 
 
 class DeclaredVersions:
-    """The newest declaration, and what has been found of it."""
+    """The latest declaration and the manifests found for it."""
 
     def __init__(self, source: _manifest_source.ManifestSource):
-        """Starts without a declaration.
+        """Initializes the object without a declaration.
 
         Args:
-          source: Where manifests come from.
+          source: The source of manifests.
         """
         self._source = source
         self._declared: DeclaredVersion | None = None
@@ -41,12 +41,12 @@
 
     @property
     def declared(self) -> DeclaredVersion | None:
-        """The version to serve."""
+        """The declared version to serve."""
         return self._declared
 
     @property
     def target(self) -> _loader_types.Target | None:
-        """The version to serve; None until all its manifests are found."""
+        """The target to serve; None until all its manifests are found."""
         if self._declared is None or self._model_manifest is None:
             return None
         return _loader_types.Target(
@@ -55,7 +55,7 @@
 
     @property
     def previous(self) -> _loader_types.Target | None:
-        """The version before; None without one or its manifest."""
+        """The previous version; None if there is none or no manifest of it."""
         if self._declared is None or self._previous_manifest is None:
             return None
         return _loader_types.Target(
@@ -64,7 +64,7 @@
 
     @property
     def wanted_manifests(self) -> list[manifests.Manifest]:
-        """All manifests whose chunks are to be near."""
+        """All manifests whose chunks are to be staged."""
         found = [adapter.manifest for adapter in self._adapters]
         if self._model_manifest is not None:
             found.append(self._model_manifest)
@@ -78,7 +78,13 @@
         previous: DeclaredVersion | None,
         adapters: tuple[DeclaredAdapter, ...],
     ) -> Change:
-        """Takes in a declaration."""
+        """Records a declaration and returns what it changes.
+
+        Args:
+          target: The version to serve.
+          previous: The version before it.
+          adapters: The adapters to load with the target.
+        """
         if self._declared and target.revision < self._declared.revision:
             return Change.OUTDATED
         before = self._digests()
@@ -92,7 +98,7 @@
         return Change.WEIGHTS
 
     async def find_target(self) -> None:
-        """Finds the manifests of what is to be served."""
+        """Finds the manifests of the target and its adapters."""
         if self._declared is None:
             return
         adapters = await asyncio.gather(
@@ -102,11 +108,12 @@
         self._adapters = tuple(adapters)
 
     async def find_previous(self) -> None:
-        """Finds the manifest of the version before, if anyone has it."""
+        """Finds the manifest of the previous version, if it is available."""
         if self._declared_previous is None:
             return
-        # An agent that served it finds it at once. Another one must not wait
-        # for a store that stalls before it fetches what is to be served.
+        # An agent that served the previous version finds its manifest at once.
+        # Any other agent must not be kept from fetching the target by a store
+        # that stalls.
         try:
             async with asyncio.timeout(PREVIOUS_TIMEOUT_S):
                 self._previous_manifest = await self._source.find(
@@ -116,15 +123,16 @@
             pass
 
     async def stage(self) -> None:
-        """Puts the manifests beside their chunks, for a later agent."""
+        """Stores the manifests in the staging memory for a restarted agent."""
         for manifest in self.wanted_manifests:
             await self._source.stage(manifest)
 
     def combined_manifest(self) -> manifests.Manifest | None:
-        """Returns all chunks of the target as one manifest.
+        """Returns one manifest with all chunks of the target and its adapters.
 
-        Agents exchange the chunks of one manifest at a time. This one is the
-        same at each agent that has the same declaration; it is never sent.
+        Agents exchange the chunks of one manifest at a time. The combined
+        manifest is the same at every agent with the same declaration and is
+        never sent.
         """
         target = self.target
         if target is None or not target.adapters:
--- a/src/clementinegw/weights/publish.py
+++ b/src/clementinegw/weights/publish.py
@@ -19,7 +19,7 @@
 
 MAX_CONCURRENT_UPLOADS = 4
 # Besides those of the store's client: a store may be down for half a minute.
-RETRIES = retries.RetryPolicy(attempts=6, base_s=1.0, max_s=16.0)
+RETRY_POLICY = retries.RetryPolicy(attempts=6, base_s=1.0, max_s=16.0)
 
 
 @dataclasses.dataclass(slots=True)
@@ -196,11 +196,11 @@
 
     async def put(self, name: str, data: bytes) -> None:
         """Puts a blob, and again after a while when the store is not there."""
-        for tried in range(1, RETRIES.attempts):
+        for tried in range(1, RETRY_POLICY.attempts):
             try:
                 return await self._store.put(name, data)
             except exceptions.PlatformUnavailable:
-                await asyncio.sleep(RETRIES.pause_s(tried, self._random))
+                await asyncio.sleep(RETRY_POLICY.pause_s(tried, self._random))
         return await self._store.put(name, data)
 
     async def _upload_if_missing(self, digest: bytes, chunk: bytes) -> None:
--- a/src/clementinegw/weights/rollout.py
+++ b/src/clementinegw/weights/rollout.py
@@ -1,4 +1,4 @@
-"""How far a rollout is, put together from the agents' status pages."""
+"""Summarizes the progress of a rollout from the agents' status pages."""
 
 import collections
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class _WeightsModel(pydantic.BaseModel):
-    """`weights` on an agent's page, as `WeightsStatus.as_json` writes it."""
+    """The `weights` object of a page, as written by `WeightsStatus.as_json`."""
 
     target: str = ""
     target_digest: str = ""
@@ -24,7 +24,7 @@
 
 
 class StatusPage(pydantic.BaseModel):
-    """What is read of a daemon's `/status` page."""
+    """The parts of a daemon's `/status` page that are read."""
 
     instance_id: str
     role: str
@@ -34,15 +34,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LaggingAgent:
-    """An agent that does not serve the newest target.
+    """An agent that does not serve the latest target.
 
     Attributes:
-      name: Its instance id, or its address when it did not answer.
-      serving_version: What it serves; empty when nothing.
-      state: What it waits for.
-      why: The reason in words.
-      held: Chunks it has.
-      total: Chunks of its target.
+      name: The instance id, or the address if the agent did not answer.
+      serving_version: The version it serves; empty if none.
+      state: What the agent is waiting for.
+      why: The reason as text.
+      held: The number of chunks of its target that it has.
+      total: The number of chunks of its target.
     """
 
     name: str
@@ -55,17 +55,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rollout:
-    """A service's rollout.
+    """The progress of a service's rollout.
 
     Attributes:
       service: The service.
-      target: The newest declared version that an agent knows.
-      target_digest: The digest of its manifest.
-      revision: The settings revision that declared it.
-      replicas: Agents asked, those that did not answer included.
-      serving: Agents that serve the target.
-      versions: Agents by the version that they serve; empty for none.
-      behind: The others.
+      target: The latest declared version that any agent knows.
+      target_digest: The digest of the target's manifest.
+      revision: The settings revision that declared the target.
+      replicas: The number of agents, including those that did not answer.
+      serving: The number of agents that serve the target.
+      versions: The number of agents by the version that they serve; the empty
+        version stands for none.
+      behind: The agents that do not serve the target.
     """
 
     service: str
@@ -84,34 +85,36 @@
 
 
 _REASON_TEXTS = {
-    "chunks_missing": "{held} of {total} chunks are here",
-    "swap_limit": "{out} are out for loading, {queued_before} wait before it",
-    "draining": "requests in flight finish",
-    "loading": "the engine loads",
+    "chunks_missing": "{held} of {total} chunks are staged",
+    "swap_limit": (
+        "{out} out of service to load, {queued_before} queued before it"
+    ),
+    "draining": "waiting for requests in flight",
+    "loading": "the engine is loading",
     "engine_unreachable": "the engine does not answer",
-    "engine_crashed": "the engine ended and starts again",
-    "answer_lost": "an order's answer was lost; the engine is asked",
+    "engine_crashed": "the engine crashed and is restarting",
+    "answer_lost": "the answer to an order was lost; querying the engine",
     "not_sent": "the order could not be sent in time",
     "drain_timeout": "requests in flight did not finish in time",
-    "permit_lost": "its permit to be out lapsed",
-    "digest_mismatch": "the engine loaded something else than was ordered",
+    "permit_lost": "its permit to be out of service expired",
+    "digest_mismatch": "the engine did not load what was ordered",
     "digest_changed": "the engine's weights changed without an order",
     "refused_fencing": "the engine has seen newer settings",
-    "refused_chunk_missing": "the engine lacks chunks; they are fetched anew",
-    "refused_bad_order": "the engine does not accept the order",
-    "no_target": "it knows of no declared version",
+    "refused_chunk_missing": "the engine lacks chunks; fetching them again",
+    "refused_bad_order": "the engine rejected the order as invalid",
+    "no_target": "no declared version is known",
 }
 
 
 def summarize(
     service: str, pages: list[StatusPage], unreachable: dict[str, str]
 ) -> Rollout:
-    """Puts the pages of a service's agents together.
+    """Returns the progress of a service's rollout.
 
     Args:
       service: The service.
-      pages: Pages that were read; those of other services are left out.
-      unreachable: Why others could not be read, by address.
+      pages: The pages that were read. Pages of other services are ignored.
+      unreachable: Why other pages could not be read, by address.
     """
     ours = [page for page in pages if page.service == service]
     newest = max((page.weights for page in ours), key=lambda w: w.revision)
@@ -133,7 +136,7 @@
         replicas=len(ours) + len(unreachable),
         serving=sum(_is_serving(page, newest) for page in ours),
         versions=dict(sorted(versions.items())),
-        behind=tuple(sorted(behind, key=lambda one: one.name)),
+        behind=tuple(sorted(behind, key=lambda agent: agent.name)),
     )
 
 
@@ -150,7 +153,7 @@
     template = _REASON_TEXTS.get(weights.reason, weights.reason)
     why = template.format(**weights.model_dump())
     if weights.target_digest != newest.target_digest:
-        why = f"has settings revision {weights.revision} only"
+        why = f"has only settings revision {weights.revision}"
     return LaggingAgent(
         page.instance_id,
         weights.serving_version,
--- a/src/clementinegw/weights/status.py
+++ b/src/clementinegw/weights/status.py
@@ -1,40 +1,42 @@
-"""What an agent says of its weights, on its `/status` page."""
+"""The state of an agent's weights as shown on its `/status` page."""
 
 import dataclasses
 import enum
 
 
 class State(enum.StrEnum):
-    """What a rollout waits for at one instance."""
+    """What a rollout is waiting for at one instance."""
 
-    IDLE = "idle"  # nothing is declared
+    IDLE = "idle"  # no version is declared
     FETCHING = "fetching"  # chunks are missing
-    WAITING = "waiting"  # others are out for loading
-    DRAINING = "draining"  # requests in flight finish
-    LOADING = "loading"  # the engine loads
-    RETRYING = "retrying"  # something failed; see the reason
+    WAITING = "waiting"  # the limit of workers out of service is reached
+    DRAINING = "draining"  # requests in flight are finishing
+    LOADING = "loading"  # the engine is loading
+    RETRYING = "retrying"  # a step failed; see the reason
     SERVING = "serving"  # the declared version is served
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightsStatus:
-    """One agent's part in a rollout.
+    """One agent's progress in a rollout.
 
     Attributes:
-      target: The declared version; empty without one.
-      target_digest: Its manifest's digest.
-      held: Chunks of the target that are staged.
-      total: Chunks of the target; 0 until its manifest is known.
-      serving_version: What requests run on; empty when nothing is served.
+      target: The declared version; empty if none is declared.
+      target_digest: The digest of the target's manifest.
+      held: The number of chunks of the target that are staged.
+      total: The number of chunks of the target; 0 until its manifest is known.
+      serving_version: The version that requests run on; empty if none.
       serving_digest: The content digest that the engine reported.
-      state: What it waits for.
-      reason: Why the target is not served; empty when it is.
-      revision: The settings revision of the target.
-      out: Workers of the service that are out, as far as this agent knows.
-      queued_before: Workers that wait before this one.
-      cached_bytes: The agent's own memory for chunks.
-      staged_bytes: Chunks in the memory of the engine's host.
-      adapters: Names and versions of the adapters that are loaded.
+      state: What the agent is waiting for.
+      reason: Why the target is not served; empty if it is.
+      revision: The settings revision that declared the target.
+      out: The number of the service's workers that are out of service to load,
+        as far as this agent knows.
+      queued_before: The number of workers that wait before this one.
+      cached_bytes: The size of the chunks in the agent's own memory, in bytes.
+      staged_bytes: The size of the chunks in the staging memory of the engine's
+        host, in bytes.
+      adapters: The names and versions of the adapters that are served.
     """
 
     target: str = ""
@@ -53,5 +55,5 @@
     adapters: tuple[tuple[str, str], ...] = ()
 
     def as_json(self) -> dict[str, object]:
-        """Returns what stands under `weights` on the `/status` page."""
+        """Returns the `weights` object of the `/status` page."""
         return dataclasses.asdict(self)
--- a/tests/test_weights_service.py
+++ b/tests/test_weights_service.py
@@ -375,8 +375,8 @@
     out = capsys.readouterr().out
     assert code == 0
     assert "1 of 3 serve it" in out
-    assert "1 of 3 chunks are here" in out
-    assert "2 are out for loading, 4 wait before it" in out
+    assert "1 of 3 chunks are staged" in out
+    assert "2 out of service to load, 4 queued before it" in out
 
 
 def test_rollout_status_tells_an_incomplete_rollout_by_its_exit_code(capsys):
