--- a/src/clementinegw/weights/_serving_state.py
+++ b/src/clementinegw/weights/_serving_state.py
@@ -37,7 +37,7 @@
         """Records that the permit has expired; it stays requested."""
         self._has_permit = False
 
-    def drain(self) -> None:
+    def record_drain(self) -> None:
         """Records that the gate drains: it accepts no new requests."""
         self._drained = True
 
--- a/src/clementinegw/weights/loader.py
+++ b/src/clementinegw/weights/loader.py
@@ -1,9 +1,9 @@
-"""Which order the engine gets next, and what may be served meanwhile.
+"""Decides which order the engine gets next and what is served meanwhile.
 
-Decisions only: each method takes one event and the time and returns what to
-do. There is one order at a time. What the engine has loaded is taken from its
-own reports alone; as long as the last order's outcome is not known, nothing is
-served and no other order is sent.
+The module does no I/O: each method takes one event and the time and returns
+the actions to perform. Only one order is open at a time. What the engine has
+loaded is known from its own reports alone. While the outcome of the last order
+is unknown, nothing is served and no other order is sent.
 """
 
 import math
@@ -28,7 +28,7 @@
 
 
 class Loader:
-    """The decisions for one engine."""
+    """The state machine that loads weights into one engine."""
 
     def __init__(
         self,
@@ -37,13 +37,13 @@
         counters: metrics.Counters,
         timing: Timing | None = None,
     ):
-        """Starts without knowledge of the engine.
+        """Initializes the loader with the engine's state unknown.
 
         Args:
           checks_fencing: Whether the engine refuses old fencing numbers.
-          rng: The source of the pauses' jitter.
-          counters: Counts failures by reason.
-          timing: The times.
+          rng: The source of jitter for retry delays.
+          counters: The counters of failures by reason.
+          timing: The time settings.
         """
         self._counters = counters
         self._timing = timing or Timing()
@@ -62,51 +62,52 @@
 
     @property
     def phase(self) -> Phase:
-        """What it waits for."""
+        """What the loader is waiting for."""
         return self._phase
 
     @property
     def reason(self) -> Reason:
-        """Why the declared version is not served; empty when it is."""
+        """Why the declared version is not served; empty if it is."""
         return self._reason
 
     @property
     def serving(self) -> Target | None:
-        """The version that requests are let through to.
+        """The version that is served.
 
-        While the gate drains, the version that its last requests run on.
+        While the gate drains, this is the version of the requests in flight.
         """
         return self._serving.target
 
     @property
     def target(self) -> Target | None:
-        """The version that was declared last."""
+        """The latest declared version."""
         return self._target
 
     @property
     def wake_at(self) -> float:
-        """When `on_tick` has to be called, monotonic seconds."""
+        """When `on_tick` must be called next, in monotonic seconds."""
         return self._wake_at
 
     def start(self, now: float) -> Actions:
-        """Begins by asking what the engine has loaded."""
+        """Starts by querying what the engine has loaded."""
         del now
         return self._enter_asking()
 
     def on_declared(
         self, now: float, target: Target, previous: Target | None
     ) -> Actions:
-        """Takes in what the settings declare.
+        """Handles a declaration in the settings.
 
         Args:
-          now: Monotonic seconds.
+          now: The current time, in monotonic seconds.
           target: The version to serve.
-          previous: The version before it, which may be served until then.
+          previous: The version before it, which may be served until the target
+            is loaded.
         """
         current = self._target
         if current is not None and target.revision < current.revision:
-            # An order that follows settings of the past would bring an
-            # abandoned version back.
+            # An order that follows outdated settings would load an abandoned
+            # version again.
             self._count(Reason.OLD_REVISION)
             return []
         self._target = target
@@ -119,12 +120,12 @@
         return self._decide_if_idle(now)
 
     def on_staged(self, now: float, manifests: frozenset[str]) -> Actions:
-        """Takes in which manifests the engine has all chunks of."""
+        """Handles a change of the manifests whose chunks are all staged."""
         self._staged = manifests
         return self._decide_if_idle(now)
 
     def on_permit_granted(self, now: float) -> Actions:
-        """The worker may leave service."""
+        """Handles the grant of the permit to leave service."""
         del now
         self._serving.record_grant()
         if self._phase is not Phase.QUEUED:
@@ -132,10 +133,10 @@
         return self._drain()
 
     def on_permit_lost(self, now: float) -> Actions:
-        """The permit has lapsed.
+        """Handles the expiry of the permit.
 
-        Before the order, the worker serves again. After it there is no way
-        back, and the load goes on.
+        Before the order is sent, the worker serves again. Afterwards the load
+        cannot be aborted and continues.
         """
         self._serving.record_loss()
         if (
@@ -147,18 +148,24 @@
         return self._enter_asking()
 
     def on_covered(self, now: float, send_before: float) -> Actions:
-        """The permit covers a load whose order is sent in time."""
+        """Handles a permit that covers the load if it is ordered in time.
+
+        Args:
+          now: The current time, in monotonic seconds.
+          send_before: The latest time to send the order, in monotonic seconds.
+        """
         if self._phase is not Phase.COVERING:
             return []
         return self._send_order(now, send_before)
 
     def on_drained(self, now: float, number: int, clean: bool) -> Actions:
-        """The gate has stopped new work.
+        """Handles the end of a drain.
 
         Args:
-          now: Monotonic seconds.
-          number: As in the `Drain`.
-          clean: Whether nothing runs any more; if not, time ran out.
+          now: The current time, in monotonic seconds.
+          number: The number of the `Drain` action.
+          clean: Whether all requests have finished; otherwise the drain timed
+            out.
         """
         if self._phase is not Phase.DRAINING or number != self._number:
             return []
@@ -179,14 +186,15 @@
         digest: str,
         adapters: frozenset[tuple[str, str]] = frozenset(),
     ) -> Actions:
-        """The engine has carried the order out.
+        """Handles the engine's report on an order that it carried out.
 
         Args:
-          now: Monotonic seconds.
-          number: As in the `SendOrder`.
-          digest: The content digest of the model that was loaded; empty when
-            the order was for adapters only.
-          adapters: Names and versions of those that were loaded rightly.
+          now: The current time, in monotonic seconds.
+          number: The number of the `SendOrder` action.
+          digest: The content digest of the model that was loaded; empty if the
+            order was for adapters only.
+          adapters: The names and versions of the adapters that were loaded with
+            the right digest.
         """
         ordered = self._close_order(number)
         if ordered is None:
@@ -199,7 +207,7 @@
     def on_refusal(
         self, now: float, number: int, refusal: backend.OrderRefused
     ) -> Actions:
-        """The engine has refused the order and changed nothing."""
+        """Handles a refusal of an order; the engine has changed nothing."""
         if self._close_order(number) is None:
             return []
         self._engine.record_refusal(refusal)
@@ -212,7 +220,10 @@
         )
 
     def on_answer_lost(self, now: float, number: int) -> Actions:
-        """No answer came: the order may have taken effect, or still may."""
+        """Handles a lost answer to an order.
+
+        The order may have taken effect or may still do so.
+        """
         ordered = self._close_order(number)
         if ordered is None:
             return []
@@ -220,7 +231,10 @@
         return self._fail(now, Reason.ANSWER_LOST)
 
     def on_not_sent(self, now: float, number: int) -> Actions:
-        """The order was too late or found no engine: it had no effect."""
+        """Handles an order that was not sent and so had no effect.
+
+        It was too late, or the engine was unreachable.
+        """
         if self._close_order(number) is None:
             return []
         return self._fail(now, Reason.NOT_SENT)
@@ -228,7 +242,7 @@
     def on_status(
         self, now: float, number: int, status: backend.EngineStatus
     ) -> Actions:
-        """The engine has told what it has loaded."""
+        """Handles the engine's answer to a status query."""
         if number != self._number:
             return []
         if self._phase is Phase.ASKING:
@@ -238,9 +252,9 @@
         self._wake_at = now + self._timing.verify_s
         if not self._engine.contradicts(status):
             return self._decide(now)
-        # Another process has given the engine an order, or an order of ours
-        # that was thought lost came late. Seen in time, no request is
-        # answered by weights that nobody verified.
+        # Another process has sent the engine an order, or an order of this
+        # agent that was believed lost has arrived late. Serving stops so that
+        # no request is answered with unverified weights.
         self._count(Reason.DIGEST_CHANGED)
         self._phase = Phase.ASKING
         return self._serving.stop(Reason.DIGEST_CHANGED) + self._apply_status(
@@ -248,7 +262,7 @@
         )
 
     def on_no_status(self, now: float, number: int) -> Actions:
-        """The engine did not answer the question."""
+        """Handles a status query that the engine did not answer."""
         if number != self._number:
             return []
         self._count(Reason.ENGINE_UNREACHABLE)
@@ -261,7 +275,7 @@
         return []
 
     def on_crash(self, now: float) -> Actions:
-        """The engine has ended; it starts again without weights."""
+        """Handles a crash of the engine, which restarts without weights."""
         if self._open_order is not None:
             self._engine.leave_open(self._open_order, now)
         self._open_order = None
@@ -271,7 +285,7 @@
         return self._serving.stop(Reason.ENGINE_CRASHED) + self._enter_asking()
 
     def on_tick(self, now: float) -> Actions:
-        """Does what is due."""
+        """Performs the steps that are due."""
         if now < self._wake_at:
             return []
         if self._phase is Phase.COVERING:
@@ -296,7 +310,7 @@
         return self._decide(now) if self._phase in _IDLE_PHASES else []
 
     def _decide(self, now: float) -> Actions:
-        """Chooses the next step when no order and no question is open."""
+        """Chooses the next step when no order and no query is open."""
         if not self._should_load(now):
             return self._serve_and_wait(now)
         if self._may_load():
@@ -310,10 +324,10 @@
         return [*actions, self._serving.acquire_permit()]
 
     def _may_load(self) -> bool:
-        # A worker whose engine crashed or failed to load is out in any case:
-        # made to wait for a permit, it could not come back in an outage of
-        # the log. One that could serve needs the permit, also when it was
-        # drained under an earlier one that has lapsed.
+        # A worker whose engine crashed or failed to load is out of service in
+        # any case. If it had to wait for a permit, it could not return to
+        # service during an outage of the log. A worker that could serve needs
+        # a permit, even if it was drained under an earlier, expired one.
         return self._serving.has_permit or self._engine.loaded_target is None
 
     def _should_load(self, now: float) -> bool:
@@ -327,7 +341,7 @@
         )
 
     def _serve_and_wait(self, now: float) -> Actions:
-        """Serves what is loaded, if that is declared, and waits."""
+        """Serves the loaded version if it is declared, and waits."""
         actions = self._serve_loaded()
         self._phase = Phase.STEADY
         self._wake_at = now + self._timing.verify_s
@@ -351,7 +365,11 @@
         return Reason.CHUNKS_MISSING
 
     def _serve_loaded(self, release: bool = True) -> Actions:
-        """Serves what the engine reported last; gives the permit back."""
+        """Serves the version that the engine reported last.
+
+        Args:
+          release: Whether to release the permit.
+        """
         target = self._engine.loaded_target
         if target is None:
             return self._serving.stop(Reason.CHUNKS_MISSING)
@@ -359,7 +377,7 @@
 
     def _drain(self) -> Actions:
         self._phase = Phase.DRAINING
-        self._serving.drain()
+        self._serving.record_drain()
         self._reason = Reason.DRAINING
         self._wake_at = math.inf
         self._number += 1
@@ -398,10 +416,10 @@
         return [_loader_types.QueryStatus(self._number)]
 
     def _fail(self, now: float, reason: Reason) -> Actions:
-        """Holds off the next load, and asks what may be served meanwhile.
+        """Delays the next load and queries what may be served meanwhile.
 
-        The engine may have crashed since it was last asked: resumed without
-        the question, the gate would let requests in to whatever is there.
+        The engine may have crashed since the last query. If the gate resumed
+        without a new one, it would pass requests to unknown weights.
         """
         self._count(reason)
         self._reason = reason
--- a/src/clementinegw/weights/swap.py
+++ b/src/clementinegw/weights/swap.py
@@ -1,12 +1,13 @@
-"""How many workers of a service are out for loading: leases in the log.
+"""Limits how many workers of a service are out to load, by leases in the log.
 
-Decisions only. A worker asks for a lease before it leaves service, confirms
-the grant by a renewal of its own, and releases the lease once it serves again.
-docs/design/weights.md gives the reasons and what is assumed of the platform.
+The module does no I/O. A worker asks for a lease before it leaves service,
+confirms the grant with a renewal of its own, and releases the lease once it
+serves again. docs/design/weights.md explains the reasons and the assumptions
+about the platform.
 
-The holder counts its time from before it sent a renewal, and only once it has
-read that renewal back; all others count from after they read it. So whoever
-ends a lease does so later than its holder has given it up.
+The holder measures a lease from before it sent a renewal, and only once it has
+read that renewal back. All others measure it from when they read the renewal.
+A lease is therefore never ended by others before its holder has given it up.
 """
 
 import dataclasses
@@ -31,14 +32,16 @@
 
 @dataclasses.dataclass(slots=True)
 class _PendingAppend:
-    """The newest append, until its effect has been read back.
+    """The latest append, until its effect has been read back.
 
     Attributes:
-      kind: What was appended.
-      lease_id: The lease it is about.
-      sent_at: When it was handed over, before any of it was sent.
-      sequence: Of a renewal.
-      seen_offset: Of an EXPIRE: the offset that was seen.
+      kind: The kind of the record.
+      lease_id: The id of the lease that the record is about.
+      sent_at: When the append was requested, before any of it was sent, in
+        monotonic seconds.
+      sequence: The number of a renewal; otherwise 0.
+      seen_offset: The lease's `since_offset` as read when a RELEASE or an
+        EXPIRE was appended; otherwise 0.
     """
 
     kind: ttypes.SwapKind
@@ -50,11 +53,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Renewal:
-    """A renewal that was handed over.
+    """A renewal that was appended and not yet read back.
 
     Attributes:
-      sent_at: When, before any of it was sent.
-      ttl_s: For how long.
+      sent_at: When the append was requested, before any of it was sent, in
+        monotonic seconds.
+      ttl_s: The duration of the renewed lease, in seconds.
     """
 
     sent_at: float
@@ -62,8 +66,8 @@
 
 
 def max_out(share: float, workers: int) -> int:
-    """Returns how many workers may be out: the share rounded down, but one."""
-    # The addend keeps 0.1 * 30 from becoming 2.
+    """Returns how many workers may be out of service, at least one."""
+    # The addend corrects float errors: 0.29 * 100 is just below 29.
     return max(1, int(share * workers + 1e-9))
 
 
@@ -76,12 +80,12 @@
         rng: random.Random,
         timing: Timing | None = None,
     ):
-        """Starts without a lease.
+        """Initializes the object without a lease.
 
         Args:
-          instance_id: The worker's agent.
-          rng: Chooses lease ids and spreads the asks.
-          timing: The times of the protocol.
+          instance_id: The instance id of the worker's agent.
+          rng: The source of lease ids and of the random delay of ASKs.
+          timing: The time settings of the protocol.
         """
         self._instance_id = instance_id
         self._rng = rng
@@ -103,38 +107,38 @@
         self._renew_at = 0.0
         self._cover_wanted = False
         self._no_grant_until = 0.0
-        # Before this, no lease of another can have lapsed.
+        # No other worker's lease can have expired before this time.
         self._expire_at = math.inf
 
     @property
     def active(self) -> bool:
-        """Whether the stream has to be followed."""
+        """Whether the stream must be followed."""
         return self._wanted or bool(self._released_id)
 
     @property
     def next_offset(self) -> int:
-        """The offset to read from."""
+        """The offset from which to read next."""
         return self._leases.next_offset
 
     @property
     def held(self) -> bool:
-        """Whether the worker may be out by all that it knows."""
+        """Whether the worker may be out, as far as it knows."""
         return self._held
 
     @property
     def queue_counts(self) -> tuple[int, int]:
-        """How many are out, and how many wait before this worker."""
+        """How many workers are out, and how many wait before this one."""
         return len(self._leases.granted), self._leases.queue_position(
             self._lease_id
         )
 
     @property
     def read_pause_s(self) -> float:
-        """How long the next read may wait, in seconds.
+        """How long to wait before the next read, in seconds.
 
-        None while the effect of an append is awaited. Far back in the queue
-        nothing changes soon: hundreds of workers that read each record at once
-        would put more load on the log than all else.
+        Zero while the effect of an append is awaited. For a worker far back in
+        the queue nothing changes soon, and hundreds of workers that read each
+        record at once would be the main load on the log.
         """
         if self._pending is not None:
             return 0.0
@@ -147,17 +151,17 @@
         return min(pause_s, self._timing.max_read_pause_s)
 
     def set_max_load_s(self, max_load_s: float) -> None:
-        """Changes the longest that a load may take, in seconds."""
+        """Sets the longest time a load may take, in seconds."""
         self._timing = dataclasses.replace(self._timing, max_load_s=max_load_s)
 
     def acquire(self, now: float, limit: int, spread_s: float = 0.0) -> None:
-        """Asks for a lease; asked again, it only takes in a new limit.
+        """Requests a lease; further calls only update the limit.
 
         Args:
-          now: Monotonic seconds.
+          now: The current time, in monotonic seconds.
           limit: How many workers may be out; see `max_out`.
-          spread_s: The ask is sent at a random moment within this time, so
-            that a fleet that is ready at once does not crowd the log.
+          spread_s: The ASK is sent at a random time within this many seconds,
+            so that a fleet that is ready at once does not overload the log.
         """
         self._max_out = limit
         if self._wanted:
@@ -168,15 +172,15 @@
         self._ask_at = now + self._rng.uniform(0.0, spread_s)
 
     def cover(self) -> None:
-        """Asks to have a whole load covered; `Covered` follows."""
+        """Requests that the lease cover a whole load; `Covered` follows."""
         self._cover_wanted = True
 
     def release(self) -> None:
-        """Gives the lease, or the place in the queue, back.
+        """Releases the lease or the place in the queue.
 
-        Its id is not used again. The log may be slow: a RELEASE that is under
-        way ends the lease at any later time, also while the worker is out once
-        more and relies on it.
+        The lease's id is not used again. If the log is slow, a RELEASE in
+        flight can end the lease at any later time, also when the worker is out
+        once more and would rely on it.
         """
         self._wanted = False
         self._held = False
@@ -186,11 +190,16 @@
         self._lease_id = b""
 
     def on_page(self, now: float, page: log.Page) -> list[Action]:
-        """Takes in what was read from `next_offset` on."""
+        """Handles a page that was read from `next_offset`.
+
+        Args:
+          now: The current time, in monotonic seconds.
+          page: The page.
+        """
         if page.next_offset < self._leases.next_offset:
-            # An older log was put in its place: leases that were granted may
-            # be gone from it while their workers are out. They have ended by
-            # their own clocks after the longest time a lease lasts.
+            # The log was replaced by an older copy, which may lack granted
+            # leases whose workers are still out. These workers' own clocks end
+            # the leases within the longest duration of a lease.
             self._reset(now + self._timing.load_ttl_s)
         if page.first_offset > self._leases.next_offset:
             self._reset(self._no_grant_until)
@@ -202,7 +211,7 @@
         return self._advance(now)
 
     def on_tick(self, now: float) -> list[Action]:
-        """Does what is due."""
+        """Performs the steps that are due."""
         return self._advance(now)
 
     def _reset(self, no_grant_until: float) -> None:
@@ -211,7 +220,7 @@
         self._expire_at = math.inf
 
     def _record_seen_times(self, now: float) -> None:
-        """Notes when each granted lease was last seen to change."""
+        """Records when each granted lease was last seen to change."""
         for lease in self._leases.take_changed():
             lease.seen_at = now
             self._expire_at = min(self._expire_at, now + lease.ttl_s)
@@ -219,8 +228,8 @@
     def _advance(self, now: float) -> list[Action]:
         own = self._leases.find(self._lease_id)
         # A worker that was paused may read its ASK and the end of its lease in
-        # one page. Were it to repeat that ASK, no reader would take it, and it
-        # would append it for ever without being granted anything.
+        # one page. If it repeated that ASK, every reader would ignore it, and
+        # the worker would append it forever without being granted a lease.
         ended = self._leases.has_ended(self._lease_id)
         self._ask_seen |= own is not None or ended
         actions = self._confirm(now, own)
@@ -233,11 +242,11 @@
         return actions + ([appended] if appended is not None else [])
 
     def _confirm(self, now: float, own: _leases.Lease | None) -> list[Action]:
-        """Counts the time of a lease from the renewal that was read back."""
+        """Updates the lease's times from the renewal that was read back."""
         if own is None or not own.granted or not self._wanted:
             return []
-        # The ASK itself counts as the first renewal when it was granted at
-        # once; granted later, nobody knows how much of the time is left.
+        # The ASK itself counts as the first renewal if it was granted at once.
+        # If it was granted later, it is unknown how much time is left.
         if own.sequence == 0 and own.since_offset != own.asked_offset:
             return []
         renewal = self._renewals.get(own.sequence)
@@ -271,19 +280,21 @@
         in_time = own is not None and own.granted and now < self._valid_until
         if in_time or not self._held:
             return []
-        # Without this a holder that was paused, or cut off from the log,
-        # would go on to load while another has taken its place.
+        # Without this check, a holder that was paused or disconnected from the
+        # log would continue to load while another worker has its place.
         self._held = False
         return [Lost()]
 
     def _is_pending(self, now: float) -> bool:
-        sent = self._pending
-        if sent is None or now >= sent.sent_at + self._timing.retry_s:
+        pending = self._pending
+        if pending is None or now >= pending.sent_at + self._timing.retry_s:
             return False
-        lease = self._leases.find(sent.lease_id)
-        if sent.kind in (_Kind.RELEASE, _Kind.EXPIRE):
-            return lease is not None and lease.since_offset <= sent.seen_offset
-        return lease is None or lease.sequence < sent.sequence
+        lease = self._leases.find(pending.lease_id)
+        if pending.kind in (_Kind.RELEASE, _Kind.EXPIRE):
+            return (
+                lease is not None and lease.since_offset <= pending.seen_offset
+            )
+        return lease is None or lease.sequence < pending.sequence
 
     def _advance_release(
         self, now: float, own: _leases.Lease | None
@@ -303,8 +314,9 @@
         if own.granted:
             return self._renew_if_due(now, own)
         if now > self._asked_at + self._timing.refresh_s:
-            # The log keeps records for a limited time. Those who begin to
-            # read later would not know of this place in the queue.
+            # The log keeps records for a limited time. Workers that begin to
+            # read after the ASK has expired would not see this place in the
+            # queue.
             return self._append_end(now, _Kind.RELEASE, own)
         if own.max_out != self._max_out:
             return self._append_renewal(now, own, self._timing.ttl_s)
@@ -313,13 +325,14 @@
     def _append_ask(self, now: float) -> Append | None:
         if now < max(self._ask_at, self._no_grant_until):
             return None
-        # Given back before, or left by an earlier process of this worker: it
-        # serves now, and its next lease begins when that one has ended.
+        # A lease of this worker that was released earlier or left behind by an
+        # earlier process. The worker serves now, and its next lease begins
+        # once that one has ended.
         stale = self._leases.find_by_instance(self._instance_id)
         if stale is not None:
             return self._append_end(now, _Kind.RELEASE, stale)
         if self._ask_seen or not self._lease_id:
-            # A lease that has ended is never opened again.
+            # A lease that has ended is never reopened.
             self._lease_id = self._rng.randbytes(_ID_BYTES)
             self._ask_seen = False
             self._sequence = 0
@@ -348,17 +361,17 @@
         )
 
     def _expire_overdue(self, now: float) -> Append | None:
-        """Ends the lease of a holder that was not heard of for too long."""
+        """Ends the lease of a holder that has not renewed it in time."""
         if now <= self._expire_at:
             return None
-        late_s = self._timing.stagger_s * self._leases.queue_position(
+        delay_s = self._timing.stagger_s * self._leases.queue_position(
             self._lease_id
         )
         granted = self._leases.granted
         ends = [lease.seen_at + lease.ttl_s for lease in granted]
         self._expire_at = min(ends, default=math.inf)
         for lease, end in zip(granted, ends, strict=True):
-            if now > end + late_s:
+            if now > end + delay_s:
                 return self._append_end(now, _Kind.EXPIRE, lease)
         return None
 
