--- a/src/clementinegw/weights/manifest.py
+++ b/src/clementinegw/weights/manifest.py
@@ -1,12 +1,12 @@
-"""The manifest: what one version of a model consists of.
+"""Manifests, which list the files and chunks of one version of a model.
 
 The settings name a manifest by its digest, and the manifest names each chunk
-by its digest. So whoever trusts the settings can check every byte, whichever
-peer it came from.
+by its digest. An agent that trusts the settings can therefore verify every
+byte, whichever peer it came from.
 
-Each file starts a new chunk and is cut every `chunk_bytes`. A file that grows
-therefore leaves the chunks of the files behind it as they were, and two
-versions share all chunks of the files that did not change.
+Each file starts a new chunk and is split every `chunk_bytes`. A file that
+grows therefore does not change the chunks of the files after it, and two
+versions share all chunks of unchanged files.
 """
 
 import dataclasses
@@ -38,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """A piece of one file.
+    """A contiguous part of one file.
 
     Attributes:
-      digest: Its BLAKE3 digest, 32 bytes.
-      size: Its length in bytes, at least one.
+      digest: The BLAKE3 digest of the content, 32 bytes.
+      size: The length in bytes, at least one.
     """
 
     digest: bytes
@@ -59,8 +59,8 @@
     """One file of a version.
 
     Attributes:
-      path: Relative to what was published, with `/` between its parts.
-      size: Its length in bytes.
+      path: The path relative to the published directory, separated by `/`.
+      size: The length in bytes.
     """
 
     path: str
@@ -74,11 +74,12 @@
     Attributes:
       model: The model's name.
       version: The version's name.
-      chunk_bytes: The length of every chunk but the last one of each file.
-      total_bytes: The length of all files together.
-      files: In the order of their paths.
-      chunks: The chunks of all files, file after file. One digest may occur
-        more than once.
+      chunk_bytes: The length in bytes of every chunk except the last of each
+        file.
+      total_bytes: The total length of all files in bytes.
+      files: The files, sorted by path.
+      chunks: The chunks of all files in the order of the files. A digest may
+        occur more than once.
     """
 
     model: str
@@ -95,7 +96,7 @@
 
     @functools.cached_property
     def content_digest(self) -> str:
-        """What an engine reports once it has loaded exactly these chunks."""
+        """The digest an engine reports once it has loaded these chunks."""
         return backend.content_digest(self.chunk_digests)
 
     @property
@@ -105,14 +106,14 @@
 
     @property
     def chunk_digests(self) -> tuple[str, ...]:
-        """The chunks' digests in hex, in order, as a load order names them."""
+        """The chunks' digests in order, in hex, as used in load orders."""
         return tuple(chunk.digest.hex() for chunk in self.chunks)
 
     def encode(self) -> bytes:
-        """Returns the canonical encoding: the same bytes for equal manifests.
+        """Returns the canonical encoding, which is equal for equal manifests.
 
-        The sizes of chunks are left out, since `files` and `chunk_bytes` give
-        them; a manifest that contradicts itself cannot be written down.
+        The sizes of chunks are left out because they follow from `files` and
+        `chunk_bytes`, so an encoding cannot contain contradicting sizes.
         """
         document = {
             "schema": SCHEMA_VERSION,
@@ -127,7 +128,7 @@
 
 
 def digest_of(data: bytes | bytearray | memoryview) -> bytes:
-    """Returns the digest by which chunks and manifests are named, 32 bytes."""
+    """Returns the BLAKE3 digest that names a chunk or manifest, 32 bytes."""
     return blake3.blake3(data).digest()
 
 
@@ -147,7 +148,11 @@
 
 
 def chunk_sizes(files: tuple[File, ...], chunk_bytes: int) -> list[int]:
-    """Returns the sizes of the chunks of `files`, file after file."""
+    """Returns the sizes in bytes of the chunks of `files`, in file order.
+
+    Raises:
+      exceptions.DecodeError: There are more than `MAX_CHUNKS` chunks.
+    """
     sizes: list[int] = []
     for file in files:
         whole, rest = divmod(file.size, chunk_bytes)
@@ -168,32 +173,33 @@
     files: tuple[File, ...],
     digests: list[bytes],
 ) -> Manifest:
-    """Puts a manifest together and checks it.
+    """Builds and validates a manifest.
 
     Args:
       model: The model's name.
       version: The version's name.
-      chunk_bytes: The length of every chunk but the last one of each file.
-      files: In the order of their paths.
-      digests: One for each chunk, file after file.
+      chunk_bytes: The length in bytes of every chunk except the last of each
+        file.
+      files: The files, sorted by path.
+      digests: The digest of each chunk, in file order.
 
     Returns:
       The manifest.
 
     Raises:
-      exceptions.DecodeError: A part is out of bounds or contradicts another.
+      exceptions.DecodeError: A value is out of bounds or contradicts another.
     """
     paths = [file.path for file in files]
     for path in paths:
         _check_path(path)
     if paths != sorted(set(paths)):
         raise exceptions.DecodeError(
-            "manifest: files: expected in the order of their paths, each once"
+            "manifest: files: expected unique paths in sorted order"
         )
     sizes = chunk_sizes(files, chunk_bytes)
     if len(sizes) != len(digests):
         raise exceptions.DecodeError(
-            f"manifest: chunks: expected {len(sizes)} by the sizes of the "
+            f"manifest: chunks: expected {len(sizes)} from the sizes of the "
             f"files, found {len(digests)}"
         )
     manifest = Manifest(
@@ -209,18 +215,18 @@
 
 
 def decode(data: bytes, digest: str) -> Manifest:
-    """Reads a manifest that came from a peer or a store.
+    """Decodes a manifest received from a peer or a store.
 
     Args:
       data: The canonical encoding.
-      digest: The digest that the settings name, in hex.
+      digest: The expected digest in hex, as named by the settings.
 
     Returns:
       The manifest, whose digest is `digest`.
 
     Raises:
-      exceptions.DecodeError: The bytes are too long, have another digest or
-        are no manifest in canonical form.
+      exceptions.DecodeError: The data is too long, has another digest or is
+        not a manifest in canonical form.
     """
     if len(data) > MAX_ENCODED_BYTES:
         raise exceptions.DecodeError(
@@ -245,7 +251,7 @@
         tuple(File(f.path, f.size) for f in parsed.files),
         [bytes.fromhex(text) for text in parsed.chunks],
     )
-    # Equal manifests must have one digest; another spelling would be a second
+    # Equal manifests must have one digest. Another encoding would be a second
     # name for the same weights, and the engine's report would not match.
     if manifest.digest != digest:
         raise exceptions.DecodeError("manifest: not in canonical form")
@@ -262,8 +268,9 @@
 
 
 def _parse(data: bytes) -> "_manifest_model.Manifest":
-    # Not at the top: an agent on a users' platform makes manifests of what the
-    # origin says and reads none, and pydantic takes 9 MB and 0.1 s a start.
+    # Not imported at the top: an agent on a user's platform builds manifests
+    # from the origin's answers and parses none, and importing pydantic takes
+    # 9 MB and 0.1 s at each start.
     from clementinegw.weights import _manifest_model
 
     return _manifest_model.parse(data)
--- a/src/clementinegw/weights/publish.py
+++ b/src/clementinegw/weights/publish.py
@@ -1,8 +1,8 @@
-"""Puts a version into the weight store: chunks first, the manifest last.
+"""Publishes a version to the weight store: chunks first, the manifest last.
 
-The manifest is written only when every chunk it names is there, so that a
-publication that was cut off leaves nothing that could be declared. A second
-run sends only what is missing.
+The manifest is written only once every chunk it names is stored, so that an
+interrupted publication leaves nothing that could be declared. A second run
+uploads only what is missing.
 """
 
 import asyncio
@@ -18,19 +18,21 @@
 from clementinegw.weights import manifest as manifests
 
 MAX_CONCURRENT_UPLOADS = 4
-# Besides those of the store's client: a store may be down for half a minute.
+# In addition to the retries of the store's client: a store may be down for half
+# a minute.
 RETRY_POLICY = retries.RetryPolicy(attempts=6, base_s=1.0, max_s=16.0)
 
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far a publication is.
+    """The progress of a publication.
 
     Attributes:
-      total_bytes: All bytes of the version.
-      done_bytes: Bytes of chunks that are in the store.
-      sent_chunks: Chunks that were sent.
-      skipped_chunks: Chunks that the store had, and repeated ones.
+      total_bytes: The size of the version in bytes.
+      done_bytes: The size of the chunks that are stored, in bytes.
+      sent_chunks: The number of chunks that were uploaded.
+      skipped_chunks: The number of chunks that were already stored or occur
+        repeatedly in the version.
     """
 
     total_bytes: int = 0
@@ -53,21 +55,21 @@
     the files.
 
     Args:
-      path: A file, or a directory whose files are taken, with those below it.
+      path: A file, or a directory that is searched recursively for files.
       model: The model's name.
       version: The version's name.
-      store: Where chunks and manifest go.
-      chunk_bytes: The length of a chunk. Versions share chunks only when it
-        is the same for both.
+      store: The store to which chunks and manifest are uploaded.
+      chunk_bytes: The length of a chunk in bytes. Versions share chunks only
+        if it is the same for both.
       on_progress: Called after each chunk.
 
     Returns:
-      The manifest; its digest is what the settings declare.
+      The manifest, whose digest is to be declared in the settings.
 
     Raises:
       exceptions.UsageError: The path or a file cannot be read, is empty or
-        changed meanwhile, or a name or length is out of bounds.
-      exceptions.PlatformError: The store did not take a blob.
+        changed while it was read, or a name or length is out of bounds.
+      exceptions.PlatformError: The store did not accept a blob.
     """
     root = pathlib.Path(path)
     sources = find_files(root)
@@ -82,10 +84,10 @@
 
 
 def find_files(root: pathlib.Path) -> list[tuple[manifests.File, pathlib.Path]]:
-    """Returns the files of a version with where they lie, by path.
+    """Returns the files of a version and their locations, sorted by path.
 
     Raises:
-      exceptions.UsageError: There is none, or one cannot be read.
+      exceptions.UsageError: All files are empty, or one cannot be read.
     """
     try:
         if root.is_dir():
@@ -112,7 +114,11 @@
     chunk_bytes: int,
     files: tuple[manifests.File, ...],
 ) -> None:
-    """Finds a wrong name or length before the first byte is sent."""
+    """Validates names and lengths before any data is uploaded.
+
+    Raises:
+      exceptions.UsageError: A name or length is invalid or out of bounds.
+    """
     if not (
         manifests.MIN_CHUNK_BYTES <= chunk_bytes <= manifests.MAX_CHUNK_BYTES
     ):
@@ -140,18 +146,18 @@
 def _read_chunks(
     file: manifests.File, path: pathlib.Path, chunk_bytes: int
 ) -> Iterator[bytes]:
-    left = file.size
+    remaining = file.size
     try:
         with path.open("rb") as source:
-            while left:
-                chunk = source.read(min(chunk_bytes, left))
-                left -= len(chunk)
+            while remaining:
+                chunk = source.read(min(chunk_bytes, remaining))
+                remaining -= len(chunk)
                 if not chunk:
                     break
                 yield chunk
-            # A file that is still being written would be published cut off,
-            # and every instance would verify and serve the cut version.
-            if left or source.read(1):
+            # A file that is still being written would be published truncated,
+            # and every instance would verify and serve the truncated version.
+            if remaining or source.read(1):
                 raise exceptions.UsageError(
                     f"{path}: its length changed while it was read"
                 )
@@ -162,7 +168,7 @@
 
 
 class _Uploader:
-    """Sends chunks that the store does not have, a few at once."""
+    """Uploads missing chunks, a few of them concurrently."""
 
     def __init__(
         self,
@@ -176,7 +182,7 @@
         self.progress = Progress()
 
     async def upload_all(self, chunks: AsyncIterator[bytes]) -> list[bytes]:
-        """Sends all chunks and returns their digests in order."""
+        """Uploads missing chunks and returns the digests of all in order."""
         digests: list[bytes] = []
         running: set[asyncio.Task[None]] = set()
         try:
@@ -195,12 +201,12 @@
         return digests
 
     async def put(self, name: str, data: bytes) -> None:
-        """Puts a blob, and again after a while when the store is not there."""
-        for tried in range(1, RETRY_POLICY.attempts):
+        """Uploads a blob, retrying while the store is unavailable."""
+        for attempt in range(1, RETRY_POLICY.attempts):
             try:
                 return await self._store.put(name, data)
             except exceptions.PlatformUnavailable:
-                await asyncio.sleep(RETRY_POLICY.pause_s(tried, self._random))
+                await asyncio.sleep(RETRY_POLICY.pause_s(attempt, self._random))
         return await self._store.put(name, data)
 
     async def _upload_if_missing(self, digest: bytes, chunk: bytes) -> None:
@@ -216,7 +222,7 @@
         self._on_progress(self.progress)
 
     async def _is_stored(self, name: str, size: int) -> bool:
-        # A blob of another length is one whose upload was cut off.
+        # A blob of another length is the result of an interrupted upload.
         try:
             return await self._store.size(name) == size
         except exceptions.PlatformError:
--- a/src/clementinegw/weights/service.py
+++ b/src/clementinegw/weights/service.py
@@ -1,7 +1,7 @@
-"""One agent's weights: from the declaration to the engine that serves it.
+"""Brings one agent's engine to the declared version of the weights.
 
-Carries out what `loader` and `swap` decide; `_fetch` and the exchange bring
-the chunks.
+The service carries out what `loader` and `swap` decide. The chunks are fetched
+by `_fetch` and the exchange between agents.
 """
 
 import asyncio
@@ -37,8 +37,9 @@
 DeclaredAdapter = _service_types.DeclaredAdapter
 Policy = _service_types.Policy
 
-# A fleet that is ready at once asks for its leases at this rate, well below
-# what the log takes, since claims of live requests go through it as well.
+# The rate at which a fleet that is ready at once asks for its leases. It is
+# well below the capacity of the log, which also carries the claims of live
+# requests.
 MAX_ASKS_PER_S = 100.0
 _MAX_SEND_DELAY_S = 2.0
 _MAX_SLEEP_S = 1.0
@@ -46,7 +47,7 @@
 
 
 class Weights(mode.Service):
-    """The weights of one engine."""
+    """Loads and serves the declared weights on one engine."""
 
     def __init__(
         self,
@@ -68,26 +69,27 @@
         loader_timing: loaders.Timing | None = None,
         swap_timing: swaps.Timing | None = None,
     ):
-        """Wires the parts; nothing runs before `start`.
+        """Connects the components; nothing runs before `start`.
 
         Args:
-          instance_id: This agent.
-          service: The service behind it.
+          instance_id: The agent's instance id.
+          service: The name of the engine's service.
           engine: The engine's client.
-          gate: Is drained before a load and resumed after it.
-          log_client: The platform's log, for the swap leases.
+          gate: The gate, drained before a load and resumed after it.
+          log_client: The client of the platform's log, for the swap leases.
           sources: The weight store, then the origin.
-          store: The chunks; shared with the exchange.
-          exchange: The exchange of chunks; None draws from the sources.
-          endpoint: This agent's connections, for manifests of peers.
+          store: The store of chunks, shared with the exchange.
+          exchange: The exchange of chunks between agents; None to fetch from
+            the sources only.
+          endpoint: This agent's connections, for manifests from peers.
           checks_fencing: Whether the engine refuses old fencing numbers.
-          policy: Knobs of the swap; see `set_policy`.
+          policy: The limits of the swap; see `set_policy`.
           clock: The source of time.
-          rng: Jitter and lease ids.
-          log: Where events go.
-          counters: Where refusals and retries are counted.
-          loader_timing: The loader's times.
-          swap_timing: The times of swap leases.
+          rng: The source of jitter and lease ids.
+          log: The log to which events are written.
+          counters: The counters of refusals and retries.
+          loader_timing: The time settings of the loader.
+          swap_timing: The time settings of the swap leases.
         """
         super().__init__()
         self._clock = clock or clocks.SystemClock()
@@ -137,23 +139,23 @@
         }
 
     def status(self) -> statuses.WeightsStatus:
-        """Returns this agent's part in the rollout."""
+        """Returns this agent's progress in the rollout."""
         declared = self._versions.declared
-        bundle = self._versions.combined_manifest()
+        manifest = self._versions.combined_manifest()
         serving = self._loader.serving
-        out, before = self._swap.queue_counts
+        out, queued_before = self._swap.queue_counts
         return statuses.WeightsStatus(
             target=declared.version if declared else "",
             target_digest=declared.manifest if declared else "",
-            held=self._store.count(bundle) if bundle else 0,
-            total=len(bundle.chunks) if bundle else 0,
+            held=self._store.count(manifest) if manifest else 0,
+            total=len(manifest.chunks) if manifest else 0,
             serving_version=serving.version if serving else "",
             serving_digest=serving.content_digest if serving else "",
             state=self._state(),
             reason=self._loader.reason.value,
             revision=declared.revision if declared else 0,
             out=out,
-            queued_before=before,
+            queued_before=queued_before,
             cached_bytes=self._store.cached_bytes,
             staged_bytes=self._store.staged_bytes,
             adapters=tuple(sorted(serving.adapter_keys)) if serving else (),
@@ -165,12 +167,13 @@
         previous: DeclaredVersion | None = None,
         adapters: tuple[DeclaredAdapter, ...] = (),
     ) -> None:
-        """Takes in what the settings declare; only the newest matters.
+        """Sets the declared version; an outdated declaration is ignored.
 
         Args:
           target: The version to serve.
-          previous: The version before it, whose chunks stay near.
-          adapters: Loaded beside the target; it is served with them only.
+          previous: The version before it, whose chunks stay staged.
+          adapters: The adapters to load with the target, which is not served
+            without them.
         """
         change = self._versions.declare(target, previous, adapters)
         if change is _versions.Change.OUTDATED:
@@ -184,14 +187,14 @@
                 manifest=target.manifest,
                 revision=target.revision,
             )
-            # Nothing of the abandoned version is ordered any more.
+            # Ensures that the abandoned version is no longer ordered.
             self._perform(
                 self._loader.on_staged(self._clock.now(), frozenset())
             )
             self._restart_fetch()
 
     def set_policy(self, policy: Policy) -> None:
-        """Takes over changed knobs."""
+        """Applies a changed policy."""
         changed = policy != self._policy
         self._policy = policy
         self._swap.set_max_load_s(policy.load_timeout_s)
@@ -199,28 +202,28 @@
             self._acquire_permit(_loader_types.AcquirePermit())
 
     def on_engine_crash(self) -> None:
-        """Says that the engine has ended; its staging memory may be lost."""
+        """Handles a crash of the engine, which may lose its staging memory."""
         self._store.forget()
         self._perform(self._loader.on_crash(self._clock.now()))
         self._restart_fetch()
 
     def on_serving(self, callback: Callable[[str, str], None]) -> None:
-        """Registers what is told the version and digest that is served.
+        """Registers a callback for changes of the served version and digest.
 
-        Both are empty when nothing is served.
+        Both are empty when no version is served.
         """
         self._on_serving = callback
 
     async def on_start(self) -> None:
-        """Asks the engine what it has and begins to fetch."""
+        """Queries the engine's status and starts to fetch."""
         self._perform(self._loader.start(self._clock.now()))
         self._restart_fetch()
 
     async def on_stop(self) -> None:
-        """Gives the permit back, unless the engine may be loading by it.
+        """Releases the permit unless the engine may be loading under it.
 
-        The next agent of this engine would find it loading, and with it one
-        worker too many would be out.
+        The engine's next agent would find it still loading while another worker
+        may already use the released permit, and one too many would be out.
         """
         if self._loader.serving is not None:
             await self._swap.close()
@@ -269,7 +272,7 @@
             self._fetch_task = self.add_future(self._run_fetch())
 
     async def _run_fetch(self) -> None:
-        """Brings the declared versions near, then keeps them there."""
+        """Fetches the declared versions and stages their chunks."""
         await self._versions.find_target()
         self._report_declared()
         await self._versions.find_previous()
@@ -277,16 +280,16 @@
         await self._fetcher.recover(self._versions.wanted_manifests)
         await self._versions.stage()
         self._report_staged()
-        bundle = self._versions.combined_manifest()
-        if bundle is None:
+        manifest = self._versions.combined_manifest()
+        if manifest is None:
             return
         while self._state() is statuses.State.SERVING:
-            if self._store.holds_all(bundle):
+            if self._store.holds_all(manifest):
                 break
-            # The engine has it already: its chunks are not drawn again just
-            # to lie near.
+            # The engine has already loaded the version. Its chunks are not
+            # fetched again just to be staged.
             await asyncio.sleep(_MAX_SLEEP_S)
-        await self._fetcher.fetch(bundle)
+        await self._fetcher.fetch(manifest)
         self._report_staged()
 
     def _report_declared(self) -> None:
@@ -298,8 +301,10 @@
             )
 
     def _report_staged(self) -> None:
-        whole = filter(self._store.holds_all, self._versions.wanted_manifests)
-        staged = frozenset(manifest.digest for manifest in whole)
+        complete = filter(
+            self._store.holds_all, self._versions.wanted_manifests
+        )
+        staged = frozenset(manifest.digest for manifest in complete)
         self._perform(self._loader.on_staged(self._clock.now(), staged))
 
     def _on_chunks_lost(self, action: _loader_types.ChunksLost) -> None:
@@ -349,7 +354,8 @@
         self._on_serving("", "")
 
     async def _close_gate(self, sequence: int) -> None:
-        # Closed after a `Serve` that followed at once, it would stay closed.
+        # If a `Serve` followed at once, closing the gate now would leave it
+        # closed.
         if sequence == self._gate_sequence:
             await self._gate.drain(0.0)
 
--- a/src/clementinegw/weights/swap.py
+++ b/src/clementinegw/weights/swap.py
@@ -66,7 +66,7 @@
 
 
 def max_out(share: float, workers: int) -> int:
-    """Returns how many workers may be out of service, at least one."""
+    """Returns the share of the workers, rounded down but at least one."""
     # The addend corrects float errors: 0.29 * 100 is just below 29.
     return max(1, int(share * workers + 1e-9))
 
