--- a/tests/test_loader_walk.py
+++ b/tests/test_loader_walk.py
@@ -1,4 +1,4 @@
-"""Random walks of the loader: what is served was always proved."""
+"""Random sequences of events for the loader, which serves verified weights."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -8,7 +8,10 @@
 from clementinegw.weights import loader as loaders
 
 V1, V2, V3 = loader_driver.V1, loader_driver.V2, loader_driver.V3
-ALL_STAGED, CONTENT = loader_driver.ALL_STAGED, loader_driver.CONTENT
+ALL_STAGED, CONTENT_DIGESTS = (
+    loader_driver.ALL_STAGED,
+    loader_driver.CONTENT_DIGESTS,
+)
 
 EVENTS = (
     "declare",
@@ -22,7 +25,7 @@
     "effect",
     "report",
     "mismatch",
-    "lose",
+    "lose_answer",
     "late_effect",
     "refuse_fencing",
     "refuse_chunk",
@@ -35,20 +38,20 @@
 
 
 class Walk(loader_driver.Driver):
-    """Lets anything happen in any order that is possible."""
+    """Applies events in any possible order."""
 
     def __init__(self, checks_fencing):
         super().__init__(V1, checks_fencing)
         self.revision = 1
-        self.late = None
-        self.late_until = 0.0
-        self.known = self.loaded
+        self.late_order = None
+        self.late_order_until = 0.0
+        self.reported = self.loaded
 
     def _do_Serve(self, action):  # noqa: N802
         super()._do_Serve(action)
-        # No report or status since may have said otherwise.
-        assert action.target.content_digest == self.known
-        assert self.late is None or self.now >= self.late_until
+        # The latest report or status must agree.
+        assert action.target.content_digest == self.reported
+        assert self.late_order is None or self.now >= self.late_order_until
 
     def step(self, event, choice):
         getattr(self, f"on_{event}")(choice)
@@ -60,7 +63,7 @@
 
     def on_status(self, choice):
         if self.open_query is not None:
-            self.known = self.loaded
+            self.reported = self.loaded
             self.answer_status()
 
     def on_no_status(self, choice):
@@ -69,15 +72,15 @@
             self.do(self.loader.on_no_status(self.now, number))
 
     def on_permit(self, choice):
-        if self.permit_asked:
+        if self.permit_requested:
             self.do(self.loader.on_permit_granted(self.now))
 
     def on_permit_lost(self, choice):
         self.do(self.loader.on_permit_lost(self.now))
 
     def on_covered(self, choice):
-        if self.cover_asked:
-            self.cover_asked = False
+        if self.cover_requested:
+            self.cover_requested = False
             self.do(self.loader.on_covered(self.now, self.now + 1.0))
 
     def on_drained(self, choice):
@@ -90,31 +93,31 @@
 
     def on_effect(self, choice):
         if self.open_order is not None:
-            self.take_effect()
+            self.apply_order()
 
     def on_report(self, choice):
         if self.open_order is not None:
-            self.take_effect()
-            self.known = self.loaded
+            self.apply_order()
+            self.reported = self.loaded
             self.report()
 
     def on_mismatch(self, choice):
         if self.open_order is not None:
-            self.known = self.loaded = "0" * 64
+            self.reported = self.loaded = "0" * 64
             self.report()
 
-    def on_lose(self, choice):
+    def on_lose_answer(self, choice):
         if self.open_order is not None:
-            # The engine takes it late, but not later than it is waited for.
+            # The engine may carry the order out late, but within `settle_s`.
             if self.loaded != self.open_order.target.content_digest:
-                self.late = self.open_order
-                self.late_until = self.now + loaders.Timing().settle_s
+                self.late_order = self.open_order
+                self.late_order_until = self.now + loaders.Timing().settle_s
             self.lose_answer()
 
     def on_late_effect(self, choice):
-        if self.late is not None and self.now < self.late_until:
-            self.loaded = self.late.target.content_digest
-            self.late = None
+        if self.late_order is not None and self.now < self.late_order_until:
+            self.loaded = self.late_order.target.content_digest
+            self.late_order = None
 
     def on_refuse_fencing(self, choice):
         if self.open_order is not None:
@@ -134,14 +137,14 @@
 
     def on_crash(self, choice):
         self.on_crash_unseen(choice)
-        self.known = ""
+        self.reported = ""
         self.open_order = self.open_query = None
         self.do(self.loader.on_crash(self.now))
 
     def on_crash_unseen(self, choice):
         if self.open_order is None:
             self.loaded = ""
-            self.late = None
+            self.late_order = None
 
     def on_time(self, choice):
         self.now += 0.3
@@ -161,10 +164,12 @@
     ),
 )
 @hypothesis.settings(deadline=None, max_examples=400, derandomize=True)
-def test_any_sequence_serves_only_what_the_engine_proved(checks_fencing, steps):
-    """Nothing is served against the engine's last word or an open order.
+def test_any_sequence_serves_only_what_the_engine_reported(
+    checks_fencing, steps
+):
+    """Serving never contradicts the engine's last report or an open order.
 
-    Afterwards, once faults end, the newest version is served.
+    Once the faults end, the newest version is served.
     """
     walk = Walk(checks_fencing)
     for event, choice in steps:
@@ -174,7 +179,7 @@
         for event in ("long_time", "status", "permit", "drained", "covered"):
             walk.step(event, 0)
         walk.step("report", 0)
-        if walk.serves == CONTENT["2"]:
+        if walk.serves == CONTENT_DIGESTS["2"]:
             break
-    assert walk.serves == walk.loaded == CONTENT["2"]
+    assert walk.serves == walk.loaded == CONTENT_DIGESTS["2"]
     assert walk.loader.reason is loaders.Reason.NONE
