--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -1,4 +1,4 @@
-"""Manifests: canonical, bounded, and refused when anything is off."""
+"""Tests manifests and their publication, and the stores of chunks."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 from clementinegw.commands import main
 from clementinegw.testing import clock as virtual
 from clementinegw.testing import memory
-from clementinegw.testing import platform as standins
+from clementinegw.testing import platform as stand_ins
 from clementinegw.weights import bitset
 from clementinegw.weights import manifest as manifests
 from clementinegw.weights import publish
@@ -38,16 +38,16 @@
 def test_round_trip_keeps_every_size(sizes):
     hypothesis.assume(sum(sizes) > 0)
     manifest = build(*(bytes([n]) * size for n, size in enumerate(sizes)))
-    again = manifests.decode(manifest.encode(), manifest.digest)
-    assert again == manifest
-    assert sum(chunk.size for chunk in again.chunks) == sum(sizes)
+    decoded = manifests.decode(manifest.encode(), manifest.digest)
+    assert decoded == manifest
+    assert sum(chunk.size for chunk in decoded.chunks) == sum(sizes)
 
 
 def test_unchanged_files_share_all_their_chunks():
-    """A file that grows must not shift the chunks of the files behind it.
+    """A file that grows must not shift the chunks of the files after it.
 
-    Symptom: after a small edit the whole version is moved again. Cause: chunks
-    cut across file borders.
+    If chunks crossed file boundaries, the whole version would be transferred
+    again after a small edit.
     """
     weights = bytes(range(256)) * 40
     before = {chunk.digest for chunk in build(b"a" * 10, weights).chunks}
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, place",
+    "change, location",
     [
         (lambda d: d.update(schema=2), "schema"),
         (lambda d: d.update(extra=1), "extra"),
@@ -85,28 +85,28 @@
         (file_path("a//b"), "files"),
     ],
 )
-def test_manifest_that_contradicts_itself_is_refused(change, place):
+def test_inconsistent_manifest_is_refused(change, location):
     data, digest = tampered(change)
-    with pytest.raises(exceptions.DecodeError, match=place):
+    with pytest.raises(exceptions.DecodeError, match=location):
         manifests.decode(data, digest)
 
 
 def test_bytes_under_another_digest_are_refused():
-    """A peer or store answers with another manifest than the settings name."""
+    """A peer or store may return another manifest than the settings name."""
     wanted, other = build(b"a" * 10), build(b"b" * 10)
     with pytest.raises(exceptions.DecodeError, match="expected digest"):
         manifests.decode(other.encode(), wanted.digest)
 
 
-def test_second_spelling_of_a_manifest_is_refused():
-    """Equal weights under two digests would make the engine's report differ."""
+def test_manifest_in_another_encoding_is_refused():
+    """Equal weights under two digests would not match the engine's report."""
     manifest = build(b"a" * 10)
     spaced = json.dumps(json.loads(manifest.encode())).encode()
     with pytest.raises(exceptions.DecodeError, match="canonical"):
         manifests.decode(spaced, manifests.digest_of(spaced).hex())
 
 
-def test_manifest_longer_than_the_bound_is_refused_before_parsing():
+def test_manifest_longer_than_the_limit_is_refused_before_parsing():
     data = b" " * (manifests.MAX_ENCODED_BYTES + 1)
     with pytest.raises(exceptions.DecodeError, match="at most"):
         manifests.decode(data, manifests.digest_of(data).hex())
@@ -121,17 +121,17 @@
     assert set(range(count)) - set(bitset.missing(bits, count)) == indices
 
 
-async def test_store_refuses_corrupt_chunks_and_keeps_to_its_bound():
-    """A peer sends other bytes than asked for: nothing of them is kept."""
-    kept = store.MemoryStore(limit_bytes=3 * CHUNK)
+async def test_store_refuses_corrupt_chunks_and_respects_its_limit():
+    """A peer may send other bytes than requested, which must not be stored."""
+    chunk_store = store.MemoryStore(limit_bytes=3 * CHUNK)
     manifest = build(*(bytes([n]) * CHUNK for n in range(4)))
     for number, chunk in enumerate(manifest.chunks):
-        assert not await kept.put(chunk.digest, b"corrupt")
-        assert await kept.get(chunk.digest) is None
-        assert await kept.put(chunk.digest, bytes([number]) * CHUNK)
-    assert kept.used_bytes <= kept.limit_bytes
-    assert kept.evicted == 1
-    held = kept.held(manifest)
+        assert not await chunk_store.put(chunk.digest, b"corrupt")
+        assert await chunk_store.get(chunk.digest) is None
+        assert await chunk_store.put(chunk.digest, bytes([number]) * CHUNK)
+    assert chunk_store.used_bytes <= chunk_store.limit_bytes
+    assert chunk_store.evicted == 1
+    held = chunk_store.held(manifest)
     assert bitset.missing(held, len(manifest.chunks)) == [0]
 
 
@@ -139,7 +139,7 @@
     return virtual.run(publish.publish(path, "gear", version, blobs, CHUNK))
 
 
-def test_published_directory_can_be_put_together_again(tmp_path):
+def test_published_directory_can_be_restored(tmp_path):
     contents = {
         "config.json": b"{}",
         "empty": b"",
@@ -151,20 +151,20 @@
         (tmp_path / name).write_bytes(data)
     platform = memory.MemoryStore()
     manifest = publish_all(tmp_path, platform)
-    stored = platform.blobs[manifest.blob_name]
-    again = manifests.decode(stored, manifest.digest)
-    chunks = [platform.blobs[chunk.blob_name] for chunk in again.chunks]
+    encoded = platform.blobs[manifest.blob_name]
+    decoded = manifests.decode(encoded, manifest.digest)
+    chunks = [platform.blobs[chunk.blob_name] for chunk in decoded.chunks]
     whole = b"".join(chunks)
-    assert whole == b"".join(contents[file.path] for file in again.files)
-    assert [file.path for file in again.files] == sorted(contents)
+    assert whole == b"".join(contents[file.path] for file in decoded.files)
+    assert [file.path for file in decoded.files] == sorted(contents)
 
 
 def test_second_run_sends_only_what_the_store_does_not_have(tmp_path):
-    """The store fails in mid-publication; the operator runs it again.
+    """The store fails during a publication, which is then run decoded.
 
-    Sequence: the store goes down for good after some chunks, comes back with
-    one blob cut off. Expected: no manifest after the first run; the second
-    sends the rest and the blob that was cut off, and nothing twice.
+    The store fails after some chunks and returns with one blob truncated. The
+    first run must not leave a manifest. The second run must upload the rest and
+    the truncated blob, and nothing twice.
     """
     path = tmp_path / "weights.bin"
     path.write_bytes(b"".join(bytes([n]) * CHUNK for n in range(9)))
@@ -176,21 +176,21 @@
     with pytest.raises(exceptions.PlatformUnavailable):
         virtual.run(publish.publish(path, "gear", "1", platform, CHUNK, fail))
     assert not [name for name in platform.blobs if "manifests" in name]
-    kept = len(platform.blobs)
+    stored = len(platform.blobs)
     platform.faults.down = False
     platform.blobs[next(iter(platform.blobs))] = b"cut"
-    seen = publish.Progress()
+    progress = publish.Progress()
 
-    def watch(progress):
-        nonlocal seen
-        seen = progress
+    def record(update):
+        nonlocal progress
+        progress = update
 
-    virtual.run(publish.publish(path, "gear", "1", platform, CHUNK, watch))
-    assert seen.sent_chunks == 9 - kept + 1
-    assert seen.done_bytes == seen.total_bytes == 9 * CHUNK
+    virtual.run(publish.publish(path, "gear", "1", platform, CHUNK, record))
+    assert progress.sent_chunks == 9 - stored + 1
+    assert progress.done_bytes == progress.total_bytes == 9 * CHUNK
 
 
-def test_lost_answer_of_the_store_is_tried_again(tmp_path):
+def test_upload_is_retried_after_a_lost_answer_of_the_store(tmp_path):
     path = tmp_path / "weights.bin"
     path.write_bytes(b"w" * CHUNK)
     platform = memory.MemoryStore()
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize("size, message", [(0, "0 bytes"), (None, "read")])
-def test_path_without_weights_is_one_clear_error(tmp_path, size, message):
+def test_path_without_weights_is_a_usage_error(tmp_path, size, message):
     path = tmp_path / "weights.bin"
     if size is not None:
         path.write_bytes(b"")
@@ -210,10 +210,10 @@
 
 
 def test_file_that_grows_while_it_is_read_is_not_published(tmp_path):
-    """Symptom: all instances verify and serve weights that are cut off.
+    """Guards against instances that verify and serve truncated weights.
 
-    Sequence: the file is measured, its writer goes on, it is read. Cause: the
-    length at the start was taken for the length of the whole.
+    The file grows between the determination of its length and the reading, so
+    the first length is not that of the whole file.
     """
     path = tmp_path / "weights.bin"
     path.write_bytes(b"w" * 3 * publish.MAX_CONCURRENT_UPLOADS * CHUNK)
@@ -229,16 +229,16 @@
 
 
 async def publish_command(path, *flags):
-    """Runs the command against a store on the loopback."""
-    standin = standins.PlatformStandIn()
-    await standin.start()
-    store_flag = f"--store={standin.store_address}"
+    """Runs the command against a store on the loopback interface."""
+    stand_in = stand_ins.PlatformStandIn()
+    await stand_in.start()
+    store_flag = f"--store={stand_in.store_address}"
     argv = ["weights", "publish", str(path), store_flag, "--json", *flags]
     try:
         code = await asyncio.to_thread(main.main, argv)
-        return code, standin.store.blobs
+        return code, stand_in.store.blobs
     finally:
-        await standin.stop()
+        await stand_in.stop()
 
 
 def test_command_publishes_and_prints_the_digest_to_declare(tmp_path, capsys):
@@ -249,25 +249,25 @@
     printed = json.loads(capsys.readouterr().out)
     assert code == 0
     assert printed["chunks"] == 5
-    assert printed["sent_chunks"] == 1, "equal chunks are sent once"
+    assert printed["sent_chunks"] == 1, "equal chunks are uploaded once"
     manifest = blobs[manifests.manifest_blob_name(printed["digest"])]
     assert manifests.decode(manifest, printed["digest"]).version == "7"
 
 
 @pytest.mark.parametrize(
-    "flags, words",
+    "flags, message",
     [
         (("--model=gear",), "--version"),
         (("--model=gear", "--version=../7"), "version"),
         (("--model=gear", "--version=7", "--chunk_bytes=5"), "chunk_bytes"),
     ],
 )
-def test_mistake_in_a_flag_is_one_line(tmp_path, capsys, flags, words):
+def test_invalid_flag_is_reported_in_one_line(tmp_path, capsys, flags, message):
     path = tmp_path / "weights.bin"
     path.write_bytes(b"w")
     code, blobs = asyncio.run(publish_command(path, *flags))
     error = capsys.readouterr().err
     assert code == 2
-    assert words in error
+    assert message in error
     assert error.count("\n") == 1
     assert not blobs
--- a/tests/weights_fakes.py
+++ b/tests/weights_fakes.py
@@ -1,4 +1,4 @@
-"""A model engine and a gate at the interfaces of `weights.service`."""
+"""A fake engine and a fake gate for `weights.service`."""
 
 import asyncio
 import contextvars
@@ -14,7 +14,7 @@
 def version_of(name: str, *parts: bytes):
     """Returns a manifest and its blobs; each part fills one chunk."""
     data = [(part * CHUNK)[:CHUNK] for part in parts]
-    chunks = [manifests.digest_of(piece) for piece in data]
+    chunks = [manifests.digest_of(content) for content in data]
     file = manifests.File("weights", len(data) * CHUNK)
     manifest = manifests.build("gear", name, CHUNK, (file,), chunks)
     blobs = {
@@ -26,7 +26,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """The next n of each kind fail in this way."""
+    """Faults to inject.
+
+    Attributes:
+      answers_lost: How many of the next answers to load orders are lost.
+      orders_late_s: The delays in seconds of the next orders, which take effect
+        after their connection has broken.
+      corrupt_loads: How many of the next loads corrupt a chunk.
+      corrupt_adapters: How many of the next adapter reports have a wrong
+        digest.
+      down: Whether the engine is unreachable.
+    """
 
     answers_lost: int = 0
     orders_late_s: list[float] = dataclasses.field(default_factory=list)
@@ -36,7 +46,7 @@
 
 
 class FakeEngine:
-    """Loads in place, chunk by chunk; its digest is of the bytes in place."""
+    """An engine that loads chunk by chunk, overwriting the loaded weights."""
 
     def __init__(self, checks_fencing: bool = True, load_s: float = 1.0):
         self.checks_fencing = checks_fencing
@@ -55,7 +65,7 @@
 
     @property
     def digest(self) -> str:
-        """What an answer would be computed by at this moment."""
+        """The content digest of the weights that would answer a request now."""
         return (
             backend.content_digest(self.loaded_chunks)
             if self.loaded_chunks
@@ -63,7 +73,7 @@
         )
 
     def crash(self) -> None:
-        """Loses everything."""
+        """Crashes and restarts the engine, losing all weights and chunks."""
         self._generation += 1
         self.chunks.clear()
         self.adapters.clear()
@@ -73,7 +83,7 @@
         self._load_lock = asyncio.Lock()
 
     async def stage_chunk(self, chunk_digest, data):
-        """Puts a chunk in."""
+        """Stages a chunk."""
         self._check_reachable()
         if manifests.digest_of(data).hex() != chunk_digest:
             return backend.StageResult.CORRUPT
@@ -82,23 +92,23 @@
         return backend.StageResult.STORED
 
     async def staged(self, chunk_digest):
-        """Returns a chunk."""
+        """Returns a staged chunk, or None."""
         self._check_reachable()
         return self.chunks.get(chunk_digest)
 
     async def unstage(self, chunk_digest):
-        """Takes a chunk out."""
+        """Removes a staged chunk."""
         self._check_reachable()
         self.chunks.pop(chunk_digest, None)
 
     async def staging(self):
-        """Returns what is there."""
+        """Returns the status of the staging memory."""
         self._check_reachable()
         used = sum(map(len, self.chunks.values()))
         return backend.StagingStatus(tuple(self.chunks), used, 1 << 30)
 
     async def status(self):
-        """Returns what the engine says of itself."""
+        """Returns the engine's status."""
         self._check_reachable()
         return backend.EngineStatus(
             model="gear",
@@ -115,13 +125,13 @@
         )
 
     async def load(self, order):
-        """Carries an order out, even when nobody hears the answer."""
+        """Carries out an order, even if its answer does not reach the agent."""
         self._check_reachable()
         generation = self._generation
         if self.faults.orders_late_s:
-            # It lies in the accept queue; the agent's connection is gone.
+            # The order is in the accept queue; the agent's connection breaks.
             late_s = self.faults.orders_late_s.pop(0)
-            _spawn_detached(self._late(order, late_s, generation))
+            _spawn_detached(self._load_later(order, late_s, generation))
             raise exceptions.BackendLost("load: connection lost")
         answer = await asyncio.shield(
             _spawn_detached(self._load(order, generation))
@@ -148,7 +158,7 @@
             digest = "0" * 64
         return backend.LoadReport(order.version, digest, order.fencing)
 
-    async def _late(self, order, late_s, generation):
+    async def _load_later(self, order, late_s, generation):
         await asyncio.sleep(late_s)
         if generation == self._generation:
             await self._load(order, generation)
@@ -173,16 +183,16 @@
     async def _replace(self, chunks, generation):
         corrupt = self.faults.corrupt_loads > 0
         self.faults.corrupt_loads -= corrupt
-        pieces = [self.chunks[digest] for digest in chunks]
-        del self.loaded_chunks[len(pieces) :]
-        for index, piece in enumerate(pieces):
-            await asyncio.sleep(self.load_s / len(pieces))
+        chunk_data = [self.chunks[digest] for digest in chunks]
+        del self.loaded_chunks[len(chunk_data) :]
+        for index, data in enumerate(chunk_data):
+            await asyncio.sleep(self.load_s / len(chunk_data))
             if generation != self._generation:
                 return
             if corrupt and index == 0:
-                piece = b"?" + piece[1:]
+                data = b"?" + data[1:]
             self.loaded_chunks[index : index + 1] = [
-                manifests.digest_of(piece).hex()
+                manifests.digest_of(data).hex()
             ]
 
     def _refused(self, reason, missing=()):
@@ -194,13 +204,13 @@
 
 
 def _spawn_detached(work):
-    """Runs as the engine's process, also when the agent's is paused."""
+    """Runs a coroutine outside the agent's process, which may be paused."""
     loop = asyncio.get_running_loop()
     return loop.create_task(work, context=contextvars.Context())
 
 
 class FakeGate:
-    """Lets requests in; a request takes some time on the engine."""
+    """A gate whose requests run on the engine for some time."""
 
     def __init__(self, engine: FakeEngine, request_s: float = 0.5):
         self.engine = engine
@@ -214,7 +224,7 @@
         self.generation = 0
 
     async def drain(self, timeout_s):
-        """Takes nothing new and waits."""
+        """Stops accepting requests and waits for those in flight."""
         self.open = False
         waited = 0.0
         while self.in_flight and waited < timeout_s:
@@ -223,17 +233,17 @@
         return not self.in_flight
 
     def resume(self, version="", digest=""):
-        """Takes requests again."""
+        """Accepts requests again."""
         self.version, self.digest = version, digest
         self.open = True
 
     def crash(self):
-        """The engine has ended: what is in flight fails, nothing is let in."""
+        """Handles a crash of the engine: requests fail and the gate closes."""
         self.open = False
         self.generation += 1
 
     async def request(self):
-        """Runs one request and checks which weights answer it."""
+        """Runs one request and checks that one version answers all of it."""
         if not self.open:
             return
         self.in_flight += 1
@@ -251,7 +261,7 @@
             self.in_flight -= 1
 
     async def traffic(self, every_s: float = 0.1):
-        """Sends requests for ever."""
+        """Sends requests until cancelled."""
         async with asyncio.TaskGroup() as group:
             while True:
                 group.create_task(self.request())
--- a/tests/weights_site.py
+++ b/tests/weights_site.py
@@ -1,4 +1,4 @@
-"""Agents of one service in processes of one loop, in virtual time."""
+"""Simulates the agents of one service as processes, in virtual time."""
 
 import asyncio
 import random
@@ -32,15 +32,16 @@
 
 
 class Agent:
-    """One worker: an engine that stays, and agent processes that come and go.
+    """One worker: an engine, and the successive processes of its agent.
 
     Attributes:
-      engine: The engine.
-      gate: The present process's gate.
-      weights: The present process's weights.
-      counters: Of the present process.
-      log: The present process's client of the log.
-      disturbed: Paused, dead, or not back in service since.
+      engine: The engine, which outlives the processes.
+      gate: The current process's gate.
+      weights: The current process's weights service.
+      counters: The current process's counters.
+      log: The current process's client of the log.
+      disturbed: Whether the worker was paused, killed or crashed and has not
+        returned to service since.
     """
 
     def __init__(self, site, number):
@@ -56,7 +57,7 @@
 
     @property
     def process(self):
-        """The name of the present process: a dead one never runs again."""
+        """The name of the current process, different after each restart."""
         return f"{self.name} {self.generation}"
 
     @property
@@ -65,11 +66,11 @@
 
     @property
     def out(self):
-        """Whether it is out for loading by its own will."""
+        """Whether the worker is out of service by its own decision."""
         return not self.gate.open and not self.disturbed
 
     def start(self):
-        """Starts a process, the first one or one in place of a dead one."""
+        """Starts a process, replacing a previous one."""
         self.generation += 1
         site = self.site
         self.gate = weights_fakes.FakeGate(self.engine)
@@ -92,46 +93,46 @@
             counters=self.counters,
         )
         self.disturbed = True
-        site.loop.spawn(self.process, self.name, self._live(self.weights))
+        site.loop.spawn(self.process, self.name, self._run(self.weights))
 
     def pause(self):
-        """Stops the process for a while."""
+        """Pauses the process."""
         self.paused = self.disturbed = True
         self.site.loop.pause(self.process)
 
     def wake(self):
-        """Lets it go on; it believes that no time has passed."""
+        """Resumes the process, which does not notice that time has passed."""
         self.paused = False
         self.site.loop.wake(self.process)
 
     def kill(self):
-        """Ends the process; the engine goes on."""
+        """Kills and replaces the process; the engine keeps running."""
         self.site.loop.kill(self.process)
         self.site.mixed += self.gate.mixed
         self.start()
         self.declare()
 
     def declare(self):
-        """Tells the process what is declared."""
+        """Passes the current declaration to the process."""
         target, revision = self.site.declared
         previous = PREVIOUS[target.version]
-        former = previous and declared(previous, revision)
+        previous = previous and declared(previous, revision)
         target = declared(target, revision)
-        self.weights.set_declared(target, former, self.site.adapters)
+        self.weights.set_declared(target, previous, self.site.adapters)
 
     def crash_engine(self):
-        """Ends the engine; it is back at once, without anything."""
+        """Crashes the engine, which restarts at once without weights."""
         self.disturbed = True
         self.engine.crash()
         self.gate.crash()
 
-    async def _live(self, weights):
+    async def _run(self, weights):
         await weights.start()
         await self.gate.traffic()
 
 
 class Site:
-    """Agents of one service, a log and an origin."""
+    """The agents of one service with a log and an origin."""
 
     def __init__(self, clock, count=1, checks_fencing=True, share=0.34, seed=0):
         self.clock = clock
@@ -150,14 +151,14 @@
         self.agents = [Agent(self, number) for number in range(count)]
 
     async def start(self, manifest=V1):
-        """Starts all agents and waits until they serve a version."""
+        """Starts all agents and waits until they serve the version."""
         for agent in self.agents:
             agent.start()
         self.declare(manifest, 1)
         await self.wait_until_served(manifest.version)
 
     def declare(self, manifest, revision, adapter=None):
-        """Declares a version, perhaps with an adapter."""
+        """Declares a version, optionally with an adapter."""
         self.declared = (manifest, revision)
         if adapter is not None:
             self.adapters = (
@@ -169,7 +170,7 @@
             agent.declare()
 
     async def wait_until_served(self, version, limit_s=1200.0):
-        """Waits until all agents serve a version."""
+        """Waits until all agents serve the version."""
         end = self.clock.now() + limit_s
         while any(agent.serves != version for agent in self.agents):
             assert self.clock.now() < end, [
@@ -178,7 +179,7 @@
             await asyncio.sleep(SAMPLE_S)
 
     async def watch(self, max_out):
-        """Fails when more workers are out than the share allows."""
+        """Fails if more workers are out than the share allows."""
         while True:
             for agent in self.agents:
                 assert not (agent.weights and agent.weights.crashed)
@@ -189,29 +190,29 @@
             await asyncio.sleep(SAMPLE_S)
 
     def check(self):
-        """No answer ever came from partial or mixed weights."""
+        """Checks that no answer came from partial or mixed weights."""
         self.mixed += sum(agent.gate.mixed for agent in self.agents)
         assert self.mixed == 0
 
 
-def run(story, **options):
-    """Runs a story about a site in virtual time."""
+def run(scenario, **options):
+    """Runs a test scenario on a site in virtual time."""
     clock = virtual.VirtualClock()
 
-    async def told():
+    async def run_and_watch():
         site = Site(clock, **options)
         watching = asyncio.create_task(
             site.watch(
                 max(1, int(site.policy.max_out_share * len(site.agents)))
             )
         )
-        telling = asyncio.create_task(story(site))
+        running = asyncio.create_task(scenario(site))
         done, _ = await asyncio.wait(
-            (watching, telling), return_when=asyncio.FIRST_COMPLETED
+            (watching, running), return_when=asyncio.FIRST_COMPLETED
         )
         site.loop.release()
         for task in done:
             task.result()
         site.check()
 
-    virtual.run(told(), clock, 0.0, processes.ProcessLoop)
+    virtual.run(run_and_watch(), clock, 0.0, processes.ProcessLoop)
