--- a/tests/test_weights_service.py
+++ b/tests/test_weights_service.py
@@ -1,4 +1,4 @@
-"""Agents from the declaration to the served version, in virtual time."""
+"""Tests agents from a declaration to the served version, in virtual time."""
 
 import asyncio
 
@@ -15,22 +15,22 @@
 
 
 def test_new_version_reaches_all_within_the_share():
-    """Workers swap two at a time while requests go on, none by a mixture."""
+    """Workers swap two at a time; no request is answered by mixed weights."""
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
-        began = site.clock.now()
+        started_at = site.clock.now()
         site.declare(V2, 2)
         await site.wait_until_served("2")
-        # Three waves of half a second to drain and one to load.
-        assert site.clock.now() - began < 6.0
+        # Three rounds of half a second to drain and one second to load.
+        assert site.clock.now() - started_at < 6.0
 
-    run(story, count=6)
+    run(scenario, count=6)
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
-def test_rollback_is_a_declaration_and_draws_nothing(checks_fencing):
-    async def story(site):
+def test_rollback_is_a_declaration_and_fetches_nothing(checks_fencing):
+    async def scenario(site):
         await site.start()
         site.declare(V2, 2)
         await site.wait_until_served("2")
@@ -39,17 +39,17 @@
         await site.wait_until_served("1")
         assert site.origin.drawn == drawn
 
-    run(story, count=2, checks_fencing=checks_fencing)
+    run(scenario, count=2, checks_fencing=checks_fencing)
 
 
-def test_without_the_log_chunks_travel_and_nobody_leaves_service():
-    """The log is away for minutes in mid-rollout, then comes back.
+def test_without_the_log_chunks_are_fetched_and_no_worker_leaves_service():
+    """The log is unreachable for a minute during a rollout, then returns.
 
-    Also: an engine that crashed meanwhile is loaded again without a lease, for
-    its worker is out in any case.
+    An engine that crashes meanwhile is loaded again without a lease, because
+    its worker is out of service in any case.
     """
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         for agent in site.agents:
             agent.log.faults.down = True
@@ -67,13 +67,13 @@
             agent.log.faults.down = False
         await site.wait_until_served("2")
 
-    run(story, count=3)
+    run(scenario, count=3)
 
 
-def test_worker_that_drains_when_the_log_goes_away_serves_again():
-    """A lease cannot be renewed: its time is over, also for those who wait."""
+def test_worker_that_drains_when_the_log_fails_serves_again():
+    """A lease that cannot be renewed expires, also for a draining worker."""
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         agent = site.agents[0]
         agent.gate.request_s = 60.0
@@ -82,20 +82,20 @@
         while agent.gate.open:
             await asyncio.sleep(0.1)
         agent.log.faults.down = True
-        began = site.clock.now()
+        started_at = site.clock.now()
         while not agent.gate.open:
             await asyncio.sleep(0.1)
-        assert site.clock.now() - began < 10.0
+        assert site.clock.now() - started_at < 10.0
         assert agent.serves == "1"
         assert agent.counters.value("weights.load.permit_lost") == 1
 
-    run(story, count=2)
+    run(scenario, count=2)
 
 
-def test_agent_that_stops_gives_its_place_back():
-    """Symptom: the others wait for the lease of a worker that was shut down."""
+def test_agent_that_stops_releases_its_lease():
+    """Otherwise other workers would wait for the lease of a stopped worker."""
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         leaving, other = site.agents
         leaving.gate.request_s = 60.0
@@ -112,16 +112,17 @@
         await asyncio.sleep(5.0)
         assert other.serves == "2"
 
-    run(story, count=2)
+    run(scenario, count=2)
 
 
-def test_replaced_agent_serves_at_once_and_draws_nothing():
-    """An agent is replaced while store and origin are away.
+def test_replaced_agent_serves_at_once_and_fetches_nothing():
+    """An agent is replaced while the store and the origin are unreachable.
 
-    The engine still has the version, and staging the manifest and the chunks.
+    The engine still has the version loaded, and the manifest and the chunks are
+    in the staging memory.
     """
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         drawn, orders = site.origin.drawn, len(site.agents[0].engine.orders)
         site.origin.faults.down = True
@@ -133,16 +134,16 @@
         assert site.origin.drawn == drawn
         assert len(site.agents[0].engine.orders) == orders
 
-    run(story)
+    run(scenario)
 
 
-def test_replaced_agent_goes_on_with_what_verifies():
-    """An agent dies in mid-fetch; one staged chunk was damaged since.
+def test_replaced_agent_reuses_verified_chunks():
+    """An agent dies during a fetch, and one staged chunk is then corrupted.
 
-    Only the damaged chunk and those that were missing are drawn again.
+    Only the corrupt chunk and the missing ones are fetched from the origin.
     """
 
-    async def story(site):
+    async def scenario(site):
         agent = site.agents[0]
         manifest, blobs = weights_site.VERSIONS[0]
         for chunk in manifest.chunks[:2]:
@@ -150,18 +151,18 @@
         damaged = manifest.chunks[1].digest.hex()
         agent.engine.chunks[damaged] = b"?" + agent.engine.chunks[damaged][1:]
         await site.start()
-        each = weights_site.CHUNK
-        assert site.origin.drawn == 2 * each + len(manifest.encode())
+        size = weights_site.CHUNK
+        assert site.origin.drawn == 2 * size + len(manifest.encode())
         assert agent.counters.value("weights.staging.recovered") == 1
         assert agent.counters.value("weights.staging.corrupt") == 1
 
-    run(story)
+    run(scenario)
 
 
-def test_abandoned_version_costs_no_byte_more():
-    """The declared version changes while chunks of the first are drawn."""
+def test_abandoned_version_is_not_fetched_further():
+    """The declared version changes while chunks of the first are fetched."""
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         site.origin.faults.slow_s = 1.0
         site.declare(V3, 2)
@@ -173,13 +174,13 @@
         assert site.agents[0].serves == "1"
         assert len(site.agents[0].engine.orders) == 1
 
-    run(story)
+    run(scenario)
 
 
-def test_version_that_no_engine_loads_stops_at_the_share():
-    """A damaged version takes out one worker; a rollback brings it back."""
+def test_version_that_no_engine_loads_takes_out_no_more_than_the_share():
+    """A corrupt version takes out one worker; a rollback restores it."""
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         for agent in site.agents:
             agent.engine.faults.corrupt_loads = 1_000
@@ -192,13 +193,13 @@
         site.declare(V1, 3)
         await site.wait_until_served("1", limit_s=10.0)
 
-    run(story, count=3)
+    run(scenario, count=3)
 
 
-def test_engine_that_answers_late_overwrites_nothing_that_is_served():
-    """An order lies in the accept queue for 8 s after its connection broke."""
+def test_late_order_overwrites_no_weights_that_are_served():
+    """An order is in the accept queue for 8 s after its connection broke."""
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         site.agents[0].engine.faults.orders_late_s.append(8.0)
         site.declare(V2, 2)
@@ -206,17 +207,17 @@
         orders = site.agents[0].engine.orders
         assert [order.version for order in orders] == ["1", "2"]
 
-    run(story, checks_fencing=False)
+    run(scenario, checks_fencing=False)
 
 
-def test_previous_version_that_nobody_has_delays_nothing():
-    """Symptom: a new instance begins to fetch minutes after the others.
+def test_unavailable_previous_version_delays_nothing():
+    """Guards against a new instance that starts to fetch minutes late.
 
-    Sequence: the previous version's manifest lies in a store that stalls only;
-    the new agent asks for it before it fetches the declared version.
+    The previous version's manifest is only in a store that stalls, and the new
+    agent asks for it before it fetches the declared version.
     """
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         agent = site.agents[0]
         for blob in list(site.origin.blobs):
@@ -224,55 +225,56 @@
                 del site.origin.blobs[blob]
         agent.kill()
         agent.engine.crash()
-        find = site.origin.get
+        original_get = site.origin.get
 
         async def get(name, *rest):
             if name == V2.blob_name:
                 await asyncio.sleep(600.0)
-            return await find(name, *rest)
+            return await original_get(name, *rest)
 
         site.origin.get = get
         site.declare(V3, 2)
         await site.wait_until_served("3", limit_s=30.0)
 
-    run(story)
+    run(scenario)
 
 
 class FakeExchange:
-    """An exchange that has fetched a version and is told of a loss."""
+    """An exchange that has fetched a version and records its calls."""
 
-    def __init__(self, told):
-        self.told = told
+    def __init__(self, calls):
+        self.calls = calls
         self.complete = True
 
     def set_target(self, manifest):
         pass
 
     def recheck(self):
-        self.told.append("recheck")
+        self.calls.append("recheck")
 
     def on_complete(self, callback):
         pass
 
 
-def test_exchange_is_told_when_staged_chunks_are_lost():
-    """Symptom: after an engine's restart its chunks come from the origin.
+def test_exchange_rechecks_when_staged_chunks_are_lost():
+    """Guards against fetching from the origin after an engine's restart.
 
-    Sequence: the exchange has ended; the engine's host loses its memory; the
-    exchange takes the chunks for held, and they are drawn. Cause: nobody told.
+    The exchange has finished, and the engine's host loses its staging memory.
+    Without a recheck the exchange would assume that the chunks are still held,
+    and they would be fetched from the origin.
     """
 
-    async def story(site):
-        told = []
-        site.exchange = FakeExchange(told)
+    async def scenario(site):
+        calls = []
+        site.exchange = FakeExchange(calls)
         await site.start()
-        told.clear()
+        calls.clear()
         site.agents[0].crash_engine()
         await site.wait_until_served("")
         await site.wait_until_served("1")
-        assert told
+        assert calls
 
-    run(story)
+    run(scenario)
 
 
 A1, A2 = (manifest for manifest, _ in weights_site.ADAPTERS)
@@ -282,10 +284,10 @@
     return dict(agent.weights.status().adapters)
 
 
-def test_adapters_go_the_same_way_as_versions():
-    """An adapter alone changes: the model is neither drawn nor loaded again."""
+def test_adapters_are_rolled_out_like_versions():
+    """If only an adapter changes, the model is not fetched or loaded again."""
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         site.declare(V2, 2, A1)
         await site.wait_until_served("2")
@@ -297,21 +299,21 @@
         while any(adapters_served(a) != {"spur": "a2"} for a in agents):
             await asyncio.sleep(0.1)
         assert [len(agent.engine.orders) for agent in agents] == loads
-        # One chunk of the adapter is new, at three agents, and its manifest.
-        each = weights_site.CHUNK + len(A2.encode())
-        assert site.origin.drawn - drawn == 3 * each
+        # One chunk of the adapter is new, and its manifest, at three agents.
+        size = weights_site.CHUNK + len(A2.encode())
+        assert site.origin.drawn - drawn == 3 * size
 
-    run(story, count=3)
+    run(scenario, count=3)
 
 
 def test_adapter_with_another_digest_is_not_served():
-    """Symptom: requests for an adapter are answered by damaged weights.
+    """Guards against answers from corrupt weights of an adapter.
 
-    Sequence: the engine reports another digest for an adapter, and lists it by
-    name and version all the same. Cause: the list is taken for proof.
+    The engine reports another digest for an adapter but still lists it by name
+    and version, so the list does not prove that the adapter is intact.
     """
 
-    async def story(site):
+    async def scenario(site):
         await site.start()
         site.agents[0].engine.faults.corrupt_adapters = 3
         site.declare(V2, 2, A1)
@@ -320,23 +322,25 @@
         await site.wait_until_served("2")
         assert site.agents[0].engine.faults.corrupt_adapters == 0
 
-    run(story)
+    run(scenario)
 
 
 async def rollout_status(pages, *arguments):
-    """Runs the command against pages that are served on the loopback."""
-    served = []
+    """Runs the command against pages served on the loopback interface."""
+    servers = []
     for page in pages:
-        here = types.Address("127.0.0.1", 0)
-        served.append(status_pages.StatusPages(here, lambda p=page: p, dict))
-        await served[-1].start()
-    addresses = ",".join(str(one.address) for one in served)
+        address = types.Address("127.0.0.1", 0)
+        servers.append(
+            status_pages.StatusPages(address, lambda p=page: p, dict)
+        )
+        await servers[-1].start()
+    addresses = ",".join(str(server.address) for server in servers)
     argv = ["rollout", "status", f"--status={addresses}", *arguments]
     try:
         return await asyncio.to_thread(main.main, argv)
     finally:
-        for one in served:
-            await one.stop()
+        for server in servers:
+            await server.stop()
 
 
 def page_of(number, **fields):
@@ -351,7 +355,7 @@
     }
 
 
-def test_rollout_status_names_who_is_behind_and_why(capsys):
+def test_rollout_status_lists_lagging_agents_and_reasons(capsys):
     pages = [
         page_of(1, serving_version="2", state=statuses.State.SERVING, held=3),
         page_of(
@@ -379,14 +383,14 @@
     assert "2 out of service to load, 4 queued before it" in out
 
 
-def test_rollout_status_tells_an_incomplete_rollout_by_its_exit_code(capsys):
+def test_rollout_status_reports_an_incomplete_rollout_by_its_exit_code(capsys):
     pages = [page_of(1, serving_version="1", state=statuses.State.LOADING)]
     waiting = rollout_status(pages, "--service=assistent", "--wait_s=0.01")
     assert asyncio.run(waiting) == 5
     assert "0 of 1 serve '2'" in capsys.readouterr().err
 
 
-def test_rollout_status_without_any_agent_names_the_reason(capsys):
+def test_rollout_status_without_any_agent_reports_the_reason(capsys):
     argv = ["rollout", "status", "--service=s", "--status=127.0.0.1:1"]
     assert main.main(argv) == 4
     assert "127.0.0.1:1" in capsys.readouterr().err
