--- a/src/clementinegw/weights/manifest.py
+++ b/src/clementinegw/weights/manifest.py
@@ -155,14 +155,14 @@
     """
     sizes: list[int] = []
     for file in files:
-        whole, rest = divmod(file.size, chunk_bytes)
-        if len(sizes) + whole > MAX_CHUNKS:
+        full, remainder = divmod(file.size, chunk_bytes)
+        if len(sizes) + full > MAX_CHUNKS:
             raise exceptions.DecodeError(
                 f"manifest: more than {MAX_CHUNKS} chunks; use larger ones"
             )
-        sizes.extend([chunk_bytes] * whole)
-        if rest:
-            sizes.append(rest)
+        sizes.extend([chunk_bytes] * full)
+        if remainder:
+            sizes.append(remainder)
     return sizes
 
 
--- a/src/clementinegw/weights/rollout.py
+++ b/src/clementinegw/weights/rollout.py
@@ -117,11 +117,11 @@
       unreachable: Why other pages could not be read, by address.
     """
     ours = [page for page in pages if page.service == service]
-    newest = max((page.weights for page in ours), key=lambda w: w.revision)
+    latest = max((page.weights for page in ours), key=lambda w: w.revision)
     behind = [
-        _lagging_agent(page, newest)
+        _lagging_agent(page, latest)
         for page in ours
-        if not _is_serving(page, newest)
+        if not _is_serving(page, latest)
     ]
     behind += [
         LaggingAgent(name, "", "silent", why)
@@ -130,29 +130,29 @@
     versions = collections.Counter(p.weights.serving_version for p in ours)
     return Rollout(
         service=service,
-        target=newest.target,
-        target_digest=newest.target_digest,
-        revision=newest.revision,
+        target=latest.target,
+        target_digest=latest.target_digest,
+        revision=latest.revision,
         replicas=len(ours) + len(unreachable),
-        serving=sum(_is_serving(page, newest) for page in ours),
+        serving=sum(_is_serving(page, latest) for page in ours),
         versions=dict(sorted(versions.items())),
         behind=tuple(sorted(behind, key=lambda agent: agent.name)),
     )
 
 
-def _is_serving(page: StatusPage, newest: _WeightsModel) -> bool:
+def _is_serving(page: StatusPage, latest: _WeightsModel) -> bool:
     weights = page.weights
     return (
-        weights.target_digest == newest.target_digest
+        weights.target_digest == latest.target_digest
         and weights.state == statuses.State.SERVING
     )
 
 
-def _lagging_agent(page: StatusPage, newest: _WeightsModel) -> LaggingAgent:
+def _lagging_agent(page: StatusPage, latest: _WeightsModel) -> LaggingAgent:
     weights = page.weights
     template = _REASON_TEXTS.get(weights.reason, weights.reason)
     why = template.format(**weights.model_dump())
-    if weights.target_digest != newest.target_digest:
+    if weights.target_digest != latest.target_digest:
         why = f"has only settings revision {weights.revision}"
     return LaggingAgent(
         page.instance_id,
--- a/tests/test_swap.py
+++ b/tests/test_swap.py
@@ -58,7 +58,7 @@
     async def pause(self, agent):
         agent.pause()
         await asyncio.sleep(self.rng.choice((0.5, 5.0, 15.0, 60.0)))
-        agent.wake()
+        agent.resume()
 
     async def kill(self, agent):
         agent.kill()
--- a/tests/weights_site.py
+++ b/tests/weights_site.py
@@ -57,7 +57,7 @@
 
     @property
     def process(self):
-        """The name of the current process, different after each restart."""
+        """The name of the current process; a killed one never runs again."""
         return f"{self.name} {self.generation}"
 
     @property
@@ -100,7 +100,7 @@
         self.paused = self.disturbed = True
         self.site.loop.pause(self.process)
 
-    def wake(self):
+    def resume(self):
         """Resumes the process, which does not notice that time has passed."""
         self.paused = False
         self.site.loop.wake(self.process)
