--- a/src/clementinegw/matrix/rollout.py
+++ b/src/clementinegw/matrix/rollout.py
@@ -105,7 +105,7 @@
             exchange=exchange,
             endpoint=endpoint,
             checks_fencing=engine.checks_fencing,
-            policy=weights_service.Policy(
+            policy=weights_service.SwapPolicy(
                 0.34, len(self.agents), _LOAD_LIMIT_S, _LOAD_LIMIT_S
             ),
             clock=world.clock,
--- a/src/clementinegw/weights/_versions.py
+++ b/src/clementinegw/weights/_versions.py
@@ -10,7 +10,7 @@
 
 PREVIOUS_TIMEOUT_S = 3.0
 
-DeclaredVersion = _service_types.Declared
+DeclaredVersion = _service_types.DeclaredVersion
 DeclaredAdapter = _service_types.DeclaredAdapter
 
 
--- a/src/clementinegw/weights/service.py
+++ b/src/clementinegw/weights/service.py
@@ -33,9 +33,9 @@
 Exchange = _fetch.Exchange
 Engine = _service_types.Engine
 Drainable = _service_types.Drainable
-DeclaredVersion = _service_types.Declared
+DeclaredVersion = _service_types.DeclaredVersion
 DeclaredAdapter = _service_types.DeclaredAdapter
-Policy = _service_types.Policy
+SwapPolicy = _service_types.SwapPolicy
 
 # The rate at which a fleet that is ready at once asks for its leases. It is
 # well below the capacity of the log, which also carries the claims of live
@@ -61,7 +61,7 @@
         exchange: Exchange | None = None,
         endpoint: connections.Endpoint | None = None,
         checks_fencing: bool = False,
-        policy: Policy | None = None,
+        policy: SwapPolicy | None = None,
         clock: clocks.Clock | None = None,
         rng: random.Random | None = None,
         log: logs.Log | None = None,
@@ -98,7 +98,7 @@
         rng = rng or random.Random()
         self._gate = gate
         self._store = store
-        self._policy = policy or Policy()
+        self._policy = policy or SwapPolicy()
         self._loader = loaders.Loader(
             checks_fencing, rng, self._counters, loader_timing
         )
@@ -193,7 +193,7 @@
             )
             self._restart_fetch()
 
-    def set_policy(self, policy: Policy) -> None:
+    def set_policy(self, policy: SwapPolicy) -> None:
         """Applies a changed policy."""
         changed = policy != self._policy
         self._policy = policy
--- a/tests/gate_site.py
+++ b/tests/gate_site.py
@@ -21,17 +21,17 @@
 from clementinegw.wire.gen.requests import ttypes
 
 Kind = connection.Kind
-KEYS = auth.single(b"0123456789abcdef")
+KEYS = auth.single_key_ring(b"0123456789abcdef")
 PLACE = types.Place("noord", "groningen-hal")
 ANY_PORT = types.Address("127.0.0.1", 0)
 INCARNATION = 7
 TIMING = service.Timing(
-    status_s=0.5,
-    changed_s=0.02,
-    prefixes_s=30.0,
-    probe_s=0.05,
+    status_interval_s=0.5,
+    max_notify_delay_s=0.02,
+    prefix_list_interval_s=30.0,
+    probe_interval_s=0.05,
     probe_timeout_s=0.1,
-    stall_s=0.3,
+    stall_timeout_s=0.3,
 )
 
 
--- a/tests/test_weights_service.py
+++ b/tests/test_weights_service.py
@@ -331,7 +331,7 @@
     for page in pages:
         address = types.Address("127.0.0.1", 0)
         servers.append(
-            status_pages.StatusPages(address, lambda p=page: p, dict)
+            status_pages.StatusServer(address, lambda p=page: p, dict)
         )
         await servers[-1].start()
     addresses = ",".join(str(server.address) for server in servers)
--- a/tests/weights_fakes.py
+++ b/tests/weights_fakes.py
@@ -91,17 +91,17 @@
         self.puts += 1
         return backend.StageResult.STORED
 
-    async def staged(self, chunk_digest):
+    async def get_staged_chunk(self, chunk_digest):
         """Returns a staged chunk, or None."""
         self._check_reachable()
         return self.chunks.get(chunk_digest)
 
-    async def unstage(self, chunk_digest):
+    async def unstage_chunk(self, chunk_digest):
         """Removes a staged chunk."""
         self._check_reachable()
         self.chunks.pop(chunk_digest, None)
 
-    async def staging(self):
+    async def staging_status(self):
         """Returns the status of the staging memory."""
         self._check_reachable()
         used = sum(map(len, self.chunks.values()))
--- a/tests/weights_site.py
+++ b/tests/weights_site.py
@@ -142,7 +142,9 @@
         self.origin = memory.MemoryStore()
         for _, blobs in VERSIONS + ADAPTERS:
             self.origin.blobs.update(blobs)
-        self.policy = service.Policy(share, count, LOAD_LIMIT_S, LOAD_LIMIT_S)
+        self.policy = service.SwapPolicy(
+            share, count, LOAD_LIMIT_S, LOAD_LIMIT_S
+        )
         self.checks_fencing = checks_fencing
         self.declared = (V1, 1)
         self.adapters = ()
