--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -17,7 +17,7 @@
 from clementinegw.weights import publish
 from clementinegw.weights import store
 
-CHUNK = manifests.MIN_CHUNK_BYTES
+CHUNK_BYTES = manifests.MIN_CHUNK_BYTES
 
 
 def build(*contents: bytes, version: str = "1") -> manifests.Manifest:
@@ -26,14 +26,16 @@
         for number, data in enumerate(contents)
     )
     digests = [
-        manifests.digest_of(data[start : start + CHUNK])
+        manifests.digest_of(data[start : start + CHUNK_BYTES])
         for data in contents
-        for start in range(0, len(data), CHUNK)
+        for start in range(0, len(data), CHUNK_BYTES)
     ]
-    return manifests.build("gear", version, CHUNK, files, digests)
+    return manifests.build("gear", version, CHUNK_BYTES, files, digests)
 
 
-@hypothesis.given(st.lists(st.integers(0, 5 * CHUNK), min_size=1, max_size=6))
+@hypothesis.given(
+    st.lists(st.integers(0, 5 * CHUNK_BYTES), min_size=1, max_size=6)
+)
 @hypothesis.settings(deadline=None, max_examples=50)
 def test_round_trip_keeps_every_size(sizes):
     hypothesis.assume(sum(sizes) > 0)
@@ -56,7 +58,7 @@
 
 
 def tampered(change) -> tuple[bytes, str]:
-    document = json.loads(build(b"x" * (2 * CHUNK + 1)).encode())
+    document = json.loads(build(b"x" * (2 * CHUNK_BYTES + 1)).encode())
     change(document)
     text = json.dumps(document, sort_keys=True, separators=(",", ":"))
     data = text.encode()
@@ -123,12 +125,14 @@
 
 async def test_store_refuses_corrupt_chunks_and_respects_its_limit():
     """A peer may send other bytes than requested, which must not be stored."""
-    chunk_store = store.MemoryStore(limit_bytes=3 * CHUNK)
-    manifest = build(*(bytes([n]) * CHUNK for n in range(4)))
+    chunk_store = store.MemoryStore(limit_bytes=3 * CHUNK_BYTES)
+    manifest = build(*(bytes([n]) * CHUNK_BYTES for n in range(4)))
     for number, chunk in enumerate(manifest.chunks):
         assert not await chunk_store.put(chunk.digest, b"corrupt")
         assert await chunk_store.get(chunk.digest) is None
-        assert await chunk_store.put(chunk.digest, bytes([number]) * CHUNK)
+        assert await chunk_store.put(
+            chunk.digest, bytes([number]) * CHUNK_BYTES
+        )
     assert chunk_store.used_bytes <= chunk_store.limit_bytes
     assert chunk_store.evicted == 1
     held = chunk_store.held(manifest)
@@ -136,7 +140,9 @@
 
 
 def publish_all(path, blobs, version="1"):
-    return virtual.run(publish.publish(path, "gear", version, blobs, CHUNK))
+    return virtual.run(
+        publish.publish(path, "gear", version, blobs, CHUNK_BYTES)
+    )
 
 
 def test_published_directory_can_be_restored(tmp_path):
@@ -144,7 +150,7 @@
         "config.json": b"{}",
         "empty": b"",
         "shards/a.safetensors": bytes(range(256)) * 9,
-        "shards/b.safetensors": b"z" * CHUNK,
+        "shards/b.safetensors": b"z" * CHUNK_BYTES,
     }
     for name, data in contents.items():
         (tmp_path / name).parent.mkdir(exist_ok=True)
@@ -167,14 +173,16 @@
     the truncated blob, and nothing twice.
     """
     path = tmp_path / "weights.bin"
-    path.write_bytes(b"".join(bytes([n]) * CHUNK for n in range(9)))
+    path.write_bytes(b"".join(bytes([n]) * CHUNK_BYTES for n in range(9)))
     platform = memory.MemoryStore()
 
     def fail(progress):
         platform.faults.down = progress.sent_chunks >= 5
 
     with pytest.raises(exceptions.PlatformUnavailable):
-        virtual.run(publish.publish(path, "gear", "1", platform, CHUNK, fail))
+        virtual.run(
+            publish.publish(path, "gear", "1", platform, CHUNK_BYTES, fail)
+        )
     assert not [name for name in platform.blobs if "manifests" in name]
     stored = len(platform.blobs)
     platform.faults.down = False
@@ -185,14 +193,16 @@
         nonlocal progress
         progress = update
 
-    virtual.run(publish.publish(path, "gear", "1", platform, CHUNK, record))
+    virtual.run(
+        publish.publish(path, "gear", "1", platform, CHUNK_BYTES, record)
+    )
     assert progress.sent_chunks == 9 - stored + 1
-    assert progress.done_bytes == progress.total_bytes == 9 * CHUNK
+    assert progress.done_bytes == progress.total_bytes == 9 * CHUNK_BYTES
 
 
 def test_upload_is_retried_after_a_lost_answer_of_the_store(tmp_path):
     path = tmp_path / "weights.bin"
-    path.write_bytes(b"w" * CHUNK)
+    path.write_bytes(b"w" * CHUNK_BYTES)
     platform = memory.MemoryStore()
     platform.faults.answer_lost = 2
     platform.faults.refused = 1
@@ -216,7 +226,7 @@
     the first length is not that of the whole file.
     """
     path = tmp_path / "weights.bin"
-    path.write_bytes(b"w" * 3 * publish.MAX_CONCURRENT_UPLOADS * CHUNK)
+    path.write_bytes(b"w" * 3 * publish.MAX_CONCURRENT_UPLOADS * CHUNK_BYTES)
     platform = memory.MemoryStore()
 
     def grow(progress):
@@ -224,7 +234,9 @@
             file.write(b"more")
 
     with pytest.raises(exceptions.UsageError, match="changed"):
-        virtual.run(publish.publish(path, "gear", "1", platform, CHUNK, grow))
+        virtual.run(
+            publish.publish(path, "gear", "1", platform, CHUNK_BYTES, grow)
+        )
     assert not [name for name in platform.blobs if "manifests" in name]
 
 
@@ -243,8 +255,8 @@
 
 def test_command_publishes_and_prints_the_digest_to_declare(tmp_path, capsys):
     path = tmp_path / "weights.bin"
-    path.write_bytes(b"w" * 5 * CHUNK)
-    flags = ("--model=gear", "--version=7", f"--chunk_bytes={CHUNK}")
+    path.write_bytes(b"w" * 5 * CHUNK_BYTES)
+    flags = ("--model=gear", "--version=7", f"--chunk_bytes={CHUNK_BYTES}")
     code, blobs = asyncio.run(publish_command(path, *flags))
     printed = json.loads(capsys.readouterr().out)
     assert code == 0
--- a/tests/test_weights_service.py
+++ b/tests/test_weights_service.py
@@ -151,7 +151,7 @@
         damaged = manifest.chunks[1].digest.hex()
         agent.engine.chunks[damaged] = b"?" + agent.engine.chunks[damaged][1:]
         await site.start()
-        size = weights_site.CHUNK
+        size = weights_site.CHUNK_BYTES
         assert site.origin.drawn == 2 * size + len(manifest.encode())
         assert agent.counters.value("weights.staging.recovered") == 1
         assert agent.counters.value("weights.staging.corrupt") == 1
@@ -300,7 +300,7 @@
             await asyncio.sleep(0.1)
         assert [len(agent.engine.orders) for agent in agents] == loads
         # One chunk of the adapter is new, and its manifest, at three agents.
-        size = weights_site.CHUNK + len(A2.encode())
+        size = weights_site.CHUNK_BYTES + len(A2.encode())
         assert site.origin.drawn - drawn == 3 * size
 
     run(scenario, count=3)
--- a/tests/weights_fakes.py
+++ b/tests/weights_fakes.py
@@ -8,15 +8,15 @@
 from clementinegw.backend import types as backend
 from clementinegw.weights import manifest as manifests
 
-CHUNK = manifests.MIN_CHUNK_BYTES
+CHUNK_BYTES = manifests.MIN_CHUNK_BYTES
 
 
 def version_of(name: str, *parts: bytes):
     """Returns a manifest and its blobs; each part fills one chunk."""
-    data = [(part * CHUNK)[:CHUNK] for part in parts]
+    data = [(part * CHUNK_BYTES)[:CHUNK_BYTES] for part in parts]
     chunks = [manifests.digest_of(content) for content in data]
-    file = manifests.File("weights", len(data) * CHUNK)
-    manifest = manifests.build("gear", name, CHUNK, (file,), chunks)
+    file = manifests.File("weights", len(data) * CHUNK_BYTES)
+    manifest = manifests.build("gear", name, CHUNK_BYTES, (file,), chunks)
     blobs = {
         manifests.chunk_blob_name(d): p
         for d, p in zip(chunks, data, strict=True)
--- a/tests/weights_site.py
+++ b/tests/weights_site.py
@@ -22,7 +22,7 @@
 )
 PREVIOUS = {"1": None, "2": V1, "3": V2}
 
-CHUNK = weights_fakes.CHUNK
+CHUNK_BYTES = weights_fakes.CHUNK_BYTES
 LOAD_LIMIT_S = 30.0
 SAMPLE_S = 0.05
 
