--- a/src/clementinegw/gate/__init__.py
+++ b/src/clementinegw/gate/__init__.py
@@ -1,4 +1,4 @@
-"""The agent's side of a request: what reaches the backend server, and when."""
+"""The agent's gate, the only path from entries to the backend server."""
 
 from clementinegw.gate import backends as backends
 from clementinegw.gate import gate as gate
--- a/src/clementinegw/gate/_admission.py
+++ b/src/clementinegw/gate/_admission.py
@@ -1,16 +1,16 @@
-"""Whether an attempt that arrives may be taken at all."""
+"""Checks whether a submitted attempt may be accepted."""
 
 from clementinegw.gate import _attempt_table
 from clementinegw.gate import types
 
 
 class Admission:
-    """The reasons for which a gate refuses on arrival.
+    """Checks submitted attempts against the gate's state and its records.
 
     Attributes:
       ready: Whether the backend server may be given requests.
-      loading: Whether nothing new is taken because of a load.
-      leaving: Whether nothing new is taken ever again.
+      loading: Whether new attempts are refused until a load is done.
+      leaving: Whether new attempts are refused for good.
     """
 
     def __init__(
@@ -19,11 +19,11 @@
         incarnation: int,
         ready: bool,
     ):
-        """Starts open.
+        """Initializes the checks; neither loading nor leaving is set.
 
         Args:
-          attempts: What is known of attempts.
-          incarnation: This process's.
+          attempts: The records of known attempts.
+          incarnation: The incarnation of this process.
           ready: Whether the backend server may be given requests.
         """
         self.ready = ready
@@ -34,17 +34,17 @@
 
     @property
     def accepting(self) -> bool:
-        """Whether new attempts are taken."""
+        """Whether new attempts are accepted."""
         return self.ready and not self.loading and not self.leaving
 
     def is_for_this(self, incarnation: int) -> bool:
-        """Whether something was meant for this process."""
+        """Returns whether a message was addressed to this process."""
         return incarnation == self._incarnation
 
     def refusal(
         self, attempt: types.Attempt, now: float
     ) -> types.RefusalReason | None:
-        """Returns why an attempt is refused; None when it is not."""
+        """Returns why an attempt is refused; None if it is accepted."""
         checks = (
             self._check_incarnation,
             self._check_tombstone,
--- a/src/clementinegw/gate/_attempt_table.py
+++ b/src/clementinegw/gate/_attempt_table.py
@@ -1,8 +1,8 @@
-"""What the gate remembers of attempts, in bounded memory.
+"""The gate's records of attempts, in bounded memory.
 
-An agent's answer "it was not handed over" is proof only as far back as its
-memory goes. Each record that is dropped early moves a mark forward; what may
-lie behind the mark is not proved and not handed over.
+An agent can prove that an attempt was not handed over only as far back as its
+records go. Each dropped record advances a watermark. For an attempt that may
+be older than the watermark nothing is proved, and it is not handed over.
 """
 
 import collections
@@ -14,24 +14,26 @@
 
 
 class State(enum.Enum):
-    """What became of an attempt."""
+    """The state of an attempt."""
 
     QUEUED = "queued"
     HANDED_OVER = "handed_over"
-    ENDED = "ended"  # it was handed over
-    REFUSED = "never"  # it was not and never will be
-    UNPROVED = "doubtful"  # it never will be; whether it was is forgotten
+    ENDED = "ended"  # handed over, and done
+    REFUSED = "never"  # not handed over, and never will be
+    # Never will be handed over; whether it was is not known any more.
+    UNPROVED = "doubtful"
 
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """One attempt.
+    """The record of one attempt.
 
     Attributes:
-      state: What became of it.
-      attempt: The submission; None for a tombstone that came first.
-      seen_at: When the gate first heard of it.
-      sequence: Its place among the submissions.
+      state: The attempt's state.
+      attempt: The submission; None if it was refused on arrival or if a
+        tombstone came first.
+      seen_at: When the gate first received the attempt or a tombstone for it.
+      sequence: Its position in the order of submissions.
     """
 
     state: State
@@ -44,16 +46,16 @@
 class _KeyRecord:
     offset: int
     handed_over: bool
-    # The newest attempt; the key is remembered as long as that attempt is.
+    # The key is kept as long as the record of this attempt.
     newest_attempt: types.AttemptId
 
 
 class _ExpiryQueue:
-    """Attempts in a final state, in the order in which they are dropped.
+    """Attempts in a final state, in the order in which they expire.
 
     Attributes:
-      entries: When to drop a record, and which.
-      watermark: The newest time at which a dropped record was first seen.
+      entries: The time at which a record expires, and its attempt.
+      watermark: The latest `seen_at` of all dropped records.
     """
 
     def __init__(self) -> None:
@@ -67,14 +69,16 @@
     """Attempts, tombstones and idempotency keys."""
 
     def __init__(self, limits: types.Limits):
-        """Starts empty; knows nothing of an earlier incarnation."""
+        """Initializes an empty table; earlier incarnations leave no records."""
         self._limits = limits
         self._records: dict[types.AttemptId, Record] = {}
         self._tombstoned_up_to: dict[str, int] = {}
         self._keys: dict[str, _KeyRecord] = {}
-        # The newest claim of a dropped, handed-over key, by shard.
+        # By shard: the largest claim offset of a dropped key that was handed
+        # over.
         self._claim_watermarks: dict[int, int] = {}
-        # Apart, so that a flood of refusals does not push out what was run.
+        # Separate queues, so that a flood of refusals does not evict the
+        # records of attempts that ran.
         self._ended = _ExpiryQueue()
         self._refused = _ExpiryQueue()
 
@@ -82,11 +86,11 @@
         return len(self._records)
 
     def find(self, attempt_id: types.AttemptId) -> Record | None:
-        """Returns what is known of an attempt."""
+        """Returns the record of an attempt; None if there is none."""
         return self._records.get(attempt_id)
 
     def add(self, attempt: types.Attempt, now: float, sequence: int) -> Record:
-        """Enters a submission as queued."""
+        """Adds a submission in the state QUEUED and returns its record."""
         record = Record(State.QUEUED, attempt, now, sequence)
         self._records[attempt.id] = record
         if attempt.key:
@@ -101,19 +105,19 @@
         return record
 
     def mark_handed_over(self, record: Record) -> None:
-        """Notes that the attempt goes to the backend server."""
+        """Records that the attempt is handed to the backend server."""
         record.state = State.HANDED_OVER
         if record.attempt is not None and record.attempt.key:
             self._keys[record.attempt.key].handed_over = True
 
     def revert_hand_over(self, record: Record, now: float) -> None:
-        """Notes that the hand-over did not reach the backend server."""
+        """Records that a handed-over attempt was not begun after all."""
         if record.attempt is not None and record.attempt.key:
             self._keys[record.attempt.key].handed_over = False
         self.finish(record, State.REFUSED, now)
 
     def finish(self, record: Record, state: State, now: float) -> None:
-        """Notes an attempt's final state."""
+        """Sets an attempt's final state and schedules its expiry."""
         record.state = state
         if record.attempt is not None:
             since = max(now, record.attempt.deadline)
@@ -121,7 +125,7 @@
             self._schedule_expiry(expiring, since, record.attempt.id, now)
 
     def add_refused(self, attempt_id: types.AttemptId, now: float) -> None:
-        """Notes an attempt that was refused on arrival."""
+        """Adds a record for an attempt that was refused on arrival."""
         self._add_final(attempt_id, State.REFUSED, now)
 
     def add_tombstone(
@@ -131,14 +135,15 @@
         proved: bool,
         now: float,
     ) -> None:
-        """Refuses an attempt, or all up to it, that may still arrive.
+        """Ensures that an attempt is refused if it arrives later.
 
         Args:
           attempt_id: The attempt.
-          include_earlier: Whether earlier ones are meant as well.
-          proved: Whether it was certainly not handed over. Were a tombstone
-            on a forgotten attempt kept like any other, asking a second time
-            would get the proof that the first time was denied.
+          include_earlier: Whether the request's earlier attempts are refused
+            as well.
+          proved: Whether the attempt was certainly not handed over. If False,
+            the state is UNPROVED: with REFUSED, a second tombstone would get
+            the proof that the first one was denied.
           now: The time.
         """
         if include_earlier:
@@ -151,24 +156,24 @@
             self._add_final(attempt_id, state, now)
 
     def is_tombstoned(self, attempt_id: types.AttemptId) -> bool:
-        """Whether a tombstone forbids the attempt."""
+        """Returns whether a tombstone for a range covers the attempt."""
         return attempt_id.attempt <= self._tombstoned_up_to.get(
             attempt_id.request_id, 0
         )
 
     def find_up_to(self, attempt_id: types.AttemptId) -> list[Record]:
-        """Returns what is known of the request's attempts up to this one."""
+        """Returns the records of the request's attempts up to this one."""
         numbers = range(1, attempt_id.attempt + 1)
         ids = (types.AttemptId(attempt_id.request_id, n) for n in numbers)
         found = (self._records.get(i) for i in ids)
         return [record for record in found if record is not None]
 
     def check_fence(self, attempt: types.Attempt) -> types.RefusalReason | None:
-        """Says whether the attempt's key forbids it."""
+        """Returns why the attempt's claim is invalid; None if it is valid."""
         if attempt.claim_offset <= self._claim_watermarks.get(attempt.shard, 0):
-            # Claims come in the order of their offsets, but for late frames.
-            # Without the mark an attempt whose key was forgotten would be
-            # handed over a second time under its old claim.
+            # Except for late frames, claims arrive in the order of their
+            # offsets. Without the watermark, an attempt whose key was dropped
+            # would be handed over a second time under its old claim.
             return types.RefusalReason.FENCED
         known = self._keys.get(attempt.key)
         if known is None:
@@ -180,24 +185,24 @@
         return None
 
     def proves_not_handed_over(self, submitted_at: float | None) -> bool:
-        """Whether an unknown attempt was certainly not handed over.
+        """Returns whether an unknown attempt was certainly not handed over.
 
         Args:
-          submitted_at: When it was submitted, by this agent's clock; None
-            when the asker did not say.
+          submitted_at: When it was submitted, in seconds on this agent's
+            monotonic clock; None if the entry did not report it.
         """
         if submitted_at is None:
             return self._ended.watermark == -math.inf
         return submitted_at > self._ended.watermark
 
     def may_be_tombstoned(self, attempt: types.Attempt) -> bool:
-        """Whether a tombstone for the attempt may have been dropped."""
+        """Returns whether a tombstone for the attempt may have been dropped."""
         if attempt.sent_at is None:
             return False
         return attempt.sent_at <= self._refused.watermark
 
     def expire(self, now: float) -> None:
-        """Drops what is past its retention."""
+        """Drops the records whose retention time has passed."""
         for expiring in (self._ended, self._refused):
             while expiring.entries and expiring.entries[0][0] <= now:
                 self._drop_oldest(expiring)
@@ -228,14 +233,14 @@
         record = self._records.pop(attempt_id, None)
         if record is None:
             return
-        # Without the marks a tombstone that comes later than the memory
-        # reaches would "prove" that a dropped, handed-over attempt never ran:
-        # its caller is told "not run" although the ledger shows the run.
+        # Without the watermark, a tombstone for a dropped attempt would
+        # "prove" that the attempt never ran, and its caller would get "not
+        # run" for a request that the ledger shows as run.
         expiring.watermark = max(expiring.watermark, record.seen_at)
         if record.attempt is not None:
             self._drop_key(record.attempt)
-        entombed = self._tombstoned_up_to.get(attempt_id.request_id, 0)
-        if entombed and entombed <= attempt_id.attempt:
+        last = self._tombstoned_up_to.get(attempt_id.request_id, 0)
+        if last and last <= attempt_id.attempt:
             del self._tombstoned_up_to[attempt_id.request_id]
 
     def _drop_key(self, attempt: types.Attempt) -> None:
--- a/src/clementinegw/gate/_calls.py
+++ b/src/clementinegw/gate/_calls.py
@@ -1,4 +1,4 @@
-"""One submitted attempt that is open at this agent, and its caller's side."""
+"""Open SUBMIT calls: the messages of their answers, and delays of frames."""
 
 import asyncio
 import math
@@ -17,12 +17,12 @@
 
 
 class SubmitCall:
-    """An open SUBMIT call."""
+    """An open SUBMIT call of an entry."""
 
     def __init__(
         self, exchange: connection_lib.Exchange, submit: ttypes.Submit
     ):
-        """Wraps the call that a SUBMIT frame opened."""
+        """Initializes the call that a SUBMIT frame opened."""
         self._exchange = exchange
         self._decision: asyncio.Future[Decision] = (
             asyncio.get_running_loop().create_future()
@@ -35,34 +35,38 @@
 
     @property
     def id(self) -> types.AttemptId:
-        """The attempt's name."""
+        """The id of the submitted attempt."""
         return self._id
 
     @property
     def submit(self) -> ttypes.Submit:
-        """What was submitted."""
+        """The submission."""
         return self._submit
 
     @property
     def aborted(self) -> types.FailureReason | None:
-        """Why the run was ended from outside; None when it was not."""
+        """Why `abort` was called; None if it was not."""
         return self._aborted
 
     def decide(self, decision: Decision) -> None:
-        """Takes the gate's decision; the first one counts."""
+        """Sets the gate's decision; calls after the first have no effect."""
         if not self._decision.done():
             self._decision.set_result(decision)
 
     async def decision(self) -> Decision:
-        """Waits for the gate's decision."""
+        """Waits for the gate's decision and returns it."""
         return await self._decision
 
     def set_task(self, task: asyncio.Task | None) -> None:
-        """Names the task that talks to the backend server; None when done."""
+        """Sets the task that runs the attempt at the backend server.
+
+        Args:
+          task: The task; None once it is done.
+        """
         self._task = task
 
     def abort(self, reason: types.FailureReason) -> None:
-        """Ends the talk with the backend server."""
+        """Cancels the task that runs the attempt; the first reason counts."""
         if self._aborted is not None:
             return
         self._aborted = reason
@@ -72,7 +76,7 @@
     async def send_head(
         self, status: int, headers: tuple[tuple[str, str], ...], version: str
     ) -> None:
-        """Sends the start of the answer."""
+        """Sends the status and headers of the answer."""
         message = ttypes.AnswerHead(
             request_id=self._id.request_id,
             attempt=self._id.attempt,
@@ -83,12 +87,12 @@
         await self._send(connection_lib.Kind.ANSWER_HEAD, message)
 
     async def send_data(self, data: bytes) -> None:
-        """Sends the next bytes of the answer."""
+        """Sends the next bytes of the answer's body."""
         self._body_bytes += len(data)
         await self._exchange.send(connection_lib.Kind.ANSWER_DATA, data)
 
     async def send_end(self, tokens: int, in_flight: int, queued: int) -> None:
-        """Sends the explicit end of a whole answer, and the gate's load."""
+        """Sends the explicit end of a complete answer, and the gate's load."""
         message = ttypes.AnswerEnd(
             request_id=self._id.request_id,
             attempt=self._id.attempt,
@@ -110,7 +114,7 @@
         await self._send(connection_lib.Kind.REFUSED, message)
 
     async def send_failed(self, reason: types.FailureReason) -> None:
-        """Sends that the attempt was handed over and its end is unknown."""
+        """Sends that the attempt was handed over and its outcome is unknown."""
         message = ttypes.Failed(
             request_id=self._id.request_id,
             attempt=self._id.attempt,
@@ -123,16 +127,16 @@
 
 
 class DelayEstimator:
-    """How long frames of one connection were on their way.
+    """Estimates how long the frames of one connection were in transit.
 
-    Clocks of two processes have nothing in common but their rate, so the
-    smallest difference seen of late stands for no delay. A link that stalls
-    and then delivers a submission with "3 s left" would otherwise make the
-    agent run it long after its entry gave it up.
+    The monotonic clocks of two processes have different origins. The smallest
+    recent difference between them is therefore taken as zero delay. Without
+    the estimate, a submission with 3 s left that a stalled link delivers late
+    would run long after its entry has given it up.
 
-    Rates differ too, by some 50 millionths: against the smallest difference
-    ever seen, every frame of a connection would be 4 s late after a day, and
-    be refused. So only the present and the last window count.
+    Clock rates differ by about 50 ppm. Compared with the smallest difference
+    ever seen, every frame would appear 4 s late after a day and be refused.
+    Only the current and the previous window are therefore compared.
     """
 
     _WINDOW_S = 60.0
@@ -143,7 +147,13 @@
         self._previous_min = math.inf
 
     def estimate_s(self, sent_ms: int, now: float) -> float:
-        """Returns a frame's delay in seconds; 0.0 when it names no time."""
+        """Returns a frame's delay in seconds.
+
+        Args:
+          sent_ms: When it was sent, milliseconds on the sender's monotonic
+            clock; 0 if unknown, and then the delay is 0.0.
+          now: When it was received, seconds on this process's clock.
+        """
         if sent_ms <= 0:
             return 0.0
         if now >= self._window_end:
@@ -159,13 +169,13 @@
 def build_attempt(
     submit: ttypes.Submit, service: str, delay_s: float, now: float
 ) -> types.Attempt:
-    """Returns what the gate decides by.
+    """Returns the attempt that a submission describes.
 
     Args:
       submit: The submission.
-      service: The service behind this agent.
-      delay_s: How long it was on its way.
-      now: The time.
+      service: The name of the service behind this agent.
+      delay_s: How long the submission was in transit, in seconds.
+      now: The current time, monotonic seconds.
     """
     shard = 0
     if submit.claim_offset:
--- a/src/clementinegw/gate/_context.py
+++ b/src/clementinegw/gate/_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the gate's service share: times, and what is served."""
+"""State and dependencies that the parts of the gate's service share."""
 
 from collections.abc import Callable
 import dataclasses
@@ -45,15 +45,15 @@
 
 @dataclasses.dataclass(slots=True)
 class BackendState:
-    """What the backend server serves and when it was last heard.
+    """What the backend server serves, and its latest reported load.
 
     Attributes:
-      version: The version; empty for a plain service or before a load.
-      digest: The digest of the weights whose load was proved.
-      serving_since: When it began to serve them, monotonic seconds.
-      heard_at: When it last gave a sign of life, monotonic seconds.
-      load: Its own word on its load.
-      prefixes: Hashes of its cached prefixes, newest last.
+      version: The model version; empty for a plain service or before a load.
+      digest: The digest of the weights whose load was verified.
+      serving_since: When it began to serve the version, monotonic seconds.
+      heard_at: When it last responded, monotonic seconds.
+      load: The load that it reports; 0.0 for a plain service.
+      prefixes: Hashes of its cached prompt prefixes, newest last.
     """
 
     version: str = ""
@@ -66,16 +66,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Context:
-    """What every part of the service works with.
+    """The objects that all parts of the service use.
 
     Attributes:
-      gate: Decides.
+      gate: Decides which attempts are handed over.
       backend: The backend server.
-      backend_state: What it serves.
-      timing: How long to wait.
+      backend_state: What the backend server serves.
+      timing: The intervals and timeouts.
       clock: The source of time.
-      log: Where events go.
-      counters: Where everything is counted.
+      log: Receives the events.
+      counters: Receives the counts.
       apply: Carries out the gate's actions.
     """
 
--- a/src/clementinegw/gate/_crash_reports.py
+++ b/src/clementinegw/gate/_crash_reports.py
@@ -1,4 +1,4 @@
-"""Crash reports: to connected entries at once, and into the log."""
+"""Sends crash reports to connected entries and appends them to the log."""
 
 import asyncio
 import collections
@@ -21,10 +21,10 @@
 
 
 class CrashReporter:
-    """Sends what an agent saw at a crash.
+    """Reports the requests that were in flight when the server crashed.
 
-    A record may be appended twice when an answer of the log was lost: readers
-    tell crashes apart by agent, incarnation and sequence.
+    A record may be appended twice if a response of the log was lost. Readers
+    identify crashes by agent, incarnation and sequence.
     """
 
     def __init__(
@@ -35,7 +35,15 @@
         log: logs.Log,
         log_client: platform_log.LogClient | None,
     ):
-        """Starts with nothing to send."""
+        """Initializes the reporter.
+
+        Args:
+          endpoint: The connections to entries.
+          service_name: The service's name in the settings tree.
+          clock: The source of time.
+          log: Receives the events.
+          log_client: The platform's log; None appends nothing.
+        """
         self._endpoint = endpoint
         self._service_name = service_name
         self._clock = clock
@@ -47,7 +55,7 @@
         self._added = asyncio.Event()
 
     def report_crash(self, report: types.ReportCrash) -> None:
-        """Names the requests in flight at a crash."""
+        """Reports the requests that were in flight at a crash."""
         identity = self._endpoint.identity
         message = ttypes.CrashReport(
             instance_id=identity.instance_id,
@@ -60,7 +68,7 @@
         self._publish(ttypes.SuspectRecord(crash=message))
 
     def report_cleared(self, report: types.ReportCleared) -> None:
-        """Names requests that completed after a crash."""
+        """Reports requests that completed after a crash."""
         message = ttypes.Cleared(
             fingerprints=list(report.fingerprints),
             time_ms=int(self._clock.wall() * _MS),
@@ -69,8 +77,8 @@
 
     def _publish(self, record: ttypes.SuspectRecord) -> None:
         body = codec.encode(record)
-        # The caller's repetition may be faster than the log: entries that
-        # are connected hear of the crash before they hear of its failures.
+        # A caller's retry may be faster than the log, so connected entries
+        # are notified of the crash before its attempts fail.
         for connection in self._endpoint.connections():
             if connection.peer.role is shared.Role.ENTRY:
                 connection.notify(connection_lib.Kind.CRASHED, body)
@@ -79,7 +87,7 @@
             self._added.set()
 
     async def run(self) -> None:
-        """Appends what waits, for ever; a log that is down is asked again."""
+        """Appends unsent records until cancelled; retries failed appends."""
         while self._log_client is not None:
             await self._added.wait()
             self._added.clear()
--- a/src/clementinegw/gate/_monitor.py
+++ b/src/clementinegw/gate/_monitor.py
@@ -1,4 +1,4 @@
-"""Watches the backend server and tells the entries how this agent is."""
+"""Probes the backend server and reports this agent's status to entries."""
 
 import asyncio
 import math
@@ -15,7 +15,7 @@
 
 
 class Monitor:
-    """Probes the backend server; pushes AGENT_STATUS and AGENT_LOAD."""
+    """Probes the backend server; sends AGENT_STATUS and AGENT_LOAD."""
 
     def __init__(
         self,
@@ -23,12 +23,12 @@
         service_name: str,
         context: _context.Context,
     ):
-        """Prepares the monitor.
+        """Initializes the monitor.
 
         Args:
-          endpoint: Where entries are connected.
+          endpoint: The connections to entries.
           service_name: The service's name in the settings tree.
-          context: What the service works with.
+          context: The service's shared objects.
         """
         self._endpoint = endpoint
         self._service_name = service_name
@@ -48,7 +48,7 @@
         self._full_list_at = -math.inf
 
     def status(self) -> ttypes.AgentStatus:
-        """Returns this agent's own word on its load and state."""
+        """Returns this agent's load and state."""
         load = self._gate.load
         identity = self._endpoint.identity
         return ttypes.AgentStatus(
@@ -68,21 +68,21 @@
         )
 
     def send_status(self, connection: connection_lib.Connection) -> None:
-        """Tells a new connection at once."""
+        """Sends the full status on a new connection to an entry."""
         if connection.peer.role is shared.Role.ENTRY:
             connection.notify(Kind.AGENT_STATUS, codec.encode(self.status()))
 
     def push_full_status(self) -> None:
-        """Tells every connected entry, all cached prefixes among it."""
+        """Sends every connected entry the status with all cached prefixes."""
         self._full_list_at = -math.inf
         self.push_status()
 
     def push_status(self) -> None:
-        """Tells every connected entry.
+        """Sends every connected entry the status.
 
-        The prefixes are the bulk of a notice. Sent whole each time, they would
-        take more bytes than all other control traffic together; so most
-        notices tell only what has changed.
+        The prefixes are the largest part of a notice. A full list in each
+        notice would take more bytes than all other control traffic together,
+        so most notices contain only the changes.
         """
         status = self.status()
         now = self._clock.now()
@@ -99,11 +99,11 @@
         self._sent_load = self._load()
 
     def push_changes(self) -> None:
-        """Tells every connected entry what they need to know by now.
+        """Sends every connected entry what has changed, if anything has.
 
         Load and cached prefixes change with each request, the rest of a status
-        seldom. Sent whole at each such change, status notices alone would take
-        more than a process has for all control.
+        rarely. A status for each such change would exceed the bandwidth that a
+        process has for all control traffic, so a load notice is sent instead.
         """
         now = self._checked_at = self._clock.now()
         due = now >= self._status_sent_at + self._timing.status_interval_s
@@ -114,11 +114,11 @@
             self._push_load()
 
     def since_last_check_s(self) -> float:
-        """Returns how long ago it was seen whether there is news, seconds."""
+        """Returns the seconds since the last check for changes."""
         return self._clock.now() - self._checked_at
 
     async def probe(self) -> None:
-        """Notices a backend server that stalls, and one that is back."""
+        """Probes the backend server and detects stalls, losses and recovery."""
         digest = self._backend_state.digest
         try:
             async with asyncio.timeout(self._timing.probe_timeout_s):
@@ -132,7 +132,7 @@
         if health.capacity > 0:
             self._gate.set_capacity(health.capacity)
         if digest != self._backend_state.digest:
-            return  # loaded anew while the probe was on its way
+            return  # loaded again while the probe was in progress
         if health.digest == digest:
             self._recover()
         elif self._gate.ready:
@@ -156,19 +156,19 @@
         incarnation = self._endpoint.identity.incarnation
         notice = ttypes.AgentLoad(incarnation, in_flight, queued)
         new, gone = self._prefix_changes()
-        # An absent list takes no bytes, an empty one does.
+        # Unlike an empty list, an absent one takes no bytes.
         notice.prefixes = new or None
         notice.prefixes_gone = gone or None
         self._notify(Kind.AGENT_LOAD, codec.encode(notice))
 
     def _prefix_changes(self) -> tuple[list[int], list[int]]:
-        """Returns what is new and what is gone since the last notice."""
-        held = frozenset(self._backend_state.prefixes)
+        """Returns the prefixes added and removed since the last notice."""
+        cached = frozenset(self._backend_state.prefixes)
         new, gone = (
-            list(held - self._sent_prefixes),
-            list(self._sent_prefixes - held),
+            list(cached - self._sent_prefixes),
+            list(self._sent_prefixes - cached),
         )
-        self._sent_prefixes = held
+        self._sent_prefixes = cached
         return new, gone
 
     def _notify(self, kind: Kind, body: bytes) -> None:
@@ -178,8 +178,8 @@
 
     def _recover(self) -> None:
         plain = self._backend.kind is shared.ServiceKind.PLAIN
-        waits = self._gate.ready or self._gate.leaving or self._gate.loading
-        if waits or not (plain or self._backend_state.digest):
+        excluded = self._gate.ready or self._gate.leaving or self._gate.loading
+        if excluded or not (plain or self._backend_state.digest):
             return
         self._log.write(
             _events.BACKEND_READY, version=self._backend_state.version
@@ -188,8 +188,8 @@
         self.push_status()
 
     def _close(self) -> None:
-        # An engine that crashed while it was idle, and is back without its
-        # weights, breaks no connection; requests would still be sent to it.
+        # An engine that crashes while idle and restarts without its weights
+        # breaks no connection; without this, requests would still go to it.
         self._log.write(
             _events.WEIGHTS_LOST, version=self._backend_state.version
         )
--- a/src/clementinegw/gate/_queue.py
+++ b/src/clementinegw/gate/_queue.py
@@ -1,4 +1,4 @@
-"""The attempts that wait for the backend server, urgent ones first."""
+"""The queue of attempts that wait for the backend server."""
 
 import collections
 
@@ -7,7 +7,7 @@
 
 
 class Queue:
-    """First in, first out within each priority."""
+    """A queue ordered by priority, first in, first out within each."""
 
     def __init__(self) -> None:
         self._by_priority: dict[
@@ -22,27 +22,27 @@
         return self._size
 
     def push(self, record: _attempt_table.Record) -> None:
-        """Adds a record behind those of its priority."""
+        """Adds a record after the others of its priority."""
         assert record.attempt is not None
         self._by_priority[record.attempt.priority][record.sequence] = record
         self._size += 1
 
     def first(self) -> _attempt_table.Record | None:
-        """Returns the record whose turn is next."""
-        for line in self._by_priority.values():
-            if line:
-                return next(iter(line.values()))
+        """Returns the oldest record of the highest priority; None if empty."""
+        for records in self._by_priority.values():
+            if records:
+                return next(iter(records.values()))
         return None
 
     def lowest(self) -> _attempt_table.Record | None:
-        """Returns the newest record of the lowest priority."""
-        for line in reversed(self._by_priority.values()):
-            if line:
-                return next(reversed(line.values()))
+        """Returns the newest record of the lowest priority; None if empty."""
+        for records in reversed(self._by_priority.values()):
+            if records:
+                return next(reversed(records.values()))
         return None
 
     def remove(self, record: _attempt_table.Record) -> None:
-        """Takes a record out."""
+        """Removes a record; does nothing if it is not in the queue."""
         assert record.attempt is not None
         if self._by_priority[record.attempt.priority].pop(
             record.sequence, None
--- a/src/clementinegw/gate/_run.py
+++ b/src/clementinegw/gate/_run.py
@@ -1,4 +1,4 @@
-"""One attempt's talk with the backend server, and how it may end."""
+"""Runs attempts at the backend server and classifies how they end."""
 
 import asyncio
 
@@ -19,7 +19,11 @@
     """Runs the attempts that the gate hands over."""
 
     def __init__(self, context: _context.Context):
-        """Prepares the runner."""
+        """Initializes the runner.
+
+        Args:
+          context: The service's shared objects.
+        """
         self._gate = context.gate
         self._backend = context.backend
         self._backend_state = context.backend_state
@@ -32,11 +36,11 @@
         self._background: set[asyncio.Task] = set()
 
     async def run(self, call: _calls.SubmitCall) -> CloseAction:
-        """Talks to the backend server until the attempt has ended.
+        """Runs an attempt at the backend server until it has ended.
 
         Returns:
-          How to close the call; None when the answer was sent, or when
-          nobody takes it any more.
+          How to close the call; None if the answer was sent or if its entry
+          is disconnected.
         """
         if call.aborted is not None:
             return types.Fail(call.id, call.aborted)
@@ -54,7 +58,7 @@
             self._disconnected.discard(call.id)
 
     def cancel(self, attempt_id: types.AttemptId) -> None:
-        """Stops an attempt at the backend server, without waiting."""
+        """Cancels an attempt at the backend server, without waiting."""
         task = asyncio.ensure_future(
             self._backend.cancel(attempt_id.request_id)
         )
@@ -62,7 +66,7 @@
         task.add_done_callback(self._background.discard)
 
     def stop(self) -> None:
-        """Ends the background work."""
+        """Cancels the background tasks."""
         for task in list(self._background):
             task.cancel()
 
@@ -83,7 +87,7 @@
         except exceptions.BackendLost:
             return await self._on_connection_lost(call)
         except exceptions.ConnectionLost:
-            # Nobody takes the answer any more.
+            # The entry is disconnected.
             self.cancel(call.id)
             self._fail(call, types.FailureReason.CANCELLED)
             return None
@@ -101,7 +105,7 @@
                     return closing
         finally:
             await events.aclose()
-        raise exceptions.BackendLost("the answer ended without its end")
+        raise exceptions.BackendLost("the answer ended without an end event")
 
     async def _on_head(
         self, call: _calls.SubmitCall, head: backend_types.Head
@@ -113,8 +117,8 @@
             return self._on_not_begun(call, reason)
         digest = self._backend_state.digest
         if digest and head.digest and head.digest != digest:
-            # Someone else loaded the engine since its load was proved. Passed
-            # on, the answer would come from weights that nobody verified.
+            # Someone else has loaded the engine since its load was verified.
+            # The answer comes from unverified weights and is not passed on.
             self._log.write(_events.WRONG_WEIGHTS, version=head.version)
             self.cancel(call.id)
             return self._fail(call, types.FailureReason.WRONG_WEIGHTS)
@@ -131,7 +135,7 @@
         return None
 
     async def _on_connection_lost(self, call: _calls.SubmitCall) -> CloseAction:
-        """Finds out whether one connection broke or the server crashed."""
+        """Determines whether only a connection broke or the server crashed."""
         self._disconnected.add(call.id)
         if not await self._has_crashed():
             return self._fail(call, types.FailureReason.LOST)
@@ -148,7 +152,8 @@
             return True
         await asyncio.sleep(self._timing.crash_window_s)
         in_flight = set(self._gate.in_flight)
-        # A server that is back at once has still broken all its connections.
+        # A server that restarts at once answers probes again, but it has
+        # broken the connections of all attempts in flight.
         return len(in_flight) > 1 and in_flight <= self._disconnected
 
     async def _is_down(self) -> bool:
@@ -177,7 +182,11 @@
     def _apply_all_but_own(
         self, call: _calls.SubmitCall, actions: list[types.Action]
     ) -> CloseAction:
-        """Carries out the actions but for the one that closes this call."""
+        """Applies the actions except the one that closes this call.
+
+        Returns:
+          The action that closes this call; None if there is none.
+        """
         own: CloseAction = None
         others: list[types.Action] = []
         for action in actions:
--- a/src/clementinegw/gate/backends.py
+++ b/src/clementinegw/gate/backends.py
@@ -1,4 +1,4 @@
-"""The backend server as the gate sees it: start, cancel, probe."""
+"""The gate's interface to backend servers, for engines and plain services."""
 
 from collections.abc import AsyncGenerator
 import dataclasses
@@ -17,14 +17,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Health:
-    """What a probe found.
+    """The result of a probe.
 
     Attributes:
-      up: Whether the backend server answers.
-      version: The version it says it serves; empty for a plain service.
+      up: Whether the backend server responded.
+      version: The version it reports; empty for a plain service.
       digest: The digest of its weights; empty for a plain service.
-      load: Its own word on its load; 0.0 for a plain service.
-      capacity: The most it runs at once; 0 when it does not say.
+      load: The load it reports; 0.0 for a plain service.
+      capacity: How many requests it runs at once; 0 if not reported.
     """
 
     up: bool
@@ -35,30 +35,31 @@
 
 
 class Backend(Protocol):
-    """One backend server."""
+    """The operations that the gate needs of a backend server."""
 
     @property
     def kind(self) -> types.ServiceKind:
-        """What it is."""
+        """The kind of service it belongs to."""
 
     def start(self, submit: ttypes.Submit) -> AnswerEvents:
-        """Hands an attempt over; iterates over head, data and end.
+        """Hands an attempt over and iterates over head, data and end.
 
         Raises:
-          exceptions.BackendUnreachable: Before the first event: nothing was
-            handed over.
-          exceptions.BackendLost: It may have run.
+          exceptions.BackendUnreachable: Nothing was handed over; raised only
+            before the first event.
+          exceptions.BackendLost: The connection broke; the attempt may have
+            run.
         """
 
     async def cancel(self, request_id: str) -> None:
-        """Stops a request; does nothing when that cannot be done."""
+        """Stops a request, if the backend server supports that."""
 
     async def probe(self) -> Health:
-        """Asks for a sign of life.
+        """Returns the backend server's health.
 
         Raises:
-          exceptions.BackendUnreachable: Nobody listens there.
-          exceptions.BackendLost: It listens and does not answer.
+          exceptions.BackendUnreachable: Its address refuses connections.
+          exceptions.BackendLost: It accepts connections but does not respond.
         """
 
     async def prefixes(self) -> list[int]:
@@ -66,14 +67,14 @@
 
 
 class EngineBackend:
-    """A model engine."""
+    """The backend of a model engine."""
 
     def __init__(self, client: engine.EngineClient, max_prefixes: int = 256):
-        """Wraps a client.
+        """Initializes the backend.
 
         Args:
-          client: Speaks to the engine.
-          max_prefixes: The most prefix hashes that are kept.
+          client: The client of the engine.
+          max_prefixes: How many prefix hashes are kept at most.
         """
         self._client = client
         self._max_prefixes = max_prefixes
@@ -82,7 +83,7 @@
 
     @property
     def kind(self) -> types.ServiceKind:
-        """A model engine."""
+        """Always `MODEL_ENGINE`."""
         return types.ServiceKind.MODEL_ENGINE
 
     async def start(self, submit: ttypes.Submit) -> AnswerEvents:
@@ -95,15 +96,15 @@
             await stream.aclose()
 
     async def cancel(self, request_id: str) -> None:
-        """Stops a request."""
+        """Stops a request; ignores an engine that cannot be reached."""
         try:
             await self._client.cancel(request_id)
         except exceptions.BackendError:
-            # The engine is gone or stalled; there is nothing left to stop.
+            # The engine is down or stalled; there is nothing to stop.
             return
 
     async def probe(self) -> Health:
-        """Asks the engine for its status."""
+        """Returns the health from the engine's status."""
         status = await self._client.status()
         return Health(
             True,
@@ -114,15 +115,14 @@
         )
 
     async def prefixes(self) -> list[int]:
-        """Follows the engine's cache events."""
+        """Reads new cache events; returns the hashes of cached prefixes."""
         events = await self._client.cache_events(self._last_event)
         if (
             events.first > self._last_event + 1
             or events.next <= self._last_event
         ):
-            # Events were lost, or the engine began anew: what was kept may
-            # have been evicted unseen, and would draw requests to a cache
-            # that is no longer there.
+            # Events were lost or the engine restarted. Known prefixes may have
+            # been evicted since and would attract requests to an empty cache.
             self._cached.clear()
         for event in events.events:
             self._apply_event(event)
@@ -139,21 +139,21 @@
 
 
 class PlainBackend:
-    """A plain service."""
+    """The backend of a plain service."""
 
     def __init__(self, client: service.PlainClient, probe_path: str = "/"):
-        """Wraps a client.
+        """Initializes the backend.
 
         Args:
-          client: Speaks to the service.
-          probe_path: Asked for by `HEAD` to see whether anybody listens.
+          client: The client of the service.
+          probe_path: The path that probes request with `HEAD`.
         """
         self._client = client
         self._probe_path = probe_path
 
     @property
     def kind(self) -> types.ServiceKind:
-        """A plain service."""
+        """Always `PLAIN`."""
         return types.ServiceKind.PLAIN
 
     async def start(self, submit: ttypes.Submit) -> AnswerEvents:
@@ -171,15 +171,15 @@
         yield backend_types.End()
 
     async def cancel(self, request_id: str) -> None:
-        """A plain service cannot stop a request."""
+        """Does nothing; a plain service cannot stop a request."""
 
     async def probe(self) -> Health:
-        """Asks for any answer at all."""
+        """Sends a `HEAD` request; any response counts as healthy."""
         await self._client.forward("HEAD", self._probe_path, (), b"")
         return Health(True)
 
     async def prefixes(self) -> list[int]:
-        """A plain service has none."""
+        """Returns an empty list; a plain service has no prefix cache."""
         return []
 
 
--- a/src/clementinegw/gate/gate.py
+++ b/src/clementinegw/gate/gate.py
@@ -1,8 +1,8 @@
-"""The gate's decisions: what is handed to the backend server, and when.
+"""Decides which attempts are handed to the backend server, and when.
 
-A state machine without I/O. Events and the time go in, actions come out. It is
-the one place that knows whether an attempt was handed to the backend server,
-and all proof of "not run" rests on it.
+A state machine without I/O: it takes events and the time and returns actions.
+It is the only place that knows whether an attempt was handed to the backend
+server, and every proof of "not run" relies on it.
 """
 
 import dataclasses
@@ -17,12 +17,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """How busy the gate is.
+    """The gate's load.
 
     Attributes:
       in_flight: Attempts at the backend server.
       queued: Attempts that wait for it.
-      capacity: The most that may be at the backend server.
+      capacity: How many may be at the backend server at once.
     """
 
     in_flight: int
@@ -31,17 +31,17 @@
 
 
 class Gate:
-    """Decides over every attempt that reaches one agent."""
+    """Decides about every attempt that one agent receives."""
 
     def __init__(
         self, limits: types.Limits, incarnation: int, ready: bool = True
     ):
-        """Starts empty.
+        """Initializes a gate without attempts.
 
         Args:
-          limits: The bounds.
-          incarnation: This process's; other processes name it in what they
-            send, so that nothing meant for a predecessor is taken.
+          limits: The gate's bounds.
+          incarnation: The incarnation of this process. Other processes name it
+            in their messages, so that messages to a predecessor are refused.
           ready: Whether the backend server may be given requests.
         """
         self._limits = limits
@@ -58,27 +58,27 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new attempts are taken."""
+        """Whether new attempts are accepted."""
         return self._admission.accepting
 
     @property
     def leaving(self) -> bool:
-        """Whether this agent is leaving for good."""
+        """Whether this agent is leaving."""
         return self._admission.leaving
 
     @property
     def loading(self) -> bool:
-        """Whether it takes nothing new because of a load."""
+        """Whether new attempts are refused until a load is done."""
         return self._admission.loading
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is in flight or waits."""
+        """Whether no attempt is in flight or queued."""
         return not self._in_flight and not len(self._queue)
 
     @property
     def load(self) -> Load:
-        """How busy the gate is."""
+        """The gate's load."""
         return Load(
             len(self._in_flight), len(self._queue), self._limits.capacity
         )
@@ -89,12 +89,12 @@
         return tuple(self._in_flight)
 
     def set_capacity(self, capacity: int) -> None:
-        """Takes over how much the backend server runs at once."""
+        """Sets how many attempts the backend server runs at once."""
         if capacity != self._limits.capacity:
             self._limits = dataclasses.replace(self._limits, capacity=capacity)
 
     def submit(self, attempt: types.Attempt, now: float) -> list[types.Action]:
-        """Takes an attempt: hands it over, queues or refuses it."""
+        """Hands over, queues or refuses a submitted attempt."""
         known = self._attempts.find(attempt.id)
         if known is not None:
             return self._on_duplicate(attempt, known)
@@ -119,28 +119,29 @@
         submitted_at: float | None,
         now: float,
     ) -> tuple[bool, list[types.Action]]:
-        """Forbids an attempt that was not handed over.
+        """Prevents the hand-over of an attempt that was not handed over yet.
 
         Args:
-          attempt_id: The attempt; with `include_earlier`, and all before it.
-          include_earlier: Whether earlier attempts are meant as well.
-          incarnation: Whom the attempt was submitted to.
-          submitted_at: When the first of them was, by this agent's clock;
-            None when unknown.
-          now: The time.
+          attempt_id: The attempt.
+          include_earlier: Whether the request's earlier attempts are covered
+            as well.
+          incarnation: The incarnation that the attempt was submitted to.
+          submitted_at: When the first covered attempt was submitted, in
+            seconds on this agent's monotonic clock; None if unknown.
+          now: The current time, monotonic seconds.
 
         Returns:
-          Whether it is proved that nothing was or will be handed over, and
-          what to do besides.
+          Whether it is proved that no covered attempt was or will be handed
+          over, and the actions to carry out.
         """
         if not self._admission.is_for_this(incarnation):
-            # A replaced agent never saw the attempt. Were that taken for
-            # proof, the caller would be told "not run" of what its
-            # predecessor ran.
+            # This process has no record of attempts sent to a predecessor.
+            # Taking that for proof would report "not run" for a request that
+            # the predecessor ran.
             return False, []
         records = self._find_records(attempt_id, include_earlier)
-        asked = attempt_id.attempt if include_earlier else 1
-        proved = self._is_proved(records, asked, submitted_at)
+        covered = attempt_id.attempt if include_earlier else 1
+        proved = self._is_proved(records, covered, submitted_at)
         actions: list[types.Action] = []
         for record in records:
             if record.state is _State.QUEUED:
@@ -153,10 +154,10 @@
     def cancel(
         self, attempt_id: types.AttemptId, now: float
     ) -> list[types.Action]:
-        """Takes the word that nobody waits for the attempt any more.
+        """Cancels an attempt whose caller no longer waits.
 
-        A non-idempotent attempt that was handed over goes on: cut off in the
-        middle, nobody could say what it had done.
+        A non-idempotent attempt that was handed over continues: if it were
+        interrupted, its effect would be unknown.
         """
         record = self._attempts.find(attempt_id)
         if record is None or record.attempt is None:
@@ -176,7 +177,7 @@
     def on_answered(
         self, attempt_id: types.AttemptId, now: float
     ) -> list[types.Action]:
-        """Takes the explicit end of a whole answer."""
+        """Handles the explicit end of a complete answer."""
         record = self._in_flight.get(attempt_id)
         if record is None or record.attempt is None:
             return []
@@ -193,7 +194,7 @@
         reason: types.FailureReason,
         now: float,
     ) -> list[types.Action]:
-        """Takes the end of one attempt without a whole answer."""
+        """Handles the end of an attempt without a complete answer."""
         record = self._in_flight.get(attempt_id)
         if record is None:
             return []
@@ -205,9 +206,9 @@
         reason: types.RefusalReason,
         now: float,
     ) -> list[types.Action]:
-        """Takes proof that the backend server did not begin the attempt.
+        """Handles proof that the backend server did not begin the attempt.
 
-        No connection could be made, or the server refused before running.
+        No connection could be opened, or the server refused it before running.
         """
         record = self._in_flight.pop(attempt_id, None)
         if record is None:
@@ -217,10 +218,11 @@
         return [self._refusal(attempt_id, reason), *self._dispatch(now)]
 
     def on_crash(self, now: float) -> list[types.Action]:
-        """Takes the word that the backend server crashed.
+        """Handles a crash of the backend server.
 
-        Every attempt in flight is lost; their fingerprints are named. What
-        waits is refused, with proof, so that it runs elsewhere at once.
+        All attempts in flight fail, and their fingerprints are reported.
+        Queued attempts are refused with proof, so that they can run on another
+        agent at once.
         """
         self._admission.ready = False
         records = list(self._in_flight.values())
@@ -234,7 +236,7 @@
         return actions
 
     def on_stall(self, now: float) -> list[types.Action]:
-        """Takes the word that the backend server stopped answering."""
+        """Handles a backend server that stopped responding."""
         self._admission.ready = False
         cancels: list[types.Action] = [
             types.CancelBackend(attempt_id) for attempt_id in self._in_flight
@@ -246,36 +248,36 @@
         )
 
     def close(self, now: float) -> list[types.Action]:
-        """Takes nothing new until `on_loaded`; nothing is said of what runs."""
+        """Refuses new attempts until `on_loaded`; those in flight continue."""
         self._admission.ready = False
         return self._refuse_queue(types.RefusalReason.NOT_READY, now)
 
     def on_loaded(self, now: float) -> list[types.Action]:
-        """Takes the word that the backend server is ready to serve."""
+        """Handles a backend server that is ready to serve."""
         self._admission.ready = True
         self._admission.loading = False
         return self._dispatch(now)
 
     def drain(self, now: float) -> list[types.Action]:
-        """Takes nothing new until `on_loaded`; what is in flight finishes."""
+        """Refuses new attempts for a load, until `on_loaded`."""
         self._admission.loading = True
         return self._refuse_queue(types.RefusalReason.LOADING, now)
 
     def leave(self, now: float) -> list[types.Action]:
-        """Takes nothing new ever again; what is in flight finishes."""
+        """Refuses new attempts for good; those in flight continue."""
         self._admission.leaving = True
         return self._refuse_queue(types.RefusalReason.LEAVING, now)
 
     def on_tick(self, now: float) -> list[types.Action]:
-        """Refuses what waited past its deadline and forgets what is old."""
+        """Refuses overdue queued attempts and drops expired records."""
         self._attempts.expire(now)
         return self._dispatch(now)
 
     def _on_duplicate(
         self, attempt: types.Attempt, known: _attempt_table.Record
     ) -> list[types.Action]:
-        # A frame that is delivered twice, or a defect at an entry. The first
-        # submission stands; a proof of "not run" here would be untrue.
+        # A frame was delivered twice, or an entry is defective. The first
+        # submission is still valid, so a proof of "not run" would be false.
         if known.state is _State.REFUSED:
             return [self._refusal(attempt.id, types.RefusalReason.TOMBSTONED)]
         return [types.FailDuplicate(attempt.id)]
@@ -283,17 +285,22 @@
     def _evict_lower_priority(
         self, attempt: types.Attempt, now: float
     ) -> list[types.Action] | None:
-        """Returns what makes room in the queue; None when there is none."""
+        """Makes room in the queue for an attempt.
+
+        Returns:
+          The actions for a removed attempt, if one must be removed; None if
+          the queue is full and no attempt in it has a lower priority.
+        """
         if len(self._queue) < self._limits.max_queued or self._may_start(
             attempt
         ):
             return []
-        worst = self._queue.lowest()
-        if worst is None or worst.attempt is None:
+        lowest = self._queue.lowest()
+        if lowest is None or lowest.attempt is None:
             return None
-        if worst.attempt.priority >= attempt.priority:
+        if lowest.attempt.priority >= attempt.priority:
             return None
-        return self._withdraw(worst, types.RefusalReason.OVERLOADED, now)
+        return self._withdraw(lowest, types.RefusalReason.OVERLOADED, now)
 
     def _may_start(self, attempt: types.Attempt) -> bool:
         if not self.ready or self._alone:
@@ -311,9 +318,8 @@
                     record, types.RefusalReason.DEADLINE, now
                 )
                 continue
-            # An attempt that must run alone and is first in line holds the
-            # others back: were they let past, it might never find the server
-            # empty.
+            # An attempt that must run alone blocks those behind it. If they
+            # passed it, the server might never become empty.
             if not self._may_start(attempt):
                 break
             self._queue.remove(record)
@@ -372,13 +378,13 @@
     def _is_proved(
         self,
         records: list[_attempt_table.Record],
-        asked: int,
+        covered: int,
         submitted_at: float | None,
     ) -> bool:
-        never = (_State.QUEUED, _State.REFUSED)
-        if any(record.state not in never for record in records):
+        not_handed_over = (_State.QUEUED, _State.REFUSED)
+        if any(record.state not in not_handed_over for record in records):
             return False
-        if len(records) == asked:
+        if len(records) == covered:
             return True
         return self._attempts.proves_not_handed_over(submitted_at)
 
--- a/src/clementinegw/gate/service.py
+++ b/src/clementinegw/gate/service.py
@@ -1,4 +1,4 @@
-"""The gate's I/O: the only way to the backend server."""
+"""Connects the gate to entries and to the backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,7 +33,7 @@
 
 
 class GateService(mode.Service):
-    """Answers SUBMIT, TOMBSTONE and CANCEL; tells entries how it is."""
+    """Handles SUBMIT, TOMBSTONE and CANCEL; reports status to entries."""
 
     def __init__(
         self,
@@ -47,18 +47,18 @@
         counters: counters_lib.Counters | None = None,
         log_client: platform_log.LogClient | None = None,
     ):
-        """Registers its handlers at the endpoint.
+        """Initializes the service and registers its handlers.
 
         Args:
-          endpoint: This agent's connections.
+          endpoint: This agent's connections to its peers.
           backend: The backend server.
           service_name: The service's name in the settings tree.
           limits: The gate's bounds.
-          timing: How long it waits.
+          timing: The intervals and timeouts.
           clock: The source of time.
-          log: Where events go.
-          counters: Where refusals and failures are counted.
-          log_client: Takes crash reports; None keeps them off the log.
+          log: Receives the events.
+          counters: Counts refusals and failures.
+          log_client: The platform's log, for crash reports; None appends none.
         """
         super().__init__()
         self._service_name = service_name
@@ -110,31 +110,31 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new attempts are taken."""
+        """Whether new attempts are accepted."""
         return self._gate.ready
 
     @property
     def load(self) -> gate_lib.Load:
-        """How busy the gate is."""
+        """The gate's load."""
         return self._gate.load
 
     @property
     def version(self) -> str:
-        """The version that is served; empty for a plain service."""
+        """The served version; empty for a plain service."""
         return self._backend_state.version
 
     def status(self) -> ttypes.AgentStatus:
-        """Returns this agent's own word on its load and state."""
+        """Returns this agent's load and state."""
         return self._monitor.status()
 
     async def drain(self, timeout_s: float) -> bool:
-        """Takes nothing new and waits for what is in flight.
+        """Refuses new attempts and waits for those in flight.
 
         Args:
           timeout_s: How long to wait, in seconds.
 
         Returns:
-          Whether nothing is in flight any more.
+          Whether all attempts ended in time.
         """
         self._log.write(_events.GATE_DRAINING)
         self._apply(self._gate.drain(self._clock.now()))
@@ -142,11 +142,12 @@
         return await self._wait_idle(timeout_s)
 
     def resume(self, version: str = "", digest: str = "") -> None:
-        """Takes attempts again, for a version whose load is proved.
+        """Accepts attempts again, after a load was verified.
 
         Args:
-          version: What the engine serves now.
-          digest: The content digest it reported.
+          version: The version that the engine serves; empty for a plain
+            service.
+          digest: The content digest that the engine reported.
         """
         now = self._clock.now()
         self._backend_state.version = version
@@ -158,14 +159,13 @@
         self._monitor.push_full_status()
 
     async def leave(self, timeout_s: float | None = None) -> bool:
-        """Takes nothing new ever again and finishes what it has.
+        """Refuses new attempts for good and waits for those in flight.
 
         Args:
-          timeout_s: How long to wait, in seconds; None for as long as it
-            takes.
+          timeout_s: How long to wait, in seconds; None waits without limit.
 
         Returns:
-          Whether everything finished.
+          Whether all attempts ended in time.
         """
         self._log.write(_events.GATE_LEAVING)
         self._apply(self._gate.leave(self._clock.now()))
@@ -173,7 +173,7 @@
         return await self._wait_idle(timeout_s)
 
     async def on_stop(self) -> None:
-        """Ends the background work."""
+        """Cancels the background tasks."""
         self._runner.stop()
 
     async def _wait_idle(self, timeout_s: float | None) -> bool:
@@ -199,8 +199,8 @@
         attempt = _calls.build_attempt(submit, self._service_name, delay_s, now)
         call = _calls.SubmitCall(exchange, submit)
         if self._calls.setdefault(call.id, call) is not call:
-            # A second frame of an attempt that is open here: its own call is
-            # answered, and the first one goes on.
+            # A duplicate of an attempt that is open here. Only this call
+            # fails; the first one continues.
             await call.send_failed(types.FailureReason.DUPLICATE)
             return
         peer.open_attempts.add(call.id)
@@ -307,7 +307,7 @@
 
     @mode.Service.task
     async def _push_loop(self) -> None:
-        """Tells the entries of changes while a probe takes long."""
+        """Sends changes to the entries while a probe takes long."""
         while not self.should_stop:
             left_s = (
                 self._timing.max_notify_delay_s
@@ -316,13 +316,13 @@
             if left_s <= 0:
                 self._monitor.push_changes()
                 left_s = self._timing.max_notify_delay_s
-            # A remainder below the clock's resolution would never pass: one
-            # would notice it as a loop that takes a whole core.
+            # A remainder below the clock's resolution would never elapse, and
+            # the loop would use a whole core.
             await self.sleep(max(left_s, _MIN_SLEEP_S))
 
     @mode.Service.task
     async def _tick_loop(self) -> None:
-        """Refuses what waits past its deadline, and forgets what is old."""
+        """Refuses overdue queued attempts and drops expired records."""
         while not self.should_stop:
             try:
                 async with asyncio.timeout(_EXPIRY_INTERVAL_S):
@@ -337,21 +337,21 @@
 
     @mode.Service.task
     async def _report_loop(self) -> None:
-        """Brings crash reports into the log."""
+        """Appends crash reports to the log."""
         await self._crash_reporter.run()
 
     @mode.Service.task
     async def _probe_loop(self) -> None:
-        """Watches the backend server, and tells entries what has changed."""
+        """Probes the backend server and sends changes to the entries."""
         while not self.should_stop:
             await self._monitor.probe()
-            # At once, since a cached prefix is routed to only once it is told.
+            # At once, since entries route only to prefixes reported to them.
             self._monitor.push_changes()
             await self.sleep(self._timing.probe_interval_s)
 
 
 class _Peer:
-    """What belongs to one connection of an entry."""
+    """The state of one connection from an entry."""
 
     def __init__(self) -> None:
         self.delay_estimator = _calls.DelayEstimator()
--- a/src/clementinegw/gate/types.py
+++ b/src/clementinegw/gate/types.py
@@ -1,4 +1,4 @@
-"""What the gate is told, and what it asks for."""
+"""The inputs of the gate and the actions that it returns."""
 
 import dataclasses
 import enum
@@ -12,13 +12,16 @@
     """The gate's bounds.
 
     Attributes:
-      capacity: Attempts at the backend server at once, until it says itself
-        how many it runs.
-      max_queued: Attempts that may wait for it.
-      retention_s: How long an attempt or a tombstone is remembered past its
-        deadline, in seconds.
-      max_records: Attempts and tombstones remembered at most.
-      retry_after_s: When a refused attempt may come again, in seconds.
+      capacity: How many attempts may be at the backend server at once, until
+        it reports its own capacity.
+      max_queued: How many attempts may wait for the backend server.
+      retention_s: How long a record is kept, in seconds: for an attempt that
+        was accepted from its deadline or its end on, whichever is later, for a
+        refused attempt or a tombstone from its arrival on.
+      max_records: How many records are kept of each kind: of attempts that
+        were or may have been handed over, and of those that were not.
+      retry_after_s: The delay that refusals recommend before a retry, in
+        seconds.
     """
 
     capacity: int = 8
@@ -29,13 +32,13 @@
 
 
 class AttemptId(NamedTuple):
-    """Names one attempt of one request.
+    """Identifies one attempt of one request.
 
-    A named tuple, since it is the key of every table here: its hash costs a
-    third of a data class's.
+    A named tuple, since it is the key of all tables of the gate and hashing it
+    costs a third of hashing a dataclass.
 
     Attributes:
-      request_id: The request.
+      request_id: The request's id.
       attempt: The attempt's number, never used for two submissions.
     """
 
@@ -45,20 +48,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One submitted attempt, as far as decisions need it.
+    """The properties of a submitted attempt that decisions depend on.
 
     Attributes:
-      id: Its name.
-      deadline: Monotonic seconds at the agent.
-      priority: Larger is handed over first.
+      id: Its id.
+      deadline: Its deadline, monotonic seconds at the agent.
+      priority: Larger values are handed over first.
       idempotent: Whether it may run more than once.
-      alone: Whether nothing may run beside it.
-      fingerprint: Equal for equal requests.
-      key: Names the idempotency key within the service; empty without one.
-      claim_offset: The fencing number; 0 without a claim.
-      shard: The stream of claims that the offset belongs to.
-      incarnation: The agent's incarnation it is meant for; 0 for any.
-      sent_at: When it was sent by this agent's clock; None when unknown.
+      alone: Whether no other attempt may run at the same time.
+      fingerprint: A hash that is equal for equal requests.
+      key: The customer and the idempotency key; empty without a key.
+      claim_offset: The fencing token; 0 without a claim.
+      shard: The number of the claims' stream that the offset refers to.
+      incarnation: The incarnation of the agent that it is addressed to; 0 for
+        any.
+      sent_at: When it was sent, in seconds on this agent's monotonic clock;
+        None if unknown.
     """
 
     id: AttemptId
@@ -75,7 +80,10 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why an attempt was not handed over. Counters `gate.refused.REASON`."""
+    """Why an attempt was not handed over.
+
+    Each has a counter `gate.refused.REASON`.
+    """
 
     DEADLINE = "deadline"
     OVERLOADED = "overloaded"
@@ -95,9 +103,9 @@
 
 
 class FailureReason(enum.StrEnum):
-    """Why the end of a handed-over attempt is not known.
+    """Why the outcome of a handed-over attempt is unknown.
 
-    Counters `gate.failed.REASON`.
+    Each has a counter `gate.failed.REASON`.
     """
 
     CRASHED = "backend_crashed"
@@ -119,12 +127,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer with proof that the attempt was not and will not be handed over.
+    """Send proof that the attempt was not and will not be handed over.
 
     Attributes:
       id: The attempt.
-      reason: Why.
-      retry_after_s: When another attempt may do better, in seconds.
+      reason: Why it was refused.
+      retry_after_s: The delay before a retry may succeed, in seconds.
     """
 
     id: AttemptId
@@ -134,11 +142,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer that the attempt was handed over and its end is not known.
+    """Send that the attempt was handed over and its outcome is unknown.
 
     Attributes:
       id: The attempt.
-      reason: Why.
+      reason: Why the outcome is unknown.
     """
 
     id: AttemptId
@@ -147,9 +155,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FailDuplicate:
-    """Answer a second submission of an attempt that was handed over.
+    """Fail a second submission of an attempt that was handed over.
 
-    The first submission goes on.
+    The first submission continues.
     """
 
     id: AttemptId
@@ -164,11 +172,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportCrash:
-    """Tell the fleet what was in flight at a crash.
+    """Report the requests that were in flight at a crash.
 
     Attributes:
-      sequence: Counts the crashes since this agent started.
-      fingerprints: Of the attempts in flight, without repetitions.
+      sequence: The number of the crash since this agent started, from 1.
+      fingerprints: The fingerprints of the attempts in flight, each once.
     """
 
     sequence: int
@@ -177,10 +185,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportCleared:
-    """Tell the fleet of requests that completed after a crash.
+    """Report requests that completed after a crash.
 
     Attributes:
-      fingerprints: Of those requests.
+      fingerprints: The fingerprints of those requests.
     """
 
     fingerprints: tuple[bytes, ...]
--- a/src/clementinegw/wire/__init__.py
+++ b/src/clementinegw/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Framed, authenticated and multiplexed connections between our processes."""
+"""Framed, authenticated and multiplexed connections between processes."""
 
 from clementinegw.wire import auth
 from clementinegw.wire import codec
--- a/src/clementinegw/wire/_handshake.py
+++ b/src/clementinegw/wire/_handshake.py
@@ -1,9 +1,9 @@
-"""The handshake of two processes: who they are, and proof of a shared key.
+"""Messages of the handshake, which proves that both sides hold a shared key.
 
-The opener sends HELLO with a nonce, the acceptor answers CHALLENGE with its own
-nonce and proof over both, the opener sends PROOF, the acceptor WELCOME. Each
-proof covers the role in the handshake and both identities, so that neither can
-be reflected or passed on for another pair.
+The opener sends HELLO with a nonce. The acceptor answers CHALLENGE with its own
+nonce and a proof over both. The opener sends PROOF, the acceptor WELCOME. Each
+proof covers the side (opener or acceptor) and both instance ids, so that it
+cannot be reflected or relayed to another pair.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OpenerState:
-    """What the opener remembers between HELLO and WELCOME."""
+    """The opener's state between HELLO and WELCOME."""
 
     hello: ttypes.Hello
     challenge: ttypes.Challenge | None = None
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(slots=True)
 class AcceptorState:
-    """What the acceptor remembers between CHALLENGE and PROOF."""
+    """The acceptor's state between CHALLENGE and PROOF."""
 
     hello: ttypes.Hello
     challenge: ttypes.Challenge
 
 
 def make_hello(own: _link.Identity) -> ttypes.Hello:
-    """Returns the first message of the opener."""
+    """Returns a HELLO with a new nonce."""
     return ttypes.Hello(
         protocol=PROTOCOL_VERSION,
         instance_id=own.instance_id,
@@ -52,17 +52,20 @@
 def answer_hello(
     own: _link.Identity, keys: auth.KeyRing, body: bytes
 ) -> AcceptorState:
-    """Answers a HELLO.
+    """Decodes a HELLO and returns it with the CHALLENGE that answers it.
 
     Raises:
-      exceptions.DecodeError: The bytes are no HELLO of this protocol.
+      exceptions.DecodeError: The bytes are not a HELLO of this protocol.
     """
     message = codec.decode(ttypes.Hello, body)
     if (
         message.protocol != PROTOCOL_VERSION
         or len(message.nonce) != auth.NONCE_BYTES
     ):
-        raise exceptions.DecodeError(f"protocol {message.protocol}")
+        raise exceptions.DecodeError(
+            f"unsupported HELLO: protocol {message.protocol}, "
+            f"nonce of {len(message.nonce)} bytes"
+        )
     nonce = auth.new_nonce()
     proof = keys.sign(
         *_signed_parts(_ACCEPTOR, message, own.instance_id, nonce)
@@ -84,10 +87,11 @@
 def answer_challenge(
     keys: auth.KeyRing, opened: OpenerState, body: bytes
 ) -> ttypes.Proof:
-    """Checks a CHALLENGE and answers it.
+    """Verifies a CHALLENGE and returns the PROOF that answers it.
 
     Raises:
-      exceptions.DecodeError: The bytes are no CHALLENGE, or its proof is wrong.
+      exceptions.DecodeError: The bytes are not a CHALLENGE, or its proof is
+        wrong.
     """
     answer = codec.decode(ttypes.Challenge, body)
     name = answer.instance_id
@@ -102,10 +106,10 @@
 def check_proof(
     keys: auth.KeyRing, accepted: AcceptorState, body: bytes
 ) -> None:
-    """Checks a PROOF.
+    """Verifies a PROOF.
 
     Raises:
-      exceptions.DecodeError: The bytes are no PROOF, or it is wrong.
+      exceptions.DecodeError: The bytes are not a PROOF, or it is wrong.
     """
     message = codec.decode(ttypes.Proof, body)
     answer = accepted.challenge
@@ -117,15 +121,17 @@
 
 
 def sender_of(message: ttypes.Hello | ttypes.Challenge) -> _link.Identity:
-    """Returns who sent a HELLO or a CHALLENGE.
+    """Returns the identity of the sender of a HELLO or a CHALLENGE.
 
     Raises:
-      exceptions.DecodeError: The role is none of ours.
+      exceptions.DecodeError: The role is unknown.
     """
     try:
         role = types.Role(message.role)
     except ValueError as error:
-        raise exceptions.DecodeError(f"role {message.role!r}") from error
+        raise exceptions.DecodeError(
+            f"unknown role {message.role!r}"
+        ) from error
     place = types.Place(message.region, message.failure_domain)
     return _link.Identity(message.instance_id, role, place, message.incarnation)
 
--- a/src/clementinegw/wire/_handshaker.py
+++ b/src/clementinegw/wire/_handshaker.py
@@ -1,4 +1,4 @@
-"""Takes links through the handshake and says whom they lead to."""
+"""Performs the handshakes of an endpoint's links."""
 
 import asyncio
 import dataclasses
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandshakeResult:
-    """A handshake that is done.
+    """The result of a completed handshake.
 
     Attributes:
-      peer: Who is at the other end.
+      peer: The identity of the peer.
       is_opener: Whether this process opened the link.
     """
 
@@ -33,14 +33,18 @@
 
 
 class Handshaker:
-    """The handshakes of one endpoint."""
+    """Performs all handshakes of one endpoint.
+
+    Attributes:
+      keys: The deployment's keys; may be replaced at any time.
+    """
 
     def __init__(self, identity: _link.Identity, keys: auth.KeyRing):
-        """Starts without any.
+        """Initializes the handshaker.
 
         Args:
-          identity: Who this process is.
-          keys: The deployment's keys; may be replaced at any time.
+          identity: The identity of this process.
+          keys: The deployment's keys.
         """
         self.keys = keys
         self._identity = identity
@@ -54,10 +58,11 @@
         }
 
     async def open(self, link: _link.Link) -> _link.Connection:
-        """Begins the handshake and waits for the connection it leads to.
+        """Performs the opener's handshake and returns the new connection.
 
         Raises:
-          exceptions.ConnectionLost: The peer refused, or is none of ours.
+          exceptions.ConnectionLost: The peer refused the handshake or failed
+            to prove that it holds the deployment's key.
         """
         opened = _handshake.OpenerState(_handshake.make_hello(self._identity))
         loop = asyncio.get_running_loop()
@@ -72,13 +77,14 @@
     def handle_frame(
         self, link: _link.Link, kind: Kind, body: bytes
     ) -> HandshakeResult | None:
-        """Takes one frame of a handshake.
+        """Handles one frame of a handshake.
 
         Returns:
-          Whom the link leads to once the handshake is done; else None.
+          The result if this frame completes the handshake; else None.
 
         Raises:
-          exceptions.DecodeError: The frame is out of order or proves nothing.
+          exceptions.DecodeError: The frame is malformed or out of order, or
+            its proof is wrong.
         """
         step = self._frame_handlers.get(kind)
         if step is None:
@@ -86,13 +92,18 @@
         return step(link, body)
 
     def complete(self, link: _link.Link, connection: _link.Connection) -> None:
-        """Hands the connection to whoever opened the link."""
+        """Returns the connection to the caller of `open`, if there is one."""
         opening = self._pending_opens.get(link)
         if opening is not None and not opening.ready.done():
             opening.ready.set_result(connection)
 
     def fail(self, link: _link.Link, reason: str) -> None:
-        """Ends the handshake of a link that broke or was refused."""
+        """Ends the handshake of a link that broke or was refused.
+
+        Args:
+          link: The link.
+          reason: The message of the error that `open` raises.
+        """
         self._awaiting_proof.pop(link, None)
         opening = self._pending_opens.get(link)
         if opening is not None and not opening.ready.done():
--- a/src/clementinegw/wire/_link.py
+++ b/src/clementinegw/wire/_link.py
@@ -1,4 +1,4 @@
-"""One TCP connection: frames in and out, calls told apart by number."""
+"""Connections that carry frames; a number in each identifies its call."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a process is, as its peers are told when they connect.
+    """The identity of a process, which peers exchange in the handshake.
 
     Attributes:
-      instance_id: A name that no two live processes share.
+      instance_id: A name that is unique among live processes.
       role: What the process does.
-      place: Where it stands.
-      incarnation: Grows with each start.
+      place: Its region and failure domain.
+      incarnation: A number that increases with each start.
     """
 
     instance_id: str
@@ -35,18 +35,24 @@
 
 
 class Link(asyncio.Protocol):
-    """The transport half of a connection: knows frames, not what they mean."""
+    """Reads and writes frames on a transport, without interpreting them.
+
+    Attributes:
+      bytes_received: Bytes received so far.
+      bytes_sent: Bytes of the frames written so far.
+    """
 
     def __init__(
         self,
         on_frame: Callable[["Link", ttypes.Kind | None, int, bytes], None],
         on_lost: Callable[["Link"], None],
     ):
-        """Waits for `connection_made`.
+        """Initializes a link; asyncio then calls `connection_made`.
 
         Args:
-          on_frame: Takes each whole frame; its kind is None when a later
-            release has added it.
+          on_frame: Called with each complete frame; its kind is None if this
+            release does not know it. After malformed data it is called with
+            the call -1.
           on_lost: Called once when the connection has ended.
         """
         self._on_frame = on_frame
@@ -74,18 +80,18 @@
 
     @property
     def last_received_at(self) -> float:
-        """Loop time in seconds at which the last bytes came."""
+        """Loop time at which data was last received, in seconds."""
         return self._last_received_at
 
     def connection_made(self, transport) -> None:
-        """Called by asyncio."""
+        """Called by asyncio when the connection is established."""
         self._transport = transport
         self._last_received_at = asyncio.get_running_loop().time()
 
     def connection_lost(self, exc) -> None:
-        """Called by asyncio."""
+        """Called by asyncio when the connection has ended."""
         self._closed = True
-        # Other errors come from the path: no route, no acknowledgement.
+        # Other errors are caused by the path: no route, no acknowledgement.
         by_peer = exc is None or isinstance(exc, ConnectionResetError)
         self._closed_by_peer = by_peer and not self._closed_here
         self.resume_writing()
@@ -102,7 +108,7 @@
         self._writable = None
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio; cuts the bytes into frames."""
+        """Called by asyncio; parses the received bytes into frames."""
         self._last_received_at = asyncio.get_running_loop().time()
         self.bytes_received += len(data)
         self._buffer += data
@@ -113,7 +119,7 @@
             self.abort()
 
     def write(self, kind: ttypes.Kind, call: int, body: bytes) -> None:
-        """Queues one frame.
+        """Queues one frame for sending.
 
         Raises:
           exceptions.ConnectionLost: The connection has ended.
@@ -125,10 +131,10 @@
         self._transport.write(_LENGTH.pack(len(data)) + data)
 
     async def drain(self) -> None:
-        """Waits while the send buffer is full.
+        """Waits until the send buffer is not full.
 
         Raises:
-          exceptions.ConnectionLost: The connection ended meanwhile.
+          exceptions.ConnectionLost: The connection ended while waiting.
         """
         if self._writable is not None:
             await asyncio.shield(self._writable)
@@ -153,7 +159,9 @@
         while size - position >= _LENGTH.size and not self._closed:
             (length,) = _LENGTH.unpack_from(self._buffer, position)
             if length > MAX_FRAME_BYTES:
-                raise exceptions.DecodeError(f"a frame of {length} bytes")
+                raise exceptions.DecodeError(
+                    f"frame of {length} bytes exceeds {MAX_FRAME_BYTES} bytes"
+                )
             end = position + _LENGTH.size + length
             if end > size:
                 break
@@ -166,16 +174,17 @@
 
 
 class Connection:
-    """An authenticated connection to one peer; many calls share it."""
+    """An authenticated connection to one peer, shared by many calls."""
 
     def __init__(self, link: Link, peer: Identity, is_opener: bool):
-        """Wraps a link whose handshake is done.
+        """Initializes a connection on a link whose handshake is complete.
 
         Args:
-          link: The transport half.
-          peer: Who answered the handshake.
-          is_opener: Whether this process opened it; sets whether its calls
-            have odd or even numbers, so that both sides may open calls.
+          link: The link that carries the frames.
+          peer: The identity of the peer.
+          is_opener: Whether this process opened the link. The opener's calls
+            have odd numbers and the acceptor's even ones, so that both sides
+            can open calls.
         """
         self._link = link
         self._peer = peer
@@ -184,7 +193,7 @@
 
     @property
     def peer(self) -> Identity:
-        """Who is at the other end."""
+        """The identity of the peer."""
         return self._peer
 
     @property
@@ -199,7 +208,7 @@
 
     @property
     def open_calls(self) -> int:
-        """How many calls are open on it."""
+        """How many calls are open on this connection."""
         return len(self._exchanges)
 
     @property
@@ -218,12 +227,12 @@
         return self._link.bytes_sent
 
     def notify(self, kind: ttypes.Kind, body: bytes = b"") -> None:
-        """Sends a frame that no call waits for; dropped when disconnected."""
+        """Sends a frame outside of any call; does nothing once closed."""
         if not self._link.closed:
             self._link.write(kind, 0, body)
 
     def open(self) -> exchange_lib.Exchange:
-        """Opens a call.
+        """Opens a call with a new number.
 
         Raises:
           exceptions.ConnectionLost: The connection has ended.
@@ -235,7 +244,7 @@
         return self.accept_call(call)
 
     def accept_call(self, call: int) -> exchange_lib.Exchange:
-        """Opens this side of a call that the peer has numbered."""
+        """Opens this side of a call with a given number."""
         exchange = exchange_lib.Exchange(
             call, self._link.write, self._link.drain, self._forget
         )
@@ -243,11 +252,11 @@
         return exchange
 
     def is_local_call(self, call: int) -> bool:
-        """Whether this side numbered the call."""
+        """Returns whether this side opened the call."""
         return call % 2 == self._next_call % 2
 
     def find(self, call: int) -> exchange_lib.Exchange | None:
-        """Returns the open call with that number."""
+        """Returns the open call with this number; None if there is none."""
         return self._exchanges.get(call)
 
     def close(self) -> None:
@@ -259,7 +268,7 @@
         self._link.abort()
 
     def fail_calls(self) -> None:
-        """Fails every open call; called once the link has ended."""
+        """Fails all open calls; called once the link has ended."""
         error = exceptions.ConnectionLost(
             f"the connection to {self._peer.instance_id} broke"
         )
--- a/src/clementinegw/wire/auth.py
+++ b/src/clementinegw/wire/auth.py
@@ -1,9 +1,9 @@
-"""Shared keys of a deployment and the proofs that two peers exchange.
+"""A deployment's shared keys and the proofs that two peers exchange.
 
-Both sides prove that they hold a key by a keyed hash over both nonces, so that
-a recorded handshake is worth nothing later. A key ring holds several keys at
-once: a deployment rotates its key by adding the new one everywhere, then
-naming it active, then dropping the old one, without an outage.
+Each side proves that it holds a key by a keyed hash over both nonces, so that
+a recorded handshake cannot be replayed. A key ring holds several keys at once.
+To rotate its key without an outage, a deployment adds the new key everywhere,
+then makes it the active one, then removes the old one.
 """
 
 from collections.abc import Mapping
@@ -18,10 +18,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyRing:
-    """The keys of a deployment by id, and the one that signs.
+    """The keys of a deployment by id, and the one that signs new proofs.
 
     Attributes:
-      active: The id of the key that new proofs are made with.
+      active: The id of the key that signs new proofs.
       keys: All keys that are accepted, by id.
     """
 
@@ -39,11 +39,11 @@
                 )
 
     def sign(self, *parts: bytes) -> bytes:
-        """Returns the keyed hash of the parts under the active key."""
+        """Returns the keyed hash of the parts, made with the active key."""
         return _digest(self.keys[self.active], parts)
 
     def verify(self, key_id: str, proof: bytes, *parts: bytes) -> bool:
-        """Returns whether `proof` was made over the parts with that key."""
+        """Returns whether `proof` is the hash of the parts with that key."""
         key = self.keys.get(key_id)
         if key is None:
             return False
@@ -51,19 +51,19 @@
 
 
 def new_nonce() -> bytes:
-    """Returns random bytes that no other handshake has."""
+    """Returns random bytes for one handshake."""
     return secrets.token_bytes(NONCE_BYTES)
 
 
 def single_key_ring(key: bytes, key_id: str = "k1") -> KeyRing:
-    """Returns a ring of one key."""
+    """Returns a key ring with one key."""
     return KeyRing(key_id, {key_id: key})
 
 
 def _digest(key: bytes, parts: tuple[bytes, ...]) -> bytes:
     mac = hmac.new(key, digestmod=hashlib.sha256)
     for part in parts:
-        # The length keeps ("ab", "c") and ("a", "bc") apart.
+        # The length distinguishes ("ab", "c") from ("a", "bc").
         mac.update(len(part).to_bytes(4, "big"))
         mac.update(part)
     return mac.digest()
--- a/src/clementinegw/wire/codec.py
+++ b/src/clementinegw/wire/codec.py
@@ -1,4 +1,4 @@
-"""Thrift structs to bytes and back, by the accelerated compact protocol."""
+"""Encodes and decodes Thrift structs with the accelerated compact protocol."""
 
 from typing import Any, TypeVar
 
@@ -9,8 +9,8 @@
 
 T = TypeVar("T")
 
-# The generated code falls back to plain Python, 15 times slower, without a
-# word when the C extension is missing. One would notice it only as CPU time.
+# Without the C extension, the generated code silently falls back to plain
+# Python, which is 15 times slower and would show only as CPU time.
 try:
     from thrift.protocol import fastbinary as _fastbinary
 except ImportError as error:
@@ -33,11 +33,11 @@
 
 
 class _DecoderProtocol:
-    """What the C decoder needs of a protocol, without its other parts.
+    """The attributes of a protocol that the C decoder reads.
 
-    No string or list can be longer than the data. Without the limits a few
-    hostile bytes could ask for a list of billions; one would notice it as a
-    process that the kernel ends for its memory.
+    No string or list can be longer than the data. Without these limits, a few
+    malicious bytes could announce a list of billions of entries, and the
+    kernel would kill the process for its memory use.
     """
 
     __slots__ = ("container_length_limit", "string_length_limit", "trans")
@@ -49,10 +49,10 @@
 
 
 def encode(struct: Any) -> bytes:
-    """Returns the compact encoding of a thrift struct.
+    """Returns the compact encoding of a Thrift struct.
 
-    What the struct's own `write` does in the end, without making a buffer and
-    a protocol for it: these cost twice as much as the encoding.
+    Calls the C encoder directly. The struct's own `write` needs a buffer and a
+    protocol object, which cost twice as much as the encoding.
     """
     return _fastbinary.encode_compact(
         struct, [type(struct), struct.thrift_spec]
@@ -60,17 +60,17 @@
 
 
 def decode(struct_class: type[T], data: bytes) -> T:
-    """Decodes a thrift struct.
+    """Decodes a Thrift struct.
 
     Args:
       struct_class: A generated class.
-      data: What `encode` returned, perhaps at another process.
+      data: The bytes that `encode` returned, also in another process.
 
     Returns:
       The struct, with every required field present.
 
     Raises:
-      exceptions.DecodeError: The bytes are no such struct.
+      exceptions.DecodeError: The bytes are not a valid struct of the class.
     """
     struct: Any = struct_class()
     try:
--- a/src/clementinegw/wire/connection.py
+++ b/src/clementinegw/wire/connection.py
@@ -1,7 +1,8 @@
-"""The place where a process meets its peers: one connection a pair, many calls.
+"""Connections of a process to its peers, each shared by many calls.
 
-An `Endpoint` listens and connects. Users register a handler for each kind of
-frame that opens a call, and one for each kind that stands alone.
+An `Endpoint` listens and connects. Users register one handler for each kind of
+frame that opens a call, and one for each kind of notice, a frame outside of any
+call.
 """
 
 import asyncio
@@ -32,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """How long an endpoint waits.
+    """The timeouts of an endpoint, in seconds.
 
     Attributes:
-      connect_timeout_s: For a connection and its handshake, in seconds.
-      ping_after_s: Silence after which a peer is asked for a sign of life.
-      idle_timeout_s: Silence after which the connection is given up.
+      connect_timeout_s: For opening a connection, with its handshake.
+      ping_after_s: Silence after which the peer is sent a PING.
+      idle_timeout_s: Silence after which the connection is aborted.
     """
 
     connect_timeout_s: float = 2.0
@@ -46,7 +47,7 @@
 
 
 class Endpoint:
-    """The listening and the opened connections of one process."""
+    """The listening socket and all connections of one process."""
 
     def __init__(
         self,
@@ -57,16 +58,16 @@
         timing: Timing | None = None,
         tls: tuple[ssl.SSLContext, ssl.SSLContext] | None = None,
     ):
-        """Prepares an endpoint that is not listening yet.
+        """Initializes an endpoint that does not listen yet.
 
         Args:
-          identity: Who this process is.
+          identity: The identity of this process.
           keys: The deployment's keys.
-          log: Where events go.
-          counters: Where refusals are counted.
-          timing: How long it waits.
-          tls: The contexts for listening and for connecting; None for plain
-            TCP inside a network that the deployment trusts.
+          log: Receives the events.
+          counters: Counts refusals and errors.
+          timing: The timeouts.
+          tls: The TLS contexts for listening and for connecting; None for
+            plain TCP in a trusted network.
         """
         self._identity = identity
         self._handshaker = _handshaker.Handshaker(identity, keys)
@@ -87,41 +88,41 @@
 
     @property
     def identity(self) -> Identity:
-        """Who this process is."""
+        """The identity of this process."""
         return self._identity
 
     def set_keys(self, keys: auth.KeyRing) -> None:
-        """Uses other keys from the next handshake on."""
+        """Sets the keys for all further handshakes."""
         self._handshaker.keys = keys
 
     def on_call(self, kind: Kind, handler: CallHandler) -> None:
-        """Registers what runs when a peer opens a call with this kind."""
+        """Registers the handler of calls that this kind of frame opens."""
         self._call_handlers[kind] = handler
 
     def on_notice(self, kind: Kind, handler: NoticeHandler) -> None:
-        """Registers what takes frames of this kind that stand alone."""
+        """Registers the handler of notices of this kind."""
         self._notice_handlers[kind] = handler
 
     def on_connected(self, handler: Callable[[Connection], None]) -> None:
-        """Registers what is told of each new connection."""
+        """Registers a handler that is called with each new connection."""
         self._connected_handlers.append(handler)
 
     def on_disconnected(self, handler: Callable[[Connection], None]) -> None:
-        """Registers what is told of each connection that ended."""
+        """Registers a handler that is called with each ended connection."""
         self._disconnected_handlers.append(handler)
 
     def connections(self) -> list[Connection]:
-        """Returns the connections that are up."""
+        """Returns all established connections."""
         return [c for c in self._links.values() if c is not None]
 
     async def listen(self, address: types.Address) -> types.Address:
-        """Accepts connections.
+        """Starts to accept connections.
 
         Args:
-          address: Where; port 0 lets the kernel choose.
+          address: The address to bind; with port 0 the kernel chooses a port.
 
         Returns:
-          The address with the port that was taken.
+          The address with the bound port.
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -135,33 +136,33 @@
         return types.Address(address.host, port)
 
     async def stop_listening(self) -> None:
-        """Accepts no more connections; those that are up stay."""
+        """Stops accepting connections; established ones stay open."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     async def connect(self, address: types.Address) -> Connection:
-        """Returns the kept connection to a peer, opening it when needed.
+        """Returns the open connection to a peer, or opens one.
 
         Raises:
-          exceptions.ConnectionLost: The peer cannot be reached in time or did
-            not prove that it holds the deployment's key.
+          exceptions.ConnectionLost: The peer could not be reached in time or
+            failed to prove that it holds the deployment's key.
         """
         if self._closing:
             raise exceptions.ConnectionLost("the endpoint is closing")
         task = self._connect_tasks.get(address)
         if task is None or _is_unusable(task):
             task = asyncio.ensure_future(self._connect(address))
-            # Several callers may wait for it, or none by the time it fails.
+            # Several callers may wait for the task, or none once it fails.
             task.add_done_callback(_consume_exception)
             self._connect_tasks[address] = task
         return await asyncio.shield(task)
 
     async def close(self, grace_s: float = 0.0) -> None:
-        """Stops accepting, waits for open calls, ends all connections.
+        """Stops accepting, waits for open calls and closes all connections.
 
         Args:
-          grace_s: How long open calls may take to finish, in seconds.
+          grace_s: How long to wait for handlers of open calls, in seconds.
         """
         self._closing = True
         if self._server is not None:
@@ -181,8 +182,8 @@
         link = _link.Link(self._on_frame, self._on_lost)
         self._links[link] = None
         loop = asyncio.get_running_loop()
-        # A port scanner or a stalled peer that never finishes the handshake
-        # would otherwise keep a descriptor for ever.
+        # Otherwise a port scanner or a stalled peer that never completes the
+        # handshake would keep a file descriptor forever.
         loop.call_later(
             self._timing.connect_timeout_s, self._abort_unless_established, link
         )
@@ -268,7 +269,7 @@
             connection.notify(Kind.PONG)
             return
         if kind is Kind.PONG:
-            # That it came is all it says; the link has noted the time.
+            # The link has already recorded when it was received.
             return
         handler = self._notice_handlers.get(kind)
         if handler is None:
@@ -289,9 +290,9 @@
             return
         handler = self._call_handlers.get(frame.kind)
         if connection.is_local_call(call) or handler is None:
-            # The call was closed here: an answer that came too late, or one
-            # that crossed a cancel. Were it taken, it could reach another
-            # caller; one would notice it as an answer to a foreign request.
+            # The call is closed on this side, and the frame is a late answer
+            # or crossed a cancel. If it opened a call, another caller could
+            # receive an answer to a request that is not its own.
             self._count_dropped(frame.kind)
             return
         if self._closing:
@@ -319,7 +320,7 @@
             self._log.write(events.FRAME_MALFORMED)
             connection.abort()
         except Exception as error:
-            # One call's defect must not end the process with the others' calls.
+            # A defect in one call must not end the process and its other calls.
             self._counters.add("wire.call_failed")
             self._log.write(
                 events.TASK_FAILED,
@@ -347,10 +348,10 @@
             self._ping_task = asyncio.ensure_future(self._ping_idle())
 
     async def _ping_idle(self) -> None:
-        """Gives up connections whose peer or path has stalled unclosed.
+        """Sends PINGs on idle connections and aborts those without response.
 
-        TCP alone reports a cut cable or a frozen peer after many minutes.
-        Calls on such a connection would hang until their own deadlines.
+        TCP alone detects a cut cable or a frozen peer only after many minutes,
+        and calls on such a connection would hang until their own deadlines.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -368,11 +369,17 @@
 async def call(
     connection: Connection, kind: Kind, body: bytes, timeout: float
 ) -> Frame:
-    """Opens a call, sends one frame and returns the one that answers it.
+    """Opens a call, sends one frame and returns the first answer.
+
+    Args:
+      connection: The connection to use.
+      kind: The kind of the frame.
+      body: The body of the frame.
+      timeout: How long to wait for the answer, in seconds.
 
     Raises:
-      exceptions.ConnectionLost: The connection broke first.
-      TimeoutError: No answer in `timeout` seconds.
+      exceptions.ConnectionLost: The connection broke before the answer.
+      TimeoutError: No answer arrived in time.
     """
     exchange = connection.open()
     try:
--- a/src/clementinegw/wire/exchange.py
+++ b/src/clementinegw/wire/exchange.py
@@ -1,4 +1,4 @@
-"""One call on a connection: the frames that belong together, in order."""
+"""Calls on a connection: the frames with the same call number, in order."""
 
 import asyncio
 import collections
@@ -8,18 +8,18 @@
 from clementinegw import exceptions
 from clementinegw.wire.gen.frame import ttypes
 
-# A peer that reads slowly must not hold memory without bound. One would notice
-# it as resident memory that grows with one slow caller.
+# Bounds the memory of a call whose receiver reads slowly; without a bound, one
+# slow caller would make the resident memory grow.
 MAX_QUEUED_BYTES = 8 << 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Frame:
-    """What one frame of a call says.
+    """One frame of a call.
 
     Attributes:
-      kind: The message's kind.
-      body: The encoded message or raw bytes.
+      kind: The kind of the message.
+      body: The encoded message, or raw bytes.
     """
 
     kind: ttypes.Kind
@@ -27,7 +27,7 @@
 
 
 class Exchange:
-    """One side of a call that is open on a connection."""
+    """One side of an open call on a connection."""
 
     def __init__(
         self,
@@ -36,7 +36,14 @@
         drain: Callable,
         on_close: Callable[[int], None],
     ):
-        """Opens this side; connections make exchanges, users do not."""
+        """Initializes an exchange; called by connections only.
+
+        Args:
+          call: The number of the call.
+          write: Queues a frame for sending.
+          drain: Waits until the send buffer is not full.
+          on_close: Called once with the number when this side is closed.
+        """
         self._call = call
         self._write = write
         self._drain = drain
@@ -49,7 +56,7 @@
 
     @property
     def call(self) -> int:
-        """The number that the frames of this call carry."""
+        """The number of the call, which all its frames carry."""
         return self._call
 
     @property
@@ -58,7 +65,7 @@
         return self._closed
 
     async def send(self, kind: ttypes.Kind, body: bytes = b"") -> None:
-        """Sends one frame and waits while the connection is congested.
+        """Sends one frame and waits until the send buffer is not full.
 
         Raises:
           exceptions.ConnectionLost: The connection broke; the frame may or may
@@ -73,11 +80,12 @@
         """Returns the next frame of the call.
 
         Args:
-          timeout: Seconds to wait; None waits until the connection breaks.
+          timeout: How long to wait, in seconds; None waits until a frame
+            arrives or the connection breaks.
 
         Raises:
-          exceptions.ConnectionLost: No further frame can come.
-          TimeoutError: None came in time; the call stays open.
+          exceptions.ConnectionLost: No further frame can arrive.
+          TimeoutError: No frame arrived in time; the call stays open.
         """
         if not self._frames and self._error is None:
             await self._wait(timeout)
@@ -90,16 +98,17 @@
         raise TimeoutError("no frame in time")
 
     def close(self) -> None:
-        """Closes this side; frames that still come are dropped and counted."""
+        """Closes this side; later frames are dropped and counted."""
         if not self._closed:
             self._closed = True
             self._on_close(self._call)
 
     def deliver(self, frame: Frame) -> bool:
-        """Takes a frame from the connection.
+        """Queues a frame that the connection received.
 
         Returns:
-          False when the receiver is too far behind; the call is then broken.
+          Whether it was queued; False if the queue is full, and then the call
+          fails.
         """
         if self._queued_bytes + len(frame.body) > MAX_QUEUED_BYTES:
             self.fail(exceptions.ConnectionLost("the receiver is too slow"))
@@ -110,7 +119,7 @@
         return True
 
     def fail(self, error: exceptions.ConnectionLost) -> None:
-        """Tells the receiver that no further frame can come."""
+        """Fails the call; the first error counts."""
         if self._error is None:
             self._error = error
         self._wake()
--- a/src/clementinegw/wire/frame.thrift
+++ b/src/clementinegw/wire/frame.thrift
@@ -1,5 +1,5 @@
-// What one connection between two processes of the system carries.
-// Each frame is preceded by its length, four bytes, big endian.
+// The frames of a connection between two processes of the system.
+// Each frame is preceded by its length in bytes, as a 32-bit big-endian number.
 
 enum Kind {
   HELLO = 1,
@@ -36,7 +36,7 @@
   SETTINGS_PULL = 70,
   SETTINGS_STATE = 71,
 
-  // entry <-> entry: claims and shared limits
+  // entry <-> entry: requests.thrift, claims and shared limits
   CLAIM_ASK = 80,
   CLAIM_REPLY = 81,
   USAGE_SHARE = 82,
@@ -50,12 +50,12 @@
 
 struct Frame {
   1: required Kind kind,
-  // The call it belongs to; 0 for a frame that no call waits for.
+  // The number of the call it belongs to; 0 for a notice, outside of any call.
   2: required i64 call,
   3: required binary body,
 }
 
-// The first frame of the process that opened the connection.
+// The first frame, sent by the process that opened the connection.
 struct Hello {
   1: required i32 protocol,
   2: required string instance_id,
@@ -66,7 +66,7 @@
   7: required binary nonce,
 }
 
-// The answer: a nonce of the accepting side, and proof over the opener's.
+// The answer: the acceptor's nonce, and its proof over both nonces.
 struct Challenge {
   1: required i32 protocol,
   2: required string instance_id,
--- a/src/clementinegw/wire/membership.thrift
+++ b/src/clementinegw/wire/membership.thrift
@@ -1,6 +1,7 @@
-// Datagrams between the members of a failure domain, and its bridges.
+// Datagrams between the members of a failure domain, and between bridges of
+// different failure domains.
 
-// Ordered: of two statements about one incarnation the larger state wins.
+// Ordered: for the same incarnation, the larger state takes precedence.
 enum MemberState {
   ALIVE = 1,
   SUSPECT = 2,
@@ -9,7 +10,7 @@
   LEFT = 5,
 }
 
-// What is spread to all: it changes seldom.
+// A member's rarely changing record, which is disseminated to all.
 struct Member {
   1: required string instance_id,
   2: required string role,
@@ -23,7 +24,8 @@
   10: required string version,
 }
 
-// What changes often and may be half a minute old: it fills spare room only.
+// A member's frequently changing values, which may be half a minute old. Sent
+// only in the unused space of datagrams.
 struct Report {
   // The 64-bit hash of the instance id.
   1: required i64 member_key,
@@ -39,13 +41,13 @@
   3: required i32 load_permille,
 }
 
-// What one failure domain tells the others about itself.
+// One failure domain's report on itself to the others.
 struct DomainSummary {
   1: required string failure_domain,
   2: required string region,
-  // The hash over its members, equal where the views are equal.
+  // The hash over its members, equal if the views are equal.
   3: required i64 digest,
-  // How long ago the failure domain itself was heard, also through others.
+  // Milliseconds since the failure domain sent the report, also if relayed.
   4: required i32 age_ms,
   5: required list<ServiceSummary> services,
 }
@@ -63,25 +65,26 @@
   1: required GossipKind kind,
   2: required string sender,
   3: required i64 incarnation,
-  // Grows with each datagram of a sender; an old one is a replay.
+  // Increases with each datagram of a sender; a lower one is a replay.
   4: required i64 sequence,
-  // For an ACK: the sequence of the PING it answers.
+  // ACK: the sequence of the PING that it answers.
   5: required i64 answers,
-  // The largest settings revision the sender has heard of.
+  // The largest settings revision known to the sender.
   6: required i64 newest_revision,
   7: required list<Member> updates,
   8: required list<Report> reports,
   9: required list<DomainSummary> domains,
   // The sender's own record, on first contact.
   10: optional Member introduction,
-  // PING_REQUEST: whom to ping for the sender.
+  // PING_REQUEST: the member to ping on behalf of the sender.
   11: optional Member target,
-  // SYNC_ASK, SYNC_RECORDS: the failure domain they are about.
+  // SYNC_ASK, SYNC_RECORDS: the failure domain that is compared.
   12: optional string sync_domain,
-  // SYNC_ASK: four bytes of the fingerprint of each member the asker knows;
-  // SYNC_RECORDS: those among them that the answering side does not know.
+  // SYNC_ASK: four bytes of the fingerprint of each member known to the sender.
+  // SYNC_RECORDS: those of them that the answering side does not know.
   13: optional binary prints,
-  // SYNC_ASK: of how many parts this is which, in a large failure domain.
+  // SYNC_ASK: the number of parts and the index of this one; a large failure
+  // domain is split.
   14: optional i32 parts,
   15: optional i32 part,
   // ACK: whether the sender's view is settled.
--- a/src/clementinegw/wire/reports.thrift
+++ b/src/clementinegw/wire/reports.thrift
@@ -1,49 +1,50 @@
-// Between entries and agents, in datagrams: what a backend server is doing.
+// Datagrams between entries and agents: reports on backend servers.
 
 // A connection to a server broke while a request ran.
 struct Crash {
-  // Names the server's start.
+  // Identifies the server's start.
   1: required binary start,
   2: required i32 age_ms,
 }
 
-// What is known of a request that may crash servers.
+// The evidence on a request that may crash servers.
 struct Suspicion {
   1: required binary fingerprint,
   2: required list<Crash> crashes,
-  // Milliseconds since a server ran it to its end; unset when none did.
+  // Milliseconds since a server completed it; unset if none did.
   3: optional i32 completed_age_ms,
 }
 
-// The rate limit that a start of a server reported in an answer.
+// The rate limit that a server reported in an answer since its start.
 struct Limit {
   1: required string server_id,
   2: required i64 born,
-  // Milliseconds since the answer came.
+  // Milliseconds since the answer was received.
   3: required i32 age_ms,
-  // Requests a second; unset where the answer reported none any more.
+  // Requests per second; unset if the answer no longer reported a limit.
   4: optional double per_s,
 }
 
-// An entry asks an agent for reports for a while, and says which versions of
-// weights it knows to be declared.
+// An entry subscribes to an agent's reports for a limited time, and reports the
+// declared versions of weights that it knows.
 struct Subscribe {
   1: required string instance_id,
   2: required map<string, i64> declared,
-  // It stands in another region, and so is told less often.
+  // The entry is in another region and gets reports less often.
   3: optional bool far = false,
-  // It sends no requests there: it is told of what changes, not of the load.
+  // The entry sends no requests to the server, and so gets reports of changes
+  // but not of the load.
   4: optional bool changes_only = false,
-  // The entry's own last observation.
+  // The entry's own latest observation.
   5: optional Limit limit,
-  // By model and version: milliseconds since it was declared, where known.
+  // By model and version: milliseconds since it was declared, if known.
   20: optional map<string, map<i64, i64>> ages_ms,
-  // What the entry saw itself of late; seldom any.
+  // The entry's own recent observations; rarely any.
   40: optional list<Suspicion> suspicions,
 }
 
-// An agent tells what it has just read from the server beside it; without a
-// server's id only what it knows of declared versions.
+// An agent reports the state that it has just read from its server; without a
+// server's id, only the declared versions that it knows.
 struct BackendReport {
   1: required string server_id,
   2: required i32 running,
@@ -54,25 +55,25 @@
   7: required bool whole,
   8: required bool loading,
   9: required double pace,
-  // It is about to load: others are to be preferred until it has.
+  // The server is about to load; others should be preferred until it has.
   10: required bool yielding,
-  // Entries that ask this agent for reports.
+  // How many entries subscribe to this agent's reports.
   11: required i32 entries,
-  // Seconds until it serves again, about; negative when that is not known.
+  // Approximate seconds until the server serves again; negative if unknown.
   12: required double ready_in_s,
-  // Those of them that send requests to the server; all where unset.
+  // How many of them send requests to the server; all if unset.
   13: optional i32 followers,
-  // The place of the entry that this goes to among `entries`, and among
-  // `followers` where it is one, from 0. Told about once a second.
+  // The receiving entry's index among `entries`, and among `followers` if it is
+  // one, from 0. Sent about once a second.
   14: optional i32 rank,
   15: optional i32 follower_rank,
-  // The newest observation of any entry.
+  // The latest observation of any entry.
   16: optional Limit limit,
-  // By version of the model: milliseconds since it was declared. Only where
-  // that is known and the entry has not been told of late.
+  // By version of the model: milliseconds since it was declared, if known and
+  // not sent to the entry recently.
   20: optional map<i64, i64> ages_ms,
-  // When the server started, in Unix milliseconds; 0 where it does not say.
+  // When the server started, in Unix milliseconds; 0 if not reported.
   30: optional i64 born,
-  // What entries saw together; seldom any.
+  // The combined observations of all entries; rarely any.
   40: optional list<Suspicion> suspicions,
 }
--- a/src/clementinegw/wire/requests.thrift
+++ b/src/clementinegw/wire/requests.thrift
@@ -1,11 +1,12 @@
-// Between an entry and an agent: one request, its answer, its outcome.
+// Between entries and agents: requests, their answers and their outcomes.
+// Between entries: claims to idempotency keys, and shared limits.
 
 struct Header {
   1: required string name,
   2: required string value,
 }
 
-// Opens a call. The whole body comes with it; bodies are bounded by settings.
+// Opens a call. Contains the whole body, whose size the settings limit.
 struct Submit {
   1: required string request_id,
   2: required i32 attempt,
@@ -14,28 +15,28 @@
   5: required string path,
   6: required list<Header> headers,
   7: required binary body,
-  // What is left of the deadline, so that clocks need not agree.
+  // The time left until the deadline, since clocks need not agree.
   8: required i32 deadline_ms,
   9: required i32 priority,
   10: required bool idempotent,
   11: required bool stream,
   12: required binary fingerprint,
-  // The settings revision the entry decided by.
+  // The settings revision that the entry's decision is based on.
   13: required i64 revision,
-  // The claim's offset in its stream, the fencing number; 0 without a claim.
+  // The claim's offset in its stream, the fencing token; 0 without a claim.
   14: required i64 claim_offset,
   15: required string idempotency_key,
-  // Tokens already passed on, when a stream is resumed on another engine.
+  // Tokens already sent to the caller if a stream resumes on another engine.
   16: required i32 resume_tokens,
-  // The version a resumed stream began with; empty for any.
+  // The version that a resumed stream began with; empty for any.
   17: required string version,
-  // Runs only while nothing else runs beside it.
+  // Whether no other attempt may run at the same time.
   18: required bool alone,
-  // The agent's incarnation this attempt is meant for (its AgentStatus or the
-  // connection's peer names it); 0 for any. A keyed request must name it.
+  // The incarnation of the agent that the attempt is addressed to, from its
+  // AgentStatus or the connection's handshake; 0 for any. Required with a key.
   19: optional i64 incarnation = 0,
-  // The sender's monotonic clock, milliseconds, at the time of sending; 0 when
-  // unknown. The agent takes a late frame's delay off the deadline by it.
+  // When it was sent, in milliseconds on the sender's monotonic clock; 0 if
+  // unknown. The agent subtracts a late frame's delay from the deadline.
   20: optional i64 sent_ms = 0,
 }
 
@@ -44,23 +45,23 @@
   2: required i32 attempt,
   3: required i32 status,
   4: required list<Header> headers,
-  // The model version that answers; empty for a plain service.
+  // The model version that answered; empty for a plain service.
   5: required string version,
 }
 
-// The explicit end: without it an answer is not whole.
+// The explicit end, without which an answer is not complete.
 struct AnswerEnd {
   1: required string request_id,
   2: required i32 attempt,
   3: required i64 body_bytes,
   4: required i32 tokens,
-  // The agent's load after this answer, as in AgentStatus; -1 when not told.
-  // It reaches the entry sooner than the next status.
+  // The agent's load after this answer, as in AgentStatus; -1 if not reported.
+  // The entry receives it before the next status.
   5: optional i32 in_flight = -1,
   6: optional i32 queued = -1,
 }
 
-// Proof that the attempt was not handed to the backend server and never will.
+// Proof that the attempt was not handed to the backend server and never will be.
 struct Refused {
   1: required string request_id,
   2: required i32 attempt,
@@ -68,36 +69,38 @@
   4: required i32 retry_after_ms,
 }
 
-// The attempt was handed over and its end is not known.
+// The attempt was handed over and its outcome is unknown.
 struct Failed {
   1: required string request_id,
   2: required i32 attempt,
   3: required string reason,
 }
 
-// Asks that the attempt, and with `whole_request` every attempt up to this
-// one, is refused if it has not been handed over.
+// Requests that the attempt, and with `whole_request` each earlier one, is
+// refused unless it has been handed over.
 struct Tombstone {
   1: required string request_id,
   2: required i32 attempt,
   3: optional bool whole_request = false,
-  // The incarnation the attempt was submitted to. An agent that was replaced
-  // has no memory of its predecessor and proves nothing; neither does 0.
+  // The incarnation that the attempt was submitted to. For another incarnation
+  // than its own, or for 0, an agent proves nothing, since it has no records of
+  // its predecessor.
   4: optional i64 incarnation = 0,
-  // Time since the attempt, or the first one covered, was submitted. Older
-  // than the agent's memory proves nothing; without it, the agent proves
-  // nothing once it has forgotten any attempt.
+  // Time since the attempt, or the first one covered, was submitted. If it is
+  // older than the agent's records, nothing is proved; if it is unknown, nothing
+  // is proved once the agent has dropped the record of any attempt.
   5: optional i32 age_ms = -1,
 }
 
 struct Tombstoned {
   1: required string request_id,
   2: required i32 attempt,
-  // True: it has not run and never will. False: it was handed over.
+  // True: it has not run and never will. False: it was or may have been handed
+  // over.
   3: required bool proved,
 }
 
-// The agent's own word on its load and state, pushed on every connection.
+// The agent's load and state, sent on every connection.
 struct AgentStatus {
   1: required string instance_id,
   2: required i64 incarnation,
@@ -110,34 +113,35 @@
   9: required i32 queued,
   10: required i32 capacity,
   11: required double engine_load,
-  // Seconds since it began to serve this version.
+  // Seconds since the backend server began to serve this version.
   12: required double serving_s,
-  // Prefixes in the engine's cache, as 64-bit hashes, newest last.
+  // 64-bit hashes of the prefixes in the engine's cache, newest last.
   13: required list<i64> prefixes,
-  // The list names only what is new since the last status on the connection,
-  // and the next one what is gone.
+  // Whether `prefixes` contains only those added since the last notice on the
+  // connection; `prefixes_gone` contains those removed.
   14: optional bool prefixes_changed = false,
   15: optional list<i64> prefixes_gone,
 }
 
-// What changes with each request, between two notices of the whole status. It
-// counts only for the incarnation that the last AgentStatus told.
+// The values that change with each request, sent between two notices of the
+// status. Valid only for the incarnation in the last AgentStatus.
 struct AgentLoad {
   1: required i64 incarnation,
   2: required i32 in_flight,
   3: required i32 queued,
-  // What is new in the engine's cache since the last notice of either kind on
-  // the connection, and what is gone.
+  // The prefixes added to the engine's cache since the last notice of either
+  // kind on the connection, and those removed.
   4: optional list<i64> prefixes,
   5: optional list<i64> prefixes_gone,
 }
 
-// What an agent saw when its backend server crashed: notice CRASHED, and a
-// record of the stream `suspects`.
+// The requests in flight when an agent's backend server crashed: the notice
+// CRASHED, and a record of the stream `suspects`.
 struct CrashReport {
   1: required string instance_id,
   2: required i64 incarnation,
-  // Counts the crashes this incarnation saw; names the crash with the above.
+  // The number of the crash in this incarnation; with the fields above, it
+  // identifies the crash.
   3: required i32 sequence,
   4: required string service_name,
   // Fingerprints of the requests in flight.
@@ -145,7 +149,7 @@
   6: required i64 time_ms,
 }
 
-// Requests that completed after a crash they were in flight at.
+// Requests that completed after a crash at which they had been in flight.
 struct Cleared {
   1: required list<binary> fingerprints,
   2: required i64 time_ms,
@@ -156,7 +160,7 @@
   2: optional Cleared cleared,
 }
 
-// One claim to run the request of an idempotency key.
+// A claim to run the request of an idempotency key.
 struct Claim {
   1: required binary claim_id,
   // Hash over service, customer and key.
@@ -164,17 +168,18 @@
   3: required binary fingerprint,
   // The entry that may use the claim.
   4: required string holder,
-  // The first use of the key as the caller dates it; 0 for an undated key.
+  // When the key was first used, according to the caller; 0 if not dated.
   5: required i64 key_time_ms,
-  // The holder hands over within this time of asking, or not at all.
+  // The holder hands over within this time of asking for the claim, or never.
   6: required i32 use_ms,
-  // Free again once that time is over: for turns, not for effects.
+  // Whether the key is free again after that time: for taking turns, not for
+  // requests with an effect.
   7: required bool lease,
 }
 
 enum ClaimEndKind {
   RAN = 1,
-  // Not run, and this claim will never be used.
+  // Not run, and the claim will never be used.
   RELEASED = 2,
   UNKNOWN = 3,
 }
@@ -185,7 +190,7 @@
   3: required ClaimEndKind kind,
 }
 
-// One record of a stream `claims-K`. Ends count before claims.
+// A record of a stream `claims-K`. Its ends are applied before its claims.
 struct ClaimBatch {
   1: required list<Claim> claims,
   2: required list<ClaimEnd> ends,
@@ -197,14 +202,14 @@
   KEPT = 3,
 }
 
-// Entry to entry: to a shard's owner, or (KEPT) to the holder of a key.
+// Between entries: to the owner of a shard or, for KEPT, to a key's holder.
 struct ClaimAsk {
   1: required ClaimOperation operation,
   2: required i32 shard,
   3: optional Claim claim,
   4: optional list<ClaimEnd> ends,
   5: optional i32 wait_ms = 0,
-  // KEPT: the incarnation that made the claim.
+  // KEPT: the incarnation of the entry that made the claim.
   6: optional i64 incarnation = 0,
 }
 
@@ -235,7 +240,7 @@
   5: optional KeptAnswer answer,
 }
 
-// How much one customer asks of one service, in a second.
+// The requests and tokens per second of one customer for one service.
 struct Usage {
   1: required string service_name,
   2: required string customer,
@@ -243,8 +248,8 @@
   4: required double tokens,
 }
 
-// Notice USAGE_SHARE. An entry tells the owner of a customer's sums what it
-// sees; the owner answers with the sums over all entries.
+// Notice USAGE_SHARE. An entry reports its own share to the owner of a
+// customer's sums; the owner answers with the sums over all entries.
 struct UsageShare {
   1: required string instance_id,
   2: required bool sums,
--- a/src/clementinegw/wire/settings.thrift
+++ b/src/clementinegw/wire/settings.thrift
@@ -1,7 +1,7 @@
-// Between any two processes: the settings, from those that follow the log to
-// those that do not or cannot read it.
+// Between any two processes: the settings, from processes that read the log to
+// those that do not or cannot.
 
-// A record of the log's `settings` stream.
+// A record of the log stream `settings`.
 struct LogRecord {
   1: required i64 offset,
   2: required double time,
@@ -9,23 +9,24 @@
 }
 
 struct SettingsPull {
-  // The newest revision the asker has folded.
+  // The newest revision that the requester has applied.
   1: required i64 revision,
-  // The next offset it would fold, and what tells the record before it.
+  // The next offset that the requester would apply, and the fingerprint of the
+  // record before it.
   2: optional i64 position = 1,
   3: optional binary fingerprint = "",
-  // How long the answer may be held back while there is nothing newer.
+  // How long the answer may be delayed while there is nothing newer.
   4: optional i32 wait_ms = 0,
 }
 
 struct SettingsState {
   1: required i64 revision,
-  // The snapshot of the fold at that revision; empty when not newer, or when
-  // the records that follow take the asker there.
+  // The snapshot of the settings at that revision; empty if not newer, or if
+  // the records below bring the requester up to date.
   2: required binary snapshot,
   3: required binary digest,
-  // The next offset the answerer would fold.
+  // The next offset that the sender would apply.
   4: optional i64 position = 1,
-  // The records from the asker's position on.
+  // The records from the requester's position on.
   5: optional list<LogRecord> records = [],
 }
--- a/src/clementinegw/wire/swaps.thrift
+++ b/src/clementinegw/wire/swaps.thrift
@@ -1,5 +1,5 @@
-// The leases of a service's workers that are out for loading: the records of
-// the log stream `swaps-SERVICE`.
+// Records of the log stream `swaps-SERVICE`: the leases of a service's workers
+// that are out of service to load weights.
 
 enum SwapKind {
   ASK = 1,
@@ -12,12 +12,12 @@
   1: required SwapKind kind,
   2: required binary lease_id,
   3: required string instance_id,
-  // How many workers the writer says may be out at once.
+  // How many workers may be out at once, according to the writer.
   4: required i32 max_out,
-  // How long the lease lasts from this record on.
+  // How long the lease lasts after this record.
   5: required i32 ttl_ms,
-  // Tells the renewals of one lease apart.
+  // Distinguishes the renewals of one lease.
   6: required i64 sequence,
-  // EXPIRE: the offset of the newest record of the lease that was seen.
+  // EXPIRE: the offset of the lease's newest record known to the writer.
   7: required i64 seen,
 }
--- a/src/clementinegw/wire/weights.thrift
+++ b/src/clementinegw/wire/weights.thrift
@@ -1,19 +1,19 @@
-// Between agents: who holds which chunks, and the chunks.
+// Between agents: which agent holds which chunks, and the chunks' data.
 
-// The chunks of one manifest that an agent has verified. With `gained` only
-// those that came since it told last; else all of them, as a bit a chunk.
+// The chunks of one manifest that an agent has verified: with `gained`, only
+// those since its last message; otherwise all, one bit per chunk.
 struct ChunksHeld {
   1: required string instance_id,
   2: required string digest,
   3: required i32 count,
   4: required binary bits,
   5: optional list<i32> gained,
-  // It answers such a message, and is not answered itself.
+  // Whether this answers such a message; an answer gets no answer.
   6: optional bool answer,
 }
 
-// Asks for a part of a chunk. The first one of a call asks for the chunk; the
-// receiver sends one for each further part, as fast as its link takes them.
+// Requests a part of a chunk. The first one of a call requests the chunk; the
+// receiver of the chunk sends one for each further part, at its link's rate.
 struct ChunkGet {
   1: required string digest,
   2: required i32 index,
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: dispatch, flags, errors, exit codes."""
+"""Tests of the command line: dispatch, flags, errors and exit codes."""
 
 import pytest
 
@@ -19,11 +19,12 @@
         (["entry", "--config=missing.json"], 3, "missing.json: cannot be read"),
     ],
 )
-def test_mistake_gets_one_line_and_its_exit_code(argv, code, words, capsys):
-    """Symptom: a volunteer sees a traceback for a misspelt flag.
+def test_usage_error_prints_one_line_and_sets_exit_code(
+    argv, code, words, capsys
+):
+    """Guards against tracebacks for invalid command lines.
 
-    Sequence: a command line with one mistake is run.
-    Cause: an error that does not know its message and exit code.
+    They appear when an error has no message and exit code of its own.
     """
     assert main.main(argv) == code
     error = capsys.readouterr().err
@@ -52,7 +53,7 @@
         ('{"active":"k2","keys":{"k1":"%s"}}' % ("00" * 16), "not in the ring"),
     ],
 )
-def test_bad_key_file_is_named_without_its_secrets(tmp_path, text, words):
+def test_error_for_invalid_key_file_contains_no_keys(tmp_path, text, words):
     path = tmp_path / "keys.json"
     path.write_text(text)
     with pytest.raises(exceptions.SettingsError) as caught:
@@ -61,11 +62,11 @@
     assert "00" * 16 not in caught.value.message
 
 
-def test_settings_cannot_lock_a_process_out_of_its_deployment(tmp_path):
-    """Symptom: after a key change no process talks to another any more.
+def test_unknown_key_id_in_settings_falls_back_to_the_key_file(tmp_path):
+    """Guards against processes that reject each other after a key change.
 
-    Sequence: the settings name a new key before its file has reached all.
-    Cause: the ring is narrowed to keys that the file does not hold.
+    It happens when the settings name a new key before all processes have the
+    new key file, and the ring is reduced to keys that the file lacks.
     """
     path = tmp_path / "keys.json"
     path.write_text('{"active":"k1","keys":{"k1":"%s"}}' % ("ab" * 16))
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -1,4 +1,4 @@
-"""Both daemons in one deployment, in virtual time, over real sockets."""
+"""Tests of both daemons in a deployment, in virtual time on real sockets."""
 
 import asyncio
 import functools
@@ -32,10 +32,11 @@
     customers=(("customer-1", 1.0),),
 )
 TOKENS = 200
-# Real seconds that the kernel may take to deliver before time jumps.
+# Real seconds to wait for the kernel to deliver data before virtual time
+# advances.
 GRACE_S = 0.001
 TICK_S = 0.005
-# Virtual seconds after which a test has failed.
+# Virtual seconds after which a test fails.
 BOUND_S = 120
 COMPLETION = {
     "model": "assistent",
@@ -46,7 +47,7 @@
 
 
 def _run(body, tmp_path):
-    """Runs `body(deployment, manifests)` with version v1 served."""
+    """Runs `body(deployment, manifests)` once all engines serve version v1."""
 
     async def main(clock):
         options = deployments.Options(clock=clock, seed=1)
@@ -135,7 +136,7 @@
     return engine.expected_answer(COMPLETION["prompt"], digest, TOKENS)
 
 
-def test_declared_version_replaces_the_one_that_is_served(tmp_path):
+def test_declared_version_replaces_the_served_version(tmp_path):
     async def body(deployment, published):
         await deployment.declare(
             "roll out",
@@ -149,12 +150,11 @@
     assert engine.answer_text(answer) == _expected(manifest)
 
 
-def test_stopping_entry_finishes_a_stream_and_then_refuses(tmp_path):
-    """Symptom: a caller's answer ends in the middle at each restart.
+def test_draining_entry_completes_a_stream_and_then_refuses(tmp_path):
+    """Guards against answers that are truncated when an entry restarts.
 
-    Sequence: a stream runs; the entry is told to stop; a new request comes
-    once its time of leaving is over.
-    Cause: a shutdown that closes what it has.
+    It happens when the shutdown closes open streams. Requests during the
+    leaving period must be answered, and later ones refused.
     """
 
     async def body(deployment, published):
@@ -178,12 +178,13 @@
     assert engine.answer_text(answer) == _expected(manifest)
 
 
-def test_stopping_agent_gets_nothing_new_and_finishes_its_streams(tmp_path):
-    """Symptom: requests fail or are cut off whenever an instance is replaced.
+def test_draining_agent_completes_its_streams_and_gets_no_new_requests(
+    tmp_path,
+):
+    """Guards against failed or truncated requests when an agent is replaced.
 
-    Sequence: both engines have streams; one agent is told to stop; more
-    streams come at once, before any list has changed.
-    Cause: leaving that waits for the list, or that ends what runs.
+    It happens when leaving waits for the instance list, so that new streams
+    still arrive, or when it ends the running streams.
     """
 
     async def body(deployment, published):
@@ -217,11 +218,11 @@
 )
 
 
-def test_caller_reaches_no_order_chunk_or_settings(tmp_path):
-    """Symptom: a caller makes an engine load other weights.
+def test_caller_cannot_reach_orders_staging_or_settings(tmp_path):
+    """Guards against a caller that makes an engine load other weights.
 
-    Sequence: a caller sends an order, a chunk or a log record to an entry.
-    Cause: paths that are passed on as they come.
+    It happens when an entry forwards the paths of orders, chunks or log
+    records unchecked.
     """
 
     async def body(deployment, published):
@@ -243,17 +244,17 @@
     assert serving
 
 
-def test_caller_cannot_name_its_own_request_id(tmp_path):
-    """Symptom: two callers' requests are taken for attempts of one.
+def test_caller_cannot_set_the_request_id(tmp_path):
+    """Guards against two callers' requests treated as attempts of one.
 
-    Sequence: callers send the header that the system itself sets.
-    Cause: headers of callers that are passed on beside the system's own.
+    It happens when a caller's request id header is forwarded besides the one
+    that the system sets.
     """
 
     async def body(deployment, published):
         url = _url(deployment, "/services/magazijn/items/p1")
-        mine = {"Clementine-Request-Id": "chosen"}
-        async with deployment.session.get(url, headers=mine) as response:
+        headers = {"Clementine-Request-Id": "chosen"}
+        async with deployment.session.get(url, headers=headers) as response:
             await response.read()
         return [run.request_id for run in deployment.ledger.runs]
 
@@ -264,12 +265,11 @@
     return [run for run in deployment.ledger.runs if run.server == server]
 
 
-def test_daemon_takes_another_port_when_the_udp_twin_is_taken(monkeypatch):
-    """Symptom: a daemon ends at its start now and then, "address in use".
+def test_daemon_chooses_another_port_when_the_udp_port_is_in_use(monkeypatch):
+    """Guards against daemons that sometimes fail to start: "address in use".
 
-    Sequence: the kernel chooses a TCP port for the peers; a datagram socket of
-    another process has that number.
-    Cause: one number is needed for both, and the kernel knows of one only.
+    Peers need the same port number for TCP and UDP. The kernel chooses a free
+    TCP port, whose number may be in use for UDP by another process.
     """
     held = []
 
--- a/tests/test_settings_command.py
+++ b/tests/test_settings_command.py
@@ -1,4 +1,4 @@
-"""`clementinegw settings`: what operators type, against a log over HTTP."""
+"""Tests of `clementinegw settings` against a log over HTTP."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def log_url():
-    """The address of a log that runs in another thread."""
+    """Yields the address of a log stand-in that runs in another thread."""
     started, loop = threading.Event(), asyncio.new_event_loop()
     stand_in = platform.PlatformStandIn()
 
@@ -49,7 +49,7 @@
 RATE = "defaults.limits.requests_per_s"
 
 
-def test_a_change_from_declaration_to_undo(run, tmp_path):
+def test_set_diff_explain_undo_and_apply(run, tmp_path):
     assert run("get")["value"] == {}
     first = run("set", f"{RATE}=5", "regions.noord={}", "--why=start")
     assert first["revision"] == 1
@@ -80,7 +80,7 @@
     assert run("apply", str(path))["changed"] == 0
 
 
-def test_rejected_change_names_the_other(run):
+def test_rejection_names_the_conflicting_change(run):
     run("set", f"{RATE}=5", "--why=busy week")
     error = run("set", f"{RATE}=6", "--base=0", code=1)
     assert "conflicts with revision 1" in error
@@ -104,11 +104,11 @@
         (["apply", "missing.json"], 3, "missing.json: cannot be read"),
     ],
 )
-def test_mistake_gets_one_line(run, args, code, words):
+def test_usage_error_prints_one_line(run, args, code, words):
     assert words in run(*args, code=code)
 
 
-def test_missing_log_gets_one_line(capsys):
+def test_missing_or_unreachable_log_prints_no_traceback(capsys):
     assert main.main(["settings", "get"]) == 2
     assert "--log" in capsys.readouterr().err
     argv = ["settings", "get", "--log=http://127.0.0.1:9"]
@@ -121,7 +121,8 @@
     cost = operator.measure(argv)
     assert cost.exit_code == 0
     assert run("get", RATE)["value"] == 5
-    # At least what an empty interpreter takes, in units that are not mistaken.
+    # At least the cost of an empty interpreter; the bounds also detect wrong
+    # units.
     assert 5 < cost.memory_mb < 5_000
     assert cost.cpu_ms > 1
     assert operator.measure(["settings", "get"]).exit_code == 2
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS between processes: who gets in, and what a bad file says."""
+"""Tests of TLS between processes: accepted peers and invalid files."""
 
 import pytest
 import trustme
@@ -50,7 +50,7 @@
     return server, await server.listen(types.Address("127.0.0.1", 0))
 
 
-async def test_peers_of_one_authority_talk(folder):
+async def test_peers_of_the_same_authority_connect(folder):
     server, address = await _listening(folder)
     client = _endpoint("b", _files(folder, "node"))
     assert (await client.connect(address)).peer.instance_id == "a"
@@ -60,11 +60,10 @@
 
 @pytest.mark.parametrize("name", [None, "stranger"])
 async def test_peer_without_the_authoritys_certificate_is_refused(folder, name):
-    """Symptom: somebody on the network reads weights and answers.
+    """Guards against a listener that accepts any connection.
 
-    Sequence: a process that even holds the key connects in plain TCP, or with
-    a certificate of its own making.
-    Cause: a listener that takes whatever comes.
+    A process that has the deployment's key, but connects with plain TCP or with
+    a certificate of another authority, could then read weights and answers.
     """
     server, address = await _listening(folder)
     client = _endpoint("b", _files(folder, name) if name else None)
@@ -75,6 +74,6 @@
     await server.close()
 
 
-def test_missing_file_is_named(folder):
+def test_error_names_the_missing_file(folder):
     with pytest.raises(exceptions.SettingsError, match="nobody.pem"):
         tls.contexts(_files(folder, "nobody"))
