--- a/src/clementinegw/gate/_monitor.py
+++ b/src/clementinegw/gate/_monitor.py
@@ -86,10 +86,10 @@
         """
         status = self.status()
         now = self._clock.now()
-        new, gone = self._prefix_changes()
+        added, removed = self._prefix_changes()
         if now < self._full_list_at + self._timing.prefix_list_interval_s:
-            status.prefixes = new
-            status.prefixes_gone = gone
+            status.prefixes = added
+            status.prefixes_gone = removed
             status.prefixes_changed = True
         else:
             self._full_list_at = now
@@ -155,21 +155,21 @@
         in_flight, queued = self._sent_load = self._load()
         incarnation = self._endpoint.identity.incarnation
         notice = ttypes.AgentLoad(incarnation, in_flight, queued)
-        new, gone = self._prefix_changes()
+        added, removed = self._prefix_changes()
         # Unlike an empty list, an absent one takes no bytes.
-        notice.prefixes = new or None
-        notice.prefixes_gone = gone or None
+        notice.prefixes = added or None
+        notice.prefixes_gone = removed or None
         self._notify(Kind.AGENT_LOAD, codec.encode(notice))
 
     def _prefix_changes(self) -> tuple[list[int], list[int]]:
         """Returns the prefixes added and removed since the last notice."""
         cached = frozenset(self._backend_state.prefixes)
-        new, gone = (
+        added, removed = (
             list(cached - self._sent_prefixes),
             list(self._sent_prefixes - cached),
         )
         self._sent_prefixes = cached
-        return new, gone
+        return added, removed
 
     def _notify(self, kind: Kind, body: bytes) -> None:
         for connection in self._endpoint.connections():
--- a/src/clementinegw/wire/_link.py
+++ b/src/clementinegw/wire/_link.py
@@ -213,7 +213,7 @@
 
     @property
     def last_received_at(self) -> float:
-        """Loop time in seconds at which the last bytes came."""
+        """Loop time at which data was last received, in seconds."""
         return self._link.last_received_at
 
     @property
--- a/src/clementinegw/wire/requests.thrift
+++ b/src/clementinegw/wire/requests.thrift
@@ -61,7 +61,7 @@
   6: optional i32 queued = -1,
 }
 
-// Proof that the attempt was not handed to the backend server and never will be.
+// Proof that the attempt was not handed over and never will be.
 struct Refused {
   1: required string request_id,
   2: required i32 attempt,
@@ -86,9 +86,10 @@
   // than its own, or for 0, an agent proves nothing, since it has no records of
   // its predecessor.
   4: optional i64 incarnation = 0,
-  // Time since the attempt, or the first one covered, was submitted. If it is
-  // older than the agent's records, nothing is proved; if it is unknown, nothing
-  // is proved once the agent has dropped the record of any attempt.
+  // Milliseconds since the attempt, or the first one covered, was submitted.
+  // If that is before the agent's records begin, nothing is proved; if it is
+  // unknown, nothing is proved once the agent has dropped any record of an
+  // attempt that was handed over.
   5: optional i32 age_ms = -1,
 }
 
--- a/tests/gate_site.py
+++ b/tests/gate_site.py
@@ -1,4 +1,4 @@
-"""One agent before a stand-in and one entry, over loopback sockets."""
+"""Sets up an agent with a stand-in server and an entry, on loopback sockets."""
 
 import asyncio
 import contextlib
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass
 class Setup:
-    """One agent before one backend server, and one connected entry."""
+    """An agent with its backend server, and a connected entry."""
 
     gate: service.GateService
     stand_in: plain.PlainStandIn | engine_stand_in.EngineStandIn
@@ -50,16 +50,16 @@
 
     @property
     def statuses(self):
-        """The notices of the agent's whole status."""
+        """The received notices of the agent's full status."""
         return [n for n in self.notices if isinstance(n, ttypes.AgentStatus)]
 
     async def run(self, submit):
-        """Returns the frames that answer a submission, by kind."""
+        """Returns the frames that answer a submission, in order."""
         exchange = self.connection.open()
         try:
             await exchange.send(Kind.SUBMIT, codec.encode(submit))
             frames = []
-            while not frames or frames[-1].kind not in _LAST:
+            while not frames or frames[-1].kind not in _FINAL_KINDS:
                 frames.append(await exchange.receive(10))
             return frames
         finally:
@@ -79,7 +79,7 @@
         return codec.decode(ttypes.Tombstoned, frame.body).proved
 
 
-_LAST = (Kind.ANSWER_END, Kind.REFUSED, Kind.FAILED)
+_FINAL_KINDS = (Kind.ANSWER_END, Kind.REFUSED, Kind.FAILED)
 
 
 def submit_of(request_id, path="/bookings", attempt=1, **changes):
@@ -116,8 +116,8 @@
 
 @contextlib.asynccontextmanager
 async def running(stand_in, ledger, limits=None):
-    """Sets up a gate before a stand-in that has been started."""
-    keeper = counters.Counters()
+    """Sets up a gate with a stand-in that has been started."""
+    gate_counters = counters.Counters()
     identity = connection.Identity(
         "agent-1", types.Role.AGENT, PLACE, INCARNATION
     )
@@ -132,7 +132,7 @@
             engine.EngineClient(stand_in.base_url, session)
         )
     gate = service.GateService(
-        agent, backend, "magazijn", limits, TIMING, counters=keeper
+        agent, backend, "magazijn", limits, TIMING, counters=gate_counters
     )
     address = await agent.listen(ANY_PORT)
     entry = connection.Endpoint(
@@ -157,7 +157,7 @@
     await gate.start()
     try:
         yield Setup(
-            gate, stand_in, ledger, entry, link, keeper, notices, reports
+            gate, stand_in, ledger, entry, link, gate_counters, notices, reports
         )
     finally:
         await gate.stop()
@@ -188,6 +188,7 @@
 
 
 async def eventually(condition, seconds=5.0):
+    """Waits until the condition is true."""
     async with asyncio.timeout(seconds):
         while not condition():  # noqa: ASYNC110 - the condition has no event
             await asyncio.sleep(0.005)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate's decisions: what is proved, fenced, queued and run alone."""
+"""Tests the gate's decisions: proofs, fencing, queueing and running alone."""
 
 import dataclasses
 
@@ -50,14 +50,16 @@
     return [a.id.request_id for a in actions if isinstance(a, types.HandOver)]
 
 
-def tombstone(gate, attempt, now=NOW, whole=False, incarnation=INCARNATION):
+def tombstone(
+    gate, attempt, now=NOW, include_earlier=False, incarnation=INCARNATION
+):
     proved, _ = gate.tombstone(
-        attempt.id, whole, incarnation, attempt.sent_at, now
+        attempt.id, include_earlier, incarnation, attempt.sent_at, now
     )
     return proved
 
 
-def test_urgent_attempts_go_first_and_push_out_others():
+def test_high_priority_attempts_run_first_and_evict_others():
     gate = gate_of(capacity=1, max_queued=2)
     low, normal, high = shared.Priority
     assert started(gate.submit(attempt_of("r1"), NOW)) == ["r1"]
@@ -71,7 +73,7 @@
     assert started(gate.on_answered(first, NOW)) == ["r5"]
 
 
-def test_attempt_that_waits_past_its_deadline_is_refused():
+def test_attempt_queued_past_its_deadline_is_refused():
     gate = gate_of(capacity=1)
     gate.submit(attempt_of("r1"), NOW)
     gate.submit(attempt_of("r2", deadline=NOW + 1.0), NOW)
@@ -79,11 +81,11 @@
     assert refusals(gate.on_tick(NOW + 1.0)) == [("r2", "deadline")]
 
 
-def test_suspect_runs_alone_and_holds_back_what_comes_later():
-    """Symptom: innocents die in a crash that a known suspect caused.
+def test_suspect_runs_alone_and_blocks_later_attempts():
+    """Guards against other requests failing in a known suspect's crash.
 
-    Sequence: a suspect comes while others run; more come behind it. Cause:
-    nothing keeps the server empty for it.
+    A suspect arrives while others run, and more arrive after it. Unless the
+    later ones wait, the server never becomes empty for the suspect.
     """
     gate = gate_of(capacity=4)
     gate.submit(attempt_of("r1"), NOW)
@@ -97,7 +99,7 @@
     assert cleared == [types.ReportCleared((b"s",))]
 
 
-def test_crash_names_what_was_in_flight_and_refuses_what_waited():
+def test_crash_reports_attempts_in_flight_and_refuses_queued_ones():
     gate = gate_of(capacity=2)
     for name in ("r1", "r2", "r3"):
         gate.submit(attempt_of(name), NOW)
@@ -112,12 +114,12 @@
     assert started(gate.submit(attempt_of("r5"), NOW)) == ["r5"]
 
 
-def test_replaced_agent_proves_nothing_and_refuses_what_was_not_meant_for_it():
-    """Symptom: "not run" is told of a booking that was made.
+def test_replaced_agent_proves_nothing_and_refuses_others_attempts():
+    """Guards against "not run" for a booking that was made.
 
-    Sequence: an attempt is handed over, its agent dies and is replaced at the
-    same address; the entry asks the new process for a tombstone. Cause: a
-    process that never saw the attempt would prove it gladly.
+    An attempt is handed over, its agent dies and is replaced at the same
+    address, and the entry sends the new process a tombstone. The new process
+    has no record of the attempt and must not take that for proof.
     """
     gate = gate_of()
     lost = booking("r1", incarnation=INCARNATION - 1)
@@ -125,24 +127,24 @@
     assert not tombstone(gate, lost, incarnation=0)
     late = gate.submit(lost, NOW)
     assert refusals(late) == [("r1", "incarnation")]
-    unnamed = gate.submit(booking("r2", incarnation=0), NOW)
-    assert refusals(unnamed) == [("r2", "incarnation")]
+    unaddressed = gate.submit(booking("r2", incarnation=0), NOW)
+    assert refusals(unaddressed) == [("r2", "incarnation")]
 
 
-def test_tombstone_refuses_the_attempt_that_arrives_later():
+def test_attempt_that_arrives_after_its_tombstone_is_refused():
     gate = gate_of()
-    assert tombstone(gate, attempt_of("r1", 2), whole=True)
+    assert tombstone(gate, attempt_of("r1", 2), include_earlier=True)
     for number in (1, 2):
         actions = gate.submit(attempt_of("r1", number), NOW)
         assert refusals(actions) == [("r1", "tombstoned")]
     assert started(gate.submit(attempt_of("r1", 3), NOW)) == ["r1"]
 
 
-def test_forgotten_attempt_is_not_proved_to_be_absent():
-    """Symptom: "not run" is told of a request that ran long ago.
+def test_attempt_with_dropped_record_is_not_proved_to_be_not_run():
+    """Guards against "not run" for a request that ran long ago.
 
-    Sequence: an entry is paused; it asks for proof when the agent has already
-    forgotten the attempt. Cause: what is forgotten looks like what never was.
+    An entry is paused and asks for proof after the agent has dropped the
+    attempt's record. Without a watermark, the attempt looks unknown.
     """
     gate = gate_of(retention_s=60.0)
     ran = attempt_of("r1", sent_at=NOW)
@@ -151,13 +153,13 @@
     assert not tombstone(gate, ran, NOW + 5.0)
     gate.on_tick(NOW + 1000.0)
     assert not tombstone(gate, ran, NOW + 1000.0)
-    unaged = dataclasses.replace(ran, sent_at=None)
-    assert not tombstone(gate, unaged, NOW + 1000.0)
-    fresh = attempt_of("r2", sent_at=NOW + 999.0)
-    assert tombstone(gate, fresh, NOW + 1000.0)
+    undated = dataclasses.replace(ran, sent_at=None)
+    assert not tombstone(gate, undated, NOW + 1000.0)
+    recent = attempt_of("r2", sent_at=NOW + 999.0)
+    assert tombstone(gate, recent, NOW + 1000.0)
 
 
-def test_attempt_older_than_the_memory_of_tombstones_is_refused():
+def test_attempt_older_than_the_records_of_tombstones_is_refused():
     gate = gate_of(retention_s=60.0)
     late = attempt_of("r1", sent_at=NOW, deadline=NOW + 5000.0)
     assert tombstone(gate, late)
@@ -175,18 +177,18 @@
         (5, 0, "no_claim"),
     ],
 )
-def test_key_that_was_handed_over_never_is_again(first, second, reason):
+def test_key_is_handed_over_only_once(first, second, reason):
     gate = gate_of()
     gate.submit(booking("r1", claim_offset=first), NOW)
     actions = gate.submit(booking("r2", claim_offset=second), NOW)
     assert refusals(actions) == [("r2", reason)]
 
 
-def test_claim_of_a_forgotten_key_is_fenced():
-    """Symptom: a booking is made again by a frame that was on its way long.
+def test_claim_of_a_dropped_key_is_fenced():
+    """Guards against a second booking by a frame that was delayed for long.
 
-    Sequence: a booking is handed over and, much later, forgotten; another
-    attempt under its claim arrives. Cause: the key looks new.
+    A booking is handed over and, much later, its record is dropped. Another
+    attempt with the same claim arrives, and its key looks new.
     """
     gate = gate_of(retention_s=60.0)
     gate.submit(booking("r1", claim_offset=5), NOW)
@@ -198,10 +200,10 @@
 
 
 def test_older_claim_of_a_key_is_fenced():
-    """Symptom: a booking runs under a claim that was given up.
+    """Guards against a booking under a claim that was given up.
 
-    Sequence: a claim's attempt cannot reach the server and is refused, the
-    key is claimed anew, and the attempt of the older claim arrives late.
+    An attempt with a newer claim of the key cannot reach the server and is
+    refused. Then the attempt with the older claim arrives late.
     """
     gate = gate_of()
     new = booking("r2", claim_offset=9)
@@ -213,7 +215,7 @@
     assert started(actions) == ["r3"]
 
 
-def test_booking_whose_caller_went_away_is_not_cut_off():
+def test_booking_continues_when_its_caller_disconnects():
     gate = gate_of()
     gate.submit(booking("r1"), NOW)
     assert gate.cancel(types.AttemptId("r1", 1), NOW) == []
@@ -222,11 +224,12 @@
     assert types.CancelBackend(types.AttemptId("r2", 1)) in actions
 
 
-def test_frame_that_was_on_its_way_for_long_loses_that_time():
-    """Symptom: a request runs minutes after its entry gave it up.
+def test_delay_of_a_frame_is_estimated():
+    """Guards against requests that run minutes after their entry gave up.
 
-    Sequence: a link stalls with a submission that has 3 s left, and delivers
-    it later. Cause: deadlines travel as what is left, since clocks differ.
+    A link stalls with a submission that has 3 s left and delivers it later.
+    Deadlines are sent as the time left, since clocks differ, so the delay must
+    be subtracted.
     """
     estimator = _calls.DelayEstimator()
     for number in range(10):
@@ -236,11 +239,11 @@
     assert late == pytest.approx(5.0, abs=0.01)
 
 
-def test_clocks_of_different_rates_do_not_look_like_delays():
-    """Symptom: after some days an agent refuses everything as too late.
+def test_different_clock_rates_are_not_taken_for_delays():
+    """Guards against an agent that refuses all requests after some days.
 
-    Sequence: a connection lives for a week; the clocks at its ends differ by
-    100 millionths. Cause: the difference grows by 9 s a day.
+    A connection lasts for a week, and the clocks at its ends differ by 100 ppm.
+    The difference between them grows by 9 s per day.
     """
     estimator = _calls.DelayEstimator()
     for second in range(0, 7 * 86_400, 20):
--- a/tests/test_gate_machine.py
+++ b/tests/test_gate_machine.py
@@ -1,4 +1,4 @@
-"""The gate under schedules of events: no proof is untrue, nothing doubles."""
+"""Tests the gate with random events: proofs are true, nothing runs twice."""
 
 import hypothesis
 from hypothesis import stateful
@@ -16,7 +16,7 @@
 
 
 class GateMachine(stateful.RuleBasedStateMachine):
-    """Whatever happens, proof is true and nothing runs twice."""
+    """Checks after any events that proofs are true and nothing runs twice."""
 
     def __init__(self):
         super().__init__()
@@ -26,36 +26,36 @@
         self.gate = gate_lib.Gate(self.limits, INCARNATION)
         self.now = NOW
         self.at_server = {}
-        self.began = set()
+        self.begun = set()
         self.proved = set()
-        self.entombed_at = {}
+        self.tombstoned_at = {}
         self.keys = {}
         self.sent = {}
         self.left = False
 
-    def take(self, actions):
+    def apply(self, actions):
         for action in actions:
             if isinstance(action, types.HandOver):
-                self.begin(action.id)
+                self.on_hand_over(action.id)
             elif isinstance(action, types.Refuse):
-                assert action.id not in self.began
+                assert action.id not in self.begun
                 self.proved.add(action.id)
             elif isinstance(action, types.Fail):
-                assert action.id in self.began
+                assert action.id in self.begun
                 self.at_server.pop(action.id, None)
 
-    def begin(self, attempt_id):
+    def on_hand_over(self, attempt_id):
         attempt = self.sent[attempt_id]
         assert attempt_id not in self.proved
-        assert attempt_id not in self.began
+        assert attempt_id not in self.begun
         assert attempt.deadline > self.now
         assert not self.left
         if not attempt.idempotent:
-            # Beyond the gate's memory a newer claim of the key may come; that
-            # there is none is the log's matter. An old claim never counts.
+            # Once the gate has dropped the key, a newer claim may be handed
+            # over; the log prevents such claims. An old claim is never valid.
             assert attempt.claim_offset > self.keys.get(attempt.key, 0)
             self.keys[attempt.key] = attempt.claim_offset
-        self.began.add(attempt_id)
+        self.begun.add(attempt_id)
         self.at_server[attempt_id] = attempt
 
     @stateful.rule(
@@ -74,8 +74,8 @@
         attempt_id = types.AttemptId(request, number)
         if attempt_id in self.sent:
             return
-        # An entry sends first and asks for proof later.
-        if self.now - delay > self.entombed_at.get(attempt_id, self.now):
+        # An entry submits an attempt before it sends its tombstone.
+        if self.now - delay > self.tombstoned_at.get(attempt_id, self.now):
             return
         attempt = types.Attempt(
             attempt_id,
@@ -90,46 +90,52 @@
             sent_at=self.now - delay,
         )
         self.sent[attempt_id] = attempt
-        self.take(self.gate.submit(attempt, self.now))
+        self.apply(self.gate.submit(attempt, self.now))
 
     @stateful.rule(data=strategies.data())
     def submit_twice(self, data):
-        open_here = sorted(self.sent, key=str)
-        if not open_here:
+        submitted = sorted(self.sent, key=str)
+        if not submitted:
             return
-        attempt_id = data.draw(strategies.sampled_from(open_here))
+        attempt_id = data.draw(strategies.sampled_from(submitted))
         if attempt_id not in self.at_server:
             return
         actions = self.gate.submit(self.sent[attempt_id], self.now)
         assert actions == [types.FailDuplicate(attempt_id)]
 
     @stateful.rule(
-        request=REQUESTS, number=NUMBERS, whole=strategies.booleans()
+        request=REQUESTS,
+        number=NUMBERS,
+        include_earlier=strategies.booleans(),
     )
-    def tombstone(self, request, number, whole):
+    def tombstone(self, request, number, include_earlier):
         last = types.AttemptId(request, number)
-        first = 1 if whole else number
+        first = 1 if include_earlier else number
         named = [types.AttemptId(request, n) for n in range(first, number + 1)]
         times = [self.sent[i].sent_at for i in named if i in self.sent]
         proved, actions = self.gate.tombstone(
-            last, whole, INCARNATION, min(times, default=self.now), self.now
+            last,
+            include_earlier,
+            INCARNATION,
+            min(times, default=self.now),
+            self.now,
         )
-        self.take(actions)
+        self.apply(actions)
         for attempt_id in named:
-            self.entombed_at.setdefault(attempt_id, self.now)
+            self.tombstoned_at.setdefault(attempt_id, self.now)
         if proved:
-            assert not any(i in self.began for i in named)
+            assert not any(i in self.begun for i in named)
             self.proved.update(named)
 
     @stateful.rule(seconds=strategies.sampled_from([0.1, 2.0, 50.0]))
     def wait(self, seconds):
         self.now += seconds
-        self.take(self.gate.on_tick(self.now))
+        self.apply(self.gate.on_tick(self.now))
 
     @stateful.rule(
         data=strategies.data(),
         end=strategies.sampled_from(
-            ["answered", "failed", "not_taken", "gone"]
+            ["answered", "failed", "not_begun", "cancelled"]
         ),
     )
     def end(self, data, end):
@@ -138,13 +144,13 @@
         ids = sorted(self.at_server, key=str)
         attempt_id = data.draw(strategies.sampled_from(ids))
         attempt = self.at_server[attempt_id]
-        if end == "gone":
-            self.take(self.gate.cancel(attempt_id, self.now))
+        if end == "cancelled":
+            self.apply(self.gate.cancel(attempt_id, self.now))
             return
         del self.at_server[attempt_id]
-        if end == "not_taken":
-            # The server did not begin it: that is no run.
-            self.began.discard(attempt_id)
+        if end == "not_begun":
+            # The server did not begin it, so it does not count as a run.
+            self.begun.discard(attempt_id)
             if self.keys.get(attempt.key) == attempt.claim_offset:
                 del self.keys[attempt.key]
             reason = types.RefusalReason.UNREACHABLE
@@ -154,26 +160,26 @@
             actions = self.gate.on_failed(attempt_id, reason, self.now)
         else:
             actions = self.gate.on_answered(attempt_id, self.now)
-        self.take(actions)
+        self.apply(actions)
 
     @stateful.rule(
         event=strategies.sampled_from(["on_crash", "on_stall", "drain"])
     )
-    def trouble(self, event):
-        self.take(getattr(self.gate, event)(self.now))
+    def disturb(self, event):
+        self.apply(getattr(self.gate, event)(self.now))
 
     @stateful.rule()
     def loaded(self):
-        self.take(self.gate.on_loaded(self.now))
+        self.apply(self.gate.on_loaded(self.now))
 
     @stateful.precondition(lambda self: len(self.sent) > 8)
     @stateful.rule()
     def leave(self):
-        self.take(self.gate.leave(self.now))
+        self.apply(self.gate.leave(self.now))
         self.left = True
 
     @stateful.invariant()
-    def holds_its_bounds(self):
+    def stays_within_limits(self):
         assert set(self.gate.in_flight) == set(self.at_server)
         assert len(self.at_server) <= self.limits.capacity
         alone = [a for a in self.at_server.values() if a.alone]
--- a/tests/test_gate_service.py
+++ b/tests/test_gate_service.py
@@ -1,4 +1,4 @@
-"""The gate over real sockets: answers, crashes, stalls, leaving."""
+"""Tests the gate on loopback sockets: answers, crashes, stalls, leaving."""
 
 import asyncio
 
@@ -22,19 +22,19 @@
 submit_of = gate_site.submit_of
 
 
-async def test_plain_answer_comes_whole_and_with_its_request_id():
+async def test_plain_answer_is_complete_and_has_its_request_id():
     async with plain_setup() as setup:
         head, data, end = await setup.run(submit_of("r1"))
         assert codec.decode(ttypes.AnswerHead, head.body).status == 200
-        told = codec.decode(ttypes.AnswerEnd, end.body)
-        assert (told.request_id, told.attempt) == ("r1", 1)
-        assert told.body_bytes == len(data.body)
+        message = codec.decode(ttypes.AnswerEnd, end.body)
+        assert (message.request_id, message.attempt) == ("r1", 1)
+        assert message.body_bytes == len(data.body)
         assert data.body == plain.booking_of(b"r1")
         assert len(setup.ledger.of_request("r1")) == 1
         assert not await setup.tombstone(submit_of("r1"))
 
 
-async def test_engine_streams_and_names_its_version():
+async def test_engine_streams_and_reports_its_version():
     async with engine_setup() as setup:
         body = b'{"prompt": "koetswerk", "max_tokens": 5, "stream": true}'
         frames = await setup.run(
@@ -44,16 +44,16 @@
         end = codec.decode(ttypes.AnswerEnd, frames[-1].body)
         assert (head.version, end.tokens) == ("v1", 5)
         assert len(frames) >= 7
-        pieces = [f.body for f in frames if f.kind == Kind.ANSWER_DATA]
-        assert sum(map(len, pieces)) == end.body_bytes
+        chunks = [f.body for f in frames if f.kind == Kind.ANSWER_DATA]
+        assert sum(map(len, chunks)) == end.body_bytes
 
 
-async def test_crash_fails_all_in_flight_and_names_them():
-    """Symptom: requests hang, or are told "not run", after a crash.
+async def test_crash_fails_and_reports_all_attempts_in_flight():
+    """Guards against requests that hang or get "not run" after a crash.
 
-    Sequence: three requests are at the backend server when it dies; a fourth
-    comes while it is away. Cause: each connection breaks by itself, and none
-    of them says that the server, not only the connection, is gone.
+    Three requests are at the backend server when it crashes, and a fourth
+    arrives while it is down. Each connection breaks separately, and none shows
+    that the server crashed and not only the connection.
     """
     settings = plain.PlainSettings(booking_s=30.0)
     async with plain_setup(settings) as setup:
@@ -75,11 +75,11 @@
         assert not setup.ledger.of_request("r3")
 
 
-async def test_broken_weights_after_restart_keep_the_gate_closed():
-    """Symptom: requests go to an engine that came back without weights.
+async def test_gate_stays_closed_for_an_engine_restarted_without_weights():
+    """Guards against requests to an engine that restarted without weights.
 
-    Sequence: the engine crashes and restarts empty. Cause: it answers probes
-    again, but not with the digest whose load was proved.
+    The engine crashes and restarts empty. It answers probes again, but not
+    with the digest whose load was verified.
     """
     async with engine_setup() as setup:
         setup.stand_in.faults.crash_marker = b"poison"
@@ -95,11 +95,11 @@
         assert frames[-1].kind == Kind.ANSWER_END
 
 
-async def test_engine_that_loses_its_weights_while_idle_is_noticed():
-    """Symptom: requests go to an engine without weights and are lost.
+async def test_engine_that_loses_its_weights_while_idle_is_detected():
+    """Guards against requests to an engine without weights, which fail.
 
-    Sequence: the engine crashes while nothing runs and is back at once. Cause:
-    no connection breaks, and its port answers again.
+    The engine crashes while nothing runs and restarts at once. No connection
+    breaks, and its port accepts connections again.
     """
     async with engine_setup() as setup:
         setup.stand_in.crash(restart_s=0.0)
@@ -111,7 +111,7 @@
         assert not setup.reports
 
 
-async def test_prefixes_are_told_by_what_has_changed():
+async def test_notices_contain_only_changed_prefixes():
     async with engine_setup() as setup:
         index = prefix.PrefixIndex()
         for number in range(3):
@@ -121,24 +121,24 @@
             await setup.run(submit)
             await asyncio.sleep(5 * TIMING.probe_interval_s)
         for notice in setup.notices:
-            whole = isinstance(notice, ttypes.AgentStatus)
-            new, gone = notice.prefixes or [], notice.prefixes_gone or []
-            if whole and not notice.prefixes_changed:
-                index.reported("agent-1", new, 0.0)
+            is_status = isinstance(notice, ttypes.AgentStatus)
+            added, removed = notice.prefixes or [], notice.prefixes_gone or []
+            if is_status and not notice.prefixes_changed:
+                index.reported("agent-1", added, 0.0)
             else:
-                index.changed("agent-1", new, gone, 0.0)
-        told = sum(len(notice.prefixes or []) for notice in setup.notices)
-        assert told <= 2 * len(index)
+                index.changed("agent-1", added, removed, 0.0)
+        sent = sum(len(notice.prefixes or []) for notice in setup.notices)
+        assert sent <= 2 * len(index)
         for number in range(3):
             wanted = prefixes.block_hashes(str(number) * 600)
             assert index.matches(wanted, 1.0) == {"agent-1": 2}
 
 
-async def test_stalled_engine_is_noticed_without_a_closed_connection():
-    """Symptom: a request hangs until its deadline while others could run it.
+async def test_stalled_engine_is_detected_although_it_closes_no_connection():
+    """Guards against requests that hang until their deadline.
 
-    Sequence: the engine stops sending and keeps every connection open. Cause:
-    TCP reports nothing; only the silence tells.
+    The engine stops sending but keeps all connections open. TCP reports no
+    error, so the stall is detected only by a timeout.
     """
     async with engine_setup() as setup:
         setup.stand_in.faults.stall = True
@@ -156,24 +156,24 @@
         await eventually(lambda: setup.gate.ready)
 
 
-async def test_leaving_finishes_what_runs_and_refuses_the_rest():
+async def test_leaving_finishes_running_attempts_and_refuses_others():
     settings = plain.PlainSettings(booking_s=0.3)
     async with plain_setup(settings, gate_types.Limits(capacity=1)) as setup:
         first = asyncio.create_task(setup.run(submit_of("r1")))
         await eventually(lambda: setup.stand_in.running == 1)
         waiting = asyncio.create_task(setup.run(submit_of("r2")))
         await eventually(lambda: setup.gate.load.queued == 1)
-        left = asyncio.create_task(setup.gate.leave(5))
+        leaving = asyncio.create_task(setup.gate.leave(5))
         assert reason_of((await waiting)[-1]) == "leaving"
         late = await setup.run(submit_of("r3"))
         assert reason_of(late[-1]) == "leaving"
         assert (await first)[-1].kind == Kind.ANSWER_END
-        assert await left
+        assert await leaving
         assert {run.request_id for run in setup.ledger.runs} == {"r1"}
         assert setup.statuses[-1].leaving
 
 
-async def test_attempt_that_waits_is_refused_at_its_deadline():
+async def test_queued_attempt_is_refused_at_its_deadline():
     settings = plain.PlainSettings(booking_s=3.0)
     async with plain_setup(settings, gate_types.Limits(capacity=1)) as setup:
         first = asyncio.create_task(setup.run(submit_of("r1")))
@@ -184,7 +184,7 @@
         first.cancel()
 
 
-async def test_drain_waits_and_resume_takes_work_again():
+async def test_drain_waits_and_resume_accepts_attempts_again():
     settings = plain.PlainSettings(booking_s=0.2)
     async with plain_setup(settings) as setup:
         first = asyncio.create_task(setup.run(submit_of("r1")))
@@ -201,31 +201,31 @@
         assert (await setup.run(submit_of("r3")))[-1].kind == Kind.ANSWER_END
 
 
-@pytest.mark.parametrize("broken", [True, False])
-async def test_caller_that_goes_away_stops_the_engine(broken):
+@pytest.mark.parametrize("connection_breaks", [True, False])
+async def test_engine_stops_when_the_caller_disconnects(connection_breaks):
     async with engine_setup() as setup:
         exchange = setup.connection.open()
         body = b'{"prompt": "x", "max_tokens": 500, "stream": true}'
         submit = submit_of("r1", "/v1/completions", body=body, stream=True)
         await exchange.send(Kind.SUBMIT, codec.encode(submit))
         await exchange.receive(5)
-        if broken:
+        if connection_breaks:
             setup.connection.abort()
         else:
-            naming = ttypes.Tombstone(request_id="r1", attempt=1)
+            message = ttypes.Tombstone(request_id="r1", attempt=1)
             cancel = setup.connection.open()
-            await cancel.send(Kind.CANCEL, codec.encode(naming))
+            await cancel.send(Kind.CANCEL, codec.encode(message))
             cancel.close()
         await eventually(lambda: setup.stand_in.running == 0)
         await eventually(lambda: setup.gate.load.in_flight == 0)
 
 
 @pytest.mark.parametrize("handed_over", [True, False])
-async def test_tombstone_proves_only_what_was_not_handed_over(handed_over):
-    """Symptom: "not run" is told of a request that the ledger shows.
+async def test_tombstone_is_proved_only_if_not_handed_over(handed_over):
+    """Guards against "not run" for a request that the ledger shows as run.
 
-    Sequence: an entry asks for proof of an attempt that runs, or waits. Cause:
-    only the gate knows which of both it is.
+    An entry asks for proof for an attempt that is running or queued. Only the
+    gate knows which.
     """
     settings = plain.PlainSettings(booking_s=0.2)
     async with plain_setup(settings, gate_types.Limits(capacity=1)) as setup:
--- a/tests/test_gate_status.py
+++ b/tests/test_gate_status.py
@@ -1,4 +1,4 @@
-"""What an agent tells entries of itself, and what they take from it."""
+"""Tests which status and load notices agents send, and how entries use them."""
 
 import asyncio
 import types as builtin_types
@@ -17,14 +17,14 @@
 from clementinegw.wire.gen.requests import ttypes
 
 Kind = connection_lib.Kind
-_CLASSES = {
+_MESSAGE_CLASSES = {
     Kind.AGENT_STATUS: ttypes.AgentStatus,
     Kind.AGENT_LOAD: ttypes.AgentLoad,
 }
 
 
 class _Entry:
-    """Stands for a connection to an entry, and for the endpoint with it."""
+    """A fake endpoint that is also its only connection, to an entry."""
 
     def __init__(self):
         self.identity = connection_lib.Identity(
@@ -33,17 +33,17 @@
         self.peer = connection_lib.Identity(
             "entry-1", types.Role.ENTRY, types.Place("noord", "hal"), 1
         )
-        self.heard = []
+        self.received = []
 
     def connections(self):
         return [self]
 
     def notify(self, kind, body):
-        self.heard.append((kind, codec.decode(_CLASSES[kind], body)))
+        self.received.append((kind, codec.decode(_MESSAGE_CLASSES[kind], body)))
 
 
 class _Agent:
-    """A monitor before a gate that is ready, at a time set by hand."""
+    """A monitor with a gate that is ready and a simulated clock."""
 
     def __init__(self):
         self.time = 100.0
@@ -62,7 +62,7 @@
             lambda actions: None,
         )
         self.monitor = _monitor.Monitor(self.entry, "s", context)
-        self.tell()
+        self.push_changes()
 
     def submit(self, name):
         attempt = gate_types.Attempt(
@@ -70,69 +70,70 @@
         )
         self.gate.submit(attempt, self.time)
 
-    def tell(self, after_s=0.0):
-        """Returns what the entry hears when told after some seconds."""
+    def push_changes(self, after_s=0.0):
+        """Returns the notices that the entry gets after some seconds."""
         self.time += after_s
-        self.entry.heard.clear()
+        self.entry.received.clear()
         self.monitor.push_changes()
-        return list(self.entry.heard)
+        return list(self.entry.received)
 
 
-def test_load_alone_is_told_without_the_rest():
+def test_change_of_load_is_sent_without_the_status():
     agent = _Agent()
-    assert agent.tell(0.5) == []
+    assert agent.push_changes(0.5) == []
     agent.submit("r1")
     agent.backend_state.prefixes = [11, 12]
-    ((kind, load),) = agent.tell(0.5)
+    ((kind, load),) = agent.push_changes(0.5)
     assert kind is Kind.AGENT_LOAD
     assert (load.incarnation, load.in_flight, load.queued) == (7, 1, 0)
     assert sorted(load.prefixes) == [11, 12]
     assert load.prefixes_gone is None
     agent.backend_state.prefixes = [12]
-    ((kind, load),) = agent.tell(0.5)
+    ((kind, load),) = agent.push_changes(0.5)
     assert (kind, load.prefixes_gone) == (Kind.AGENT_LOAD, [11])
 
 
-def test_load_that_always_changes_sends_whole_statuses_seldom():
-    """Symptom: status notices take twice what there is for all control.
+def test_status_is_sent_rarely_while_the_load_changes():
+    """Guards against status notices exceeding the bandwidth for all control.
 
-    Sequence: at the peak the load differs at each look. Cause: the whole status
-    is sent for two numbers.
+    At the peak, the load differs at each check. A status for each change would
+    send the full status for two numbers, twice the bandwidth available.
     """
     agent = _Agent()
     kinds = []
     for number in range(50):
         agent.submit(f"r{number}")
-        kinds += [kind for kind, _ in agent.tell(0.5)]
-    # 25 s: one status each 2.5 s, one load notice at each other look.
+        kinds += [kind for kind, _ in agent.push_changes(0.5)]
+    # 25 s: one status every 2.5 s, one load notice at each other check.
     assert kinds.count(Kind.AGENT_STATUS) == 10
     assert kinds.count(Kind.AGENT_LOAD) <= 40
 
 
-def test_state_is_told_whole_at_once():
+def test_change_of_state_is_sent_as_a_status_at_once():
     agent = _Agent()
     agent.gate.on_stall(agent.time)
-    ((kind, status),) = agent.tell()
+    ((kind, status),) = agent.push_changes()
     assert (kind, status.ready) == (Kind.AGENT_STATUS, False)
     agent.gate.on_loaded(agent.time)
-    ((kind, status),) = agent.tell()
+    ((kind, status),) = agent.push_changes()
     assert (kind, status.ready) == (Kind.AGENT_STATUS, True)
     agent.gate.set_capacity(3)
-    ((kind, status),) = agent.tell()
+    ((kind, status),) = agent.push_changes()
     assert (kind, status.capacity) == (Kind.AGENT_STATUS, 3)
     agent.backend_state.version = "v2"
-    ((kind, status),) = agent.tell()
+    ((kind, status),) = agent.push_changes()
     assert (kind, status.version) == (Kind.AGENT_STATUS, "v2")
     agent.gate.leave(agent.time)
-    ((kind, status),) = agent.tell()
+    ((kind, status),) = agent.push_changes()
     assert (kind, status.leaving) == (Kind.AGENT_STATUS, True)
 
 
 def test_load_of_another_incarnation_is_ignored():
-    """Symptom: an idle agent gets no work, a full one gets too much.
+    """Guards against requests routed by the load of a replaced agent.
 
-    Sequence: an agent is replaced at its address, and a load notice comes that
-    its predecessor sent. Cause: notices told apart by the agent's name alone.
+    An agent is replaced at its address, and a load notice arrives that its
+    predecessor sent. Notices must be distinguished by incarnation, too.
+    Otherwise an idle agent gets no work, or a full one too much.
     """
 
     async def test(clock, loop):
@@ -142,17 +143,17 @@
         worker = lane.workers.get("a0")
         (link,) = agents[0].endpoint.connections()
 
-        async def tell(incarnation, in_flight, prefix):
+        async def send_load(incarnation, in_flight, prefix):
             notice = ttypes.AgentLoad(incarnation, in_flight, 2, [prefix])
             link.notify(Kind.AGENT_LOAD, codec.encode(notice))
             await asyncio.sleep(0.1)
 
         known = agents[0].incarnation
-        await tell(known, 5, 11)
+        await send_load(known, 5, 11)
         assert worker.others == 7
         assert lane.index.matches([11], clock.now()) == {"a0": 1}
         for other in (known - 1, known + 1):
-            await tell(other, 30, 12)
+            await send_load(other, 30, 12)
             assert worker.others == 7
             assert lane.index.matches([12], clock.now()) == {}
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Connections between processes: calls, notices, refusals, late frames."""
+"""Tests connections between processes: calls, handshakes, late frames."""
 
 import asyncio
 
@@ -37,7 +37,7 @@
     await exchange.send(connection.Kind.ANSWER_DATA, frame.body)
 
 
-async def test_calls_share_a_connection_and_keep_their_answers():
+async def test_concurrent_calls_on_a_connection_get_their_own_answers():
     server, client, conn = await _pair(_echo)
     answers = await asyncio.gather(
         *(
@@ -53,10 +53,10 @@
 
 
 async def test_frame_kinds_arrive_as_enum_members():
-    """Symptom: processes that are not relays stay without settings.
+    """Guards against processes other than relays that get no settings.
 
-    Sequence: a peer answers a pull; the asker compares the kind by identity.
-    Cause: the accelerated decoder leaves enum fields as plain numbers.
+    A peer answers a pull, and the requester compares the kind by identity. The
+    accelerated decoder returns enum fields as plain numbers.
     """
     server, client, conn = await _pair(_echo)
     answer = await connection.call(conn, connection.Kind.SUBMIT, b"", 5)
@@ -65,7 +65,7 @@
     await server.close()
 
 
-async def test_connect_keeps_one_connection_a_pair():
+async def test_connect_reuses_the_connection_to_a_peer():
     server, client, conn = await _pair(_echo)
     address = types.Address("127.0.0.1", _port(server))
     again = await asyncio.gather(*(client.connect(address) for _ in range(5)))
@@ -79,10 +79,10 @@
 
 
 async def test_frame_for_closed_call_is_dropped_and_counted():
-    """Symptom: a caller gets the answer to another request.
+    """Guards against answers that reach the caller of another request.
 
-    Sequence: a caller gives up its call; the answer arrives after it.
-    Cause: a late frame matched to whatever call is open now.
+    A caller gives up its call, and the answer arrives afterwards. It must not
+    be matched to a call that is open by then.
     """
     release = asyncio.Event()
 
@@ -103,16 +103,16 @@
 
 
 async def test_broken_connection_fails_open_calls():
-    """Symptom: a caller waits for ever.
+    """Guards against a caller that waits forever.
 
-    Sequence: the peer dies while a call is open.
-    Cause: nobody tells the waiting side that no frame can come any more.
+    The peer dies while a call is open. The waiting caller must get an error,
+    since no further frame can arrive.
     """
 
-    async def die(conn, exchange, frame):
+    async def abort(conn, exchange, frame):
         conn.abort()
 
-    server, client, conn = await _pair(die)
+    server, client, conn = await _pair(abort)
     with pytest.raises(exceptions.ConnectionLost):
         await connection.call(conn, connection.Kind.SUBMIT, b"", 5)
     with pytest.raises(exceptions.ConnectionLost):
@@ -122,26 +122,26 @@
 
 
 async def test_wrong_key_is_refused_on_both_sides():
-    """Symptom: a foreign process takes part in the deployment.
+    """Guards against foreign processes that join the deployment.
 
-    Sequence: a process with another key connects.
-    Cause: peers are believed without proof.
+    A process with another key connects. Peers must prove that they hold the
+    deployment's key.
     """
     server = _endpoint("agent-1")
     address = await server.listen(ANY_PORT)
-    stranger = _endpoint("entry-9", auth.single_key_ring(b"fedcba9876543210"))
+    foreign = _endpoint("entry-9", auth.single_key_ring(b"fedcba9876543210"))
     with pytest.raises(exceptions.ConnectionLost):
-        await stranger.connect(address)
+        await foreign.connect(address)
     assert server.connections() == []
-    await stranger.close()
+    await foreign.close()
     await server.close()
 
 
-async def test_key_rotation_keeps_both_sides_talking():
-    """Symptom: half of the fleet refuses the other half during a key change.
+async def test_key_ring_accepts_old_and_new_key_during_rotation():
+    """Guards against processes refusing each other during a key rotation.
 
-    Sequence: some processes sign with the new key, some with the old one.
-    Cause: only the active key is accepted.
+    Some processes sign with the new key and some with the old one. Keys other
+    than the active one must be accepted, too.
     """
     both = {"k1": b"0123456789abcdef", "k2": b"fedcba9876543210"}
     old = _endpoint("agent-1", auth.KeyRing("k1", both))
@@ -155,11 +155,11 @@
 @pytest.mark.parametrize(
     "data", [b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\x03abc"]
 )
-async def test_bytes_that_are_no_frame_end_only_that_connection(data):
-    """Symptom: one stray client takes the daemon down.
+async def test_malformed_bytes_end_only_their_connection(data):
+    """Guards against a stray client that takes the daemon down.
 
-    Sequence: a port scanner or an HTTP client connects to the peers' port.
-    Cause: lengths and structs that are taken on trust.
+    A port scanner or an HTTP client connects to the peers' port. Lengths and
+    structs must be validated before they are used.
     """
     server, client, conn = await _pair(_echo)
     reader, writer = await asyncio.open_connection("127.0.0.1", _port(server))
@@ -173,11 +173,11 @@
     await server.close()
 
 
-def test_list_longer_than_its_bytes_is_refused():
-    """Symptom: the kernel ends a daemon for its memory.
+def test_list_longer_than_the_data_is_rejected():
+    """Guards against a daemon that the kernel kills for its memory use.
 
-    Sequence: a peer sends a status whose list of prefixes claims 2**30 entries.
-    Cause: a length that is believed before its bytes are there.
+    A peer sends a status whose list of prefixes announces 2**30 entries. The
+    length must be checked against the data before memory is allocated.
     """
     data = b"\xd9" + b"\xf6" + b"\x80\x80\x80\x80\x04"
     with pytest.raises(exceptions.DecodeError):
@@ -186,7 +186,7 @@
 
 @hypothesis.given(strategies.binary(max_size=200))
 @hypothesis.settings(deadline=None)
-def test_decoder_refuses_or_decodes_any_bytes(data):
+def test_decoder_decodes_or_rejects_any_bytes(data):
     try:
         frame = codec.decode(ttypes.Frame, data)
     except exceptions.DecodeError:
