--- a/src/clementinegw/gate/_attempt_table.py
+++ b/src/clementinegw/gate/_attempt_table.py
@@ -121,8 +121,8 @@
         record.state = state
         if record.attempt is not None:
             since = max(now, record.attempt.deadline)
-            expiring = self._ended if state is State.ENDED else self._refused
-            self._schedule_expiry(expiring, since, record.attempt.id, now)
+            queue = self._ended if state is State.ENDED else self._refused
+            self._schedule_expiry(queue, since, record.attempt.id, now)
 
     def add_refused(self, attempt_id: types.AttemptId, now: float) -> None:
         """Adds a record for an attempt that was refused on arrival."""
@@ -203,40 +203,40 @@
 
     def expire(self, now: float) -> None:
         """Drops the records whose retention time has passed."""
-        for expiring in (self._ended, self._refused):
-            while expiring.entries and expiring.entries[0][0] <= now:
-                self._drop_oldest(expiring)
+        for queue in (self._ended, self._refused):
+            while queue.entries and queue.entries[0][0] <= now:
+                self._drop_oldest(queue)
 
     def _add_final(
         self, attempt_id: types.AttemptId, state: State, now: float
     ) -> None:
         self._records[attempt_id] = Record(state, None, now)
-        expiring = self._refused if state is State.REFUSED else self._ended
-        self._schedule_expiry(expiring, now, attempt_id, now)
+        queue = self._refused if state is State.REFUSED else self._ended
+        self._schedule_expiry(queue, now, attempt_id, now)
 
     def _schedule_expiry(
         self,
-        expiring: _ExpiryQueue,
+        queue: _ExpiryQueue,
         since: float,
         attempt_id: types.AttemptId,
         now: float,
     ) -> None:
-        until = since + self._limits.retention_s
-        expiring.entries.append((until, attempt_id))
-        if expiring.entries[0][0] <= now:
+        expires_at = since + self._limits.retention_s
+        queue.entries.append((expires_at, attempt_id))
+        if queue.entries[0][0] <= now:
             self.expire(now)
-        while len(expiring.entries) > self._limits.max_records:
-            self._drop_oldest(expiring)
+        while len(queue.entries) > self._limits.max_records:
+            self._drop_oldest(queue)
 
-    def _drop_oldest(self, expiring: _ExpiryQueue) -> None:
-        _, attempt_id = expiring.entries.popleft()
+    def _drop_oldest(self, queue: _ExpiryQueue) -> None:
+        _, attempt_id = queue.entries.popleft()
         record = self._records.pop(attempt_id, None)
         if record is None:
             return
         # Without the watermark, a tombstone for a dropped attempt would
         # "prove" that the attempt never ran, and its caller would get "not
         # run" for a request that the ledger shows as run.
-        expiring.watermark = max(expiring.watermark, record.seen_at)
+        queue.watermark = max(queue.watermark, record.seen_at)
         if record.attempt is not None:
             self._drop_key(record.attempt)
         last = self._tombstoned_up_to.get(attempt_id.request_id, 0)
@@ -249,5 +249,5 @@
             return
         del self._keys[attempt.key]
         if known.handed_over:
-            mark = self._claim_watermarks.get(attempt.shard, 0)
-            self._claim_watermarks[attempt.shard] = max(mark, known.offset)
+            watermark = self._claim_watermarks.get(attempt.shard, 0)
+            self._claim_watermarks[attempt.shard] = max(watermark, known.offset)
--- a/src/clementinegw/wire/_handshaker.py
+++ b/src/clementinegw/wire/_handshaker.py
@@ -66,11 +66,11 @@
         """
         opened = _handshake.OpenerState(_handshake.make_hello(self._identity))
         loop = asyncio.get_running_loop()
-        opening = _PendingOpen(opened, loop.create_future())
-        self._pending_opens[link] = opening
+        pending = _PendingOpen(opened, loop.create_future())
+        self._pending_opens[link] = pending
         _send(link, Kind.HELLO, opened.hello)
         try:
-            return await opening.ready
+            return await pending.ready
         finally:
             self._pending_opens.pop(link, None)
 
@@ -86,16 +86,16 @@
           exceptions.DecodeError: The frame is malformed or out of order, or
             its proof is wrong.
         """
-        step = self._frame_handlers.get(kind)
-        if step is None:
+        handler = self._frame_handlers.get(kind)
+        if handler is None:
             raise exceptions.DecodeError(f"{kind!r} before the handshake")
-        return step(link, body)
+        return handler(link, body)
 
     def complete(self, link: _link.Link, connection: _link.Connection) -> None:
         """Returns the connection to the caller of `open`, if there is one."""
-        opening = self._pending_opens.get(link)
-        if opening is not None and not opening.ready.done():
-            opening.ready.set_result(connection)
+        pending = self._pending_opens.get(link)
+        if pending is not None and not pending.ready.done():
+            pending.ready.set_result(connection)
 
     def fail(self, link: _link.Link, reason: str) -> None:
         """Ends the handshake of a link that broke or was refused.
@@ -105,9 +105,9 @@
           reason: The message of the error that `open` raises.
         """
         self._awaiting_proof.pop(link, None)
-        opening = self._pending_opens.get(link)
-        if opening is not None and not opening.ready.done():
-            opening.ready.set_exception(exceptions.ConnectionLost(reason))
+        pending = self._pending_opens.get(link)
+        if pending is not None and not pending.ready.done():
+            pending.ready.set_exception(exceptions.ConnectionLost(reason))
 
     def _on_hello(self, link: _link.Link, body: bytes) -> None:
         if link in self._pending_opens or link in self._awaiting_proof:
@@ -138,10 +138,10 @@
 
     def _on_welcome(self, link: _link.Link, body: bytes) -> HandshakeResult:
         del body
-        opening = self._pending_opens.get(link)
-        if opening is None or opening.state.challenge is None:
+        pending = self._pending_opens.get(link)
+        if pending is None or pending.state.challenge is None:
             raise exceptions.DecodeError("WELCOME out of order")
-        peer = _handshake.sender_of(opening.state.challenge)
+        peer = _handshake.sender_of(pending.state.challenge)
         return HandshakeResult(peer, is_opener=True)
 
 
