--- a/src/clementinegw/direct/fetcher.py
+++ b/src/clementinegw/direct/fetcher.py
@@ -16,8 +16,8 @@
 from clementinegw.direct import manifest_cache
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
-from clementinegw.weights import drawers
 from clementinegw.weights import manifest as manifests
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import pacing as pacing_lib
 from clementinegw.weights import store as stores
 from clementinegw.weights import swarm
@@ -102,7 +102,7 @@
         self._origin = origin
         self._manifest = manifest
         self._numbers = {
-            manifests.chunk_blob(digest): number
+            manifests.chunk_blob_name(digest): number
             for number, digest in enumerate(manifest.digests)
         }
 
@@ -273,7 +273,7 @@
         if len(fleet) <= _MAX_FLEET_ASKING_ORIGIN:
             return ()
         name = f"{model}/{version}".encode()
-        return fleet.ranked(name, drawers.DrawPolicy.FLEET, "")
+        return fleet.ranked(name, origin_fetchers.DrawPolicy.FLEET, "")
 
     def holds_all(self, manifest: agent_interfaces.VersionManifest) -> bool:
         """Returns whether this agent holds every piece of a version."""
@@ -324,7 +324,7 @@
         self, manifest: agent_interfaces.VersionManifest
     ) -> list[int]:
         """Returns the missing pieces that this agent fetches first of all."""
-        firsts = self.transfer.first_draws(
+        firsts = self.transfer.assigned_chunks(
             manifest_cache.to_swarm_manifest(manifest)
         )
         return [n for n in firsts if not self._store.holds(manifest.digests[n])]
@@ -341,7 +341,7 @@
           exceptions.PlatformError: The origin did not return the whole piece.
         """
         # Lowest priority: traffic of the exchange uses the link first.
-        await self.transfer.take_pace(manifest.chunk_bytes)
+        await self.transfer.wait_for_bandwidth(manifest.chunk_bytes)
         data = await origin.piece(manifest.model, manifest.version, number)
         return await self._store.put(manifest.digests[number], data)
 
--- a/src/clementinegw/weights/_hold_off.py
+++ b/src/clementinegw/weights/_retry_delay.py
@@ -3,13 +3,13 @@
 import random
 
 from clementinegw.platform import retries as retry_lib
-from clementinegw.weights import _orders
+from clementinegw.weights import _loader_types
 
 # Beyond these the longest pause is reached, and powers of two overflow.
-_MOST_DOUBLINGS = 16
+_MAX_DOUBLINGS = 16
 
 
-class HoldOff:
+class RetryDelay:
     """When the next load may be tried, and why not sooner."""
 
     def __init__(self, retries: retry_lib.RetryPolicy, rng: random.Random):
@@ -23,7 +23,7 @@
         self._rng = rng
         self._failures = 0
         self._until = 0.0
-        self._reason = _orders.Reason.NONE
+        self._reason = _loader_types.Reason.NONE
 
     @property
     def until(self) -> float:
@@ -31,7 +31,7 @@
         return self._until
 
     @property
-    def reason(self) -> _orders.Reason:
+    def reason(self) -> _loader_types.Reason:
         """The newest failure."""
         return self._reason
 
@@ -39,12 +39,12 @@
         """Returns whether the pause goes on."""
         return now < self._until
 
-    def fail(self, now: float, reason: _orders.Reason) -> None:
+    def record_failure(self, now: float, reason: _loader_types.Reason) -> None:
         """Begins a pause, longer than the one before."""
         self._failures += 1
         self._reason = reason
-        tried = min(self._failures, _MOST_DOUBLINGS)
-        self._until = now + self._retries.pause_s(tried, self._rng)
+        attempts = min(self._failures, _MAX_DOUBLINGS)
+        self._until = now + self._retries.pause_s(attempts, self._rng)
 
     def clear(self) -> None:
         """Ends the pause and forgets the failures."""
--- a/src/clementinegw/weights/store.py
+++ b/src/clementinegw/weights/store.py
@@ -72,7 +72,7 @@
     def held(self, manifest: manifests.Manifest) -> bytearray:
         """Returns which chunks of a manifest are held."""
         chunks = enumerate(manifest.chunks)
-        return bitset.of(
+        return bitset.from_indices(
             len(manifest.chunks),
             (index for index, chunk in chunks if chunk.digest in self._chunks),
         )
@@ -118,13 +118,13 @@
     ) -> backend.StageResult:
         """Puts a chunk in."""
 
-    async def staged(self, chunk_digest: str) -> bytes | None:
+    async def get_staged_chunk(self, chunk_digest: str) -> bytes | None:
         """Returns a chunk, unverified; None when it is not there."""
 
-    async def unstage(self, chunk_digest: str) -> None:
+    async def unstage_chunk(self, chunk_digest: str) -> None:
         """Takes a chunk out."""
 
-    async def staging(self) -> backend.StagingStatus:
+    async def staging_status(self) -> backend.StagingStatus:
         """Returns what is there."""
 
 
@@ -154,7 +154,7 @@
         self._cache = MemoryStore(cache_bytes)
         self._counters = counters
         self._index: dict[bytes, int] = {}
-        self._kept: frozenset[bytes] = frozenset()
+        self._retained: frozenset[bytes] = frozenset()
 
     @property
     def cached_bytes(self) -> int:
@@ -169,7 +169,7 @@
     def held(self, manifest: manifests.Manifest) -> bytearray:
         """Returns which chunks of a manifest are staged."""
         chunks = enumerate(manifest.chunks)
-        return bitset.of(
+        return bitset.from_indices(
             len(manifest.chunks),
             (index for index, chunk in chunks if chunk.digest in self._index),
         )
@@ -190,7 +190,7 @@
         if cached is not None:
             return cached
         try:
-            data = await self._staging.staged(chunk_digest.hex())
+            data = await self._staging.get_staged_chunk(chunk_digest.hex())
         except exceptions.BackendError:
             self._counters.add("weights.staging.unreachable")
             return None
@@ -211,7 +211,7 @@
         if result is backend.StageResult.FULL:
             # Chunks of abandoned versions make room at once; else a change in
             # mid-rollout would wait for ever.
-            await self.drop_others()
+            await self.drop_unretained()
             result = await self._staging.stage_chunk(chunk_digest.hex(), data)
         if result is not backend.StageResult.STORED:
             self._counters.add(f"weights.staging.{result}")
@@ -229,7 +229,7 @@
         names = {bytes.fromhex(manifest.digest) for manifest in versions}
         for manifest in versions:
             names.update(chunk.digest for chunk in manifest.chunks)
-        self._kept = frozenset(names)
+        self._retained = frozenset(names)
 
     def forget(self, chunk_digests: Iterable[bytes] | None = None) -> None:
         """Takes these chunks, or all, for not staged: the engine said so."""
@@ -239,19 +239,19 @@
         for digest in chunk_digests:
             self._index.pop(digest, None)
 
-    async def drop_others(self) -> None:
+    async def drop_unretained(self) -> None:
         """Takes out of the staging memory what `retain` did not name.
 
         Raises:
           exceptions.BackendError: The engine's host did not answer.
         """
-        status = await self._staging.staging()
+        status = await self._staging.staging_status()
         for name in status.digests:
             digest = bytes.fromhex(name)
-            if digest not in self._kept:
+            if digest not in self._retained:
                 self._index.pop(digest, None)
                 self._cache.drop(digest)
-                await self._staging.unstage(name)
+                await self._staging.unstage_chunk(name)
                 self._counters.add("weights.staging.dropped")
 
     async def recover(self, manifest: manifests.Manifest) -> None:
@@ -262,15 +262,18 @@
         Raises:
           exceptions.BackendError: The engine's host did not answer.
         """
-        status = await self._staging.staging()
-        there = {bytes.fromhex(name) for name in status.digests}
+        status = await self._staging.staging_status()
+        staged_digests = {bytes.fromhex(name) for name in status.digests}
         for chunk in manifest.chunks:
-            if chunk.digest in there and chunk.digest not in self._index:
+            if (
+                chunk.digest in staged_digests
+                and chunk.digest not in self._index
+            ):
                 await self._recover_chunk(chunk)
 
     async def _recover_chunk(self, chunk: manifests.Chunk) -> None:
         name = chunk.digest.hex()
-        data = await self._staging.staged(name)
+        data = await self._staging.get_staged_chunk(name)
         if data is None:
             return
         found = await asyncio.to_thread(manifests.digest_of, data)
@@ -279,4 +282,4 @@
             self._counters.add("weights.staging.recovered")
             return
         self._counters.add("weights.staging.corrupt")
-        await self._staging.unstage(name)
+        await self._staging.unstage_chunk(name)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -70,5 +70,5 @@
     """
     path = tmp_path / "keys.json"
     path.write_text('{"active":"k1","keys":{"k1":"%s"}}' % ("ab" * 16))
-    ring = keys.narrowed(keys.load(path), "k2", ("k2",))
+    ring = keys.select_keys(keys.load(path), "k2", ("k2",))
     assert ring.active == "k1"
