--- a/src/clementinegw/bench/claims.py
+++ b/src/clementinegw/bench/claims.py
@@ -101,7 +101,7 @@
     """Returns the figures for one group window."""
     log = memory.MemoryLog(clock_lib.SystemClock())
     log.faults.slow_s = _LOG_S
-    timing = claims_service.Timing(group_s=window_ms / 1000.0)
+    timing = claims_service.Timing(batch_interval_s=window_ms / 1000.0)
     fleet = _Entries(log, timing)
     await fleet.start(entries)
     rng = random.Random(1)
@@ -140,7 +140,7 @@
 
 def _appends(log: memory.MemoryLog) -> int:
     shards = range(claim_lib.SHARDS)
-    return sum(len(log.all(claim_lib.stream_of(shard))) for shard in shards)
+    return sum(len(log.all(claim_lib.stream_name(shard))) for shard in shards)
 
 
 def main() -> None:
--- a/src/clementinegw/daemons/entry.py
+++ b/src/clementinegw/daemons/entry.py
@@ -144,10 +144,12 @@
         settings = self._core.effective_settings().claims
         limits = claims_lib.Limits(
             horizon=claim_lib.Horizon(settings.horizon_s),
-            kept_bytes=settings.memory_mb * _BYTES_PER_MB,
-            answer_bytes=settings.kept_answer_bytes,
+            max_memory_bytes=settings.memory_mb * _BYTES_PER_MB,
+            max_answer_bytes=settings.kept_answer_bytes,
+        )
+        return limits, claims_lib.Timing(
+            batch_interval_s=settings.group_ms / _MS_PER_S
         )
-        return limits, claims_lib.Timing(group_s=settings.group_ms / _MS_PER_S)
 
     def _alive_entries(self) -> list[types.Instance]:
         """Returns the entries that a claim may be handed to."""
--- a/src/clementinegw/gate/_calls.py
+++ b/src/clementinegw/gate/_calls.py
@@ -169,8 +169,8 @@
     """
     shard = 0
     if submit.claim_offset:
-        key = claim.key_hash(service, submit.customer, submit.idempotency_key)
-        shard = claim.shard_of(key, claim.SHARDS)
+        key = claim.hash_key(service, submit.customer, submit.idempotency_key)
+        shard = claim.shard_number(key, claim.SHARDS)
     return types.Attempt(
         id=types.AttemptId(submit.request_id, submit.attempt),
         deadline=now + submit.deadline_ms / _MS - delay_s,
--- a/src/clementinegw/matrix/request_guards.py
+++ b/src/clementinegw/matrix/request_guards.py
@@ -135,7 +135,7 @@
     guards.Guard(
         "no_suspects",
         "too_many_crashes",
-        (guards.Patch(suspect.Suspicions, "verdict", _clear),),
+        (guards.Patch(suspect.SuspectTracker, "verdict", _clear),),
         _ALL,
         ("poison_request@handed_over",),
     ),
--- a/src/clementinegw/requests/_claim_ends.py
+++ b/src/clementinegw/requests/_claim_end_queue.py
@@ -8,34 +8,34 @@
 from clementinegw.wire.gen.requests import ttypes
 
 
-class Ends:
+class EndQueue:
     """Ends that wait, until the owner of their shard has appended them."""
 
     def __init__(
         self,
-        owners: _claim_owners.Owners,
+        owner_client: _claim_owners.OwnerClient,
         counters: counters_lib.Counters,
-        flush_s: float,
-        limit: int,
+        flush_interval_s: float,
+        max_pending: int,
     ):
         """Starts empty.
 
         Args:
-          owners: Append them.
+          owner_client: Append them.
           counters: Where delays are counted.
-          flush_s: How long an end may wait for others; releases do not.
-          limit: How many wait at most.
+          flush_interval_s: How long an end may wait; releases do not.
+          max_pending: How many wait at most.
         """
-        self._owners = owners
+        self._owner_client = owner_client
         self._counters = counters
-        self._flush_s = flush_s
-        self._limit = limit
-        self._waiting: dict[bytes, ttypes.ClaimEnd] = {}
+        self._flush_interval_s = flush_interval_s
+        self._max_pending = max_pending
+        self._pending: dict[bytes, ttypes.ClaimEnd] = {}
         self._added = asyncio.Event()
-        self._released = asyncio.Event()
+        self._release_added = asyncio.Event()
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pending)
 
     def release(self, claim: ttypes.Claim) -> None:
         """Gives up a claim that may be in the log or get there later."""
@@ -45,50 +45,48 @@
         self, key: bytes, claim_id: bytes, kind: ttypes.ClaimEndKind
     ) -> None:
         """Takes the end of a claim."""
-        if len(self._waiting) >= self._limit:
+        if len(self._pending) >= self._max_pending:
             # The log has been away for long. The oldest ends are given up:
             # their keys stay taken until the horizon, and nothing runs twice.
-            self._waiting.pop(next(iter(self._waiting)))
+            self._pending.pop(next(iter(self._pending)))
             self._counters.add("claims.ends_dropped")
-        self._waiting[claim_id] = ttypes.ClaimEnd(
+        self._pending[claim_id] = ttypes.ClaimEnd(
             claim_id=claim_id, key=key, kind=kind
         )
         self._added.set()
         if kind == ttypes.ClaimEndKind.RELEASED:
             # Its caller may repeat the key at once, and finds it taken until
             # this has gone through the log.
-            self._released.set()
+            self._release_added.set()
 
     async def run(self) -> None:
         """Hands ends on, for ever."""
         while True:
             await self._added.wait()
             try:
-                async with asyncio.timeout(self._flush_s):
-                    await self._released.wait()
+                async with asyncio.timeout(self._flush_interval_s):
+                    await self._release_added.wait()
             except TimeoutError:
                 pass
             self._added.clear()
-            self._released.clear()
+            self._release_added.clear()
             await self.flush()
-            if self._waiting:
-                await asyncio.sleep(self._flush_s)
+            if self._pending:
+                await asyncio.sleep(self._flush_interval_s)
                 self._added.set()
 
     async def flush(self) -> None:
         """Hands on what waits; what is not appended goes on waiting."""
         by_shard: dict[int, list[ttypes.ClaimEnd]] = {}
-        for end in self._waiting.values():
-            number = claim_lib.shard_of(end.key, claim_lib.SHARDS)
+        for end in self._pending.values():
+            number = claim_lib.shard_number(end.key, claim_lib.SHARDS)
             by_shard.setdefault(number, []).append(end)
-        await asyncio.gather(
-            *(self._hand_on(*item) for item in by_shard.items())
-        )
+        await asyncio.gather(*(self._send(*item) for item in by_shard.items()))
 
-    async def _hand_on(self, number: int, ends: list[ttypes.ClaimEnd]) -> None:
-        if not await self._owners.end(number, ends):
+    async def _send(self, number: int, ends: list[ttypes.ClaimEnd]) -> None:
+        if not await self._owner_client.append_ends(number, ends):
             self._counters.add("claims.ends_delayed")
             return
         for end in ends:
-            if self._waiting.get(end.claim_id) is end:
-                del self._waiting[end.claim_id]
+            if self._pending.get(end.claim_id) is end:
+                del self._pending[end.claim_id]
--- a/src/clementinegw/requests/_claim_holders.py
+++ b/src/clementinegw/requests/_claim_outcome_resolver.py
@@ -4,54 +4,54 @@
 
 from clementinegw import clock as clock_lib
 from clementinegw import exceptions
-from clementinegw.requests import _claim_kept
 from clementinegw.requests import _claim_outcomes as outcomes
 from clementinegw.requests import _claim_owners
+from clementinegw.requests import _held_claims
 from clementinegw.requests import types as request_types
 from clementinegw.wire import connection as connection_lib
 from clementinegw.wire.gen.requests import ttypes
 
 Verdict = ttypes.ClaimVerdict
-_MS = 1000.0
+_MS_PER_S = 1000.0
 
 
-class Holders:
+class OutcomeResolver:
     """Asks the entries that hold claims, and answers for this one."""
 
     def __init__(
         self,
         identity: connection_lib.Identity,
-        held: _claim_kept.HeldClaims,
-        owners: _claim_owners.Owners,
+        held_claims: _held_claims.HeldClaims,
+        owner_client: _claim_owners.OwnerClient,
         clock: clock_lib.Clock,
-        ask_s: float,
+        call_timeout_s: float,
     ):
         """Prepares the asker.
 
         Args:
           identity: This entry's.
-          held: Its own claims.
-          owners: Reaches other entries.
+          held_claims: Its own claims.
+          owner_client: Reaches other entries.
           clock: The source of time.
-          ask_s: How long a holder may take to find an answer, in seconds.
+          call_timeout_s: How long a holder may take to answer, in seconds.
         """
         self._identity = identity
-        self._held = held
-        self._owners = owners
+        self._held_claims = held_claims
+        self._owner_client = owner_client
         self._clock = clock
-        self._ask_s = ask_s
+        self._call_timeout_s = call_timeout_s
 
     @property
-    def name(self) -> str:
+    def holder_name(self) -> str:
         """This entry's name as a holder.
 
         The incarnation tells a holder that was replaced under its old name.
         """
         return f"{self._identity.instance_id}@{self._identity.incarnation}"
 
-    async def join(
+    async def resolve_local(
         self,
-        held: _claim_kept.Held,
+        held: _held_claims.HeldClaim,
         request: request_types.Request,
         key_time_ms: int,
     ) -> request_types.ClaimResult | None:
@@ -60,14 +60,14 @@
         Returns:
           The result; None when the claim was given up and the key is free.
         """
-        if not held.fits(request.fingerprint, key_time_ms):
+        if not held.matches(request.fingerprint, key_time_ms):
             return outcomes.key_reused()
-        await _wait(held, request.deadline - self._clock.now())
+        await _wait_settled(held, request.deadline - self._clock.now())
         if held.answer is not None:
             return request_types.Kept(held.answer)
-        return outcomes.JOINED[held.state]()
+        return outcomes.RESULT_BY_STATE[held.state]()
 
-    async def follow(
+    async def resolve_winner(
         self,
         request: request_types.Request,
         claim: ttypes.Claim,
@@ -84,41 +84,43 @@
           The result; None when the winner was given up and the key is free,
           or will be as soon as the log says so.
         """
-        kept = await self._ask(request, claim, reply)
+        kept = await self._query_holder(request, claim, reply)
         verdict = reply.verdict
         if kept is None:
             if verdict == Verdict.HELD and not reply.retry_after_ms:
                 verdict = Verdict.UNKNOWN
-            return outcomes.HELD_ELSEWHERE[verdict]()
+            return outcomes.RESULT_BY_VERDICT[verdict]()
         if kept.answer is not None:
-            return request_types.Kept(outcomes.answer(kept.answer))
+            return request_types.Kept(outcomes.answer_from_wire(kept.answer))
         if kept.verdict == Verdict.NOT_KEPT:
             # The holder lives and has no such claim: its word on how it
             # ended is on its way through the log.
-            return outcomes.FORGOTTEN[verdict]()
+            return outcomes.RESULT_IF_NOT_KEPT[verdict]()
         if kept.verdict == Verdict.VOID:
             return None
-        return outcomes.HELD_ELSEWHERE[kept.verdict]()
+        return outcomes.RESULT_BY_VERDICT[kept.verdict]()
 
-    async def tell(self, ask: ttypes.ClaimAsk) -> ttypes.ClaimReply:
+    async def answer_query(self, ask: ttypes.ClaimAsk) -> ttypes.ClaimReply:
         """Tells another entry what became of a claim of this one."""
         claim = ask.claim
         if ask.incarnation != self._identity.incarnation:
             return ttypes.ClaimReply(verdict=Verdict.UNKNOWN)
-        held = self._held.find(claim.key)
+        held = self._held_claims.get(claim.key)
         if held is None:
             return ttypes.ClaimReply(verdict=Verdict.NOT_KEPT)
-        if not held.fits(claim.fingerprint, claim.key_time_ms):
+        if not held.matches(claim.fingerprint, claim.key_time_ms):
             return ttypes.ClaimReply(verdict=Verdict.REUSED)
-        await _wait(held, (ask.wait_ms or 0) / _MS)
+        await _wait_settled(held, (ask.wait_ms or 0) / _MS_PER_S)
         if held.answer is None:
-            return ttypes.ClaimReply(verdict=outcomes.KEPT_VERDICTS[held.state])
+            return ttypes.ClaimReply(
+                verdict=outcomes.VERDICT_BY_STATE[held.state]
+            )
         return ttypes.ClaimReply(
             verdict=Verdict.KEPT,
-            answer=outcomes.kept_answer(held.answer),
+            answer=outcomes.answer_to_wire(held.answer),
         )
 
-    async def _ask(
+    async def _query_holder(
         self,
         request: request_types.Request,
         claim: ttypes.Claim,
@@ -127,27 +129,27 @@
         """Returns the holder's word; None when it cannot be had."""
         holder = reply.holder or ""
         instance_id, _, incarnation = holder.rpartition("@")
-        if holder == self.name:
+        if holder == self.holder_name:
             return ttypes.ClaimReply(verdict=Verdict.NOT_KEPT)
         if instance_id == self._identity.instance_id:
             # An earlier process under this name; what it knew is gone.
             return ttypes.ClaimReply(verdict=Verdict.UNKNOWN)
-        entry = self._owners.entry(instance_id)
+        entry = self._owner_client.find_entry(instance_id)
         if entry is None:
             return None
         wait_s = max(0.0, request.deadline - self._clock.now())
         if reply.verdict != Verdict.HELD:
-            wait_s = min(wait_s, self._ask_s)
+            wait_s = min(wait_s, self._call_timeout_s)
         ask = ttypes.ClaimAsk(
             operation=ttypes.ClaimOperation.KEPT,
             shard=0,
             claim=claim,
-            wait_ms=int(wait_s * _MS),
+            wait_ms=int(wait_s * _MS_PER_S),
             incarnation=int(incarnation or 0),
         )
         try:
             async with asyncio.timeout(wait_s):
-                return await self._owners.ask(entry, ask)
+                return await self._owner_client.call(entry, ask)
         except (
             exceptions.ConnectionLost,
             exceptions.DecodeError,
@@ -156,7 +158,7 @@
             return None
 
 
-async def _wait(held: _claim_kept.Held, seconds: float) -> None:
+async def _wait_settled(held: _held_claims.HeldClaim, seconds: float) -> None:
     try:
         async with asyncio.timeout(max(0.0, seconds)):
             await held.done.wait()
--- a/src/clementinegw/requests/_claim_outcomes.py
+++ b/src/clementinegw/requests/_claim_outcomes.py
@@ -1,7 +1,7 @@
 """What a claim's verdicts mean for a caller."""
 
 from clementinegw import types
-from clementinegw.requests import _claim_kept
+from clementinegw.requests import _held_claims
 from clementinegw.requests import types as request_types
 from clementinegw.wire.gen.requests import ttypes
 
@@ -38,7 +38,7 @@
 
 def key_reused() -> request_types.ClaimRefused:
     """The key stands for another request."""
-    return refused(types.NotRunReason.KEY_REUSED, None, _REUSED)
+    return refused(types.NotRunReason.KEY_REUSED, None, _KEY_REUSED_DETAIL)
 
 
 def holder_lost() -> request_types.ClaimRefused:
@@ -51,14 +51,16 @@
     )
 
 
-def again() -> None:
+def retry_claim() -> None:
     """The first request was not run after all: claim once more."""
     return
 
 
-_REUSED = "this key was used for another request, or with another time"
+_KEY_REUSED_DETAIL = (
+    "this key was used for another request, or with another time"
+)
 
-REFUSALS = {
+REFUSAL_BY_VERDICT = {
     Verdict.LOG_UNAVAILABLE: (
         types.NotRunReason.LOG_UNAVAILABLE,
         "keys cannot be claimed at the moment",
@@ -67,44 +69,44 @@
         types.NotRunReason.KEY_EXPIRED,
         "the key is older than what is remembered",
     ),
-    Verdict.REUSED: (types.NotRunReason.KEY_REUSED, _REUSED),
+    Verdict.REUSED: (types.NotRunReason.KEY_REUSED, _KEY_REUSED_DETAIL),
 }
 
-HELD_ELSEWHERE = {
+RESULT_BY_VERDICT = {
     Verdict.HELD: claim_lost,
     Verdict.RAN: already_run,
     Verdict.UNKNOWN: holder_lost,
     Verdict.REUSED: key_reused,
 }
 
-FORGOTTEN = {
-    Verdict.HELD: again,
+RESULT_IF_NOT_KEPT = {
+    Verdict.HELD: retry_claim,
     Verdict.RAN: already_run,
     Verdict.UNKNOWN: holder_lost,
 }
 
-JOINED = {
-    _claim_kept.State.OPEN: claim_lost,
-    _claim_kept.State.ANSWERED: already_run,
-    _claim_kept.State.UNKNOWN: holder_lost,
-    _claim_kept.State.NOT_RUN: again,
+RESULT_BY_STATE = {
+    _held_claims.HeldClaimState.OPEN: claim_lost,
+    _held_claims.HeldClaimState.ANSWERED: already_run,
+    _held_claims.HeldClaimState.UNKNOWN: holder_lost,
+    _held_claims.HeldClaimState.NOT_RUN: retry_claim,
 }
 
-KEPT_VERDICTS = {
-    _claim_kept.State.OPEN: Verdict.HELD,
-    _claim_kept.State.ANSWERED: Verdict.RAN,
-    _claim_kept.State.UNKNOWN: Verdict.UNKNOWN,
-    _claim_kept.State.NOT_RUN: Verdict.VOID,
+VERDICT_BY_STATE = {
+    _held_claims.HeldClaimState.OPEN: Verdict.HELD,
+    _held_claims.HeldClaimState.ANSWERED: Verdict.RAN,
+    _held_claims.HeldClaimState.UNKNOWN: Verdict.UNKNOWN,
+    _held_claims.HeldClaimState.NOT_RUN: Verdict.VOID,
 }
 
-ENDS = {
-    _claim_kept.State.ANSWERED: ttypes.ClaimEndKind.RAN,
-    _claim_kept.State.UNKNOWN: ttypes.ClaimEndKind.UNKNOWN,
-    _claim_kept.State.NOT_RUN: ttypes.ClaimEndKind.RELEASED,
+END_KIND_BY_STATE = {
+    _held_claims.HeldClaimState.ANSWERED: ttypes.ClaimEndKind.RAN,
+    _held_claims.HeldClaimState.UNKNOWN: ttypes.ClaimEndKind.UNKNOWN,
+    _held_claims.HeldClaimState.NOT_RUN: ttypes.ClaimEndKind.RELEASED,
 }
 
 
-def kept_answer(answer: types.Answered) -> ttypes.KeptAnswer:
+def answer_to_wire(answer: types.Answered) -> ttypes.KeptAnswer:
     """Returns an answer as it goes between entries."""
     return ttypes.KeptAnswer(
         status=answer.status,
@@ -113,7 +115,7 @@
     )
 
 
-def answer(kept: ttypes.KeptAnswer) -> types.Answered:
+def answer_from_wire(kept: ttypes.KeptAnswer) -> types.Answered:
     """Returns an answer that came from another entry."""
     return types.Answered(
         kept.status,
--- a/src/clementinegw/requests/_claim_owners.py
+++ b/src/clementinegw/requests/_claim_owners.py
@@ -17,13 +17,13 @@
 from clementinegw.wire.gen.requests import ttypes
 
 Kind = connection_lib.Kind
-_MS = 1000.0
-_MAX_RANK = 3
-_UNREACHABLE_S = 5.0
-_WITHOUT_LOG_S = 1.0
-_RANKED_S = 0.5
-_SECOND_VIEW_S = 0.5
-_FAILURES = (exceptions.ConnectionLost, exceptions.DecodeError, TimeoutError)
+_MS_PER_S = 1000.0
+_MAX_CANDIDATES = 3
+_CONNECTION_COOLDOWN_S = 5.0
+_LOG_COOLDOWN_S = 1.0
+_RANKING_REFRESH_S = 0.5
+_LOG_RECHECK_TIMEOUT_S = 0.5
+_CALL_ERRORS = (exceptions.ConnectionLost, exceptions.DecodeError, TimeoutError)
 
 
 class Connector(Protocol):
@@ -35,7 +35,7 @@
         """Returns the connection; raises `ConnectionLost`."""
 
 
-def ranked(
+def rank_entries(
     shard: int, entries: Sequence[types.Instance]
 ) -> list[types.Instance]:
     """Returns entries by their rank for a shard (rendezvous hashing)."""
@@ -48,41 +48,41 @@
     )
 
 
-class Owners:
+class OwnerClient:
     """Asks the owner of a shard; the next in rank when it does not answer."""
 
     def __init__(
         self,
         own_id: str,
-        entries: Callable[[], Sequence[types.Instance]],
+        get_entries: Callable[[], Sequence[types.Instance]],
         connector: Connector,
-        shard: Callable[[int], _claim_shard.Shard],
+        get_shard: Callable[[int], _claim_shard.Shard],
         clock: clock_lib.Clock,
         counters: counters_lib.Counters,
-        ask_s: float,
+        call_timeout_s: float,
     ):
         """Prepares the asker.
 
         Args:
           own_id: This entry's instance id.
-          entries: The entries that seem alive.
+          get_entries: Returns the entries that seem alive.
           connector: Connects to them.
-          shard: Returns this entry's own reader of a shard.
+          get_shard: Returns this entry's own reader of a shard.
           clock: The source of time.
           counters: Where failed owners are counted.
-          ask_s: How long one owner may take, in seconds.
+          call_timeout_s: How long one owner may take, in seconds.
         """
         self._own_id = own_id
-        self._entries = entries
+        self._get_entries = get_entries
         self._connector = connector
-        self._shard = shard
+        self._get_shard = get_shard
         self._clock = clock
         self._counters = counters
-        self._ask_s = ask_s
-        self._ranked: dict[int, list[types.Instance | None]] = {}
-        self._ranked_until = -math.inf
-        self._unreachable = _Avoided(clock, _UNREACHABLE_S)
-        self._without_log = _Avoided(clock, _WITHOUT_LOG_S)
+        self._call_timeout_s = call_timeout_s
+        self._candidates_by_shard: dict[int, list[types.Instance | None]] = {}
+        self._ranking_expires_at = -math.inf
+        self._connection_cooldowns = _Cooldowns(clock, _CONNECTION_COOLDOWN_S)
+        self._log_cooldowns = _Cooldowns(clock, _LOG_COOLDOWN_S)
 
     async def claim(
         self, number: int, claim: ttypes.Claim, deadline: float
@@ -103,9 +103,11 @@
         ask = ttypes.ClaimAsk(
             operation=ttypes.ClaimOperation.CLAIM, shard=number, claim=claim
         )
-        return await self._ask_in_turn(number, ask, deadline)
+        return await self._call_by_rank(number, ask, deadline)
 
-    async def end(self, number: int, ends: list[ttypes.ClaimEnd]) -> bool:
+    async def append_ends(
+        self, number: int, ends: list[ttypes.ClaimEnd]
+    ) -> bool:
         """Hands ends of claims to the shard's owner.
 
         Returns:
@@ -114,11 +116,11 @@
         ask = ttypes.ClaimAsk(
             operation=ttypes.ClaimOperation.END, shard=number, ends=ends
         )
-        deadline = self._clock.now() + _MAX_RANK * self._ask_s
-        reply = await self._ask_in_turn(number, ask, deadline)
+        deadline = self._clock.now() + _MAX_CANDIDATES * self._call_timeout_s
+        reply = await self._call_by_rank(number, ask, deadline)
         return reply.verdict == ttypes.ClaimVerdict.VOID
 
-    async def ask(
+    async def call(
         self, entry: types.Instance, ask: ttypes.ClaimAsk
     ) -> ttypes.ClaimReply:
         """Asks another entry.
@@ -128,20 +130,20 @@
           TimeoutError: It does not answer.
         """
         connection = await self._connector.connect(entry.address)
-        wait_s = self._ask_s + (ask.wait_ms or 0) / _MS
+        wait_s = self._call_timeout_s + (ask.wait_ms or 0) / _MS_PER_S
         frame = await connection_lib.call(
             connection, Kind.CLAIM_ASK, codec.encode(ask), wait_s
         )
         return codec.decode(ttypes.ClaimReply, frame.body)
 
-    def entry(self, instance_id: str) -> types.Instance | None:
+    def find_entry(self, instance_id: str) -> types.Instance | None:
         """Returns an entry that seems alive by its id."""
-        for entry in self._entries():
+        for entry in self._get_entries():
             if entry.instance_id == instance_id:
                 return entry
         return None
 
-    async def _ask_in_turn(
+    async def _call_by_rank(
         self, number: int, ask: ttypes.ClaimAsk, deadline: float
     ) -> ttypes.ClaimReply:
         """Asks those that rank first for a shard until one can say.
@@ -150,17 +152,17 @@
         for itself, each would read the whole horizon once the log is back.
         """
         log_is_down = False
-        for owner in self._first_in_rank(number):
+        for owner in self._candidates(number):
             left_s = deadline - self._clock.now()
             if left_s <= 0:
                 break
             name = self._own_id if owner is None else owner.instance_id
-            if self._without_log.is_in(name):
+            if self._log_cooldowns.is_active(name):
                 log_is_down = True
                 continue
-            if self._unreachable.is_in(name):
+            if self._connection_cooldowns.is_active(name):
                 continue
-            reply = await self._ask_one(owner, name, ask, left_s)
+            reply = await self._call_owner(owner, name, ask, left_s)
             if reply is None:
                 continue
             if reply.verdict != ttypes.ClaimVerdict.LOG_UNAVAILABLE:
@@ -169,20 +171,20 @@
             # of its own while others are not. More often the log is down for
             # all: the others get little time, since a caller waits.
             log_is_down = True
-            self._without_log.add(name)
-            deadline = min(deadline, self._clock.now() + _SECOND_VIEW_S)
+            self._log_cooldowns.start(name)
+            deadline = min(deadline, self._clock.now() + _LOG_RECHECK_TIMEOUT_S)
         left_s = deadline - self._clock.now()
         if not log_is_down and left_s > 0:
             # Cut off from all others, an entry may still reach the log.
-            reply = await self._ask_one(None, self._own_id, ask, left_s)
+            reply = await self._call_owner(None, self._own_id, ask, left_s)
             if reply is not None:
                 return reply
         return ttypes.ClaimReply(
             verdict=ttypes.ClaimVerdict.LOG_UNAVAILABLE,
-            retry_after_ms=int(_WITHOUT_LOG_S * _MS),
+            retry_after_ms=int(_LOG_COOLDOWN_S * _MS_PER_S),
         )
 
-    async def _ask_one(
+    async def _call_owner(
         self,
         owner: types.Instance | None,
         name: str,
@@ -190,51 +192,56 @@
         left_s: float,
     ) -> ttypes.ClaimReply | None:
         """Asks one owner; None stands for this entry, and for no answer."""
-        limit_s = min(self._ask_s, left_s)
+        limit_s = min(self._call_timeout_s, left_s)
         try:
             async with asyncio.timeout(limit_s):
                 if owner is not None:
-                    return await self.ask(owner, ask)
-                shard = self._shard(ask.shard)
+                    return await self.call(owner, ask)
+                shard = self._get_shard(ask.shard)
                 if ask.operation == ttypes.ClaimOperation.END:
-                    return await shard.end(ask.ends)
+                    return await shard.append_ends(ask.ends)
                 return await shard.claim(ask.claim)
-        except _FAILURES as error:
+        except _CALL_ERRORS as error:
             self._counters.add("claims.owner_failed")
-            hasty = isinstance(error, TimeoutError) and limit_s < self._ask_s
+            hasty = (
+                isinstance(error, TimeoutError)
+                and limit_s < self._call_timeout_s
+            )
             if not hasty:
-                self._unreachable.add(name)
+                self._connection_cooldowns.start(name)
             return None
 
-    def _first_in_rank(self, number: int) -> list[types.Instance | None]:
+    def _candidates(self, number: int) -> list[types.Instance | None]:
         """Returns whom to ask in turn; None stands for this entry itself."""
         now = self._clock.now()
-        if now >= self._ranked_until:
+        if now >= self._ranking_expires_at:
             # Ranking hundreds of entries for each claim would cost more than
             # the claim; who has died since is found out by asking.
-            self._ranked_until = now + _RANKED_S
-            self._ranked.clear()
-        if number not in self._ranked:
-            first = ranked(number, self._entries())[:_MAX_RANK]
-            self._ranked[number] = [
+            self._ranking_expires_at = now + _RANKING_REFRESH_S
+            self._candidates_by_shard.clear()
+        if number not in self._candidates_by_shard:
+            first = rank_entries(number, self._get_entries())[:_MAX_CANDIDATES]
+            self._candidates_by_shard[number] = [
                 None if entry.instance_id == self._own_id else entry
                 for entry in first
             ]
-        return self._ranked[number]
+        return self._candidates_by_shard[number]
 
 
-class _Avoided:
+class _Cooldowns:
     """Entries that are not asked for a while."""
 
     def __init__(self, clock: clock_lib.Clock, seconds: float):
         self._clock = clock
-        self._seconds = seconds
-        self._until: dict[str, float] = {}
+        self._duration_s = seconds
+        self._expires_at: dict[str, float] = {}
 
-    def add(self, name: str) -> None:
+    def start(self, name: str) -> None:
         now = self._clock.now()
-        self._until = {n: t for n, t in self._until.items() if t > now}
-        self._until[name] = now + self._seconds
+        self._expires_at = {
+            n: t for n, t in self._expires_at.items() if t > now
+        }
+        self._expires_at[name] = now + self._duration_s
 
-    def is_in(self, name: str) -> bool:
-        return self._until.get(name, 0.0) > self._clock.now()
+    def is_active(self, name: str) -> bool:
+        return self._expires_at.get(name, 0.0) > self._clock.now()
--- a/src/clementinegw/requests/_claim_stream.py
+++ b/src/clementinegw/requests/_claim_stream.py
@@ -20,15 +20,15 @@
       fold: The winners as far as the stream was read.
     """
 
-    _PAGE = 500
+    _PAGE_RECORDS = 500
 
     def __init__(
         self,
-        number: int,
+        shard_number: int,
         log_client: platform_log.LogClient,
         horizon: claim_lib.Horizon,
-        call_s: float,
-        again_s: float,
+        call_timeout_s: float,
+        retry_interval_s: float,
         clock: clock_lib.Clock,
         log: logs.Log,
         counters: counters_lib.Counters,
@@ -36,38 +36,42 @@
         """Starts without knowing the stream.
 
         Args:
-          number: Which shard.
+          shard_number: Which shard.
           log_client: The platform's log.
           horizon: How far back claims are remembered.
-          call_s: How long a call of the log may take, in seconds.
-          again_s: How long to wait before a call is repeated, in seconds.
+          call_timeout_s: How long a call of the log may take, in seconds.
+          retry_interval_s: The delay before a call is retried, in seconds.
           clock: The source of time.
           log: Where events go.
           counters: Where a stream that goes back is counted.
         """
-        self.fold = claim_lib.Fold(horizon)
-        self._number = number
-        self._name = claim_lib.stream_of(number)
+        self.table = claim_lib.ClaimTable(horizon)
+        self._shard_number = shard_number
+        self._stream_name = claim_lib.stream_name(shard_number)
         self._log_client = log_client
         self._horizon = horizon
-        self._call_s = call_s
-        self._again_s = again_s
+        self._call_timeout_s = call_timeout_s
+        self._retry_interval_s = retry_interval_s
         self._clock = clock
         self._log = log
         self._counters = counters
         self._position = 0
-        self._since = 0.0
+        self._complete_since = 0.0
 
     @property
-    def begun(self) -> bool:
+    def has_read(self) -> bool:
         """Whether any of it has been read."""
         return self._position > 0
 
     def verdict(self, claim: ttypes.Claim) -> ttypes.ClaimReply | None:
         """Says what a claim meets; None when its key is free."""
-        return self.fold.verdict(claim, self._clock.wall(), self._since)
+        return self.table.verdict(
+            claim, self._clock.wall(), self._complete_since
+        )
 
-    async def take_own(self, offset: int, batch: ttypes.ClaimBatch) -> None:
+    async def apply_appended(
+        self, offset: int, batch: ttypes.ClaimBatch
+    ) -> None:
         """Folds the stream up to a record that was appended here.
 
         Args:
@@ -79,11 +83,11 @@
             be read.
         """
         if offset < self._position:
-            self._go_back(offset)
+            self._handle_rollback(offset)
         if offset == self._position and not _has_leases(batch):
             # Nobody else has appended since. The time of a lease must be the
             # log's own, or two owners could disagree whether it has lapsed.
-            self._take(offset, self._clock.wall(), batch)
+            self._apply(offset, self._clock.wall(), batch)
         else:
             await self.read(offset)
 
@@ -91,29 +95,29 @@
         """Folds the stream up to its end, or to an offset."""
         began = self._position == 0
         if began:
-            await self._begin()
+            await self._seek_start()
         while offset is None or self._position <= offset:
-            page = await self._page(self._position)
+            page = await self._read_page(self._position)
             self._check_page(page)
             for record in page.records:
-                self._take_record(record)
+                self._apply_record(record)
             if not page.records:
                 self._position = max(self._position, page.next_offset)
                 break
         if began:
             self._log.write(
                 _claim_events.SHARD_READ,
-                shard=self._number,
-                claims=len(self.fold),
+                shard=self._shard_number,
+                claims=len(self.table),
             )
 
-    async def _begin(self) -> None:
-        page = await self._page(0)
+    async def _seek_start(self) -> None:
+        page = await self._read_page(0)
         self._position = await self._find_start(page)
         if page.first_offset > 1:
             # Records have expired: of keys older than the first that is kept
             # nothing can be said.
-            self._since = self._known_since(page)
+            self._complete_since = self._page_complete_since(page)
 
     async def _find_start(self, page: platform_log.Page) -> int:
         """Returns the first offset that may be within the horizon.
@@ -121,52 +125,62 @@
         The log may keep records for days. Read from its beginning, a shard
         whose owner has died would refuse claims for that long.
         """
-        oldest = self._clock.wall() - self._horizon.kept_s
+        oldest = self._clock.wall() - self._horizon.retention_s
         low, high = max(1, page.first_offset), page.next_offset
-        while high - low > self._PAGE:
+        while high - low > self._PAGE_RECORDS:
             middle = (low + high) // 2
-            records = (await self._page(middle, 1)).records
+            records = (await self._read_page(middle, 1)).records
             if not records or records[0].time >= oldest:
                 high = middle
             else:
                 low = records[0].offset + 1
         return low
 
-    async def _page(self, offset: int, limit: int = _PAGE) -> platform_log.Page:
+    async def _read_page(
+        self, offset: int, limit: int = _PAGE_RECORDS
+    ) -> platform_log.Page:
         try:
             try:
-                return await self._page_once(offset, limit)
+                return await self._try_read_page(offset, limit)
             except exceptions.PlatformUnavailable:
-                await asyncio.sleep(self._again_s)
-                return await self._page_once(offset, limit)
+                await asyncio.sleep(self._retry_interval_s)
+                return await self._try_read_page(offset, limit)
         except TimeoutError as error:
             raise exceptions.PlatformUnavailable("no answer in time") from error
 
-    async def _page_once(self, offset: int, limit: int) -> platform_log.Page:
-        async with asyncio.timeout(self._call_s):
-            return await self._log_client.read(self._name, offset, limit)
+    async def _try_read_page(
+        self, offset: int, limit: int
+    ) -> platform_log.Page:
+        async with asyncio.timeout(self._call_timeout_s):
+            return await self._log_client.read(self._stream_name, offset, limit)
 
-    def _known_since(self, page: platform_log.Page) -> float:
+    def _page_complete_since(self, page: platform_log.Page) -> float:
         oldest = page.records[0].time if page.records else self._clock.wall()
-        return oldest + self._horizon.margin_s
+        return oldest + self._horizon.max_clock_skew_s
 
     def _check_page(self, page: platform_log.Page) -> None:
         if page.next_offset < self._position:
-            self._go_back(page.next_offset)
+            self._handle_rollback(page.next_offset)
         elif page.first_offset > self._position:
-            self._since = max(self._since, self._known_since(page))
+            self._complete_since = max(
+                self._complete_since, self._page_complete_since(page)
+            )
             self._position = page.first_offset
 
-    def _go_back(self, offset: int) -> None:
+    def _handle_rollback(self, offset: int) -> None:
         # A restored, older log gives offsets out again. What was claimed in
         # the part that is gone is known to those who read it only; a new owner
         # would let such a key run a second time.
-        self._log.write(_claim_events.STREAM_WENT_BACK, shard=self._number)
+        self._log.write(
+            _claim_events.STREAM_WENT_BACK, shard=self._shard_number
+        )
         self._counters.add("claims.stream_went_back")
-        self._since = self._clock.wall() + self._horizon.margin_s
+        self._complete_since = (
+            self._clock.wall() + self._horizon.max_clock_skew_s
+        )
         self._position = offset
 
-    def _take_record(self, record: platform_log.Record) -> None:
+    def _apply_record(self, record: platform_log.Record) -> None:
         if record.offset < self._position:
             return
         try:
@@ -177,10 +191,12 @@
             )
             self._position = record.offset + 1
             return
-        self._take(record.offset, record.time, batch)
+        self._apply(record.offset, record.time, batch)
 
-    def _take(self, offset: int, time: float, batch: ttypes.ClaimBatch) -> None:
-        self.fold.apply(offset, time, batch)
+    def _apply(
+        self, offset: int, time: float, batch: ttypes.ClaimBatch
+    ) -> None:
+        self.table.apply(offset, time, batch)
         self._position = offset + 1
 
 
--- a/src/clementinegw/requests/_claim_kept.py
+++ b/src/clementinegw/requests/_held_claims.py
@@ -8,7 +8,7 @@
 from clementinegw import types
 
 
-class State(enum.Enum):
+class HeldClaimState(enum.Enum):
     """Where a claim of this entry stands."""
 
     OPEN = "open"
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
+class HeldClaim:
     """One claim of this entry.
 
     Attributes:
@@ -38,10 +38,10 @@
     fingerprint: bytes
     key_time_ms: int
     done: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
-    state: State = State.OPEN
+    state: HeldClaimState = HeldClaimState.OPEN
     answer: types.Answered | None = None
 
-    def fits(self, fingerprint: bytes, key_time_ms: int) -> bool:
+    def matches(self, fingerprint: bytes, key_time_ms: int) -> bool:
         """Whether another request with the key is a repetition."""
         return (
             self.fingerprint == fingerprint and self.key_time_ms == key_time_ms
@@ -51,21 +51,21 @@
 class HeldClaims:
     """This entry's claims by key; answers are kept in bounded memory."""
 
-    _OVERHEAD_BYTES = 1024
+    _CLAIM_OVERHEAD_BYTES = 1024
 
-    def __init__(self, memory_bytes: int, answer_bytes: int):
+    def __init__(self, max_memory_bytes: int, max_answer_bytes: int):
         """Starts empty.
 
         Args:
-          memory_bytes: For ended claims and their answers together.
-          answer_bytes: The largest answer that is kept.
+          max_memory_bytes: For ended claims and their answers together.
+          max_answer_bytes: The largest answer that is kept.
         """
-        self._memory_bytes = memory_bytes
-        self._answer_bytes = answer_bytes
-        self._held: dict[bytes, Held] = {}
-        self._by_request: dict[str, Held] = {}
+        self._max_memory_bytes = max_memory_bytes
+        self._max_answer_bytes = max_answer_bytes
+        self._held: dict[bytes, HeldClaim] = {}
+        self._by_request: dict[str, HeldClaim] = {}
         # Ended claims, oldest first, and the memory each takes.
-        self._ended: collections.OrderedDict[bytes, int] = (
+        self._ended_bytes: collections.OrderedDict[bytes, int] = (
             collections.OrderedDict()
         )
         self._used_bytes = 0
@@ -75,59 +75,64 @@
         """Memory that ended claims take, by estimate."""
         return self._used_bytes
 
-    def resize(self, memory_bytes: int, answer_bytes: int) -> None:
+    def resize(self, max_memory_bytes: int, max_answer_bytes: int) -> None:
         """Takes other bounds from the next answer on."""
-        self._memory_bytes = memory_bytes
-        self._answer_bytes = answer_bytes
+        self._max_memory_bytes = max_memory_bytes
+        self._max_answer_bytes = max_answer_bytes
 
-    def find(self, key: bytes) -> Held | None:
+    def get(self, key: bytes) -> HeldClaim | None:
         """Returns this entry's claim of a key."""
         return self._held.get(key)
 
-    def open(self, held: Held) -> None:
+    def add(self, held: HeldClaim) -> None:
         """Enters a claim before it is asked for."""
         self._held[held.key] = held
         self._by_request[held.request_id] = held
 
-    def drop(self, held: Held) -> None:
+    def discard(self, held: HeldClaim) -> None:
         """Forgets a claim that was not won."""
-        held.state = State.NOT_RUN
+        held.state = HeldClaimState.NOT_RUN
         held.done.set()
-        self._forget(held)
+        self._remove(held)
 
-    def settle(self, request_id: str, outcome: types.Outcome) -> Held | None:
+    def settle(
+        self, request_id: str, outcome: types.Outcome
+    ) -> HeldClaim | None:
         """Notes how a claimed request ended.
 
         Returns:
           Its claim; None when this entry holds none for the request.
         """
         held = self._by_request.get(request_id)
-        if held is None or held.state is not State.OPEN:
+        if held is None or held.state is not HeldClaimState.OPEN:
             return None
         if isinstance(outcome, types.NotRun):
-            self.drop(held)
+            self.discard(held)
             return held
-        held.state = State.UNKNOWN
+        held.state = HeldClaimState.UNKNOWN
         if isinstance(outcome, types.Answered):
-            held.state = State.ANSWERED
-            if len(outcome.body) <= self._answer_bytes:
+            held.state = HeldClaimState.ANSWERED
+            if len(outcome.body) <= self._max_answer_bytes:
                 held.answer = outcome
-        self._keep(held)
+        self._retain(held)
         held.done.set()
         return held
 
-    def _keep(self, held: Held) -> None:
-        size = self._OVERHEAD_BYTES
+    def _retain(self, held: HeldClaim) -> None:
+        size = self._CLAIM_OVERHEAD_BYTES
         if held.answer is not None:
             size += len(held.answer.body)
-        self._ended[held.key] = size
+        self._ended_bytes[held.key] = size
         self._used_bytes += size
-        while self._used_bytes > self._memory_bytes and len(self._ended) > 1:
-            oldest = next(iter(self._ended))
-            self._forget(self._held[oldest])
-
-    def _forget(self, held: Held) -> None:
+        while (
+            self._used_bytes > self._max_memory_bytes
+            and len(self._ended_bytes) > 1
+        ):
+            oldest = next(iter(self._ended_bytes))
+            self._remove(self._held[oldest])
+
+    def _remove(self, held: HeldClaim) -> None:
         if self._held.get(held.key) is held:
             del self._held[held.key]
-            self._used_bytes -= self._ended.pop(held.key, 0)
+            self._used_bytes -= self._ended_bytes.pop(held.key, 0)
         self._by_request.pop(held.request_id, None)
--- a/src/clementinegw/requests/_absent.py
+++ b/src/clementinegw/requests/_null_filters.py
@@ -4,7 +4,7 @@
 from clementinegw.requests import types as request_types
 
 Request = request_types.Request
-_RETRY_S = 1.0
+_RETRY_AFTER_S = 1.0
 
 
 class NoClaims:
@@ -13,7 +13,7 @@
     async def claim(self, request: Request) -> request_types.ClaimResult:
         """Refuses: without a log there is no claim."""
         return request_types.ClaimRefused(
-            types.NotRun(types.NotRunReason.LOG_UNAVAILABLE, _RETRY_S)
+            types.NotRun(types.NotRunReason.LOG_UNAVAILABLE, _RETRY_AFTER_S)
         )
 
     def settle(self, request: Request, outcome: types.Outcome) -> None:
--- a/src/clementinegw/requests/claim.py
+++ b/src/clementinegw/requests/claim.py
@@ -25,10 +25,10 @@
     r"[0-9a-f]{12}$",
     re.IGNORECASE,
 )
-_MS = 1000.0
+_MS_PER_S = 1000.0
 
 
-def key_hash(service: str, customer: str, key: str) -> bytes:
+def hash_key(service: str, customer: str, key: str) -> bytes:
     """Returns 16 bytes that stand for one customer's key at one service."""
     hasher = blake3.blake3()
     for part in (service, customer, key):
@@ -38,17 +38,17 @@
     return hasher.digest(length=HASH_BYTES)
 
 
-def shard_of(key: bytes, shards: int) -> int:
+def shard_number(key: bytes, shards: int) -> int:
     """Returns the shard that a hashed key belongs to."""
     return int.from_bytes(key[:8], "big") % shards
 
 
-def stream_of(shard: int) -> str:
+def stream_name(shard: int) -> str:
     """Returns the name of a shard's stream."""
     return f"claims-{shard}"
 
 
-def key_time_ms(key: str, headers: tuple[tuple[str, str], ...]) -> int:
+def parse_key_time_ms(key: str, headers: tuple[tuple[str, str], ...]) -> int:
     """Returns when a key was first used, as its caller dates it.
 
     A key that is a UUID of version 7 carries the time; any other is dated by
@@ -62,14 +62,14 @@
     """
     for name, value in headers:
         if name.lower() == KEY_TIME_HEADER:
-            return _parse_time(value)
+            return _parse_key_time_header(value)
     match = _UUID7.match(key)
     return int(match[1] + match[2], 16) if match else 0
 
 
-def _parse_time(value: str) -> int:
+def _parse_key_time_header(value: str) -> int:
     try:
-        time_ms = int(float(value) * _MS)
+        time_ms = int(float(value) * _MS_PER_S)
     except (ValueError, OverflowError):
         time_ms = -1
     if time_ms <= 0:
@@ -79,7 +79,7 @@
     return time_ms
 
 
-class End(enum.IntEnum):
+class ClaimStatus(enum.IntEnum):
     """How a claim ended, as far as the log says."""
 
     OPEN = 0
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Holding:
+class WinningClaim:
     """The winning claim of a key.
 
     Attributes:
@@ -99,7 +99,7 @@
       key_time_ms: The key's date; 0 for an undated key.
       use_ms: Its holder hands over within this time of asking.
       lease: Whether it is free again after that time.
-      end: How it ended.
+      status: How it ended.
       holder: Who may use it.
     """
 
@@ -110,12 +110,12 @@
     key_time_ms: int
     use_ms: int
     lease: bool
-    end: End
+    status: ClaimStatus
     holder: str
 
-    def lapsed(self, time: float, margin_s: float) -> bool:
+    def has_lapsed(self, time: float, max_clock_skew_s: float) -> bool:
         """Whether its holder cannot hand anything over any more."""
-        return time > self.time + self.use_ms / _MS + margin_s
+        return time > self.time + self.use_ms / _MS_PER_S + max_clock_skew_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -123,27 +123,27 @@
     """How far back claims are known.
 
     Attributes:
-      seconds: Keys dated before this age are refused.
-      margin_s: By how much clocks of callers, entries and the log may differ.
+      max_key_age_s: Keys dated before this age are refused.
+      max_clock_skew_s: How far clocks of callers, entries and the log differ.
     """
 
-    seconds: float = 3600.0
-    margin_s: float = 60.0
+    max_key_age_s: float = 3600.0
+    max_clock_skew_s: float = 60.0
 
     @property
-    def kept_s(self) -> float:
+    def retention_s(self) -> float:
         """How long a claim is remembered by the log's time."""
-        return self.seconds + 2 * self.margin_s
+        return self.max_key_age_s + 2 * self.max_clock_skew_s
 
 
-class Fold:
+class ClaimTable:
     """The winners of one shard, folded from its records in order.
 
     A winner takes about 200 bytes: its fields are packed, because at the
     target size an owner knows tens of thousands of them.
     """
 
-    _PACKED = struct.Struct(">16s16sqdqiBBH")
+    _WINNER_FORMAT = struct.Struct(">16s16sqdqiBBH")
 
     def __init__(self, horizon: Horizon):
         """Starts empty.
@@ -153,7 +153,7 @@
         """
         self._horizon = horizon
         self._winners: dict[bytes, bytes] = {}
-        self._void: dict[bytes, float] = {}
+        self._released: dict[bytes, float] = {}
         self._holders: list[str] = []
         self._holder_numbers: dict[str, int] = {}
 
@@ -170,58 +170,62 @@
         """
         self._prune(time)
         for end in batch.ends:
-            self._end(end, time)
+            self._apply_end(end, time)
         for claim in batch.claims:
-            self._claim(claim, offset, time)
+            self._apply_claim(claim, offset, time)
 
-    def find(self, key: bytes) -> Holding | None:
+    def find(self, key: bytes) -> WinningClaim | None:
         """Returns the winning claim of a key; None when it is free."""
         packed = self._winners.get(key)
         return None if packed is None else self._unpack(packed)
 
-    def is_void(self, claim_id: bytes) -> bool:
+    def is_released(self, claim_id: bytes) -> bool:
         """Whether the claim's holder has given it up for good."""
-        return claim_id in self._void
+        return claim_id in self._released
 
     def verdict(
-        self, claim: ttypes.Claim, time: float, since: float
+        self, claim: ttypes.Claim, time: float, complete_since: float
     ) -> ttypes.ClaimReply | None:
         """Says what a claim meets.
 
         Args:
           claim: The claim, appended or not.
           time: Epoch seconds.
-          since: From when on every claim is known, epoch seconds.
+          complete_since: From when on every claim is known, epoch seconds.
 
         Returns:
           What its holder is told; None when its key is free.
         """
         verdicts = ttypes.ClaimVerdict
-        if claim.claim_id in self._void:
+        if claim.claim_id in self._released:
             return ttypes.ClaimReply(verdict=verdicts.VOID)
-        if _is_before(claim, since):
+        if _is_dated_before(claim, complete_since):
             return ttypes.ClaimReply(verdict=verdicts.EXPIRED)
         held = self.find(claim.key)
         if held is not None and held.claim_id == claim.claim_id:
             return ttypes.ClaimReply(verdict=verdicts.WON, offset=held.offset)
-        if _is_before(claim, time - self._horizon.seconds):
+        if _is_dated_before(claim, time - self._horizon.max_key_age_s):
             return ttypes.ClaimReply(verdict=verdicts.EXPIRED)
         if held is None:
             return None
-        if claim.lease and held.lapsed(time, self._horizon.margin_s):
+        if claim.lease and held.has_lapsed(
+            time, self._horizon.max_clock_skew_s
+        ):
             return None
         return ttypes.ClaimReply(
-            verdict=_met(claim, held),
+            verdict=_losing_verdict(claim, held),
             offset=held.offset,
             holder=held.holder,
-            retry_after_ms=self._left_ms(held, time),
+            retry_after_ms=self._retry_after_ms(held, time),
         )
 
-    def _left_ms(self, held: Holding, time: float) -> int:
-        until = held.time + held.use_ms / _MS + self._horizon.margin_s
-        return max(0, int((until - time) * _MS))
+    def _retry_after_ms(self, held: WinningClaim, time: float) -> int:
+        until = (
+            held.time + held.use_ms / _MS_PER_S + self._horizon.max_clock_skew_s
+        )
+        return max(0, int((until - time) * _MS_PER_S))
 
-    def _end(self, end: ttypes.ClaimEnd, time: float) -> None:
+    def _apply_end(self, end: ttypes.ClaimEnd, time: float) -> None:
         held = self.find(end.key)
         matches = held is not None and held.claim_id == end.claim_id
         if end.kind == ttypes.ClaimEndKind.RELEASED:
@@ -229,24 +233,28 @@
             # was lost can arrive after its holder has given up. Without this
             # mark such a late claim would block its key for the whole horizon
             # although nobody will ever run it.
-            self._void[end.claim_id] = time
+            self._released[end.claim_id] = time
             if matches:
                 del self._winners[end.key]
         elif held is not None and matches:
-            ended = dataclasses.replace(held, end=_ENDS[end.kind])
+            ended = dataclasses.replace(
+                held, status=_STATUS_BY_END_KIND[end.kind]
+            )
             self._winners[end.key] = self._pack(ended)
 
-    def _claim(self, claim: ttypes.Claim, offset: int, time: float) -> None:
-        if claim.claim_id in self._void:
+    def _apply_claim(
+        self, claim: ttypes.Claim, offset: int, time: float
+    ) -> None:
+        if claim.claim_id in self._released:
             return
         held = self.find(claim.key)
         if held is not None and not (
             held.lease
             and claim.lease
-            and held.lapsed(time, self._horizon.margin_s)
+            and held.has_lapsed(time, self._horizon.max_clock_skew_s)
         ):
             return
-        holding = Holding(
+        holding = WinningClaim(
             claim.claim_id,
             claim.fingerprint,
             offset,
@@ -254,7 +262,7 @@
             claim.key_time_ms,
             claim.use_ms,
             bool(claim.lease),
-            End.OPEN,
+            ClaimStatus.OPEN,
             claim.holder,
         )
         # Taken out first: the order of the table is the order of its times.
@@ -262,20 +270,20 @@
         self._winners[claim.key] = self._pack(holding)
 
     def _prune(self, time: float) -> None:
-        oldest = time - self._horizon.kept_s
+        oldest = time - self._horizon.retention_s
         while self._winners:
             key = next(iter(self._winners))
             if self._unpack(self._winners[key]).time >= oldest:
                 break
             del self._winners[key]
-        while self._void:
-            claim_id = next(iter(self._void))
-            if self._void[claim_id] >= oldest:
+        while self._released:
+            claim_id = next(iter(self._released))
+            if self._released[claim_id] >= oldest:
                 break
-            del self._void[claim_id]
+            del self._released[claim_id]
 
-    def _pack(self, holding: Holding) -> bytes:
-        return self._PACKED.pack(
+    def _pack(self, holding: WinningClaim) -> bytes:
+        return self._WINNER_FORMAT.pack(
             holding.claim_id,
             holding.fingerprint,
             holding.offset,
@@ -283,16 +291,16 @@
             holding.key_time_ms,
             holding.use_ms,
             holding.lease,
-            holding.end,
-            self._number(holding.holder),
+            holding.status,
+            self._holder_number(holding.holder),
         )
 
-    def _unpack(self, packed: bytes) -> Holding:
+    def _unpack(self, packed: bytes) -> WinningClaim:
         claim_id, fingerprint, offset, time, key_time_ms, use_ms, *rest = (
-            self._PACKED.unpack(packed)
+            self._WINNER_FORMAT.unpack(packed)
         )
         lease, end, holder = rest
-        return Holding(
+        return WinningClaim(
             claim_id,
             fingerprint,
             offset,
@@ -300,11 +308,11 @@
             key_time_ms,
             use_ms,
             bool(lease),
-            End(end),
+            ClaimStatus(end),
             self._holders[holder],
         )
 
-    def _number(self, holder: str) -> int:
+    def _holder_number(self, holder: str) -> int:
         number = self._holder_numbers.get(holder)
         if number is None:
             number = len(self._holders)
@@ -313,27 +321,31 @@
         return number
 
 
-_ENDS = {
-    ttypes.ClaimEndKind.RAN: End.RAN,
-    ttypes.ClaimEndKind.UNKNOWN: End.UNKNOWN,
+_STATUS_BY_END_KIND = {
+    ttypes.ClaimEndKind.RAN: ClaimStatus.RAN,
+    ttypes.ClaimEndKind.UNKNOWN: ClaimStatus.UNKNOWN,
 }
 
-_MET = {
-    End.OPEN: ttypes.ClaimVerdict.HELD,
-    End.RAN: ttypes.ClaimVerdict.RAN,
-    End.UNKNOWN: ttypes.ClaimVerdict.UNKNOWN,
+_VERDICT_BY_STATUS = {
+    ClaimStatus.OPEN: ttypes.ClaimVerdict.HELD,
+    ClaimStatus.RAN: ttypes.ClaimVerdict.RAN,
+    ClaimStatus.UNKNOWN: ttypes.ClaimVerdict.UNKNOWN,
 }
 
 
-def _is_before(claim: ttypes.Claim, time: float) -> bool:
-    return 0 < claim.key_time_ms < time * _MS
+def _is_dated_before(claim: ttypes.Claim, time: float) -> bool:
+    return 0 < claim.key_time_ms < time * _MS_PER_S
 
 
-def _met(claim: ttypes.Claim, held: Holding) -> ttypes.ClaimVerdict:
+def _losing_verdict(
+    claim: ttypes.Claim, held: WinningClaim
+) -> ttypes.ClaimVerdict:
     # A caller that dates each repetition anew would walk past the horizon
     # unseen; the first repetition tells it.
     same = (
         held.fingerprint == claim.fingerprint
         and held.key_time_ms == claim.key_time_ms
     )
-    return _MET[held.end] if same else ttypes.ClaimVerdict.REUSED
+    return (
+        _VERDICT_BY_STATUS[held.status] if same else ttypes.ClaimVerdict.REUSED
+    )
--- a/src/clementinegw/requests/claims_service.py
+++ b/src/clementinegw/requests/claims_service.py
@@ -10,12 +10,12 @@
 from clementinegw import clock as clock_lib
 from clementinegw import types
 from clementinegw.platform import log as platform_log
-from clementinegw.requests import _claim_ends
-from clementinegw.requests import _claim_holders
-from clementinegw.requests import _claim_kept
+from clementinegw.requests import _claim_end_queue
+from clementinegw.requests import _claim_outcome_resolver
 from clementinegw.requests import _claim_outcomes as outcomes
 from clementinegw.requests import _claim_owners
 from clementinegw.requests import _claim_shard
+from clementinegw.requests import _held_claims
 from clementinegw.requests import claim as claim_lib
 from clementinegw.requests import types as request_types
 from clementinegw.telemetry import counters as counters_lib
@@ -27,7 +27,7 @@
 Kind = connection_lib.Kind
 Timing = _claim_shard.Timing
 Verdict = ttypes.ClaimVerdict
-_MS = 1000.0
+_MS_PER_S = 1000.0
 _LEASE_PREFIX = "lease\0"
 
 
@@ -37,25 +37,25 @@
 
     Attributes:
       horizon: How far back claims are remembered.
-      kept_bytes: Memory for kept answers.
-      answer_bytes: The largest answer that is kept.
-      ask_s: How long one owner of a shard may take, in seconds.
-      again_s: Between two tries of a claim whose holder released it.
-      follow_s: How long the log may take to tell of that release.
-      flush_s: Within which ends of claims are handed on; releases at once.
-      stop_s: How long a service that stops may take to hand on ends.
-      ends: Ends of claims that wait at most.
+      max_memory_bytes: Memory for kept answers.
+      max_answer_bytes: The largest answer that is kept.
+      call_timeout_s: How long one owner of a shard may take, in seconds.
+      claim_retry_interval_s: Between two tries of a claim that was released.
+      release_wait_s: How long the log may take to tell of that release.
+      flush_interval_s: Within which ends are sent on; releases go at once.
+      stop_timeout_s: How long a service that stops may take to hand on ends.
+      max_pending_ends: Ends of claims that wait at most.
     """
 
     horizon: claim_lib.Horizon = claim_lib.Horizon()
-    kept_bytes: int = 8 << 20
-    answer_bytes: int = 65_536
-    ask_s: float = 1.3
-    again_s: float = 0.1
-    follow_s: float = 1.0
-    flush_s: float = 0.25
-    stop_s: float = 2.0
-    ends: int = 10_000
+    max_memory_bytes: int = 8 << 20
+    max_answer_bytes: int = 65_536
+    call_timeout_s: float = 1.3
+    claim_retry_interval_s: float = 0.1
+    release_wait_s: float = 1.0
+    flush_interval_s: float = 0.25
+    stop_timeout_s: float = 2.0
+    max_pending_ends: int = 10_000
 
 
 class ClaimsService(mode.Service):
@@ -97,39 +97,39 @@
             lambda: secrets.token_bytes(claim_lib.HASH_BYTES)
         )
         self._shards: dict[int, _claim_shard.Shard] = {}
-        self._held = _claim_kept.HeldClaims(
-            self._limits.kept_bytes, self._limits.answer_bytes
+        self._held_claims = _held_claims.HeldClaims(
+            self._limits.max_memory_bytes, self._limits.max_answer_bytes
         )
-        self._wire(endpoint, entries)
+        self._set_up(endpoint, entries)
 
-    def _wire(
+    def _set_up(
         self,
         endpoint: connection_lib.Endpoint,
         entries: Callable[[], Sequence[types.Instance]],
     ) -> None:
-        self._owners = _claim_owners.Owners(
+        self._owner_client = _claim_owners.OwnerClient(
             endpoint.identity.instance_id,
             entries,
             endpoint,
-            self._shard,
+            self._get_shard,
             self._clock,
             self._counters,
-            self._limits.ask_s,
+            self._limits.call_timeout_s,
         )
-        self._holders = _claim_holders.Holders(
+        self._outcome_resolver = _claim_outcome_resolver.OutcomeResolver(
             endpoint.identity,
-            self._held,
-            self._owners,
+            self._held_claims,
+            self._owner_client,
             self._clock,
-            self._limits.ask_s,
+            self._limits.call_timeout_s,
         )
-        self._ends = _claim_ends.Ends(
-            self._owners,
+        self._end_queue = _claim_end_queue.EndQueue(
+            self._owner_client,
             self._counters,
-            self._limits.flush_s,
-            self._limits.ends,
+            self._limits.flush_interval_s,
+            self._limits.max_pending_ends,
         )
-        endpoint.on_call(Kind.CLAIM_ASK, self._on_ask)
+        endpoint.on_call(Kind.CLAIM_ASK, self._on_call)
 
     def apply(self, limits: Limits, timing: Timing) -> None:
         """Takes over changed bounds from the settings."""
@@ -137,7 +137,9 @@
             return
         self._limits = limits
         self._timing = timing
-        self._held.resize(limits.kept_bytes, limits.answer_bytes)
+        self._held_claims.resize(
+            limits.max_memory_bytes, limits.max_answer_bytes
+        )
         # A longer horizon needs claims that were forgotten: each shard is read
         # anew when it is next asked; the old readers finish what they have.
         self._shards = {}
@@ -145,10 +147,10 @@
     async def on_stop(self) -> None:
         """Hands on what has ended; a key whose end is lost stays taken."""
         try:
-            async with asyncio.timeout(self._limits.stop_s):
-                await self._ends.flush()
+            async with asyncio.timeout(self._limits.stop_timeout_s):
+                await self._end_queue.flush()
         except TimeoutError:
-            self._counters.add("claims.ends_dropped", len(self._ends))
+            self._counters.add("claims.ends_dropped", len(self._end_queue))
         for shard in self._shards.values():
             shard.close()
 
@@ -157,13 +159,15 @@
     ) -> request_types.ClaimResult:
         """Claims the request's key; see `requests.types.Claims`."""
         try:
-            key_time_ms = claim_lib.key_time_ms(request.key, request.headers)
+            key_time_ms = claim_lib.parse_key_time_ms(
+                request.key, request.headers
+            )
         except ValueError as error:
             return outcomes.refused(
                 types.NotRunReason.BAD_REQUEST, None, str(error)
             )
-        latest = self._clock.wall() + self._limits.horizon.margin_s
-        if key_time_ms > latest * _MS:
+        latest = self._clock.wall() + self._limits.horizon.max_clock_skew_s
+        if key_time_ms > latest * _MS_PER_S:
             return outcomes.refused(
                 types.NotRunReason.BAD_REQUEST,
                 None,
@@ -173,30 +177,36 @@
         # Callers that the settings do not name share one customer; their keys
         # must not meet, or one would be given another's kept answer.
         caller = request.caller or request.customer
-        key = claim_lib.key_hash(request.service, caller, request.key)
-        until = min(request.deadline, self._clock.now() + self._limits.follow_s)
+        key = claim_lib.hash_key(request.service, caller, request.key)
+        until = min(
+            request.deadline, self._clock.now() + self._limits.release_wait_s
+        )
         while True:
-            held = self._held.find(key)
+            held = self._held_claims.get(key)
             if held is not None:
-                result = await self._holders.join(held, request, key_time_ms)
+                result = await self._outcome_resolver.resolve_local(
+                    held, request, key_time_ms
+                )
             else:
                 result = await self._claim(request, key, key_time_ms)
             if result is not None:
                 return result
-            if self._clock.now() + self._limits.again_s >= until:
+            if self._clock.now() + self._limits.claim_retry_interval_s >= until:
                 return outcomes.claim_lost()
-            await asyncio.sleep(self._limits.again_s)
+            await asyncio.sleep(self._limits.claim_retry_interval_s)
 
     def settle(
         self, request: request_types.Request, outcome: types.Outcome
     ) -> None:
         """Tells how a claimed request ended; see `requests.types.Claims`."""
-        held = self._held.settle(request.request_id, outcome)
+        held = self._held_claims.settle(request.request_id, outcome)
         if held is not None:
             self._counters.add(f"claims.settled.{held.state.value}")
-            self._ends.add(held.key, held.claim_id, outcomes.ENDS[held.state])
+            self._end_queue.add(
+                held.key, held.claim_id, outcomes.END_KIND_BY_STATE[held.state]
+            )
 
-    async def turn(
+    async def acquire_lease(
         self, name: bytes, use_s: float
     ) -> request_types.Turn | None:
         """Takes the only turn in the fleet for something, for a while.
@@ -208,27 +218,29 @@
         Returns:
           The turn; None when another entry has it or the log is down.
         """
-        key = claim_lib.key_hash("", "", _LEASE_PREFIX + name.hex())
+        key = claim_lib.hash_key("", "", _LEASE_PREFIX + name.hex())
         claim = ttypes.Claim(
             claim_id=self._new_id(),
             key=key,
             fingerprint=name,
-            holder=self._holders.name,
+            holder=self._outcome_resolver.holder_name,
             key_time_ms=0,
-            use_ms=int(use_s * _MS),
+            use_ms=int(use_s * _MS_PER_S),
             lease=True,
         )
         until = self._clock.now() + use_s
-        reply = await self._ask_owner(claim, until)
+        reply = await self._call_owner(claim, until)
         if reply.verdict == Verdict.WON and self._clock.now() < until:
             return request_types.Turn(key, claim.claim_id, until)
-        if reply.verdict not in _DECIDED:
-            self._ends.release(claim)
+        if reply.verdict not in _FINAL_VERDICTS:
+            self._end_queue.release(claim)
         return None
 
-    def end_turn(self, turn: request_types.Turn) -> None:
+    def release_lease(self, turn: request_types.Turn) -> None:
         """Gives a turn back."""
-        self._ends.add(turn.key, turn.claim_id, ttypes.ClaimEndKind.RELEASED)
+        self._end_queue.add(
+            turn.key, turn.claim_id, ttypes.ClaimEndKind.RELEASED
+        )
 
     async def _claim(
         self, request: request_types.Request, key: bytes, key_time_ms: int
@@ -243,62 +255,64 @@
             claim_id=self._new_id(),
             key=key,
             fingerprint=request.fingerprint,
-            holder=self._holders.name,
+            holder=self._outcome_resolver.holder_name,
             key_time_ms=key_time_ms,
-            use_ms=int(left_s * _MS),
+            use_ms=int(left_s * _MS_PER_S),
             lease=False,
         )
-        held = _claim_kept.Held(
+        held = _held_claims.HeldClaim(
             key,
             claim.claim_id,
             request.request_id,
             request.fingerprint,
             key_time_ms,
         )
-        self._held.open(held)
+        self._held_claims.add(held)
         won = False
         verdict = None
         try:
-            reply = await self._ask_owner(claim, request.deadline)
+            reply = await self._call_owner(claim, request.deadline)
             verdict = reply.verdict
             in_time = self._clock.now() < request.deadline
             won = verdict == Verdict.WON and in_time
         finally:
             # Also when the caller went away meanwhile.
             if not won:
-                self._held.drop(held)
-            if not won and verdict not in _DECIDED:
-                self._ends.release(claim)
+                self._held_claims.discard(held)
+            if not won and verdict not in _FINAL_VERDICTS:
+                self._end_queue.release(claim)
         if won:
             return request_types.ClaimWon(reply.offset)
         if reply.verdict == Verdict.WON:
             return outcomes.refused(types.NotRunReason.DEADLINE, None)
-        return await self._lost(request, claim, reply)
+        return await self._resolve_loss(request, claim, reply)
 
-    async def _ask_owner(
+    async def _call_owner(
         self, claim: ttypes.Claim, deadline: float
     ) -> ttypes.ClaimReply:
-        number = claim_lib.shard_of(claim.key, claim_lib.SHARDS)
-        reply = await self._owners.claim(number, claim, deadline)
-        self._counters.add(f"claims.verdict.{_name(reply.verdict)}")
+        number = claim_lib.shard_number(claim.key, claim_lib.SHARDS)
+        reply = await self._owner_client.claim(number, claim, deadline)
+        self._counters.add(f"claims.verdict.{_verdict_name(reply.verdict)}")
         return reply
 
-    async def _lost(
+    async def _resolve_loss(
         self,
         request: request_types.Request,
         claim: ttypes.Claim,
         reply: ttypes.ClaimReply,
     ) -> request_types.ClaimResult | None:
-        refusal = outcomes.REFUSALS.get(reply.verdict)
+        refusal = outcomes.REFUSAL_BY_VERDICT.get(reply.verdict)
         if refusal is not None:
             reason, detail = refusal
-            retry_after_s = (reply.retry_after_ms or 0) / _MS or None
+            retry_after_s = (reply.retry_after_ms or 0) / _MS_PER_S or None
             return outcomes.refused(reason, retry_after_s, detail)
         if reply.verdict == Verdict.VOID:
             return None
-        return await self._holders.follow(request, claim, reply)
+        return await self._outcome_resolver.resolve_winner(
+            request, claim, reply
+        )
 
-    def _shard(self, number: int) -> _claim_shard.Shard:
+    def _get_shard(self, number: int) -> _claim_shard.Shard:
         shard = self._shards.get(number)
         if shard is None:
             shard = _claim_shard.Shard(
@@ -313,7 +327,7 @@
             self._shards[number] = shard
         return shard
 
-    async def _on_ask(
+    async def _on_call(
         self,
         connection: connection_lib.Connection,
         exchange: connection_lib.Exchange,
@@ -321,26 +335,26 @@
     ) -> None:
         del connection
         ask = codec.decode(ttypes.ClaimAsk, frame.body)
-        reply = await _OPERATIONS[ask.operation](self, ask)
+        reply = await _HANDLERS[ask.operation](self, ask)
         await exchange.send(Kind.CLAIM_REPLY, codec.encode(reply))
 
     async def _on_claim(self, ask: ttypes.ClaimAsk) -> ttypes.ClaimReply:
-        return await self._shard(ask.shard).claim(ask.claim)
+        return await self._get_shard(ask.shard).claim(ask.claim)
 
     async def _on_end(self, ask: ttypes.ClaimAsk) -> ttypes.ClaimReply:
-        return await self._shard(ask.shard).end(ask.ends or [])
+        return await self._get_shard(ask.shard).append_ends(ask.ends or [])
 
     async def _on_kept(self, ask: ttypes.ClaimAsk) -> ttypes.ClaimReply:
-        return await self._holders.tell(ask)
+        return await self._outcome_resolver.answer_query(ask)
 
     @mode.Service.task
-    async def _hand_on_ends(self) -> None:
+    async def _send_ends(self) -> None:
         """Brings ends of claims to the owners of their shards."""
-        await self._ends.run()
+        await self._end_queue.run()
 
 
 # The log has decided against the claim: it will never be used.
-_DECIDED = frozenset(
+_FINAL_VERDICTS = frozenset(
     {
         Verdict.HELD,
         Verdict.RAN,
@@ -351,12 +365,12 @@
     }
 )
 
-_OPERATIONS = {
+_HANDLERS = {
     ttypes.ClaimOperation.CLAIM: ClaimsService._on_claim,
     ttypes.ClaimOperation.END: ClaimsService._on_end,
     ttypes.ClaimOperation.KEPT: ClaimsService._on_kept,
 }
 
 
-def _name(verdict: ttypes.ClaimVerdict) -> str:
+def _verdict_name(verdict: ttypes.ClaimVerdict) -> str:
     return Verdict(verdict).name.lower()
--- a/src/clementinegw/requests/pipeline.py
+++ b/src/clementinegw/requests/pipeline.py
@@ -9,8 +9,8 @@
 
 from clementinegw import clock as clock_lib
 from clementinegw import types
-from clementinegw.requests import _absent
 from clementinegw.requests import _events
+from clementinegw.requests import _null_filters
 from clementinegw.requests import _run as run_lib
 from clementinegw.requests import fleet as fleet_lib
 from clementinegw.requests import lane as lane_lib
@@ -24,8 +24,8 @@
 from clementinegw.telemetry import logs
 
 Request = request_types.Request
-NoClaims = _absent.NoClaims
-NoSuspects = _absent.NoSuspects
+NoClaims = _null_filters.NoClaims
+NoSuspects = _null_filters.NoSuspects
 
 _BYTES_A_TOKEN = 4
 _RETRY_S = 1.0
--- a/src/clementinegw/requests/suspect.py
+++ b/src/clementinegw/requests/suspect.py
@@ -12,8 +12,8 @@
 from clementinegw.requests import types as request_types
 from clementinegw.wire.gen.requests import ttypes
 
-_REFUSE_AT = 2
-_MS = 1000.0
+_CRASHES_TO_REFUSE = 2
+_MS_PER_S = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -21,12 +21,12 @@
     """How long and how much is remembered.
 
     Attributes:
-      keep_s: Seconds a finding lasts after its latest crash.
-      fingerprints: Findings remembered at most.
+      retention_s: Seconds a finding lasts after its latest crash.
+      max_fingerprints: Findings remembered at most.
     """
 
-    keep_s: float = 86_400.0
-    fingerprints: int = 10_000
+    retention_s: float = 86_400.0
+    max_fingerprints: int = 10_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,17 +45,17 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Finding:
+class _RequestRecord:
     """Crashes that a request was in flight at, with their times in seconds."""
 
     crashes: dict[CrashId, float] = dataclasses.field(default_factory=dict)
 
     @property
-    def latest(self) -> float:
+    def last_crash_at(self) -> float:
         return max(self.crashes.values())
 
 
-class Suspicions:
+class SuspectTracker:
     """What is held against requests, by fingerprint.
 
     Records may come twice and in any order: by the log, and sooner by notices.
@@ -68,84 +68,86 @@
           limits: How long and how much is remembered.
         """
         self._limits = limits or Limits()
-        self._findings: dict[bytes, _Finding] = {}
+        self._records: dict[bytes, _RequestRecord] = {}
         # When a request last completed, for crashes that are told late.
-        self._cleared: dict[bytes, float] = {}
+        self._completed_at: dict[bytes, float] = {}
 
     def __len__(self) -> int:
-        return len(self._findings)
+        return len(self._records)
 
-    def knows(self, fingerprint: bytes) -> bool:
+    def is_suspected(self, fingerprint: bytes) -> bool:
         """Whether anything is held against a request."""
-        return fingerprint in self._findings
+        return fingerprint in self._records
 
-    def crashed(self, report: ttypes.CrashReport) -> tuple[bytes, ...]:
+    def record_crash(self, report: ttypes.CrashReport) -> tuple[bytes, ...]:
         """Takes a crash.
 
         Returns:
           The fingerprints to which it was news.
         """
         crash = CrashId(report.instance_id, report.incarnation, report.sequence)
-        time = report.time_ms / _MS
+        time = report.time_ms / _MS_PER_S
         self._expire(time)
         news = []
         for fingerprint in report.fingerprints:
             # A completion that is younger than the crash has cleared it.
-            if self._cleared.get(fingerprint, 0.0) >= time:
+            if self._completed_at.get(fingerprint, 0.0) >= time:
                 continue
-            finding = self._findings.setdefault(fingerprint, _Finding())
+            finding = self._records.setdefault(fingerprint, _RequestRecord())
             if crash not in finding.crashes:
                 finding.crashes[crash] = time
                 news.append(fingerprint)
-        self._bound()
+        self._evict_excess()
         return tuple(news)
 
-    def cleared(self, message: ttypes.Cleared) -> None:
+    def record_completion(self, message: ttypes.Cleared) -> None:
         """Takes that requests completed."""
-        time = message.time_ms / _MS
+        time = message.time_ms / _MS_PER_S
         for fingerprint in message.fingerprints:
-            self._clear(fingerprint, time)
+            self._complete(fingerprint, time)
 
     def verdict(self, fingerprint: bytes) -> request_types.SuspectVerdict:
         """Returns how a request may run."""
-        finding = self._findings.get(fingerprint)
+        finding = self._records.get(fingerprint)
         if finding is None:
             return request_types.Clear()
-        if len(finding.crashes) >= _REFUSE_AT:
+        if len(finding.crashes) >= _CRASHES_TO_REFUSE:
             return request_types.Refuse()
         return request_types.RunAlone()
 
-    def _clear(self, fingerprint: bytes, time: float) -> None:
-        self._cleared.pop(fingerprint, None)
-        self._cleared[fingerprint] = time
-        while len(self._cleared) > self._limits.fingerprints:
-            del self._cleared[next(iter(self._cleared))]
-        finding = self._findings.get(fingerprint)
+    def _complete(self, fingerprint: bytes, time: float) -> None:
+        self._completed_at.pop(fingerprint, None)
+        self._completed_at[fingerprint] = time
+        while len(self._completed_at) > self._limits.max_fingerprints:
+            del self._completed_at[next(iter(self._completed_at))]
+        finding = self._records.get(fingerprint)
         if finding is None:
             return
         later = {c: t for c, t in finding.crashes.items() if t > time}
         finding.crashes = later
         if not later:
-            del self._findings[fingerprint]
+            del self._records[fingerprint]
 
     def _expire(self, time: float) -> None:
-        oldest = time - self._limits.keep_s
-        old = [f for f, it in self._findings.items() if it.latest < oldest]
+        oldest = time - self._limits.retention_s
+        old = [
+            f for f, it in self._records.items() if it.last_crash_at < oldest
+        ]
         for fingerprint in old:
-            del self._findings[fingerprint]
+            del self._records[fingerprint]
 
-    def _bound(self) -> None:
-        excess = len(self._findings) - self._limits.fingerprints
+    def _evict_excess(self) -> None:
+        excess = len(self._records) - self._limits.max_fingerprints
         if excess <= 0:
             return
         # Those that are refused go last: forgotten, they would crash two more
         # servers, while a mere suspect costs one.
         order = sorted(
-            self._findings,
+            self._records,
             key=lambda f: (
-                len(self._findings[f].crashes) >= _REFUSE_AT,
-                self._findings[f].latest,
+                len(self._records[f].crashes) >= _CRASHES_TO_REFUSE,
+                self._records[f].last_crash_at,
             ),
         )
         for fingerprint in order[:excess]:
-            del self._findings[fingerprint]
+            del self._records[fingerprint]
--- a/src/clementinegw/requests/suspects_service.py
+++ b/src/clementinegw/requests/suspects_service.py
@@ -21,21 +21,21 @@
 
 Kind = connection_lib.Kind
 Turn = request_types.Turn
-STREAM = "suspects"
-_POLL_S = 30.0
-_RETRY_S = 1.0
-_TURN_PAUSE_S = 0.25
-_MS = 1000.0
-_KEPT = 256
+STREAM_NAME = "suspects"
+_POLL_WAIT_S = 30.0
+_RETRY_INTERVAL_S = 1.0
+_LEASE_RETRY_INTERVAL_S = 0.25
+_MS_PER_S = 1000.0
+_MAX_PENDING = 256
 
 
-class Turns(Protocol):
+class LeaseManager(Protocol):
     """Gives turns of which there is one in the fleet at a time."""
 
-    async def turn(self, name: bytes, use_s: float) -> Turn | None:
+    async def acquire_lease(self, name: bytes, use_s: float) -> Turn | None:
         """Takes the turn; None when another has it or the log is down."""
 
-    def end_turn(self, turn: Turn) -> None:
+    def release_lease(self, turn: Turn) -> None:
         """Gives a turn back."""
 
 
@@ -46,7 +46,7 @@
         self,
         endpoint: connection_lib.Endpoint,
         log_client: platform_log.LogClient,
-        turns: Turns,
+        lease_manager: LeaseManager,
         limits: suspect.Limits | None = None,
         clock: clock_lib.Clock | None = None,
         log: logs.Log | None = None,
@@ -57,7 +57,7 @@
         Args:
           endpoint: This entry's connections.
           log_client: The platform's log.
-          turns: Lets one suspect run at a time.
+          lease_manager: Lets one suspect run at a time.
           limits: How much is remembered.
           clock: The source of time.
           log: Where events go.
@@ -66,31 +66,31 @@
         super().__init__()
         self._endpoint = endpoint
         self._log_client = log_client
-        self._turns = turns
+        self._lease_manager = lease_manager
         self._clock = clock or clock_lib.SystemClock()
         self._log = log or logs.Log(instance=endpoint.identity.instance_id)
         self._counters = counters or counters_lib.Counters()
-        self._suspicions = suspect.Suspicions(limits)
+        self._tracker = suspect.SuspectTracker(limits)
         self._position = 0
-        self._waiting: collections.deque[bytes] = collections.deque(
-            maxlen=_KEPT
+        self._pending: collections.deque[bytes] = collections.deque(
+            maxlen=_MAX_PENDING
         )
         self._added = asyncio.Event()
         endpoint.on_notice(Kind.CRASHED, self._on_notice)
 
     @property
-    def known(self) -> int:
+    def suspect_count(self) -> int:
         """How many fingerprints something is held against."""
-        return len(self._suspicions)
+        return len(self._tracker)
 
     def check(
         self, request: request_types.Request, now: float
     ) -> request_types.SuspectVerdict:
         """Says how the request may run; see `requests.types.Suspects`."""
         del now
-        if not len(self._suspicions):
+        if not len(self._tracker):
             return _CLEAR
-        return self._suspicions.verdict(request.fingerprint)
+        return self._tracker.verdict(request.fingerprint)
 
     async def turn(
         self, request: request_types.Request, wait_s: float
@@ -116,31 +116,33 @@
                     types.NotRunReason.SUSPECT, None, "it crashed two servers"
                 )
             left_s = request.deadline - self._clock.now()
-            turn = await self._turns.turn(request.fingerprint, left_s)
+            turn = await self._lease_manager.acquire_lease(
+                request.fingerprint, left_s
+            )
             if turn is not None:
                 self._counters.add("suspects.turns")
                 return turn
-            if self._clock.now() + _TURN_PAUSE_S >= until:
+            if self._clock.now() + _LEASE_RETRY_INTERVAL_S >= until:
                 self._counters.add("suspects.deferred")
                 return types.NotRun(
                     types.NotRunReason.SUSPECT, 1.0, "it may run alone only"
                 )
-            await asyncio.sleep(_TURN_PAUSE_S)
+            await asyncio.sleep(_LEASE_RETRY_INTERVAL_S)
 
     def end_turn(self, turn: Turn) -> None:
         """Gives a turn back."""
-        self._turns.end_turn(turn)
+        self._lease_manager.release_lease(turn)
 
     def completed(self, request: request_types.Request) -> None:
         """Takes that a request was answered whole: that clears it."""
-        if not self._suspicions.knows(request.fingerprint):
+        if not self._tracker.is_suspected(request.fingerprint):
             return
         message = ttypes.Cleared(
             fingerprints=[request.fingerprint],
-            time_ms=int(self._clock.wall() * _MS),
+            time_ms=int(self._clock.wall() * _MS_PER_S),
         )
-        self._suspicions.cleared(message)
-        self._waiting.append(
+        self._tracker.record_completion(message)
+        self._pending.append(
             codec.encode(ttypes.SuspectRecord(cleared=message))
         )
         self._added.set()
@@ -149,7 +151,7 @@
         self, connection: connection_lib.Connection, body: bytes
     ) -> None:
         record = codec.decode(ttypes.SuspectRecord, body)
-        if not self._take(record):
+        if not self._apply(record):
             return
         # Other entries hear of it before the log tells them: the caller's
         # repetition may come through any of them, and the log may be down.
@@ -157,13 +159,13 @@
             if other is not connection and other.peer.role is types.Role.ENTRY:
                 other.notify(Kind.CRASHED, body)
 
-    def _take(self, record: ttypes.SuspectRecord) -> bool:
+    def _apply(self, record: ttypes.SuspectRecord) -> bool:
         """Takes a record; returns whether it was news of a crash."""
         if record.cleared is not None:
-            self._suspicions.cleared(record.cleared)
+            self._tracker.record_completion(record.cleared)
         if record.crash is None:
             return False
-        news = self._suspicions.crashed(record.crash)
+        news = self._tracker.record_crash(record.crash)
         if not news:
             return False
         self._counters.add("suspects.crashes")
@@ -183,56 +185,56 @@
         return True
 
     def _is_refused(self, fingerprint: bytes) -> bool:
-        verdict = self._suspicions.verdict(fingerprint)
+        verdict = self._tracker.verdict(fingerprint)
         return isinstance(verdict, request_types.Refuse)
 
     @mode.Service.task
-    async def _follow(self) -> None:
+    async def _follow_stream(self) -> None:
         """Reads the stream for ever."""
         while not self.should_stop:
             try:
-                await self._read()
+                await self._read_page()
             except exceptions.PlatformError:
-                await self.sleep(_RETRY_S)
+                await self.sleep(_RETRY_INTERVAL_S)
 
-    async def _read(self) -> None:
+    async def _read_page(self) -> None:
         page = await self._log_client.read(
-            STREAM, self._position, wait_s=_POLL_S
+            STREAM_NAME, self._position, wait_s=_POLL_WAIT_S
         )
         if page.next_offset < self._position:
             # The log went back; what it told is known and stays so.
             self._position = page.next_offset
         for record in page.records:
-            self._take_record(record)
+            self._apply_record(record)
             self._position = record.offset + 1
         if not page.records:
             self._position = max(self._position, page.next_offset)
 
-    def _take_record(self, record: platform_log.Record) -> None:
+    def _apply_record(self, record: platform_log.Record) -> None:
         try:
-            self._take(codec.decode(ttypes.SuspectRecord, record.value))
+            self._apply(codec.decode(ttypes.SuspectRecord, record.value))
         except exceptions.DecodeError:
             self._log.write(
                 _claim_events.CLAIM_RECORD_MALFORMED, offset=record.offset
             )
 
     @mode.Service.task
-    async def _publish(self) -> None:
+    async def _publish_completions(self) -> None:
         """Brings what was cleared here into the log."""
         while not self.should_stop:
             await self._added.wait()
             self._added.clear()
-            while self._waiting:
-                await self._append(self._waiting[0])
+            while self._pending:
+                await self._append(self._pending[0])
 
     async def _append(self, body: bytes) -> None:
         try:
-            await self._log_client.append(STREAM, body)
+            await self._log_client.append(STREAM_NAME, body)
         except exceptions.PlatformError:
-            await self.sleep(_RETRY_S)
+            await self.sleep(_RETRY_INTERVAL_S)
             return
-        if self._waiting and self._waiting[0] is body:
-            self._waiting.popleft()
+        if self._pending and self._pending[0] is body:
+            self._pending.popleft()
 
 
 _CLEAR = request_types.Clear()
--- a/tests/claims_fleet.py
+++ b/tests/claims_fleet.py
@@ -175,7 +175,7 @@
         return [
             record
             for shard in range(claim_lib.SHARDS)
-            for record in self.log.all(claim_lib.stream_of(shard))
+            for record in self.log.all(claim_lib.stream_name(shard))
         ]
 
     def alive(self):
@@ -252,5 +252,5 @@
 
 
 def shard_number(key):
-    hashed = claim_lib.key_hash("magazijn", "werkplaats", key)
-    return claim_lib.shard_of(hashed, claim_lib.SHARDS)
+    hashed = claim_lib.hash_key("magazijn", "werkplaats", key)
+    return claim_lib.shard_number(hashed, claim_lib.SHARDS)
--- a/tests/test_claim_horizon.py
+++ b/tests/test_claim_horizon.py
@@ -81,7 +81,7 @@
     claims.settle(first, ANSWER)
     await asyncio.sleep(1.0)
     for shard in range(claim_lib.SHARDS):
-        fleet.log.roll_back(claim_lib.stream_of(shard), 1)
+        fleet.log.roll_back(claim_lib.stream_name(shard), 1)
     assert isinstance(await claims.claim(first), request_types.Kept)
     for key in same[1:]:
         late = fleet.request(f"r-{key}", key, headers=first.headers)
@@ -111,8 +111,8 @@
 
 def test_version_7_uuid_carries_its_time():
     key = "018f3c1e-5d2a-7b3c-9d4e-5f6a7b8c9d0e"
-    assert claim_lib.key_time_ms(key, ()) == 0x018F3C1E5D2A
-    assert claim_lib.key_time_ms("order-77", ()) == 0
+    assert claim_lib.parse_key_time_ms(key, ()) == 0x018F3C1E5D2A
+    assert claim_lib.parse_key_time_ms("order-77", ()) == 0
 
 
 def claim_of(claim_id, key=b"k", **changes):
@@ -135,8 +135,10 @@
     Sequence: the log keeps far more than the horizon; a new owner takes over.
     Cause: it reads the stream from its beginning.
     """
-    key = claim_lib.key_hash("magazijn", "werkplaats", "k1")
-    stream = claim_lib.stream_of(claim_lib.shard_of(key, claim_lib.SHARDS))
+    key = claim_lib.hash_key("magazijn", "werkplaats", "k1")
+    stream = claim_lib.stream_name(
+        claim_lib.shard_number(key, claim_lib.SHARDS)
+    )
     for number in range(40_000):
         old = claim_of(number.to_bytes(16, "big"), b"old%d" % number)
         batch = ttypes.ClaimBatch(claims=[old], ends=[])
@@ -153,7 +155,7 @@
 
 def test_fold_forgets_what_is_past_the_horizon():
     horizon = claim_lib.Horizon(100.0, 10.0)
-    fold = claim_lib.Fold(horizon)
+    fold = claim_lib.ClaimTable(horizon)
     for number in range(1000):
         claim = claim_of(number.to_bytes(16, "big"), b"k%d" % number)
         batch = ttypes.ClaimBatch(claims=[claim], ends=[])
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -18,7 +18,9 @@
 
 NAMES = ("e1", "e2", "e3")
 SECONDS = 60.0
-LIMITS = claims_service.Limits(horizon=claim_lib.Horizon(30.0, 2.0), ask_s=1.0)
+LIMITS = claims_service.Limits(
+    horizon=claim_lib.Horizon(30.0, 2.0), call_timeout_s=1.0
+)
 
 
 class World:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -232,7 +232,9 @@
     owner dies before it has appended that.
     """
     first = fleet.request("r1")
-    names = claim_owners.ranked(claims_fleet.shard_number("k1"), fleet.alive())
+    names = claim_owners.rank_entries(
+        claims_fleet.shard_number("k1"), fleet.alive()
+    )
     owner, holder = (names[rank].instance_id for rank in (0, 1))
     claims = fleet.entries[holder].claims
     assert isinstance(await claims.claim(first), request_types.ClaimWon)
@@ -273,7 +275,7 @@
     Sequence: a new owner takes seconds to read the horizon; claims wait for
     it. Cause: an owner that is silent looks like one that is dead.
     """
-    stream = claim_lib.stream_of(claims_fleet.shard_number("k1"))
+    stream = claim_lib.stream_name(claims_fleet.shard_number("k1"))
     batch = ttypes.ClaimBatch(claims=[], ends=[])
     for _ in range(10_000):
         fleet.log.put(stream, codec.encode(batch))
@@ -365,21 +367,21 @@
         fleet.entries[name].claims.settle(request, ANSWER)
 
     await asyncio.gather(*(claim(number) for number in range(820)))
-    appends = claim_lib.SHARDS * 2.0 / fleet.timing.group_s
+    appends = claim_lib.SHARDS * 2.0 / fleet.timing.batch_interval_s
     assert len(fleet.records()) <= 1.1 * appends
 
 
 @claims_fleet.in_fleet("e1", "e2")
 async def test_turn_is_taken_by_one_entry_until_it_is_over(fleet):
     e1, e2 = fleet.entries["e1"].claims, fleet.entries["e2"].claims
-    turn = await e1.turn(b"f" * 16, 5.0)
+    turn = await e1.acquire_lease(b"f" * 16, 5.0)
     assert turn is not None
-    assert await e2.turn(b"f" * 16, 5.0) is None
-    e1.end_turn(turn)
-    await asyncio.sleep(fleet.timing.end_s + 0.2)
-    assert await e2.turn(b"f" * 16, 5.0) is not None
+    assert await e2.acquire_lease(b"f" * 16, 5.0) is None
+    e1.release_lease(turn)
+    await asyncio.sleep(fleet.timing.max_end_delay_s + 0.2)
+    assert await e2.acquire_lease(b"f" * 16, 5.0) is not None
     await fleet.crash("e2")
     await asyncio.sleep(30.0)
-    assert await e1.turn(b"f" * 16, 5.0) is None
+    assert await e1.acquire_lease(b"f" * 16, 5.0) is None
     await asyncio.sleep(60.0)
-    assert await e1.turn(b"f" * 16, 5.0) is not None
+    assert await e1.acquire_lease(b"f" * 16, 5.0) is not None
--- a/tests/test_requests_http.py
+++ b/tests/test_requests_http.py
@@ -297,5 +297,5 @@
         "wagenmaker",
     ]
     for one in pipeline.seen:
-        time = claim.key_time_ms(one.key, one.headers)
+        time = claim.parse_key_time_ms(one.key, one.headers)
         assert time == 1_733_000_000_000
--- a/tests/test_suspect.py
+++ b/tests/test_suspect.py
@@ -45,44 +45,44 @@
     alone from then on; the innocent ones complete, it crashes a second server.
     Cause: its caller, or a retry, sends it again.
     """
-    known = suspect.Suspicions()
+    known = suspect.SuspectTracker()
     batch = [b"poison", b"a", b"b", b"c"]
-    known.crashed(crash("agent-1", 1, batch))
+    known.record_crash(crash("agent-1", 1, batch))
     assert {known.verdict(f) for f in batch} == {ALONE}
-    known.cleared(cleared([b"a", b"b"], 101.0))
-    known.crashed(crash("agent-2", 1, [b"poison"], 102.0))
+    known.record_completion(cleared([b"a", b"b"], 101.0))
+    known.record_crash(crash("agent-2", 1, [b"poison"], 102.0))
     verdicts = [known.verdict(f) for f in batch]
     assert verdicts == [REFUSE, CLEAR, CLEAR, ALONE]
 
 
 def test_one_crash_that_is_told_twice_counts_once():
-    known = suspect.Suspicions()
+    known = suspect.SuspectTracker()
     for _ in range(3):
-        known.crashed(crash("agent-1", 1, [b"a"]))
+        known.record_crash(crash("agent-1", 1, [b"a"]))
     assert known.verdict(b"a") == ALONE
-    known.crashed(crash("agent-1", 1, [b"a"], incarnation=2))
+    known.record_crash(crash("agent-1", 1, [b"a"], incarnation=2))
     assert known.verdict(b"a") == REFUSE
 
 
 def test_crash_that_is_told_after_the_completion_does_not_accuse():
-    known = suspect.Suspicions()
-    known.cleared(cleared([b"a"], 101.0))
-    known.crashed(crash("agent-1", 1, [b"a"], 100.0))
+    known = suspect.SuspectTracker()
+    known.record_completion(cleared([b"a"], 101.0))
+    known.record_crash(crash("agent-1", 1, [b"a"], 100.0))
     assert known.verdict(b"a") == CLEAR
-    known.crashed(crash("agent-1", 2, [b"a"], 102.0))
+    known.record_crash(crash("agent-1", 2, [b"a"], 102.0))
     assert known.verdict(b"a") == ALONE
 
 
 def test_memory_is_bounded_and_forgets_the_refused_last():
-    known = suspect.Suspicions(suspect.Limits(fingerprints=10))
-    known.crashed(crash("agent-1", 1, [b"poison"], 1.0))
-    known.crashed(crash("agent-2", 1, [b"poison"], 2.0))
+    known = suspect.SuspectTracker(suspect.Limits(max_fingerprints=10))
+    known.record_crash(crash("agent-1", 1, [b"poison"], 1.0))
+    known.record_crash(crash("agent-2", 1, [b"poison"], 2.0))
     for number in range(100):
         name = b"%d" % number
-        known.crashed(crash("agent-3", number, [name], 3.0 + number))
+        known.record_crash(crash("agent-3", number, [name], 3.0 + number))
     assert len(known) == 10
     assert known.verdict(b"poison") == REFUSE
-    known.crashed(crash("agent-4", 1, [], 90_000.0))
+    known.record_crash(crash("agent-4", 1, [], 90_000.0))
     assert known.verdict(b"poison") == CLEAR
 
 
@@ -99,9 +99,9 @@
     clears = [cleared([rng.choice(names)], rng.randrange(100))]
     verdicts = []
     for _ in range(4):
-        known = suspect.Suspicions()
-        steps = [(known.crashed, r) for r in records + records]
-        steps += [(known.cleared, c) for c in clears]
+        known = suspect.SuspectTracker()
+        steps = [(known.record_crash, r) for r in records + records]
+        steps += [(known.record_completion, c) for c in clears]
         rng.shuffle(steps)
         for take, record in steps:
             take(record)
