--- a/src/clementinegw/requests/_claim_end_queue.py
+++ b/src/clementinegw/requests/_claim_end_queue.py
@@ -79,12 +79,14 @@
         """Hands on what waits; what is not appended goes on waiting."""
         by_shard: dict[int, list[ttypes.ClaimEnd]] = {}
         for end in self._pending.values():
-            number = claim_lib.shard_number(end.key, claim_lib.SHARDS)
-            by_shard.setdefault(number, []).append(end)
+            shard_number = claim_lib.shard_number(end.key, claim_lib.SHARDS)
+            by_shard.setdefault(shard_number, []).append(end)
         await asyncio.gather(*(self._send(*item) for item in by_shard.items()))
 
-    async def _send(self, number: int, ends: list[ttypes.ClaimEnd]) -> None:
-        if not await self._owner_client.append_ends(number, ends):
+    async def _send(
+        self, shard_number: int, ends: list[ttypes.ClaimEnd]
+    ) -> None:
+        if not await self._owner_client.append_ends(shard_number, ends):
             self._counters.add("claims.ends_delayed")
             return
         for end in ends:
--- a/src/clementinegw/requests/_claim_owners.py
+++ b/src/clementinegw/requests/_claim_owners.py
@@ -36,13 +36,13 @@
 
 
 def rank_entries(
-    shard: int, entries: Sequence[types.Instance]
+    shard_number: int, entries: Sequence[types.Instance]
 ) -> list[types.Instance]:
     """Returns entries by their rank for a shard (rendezvous hashing)."""
     return sorted(
         entries,
         key=lambda entry: xxhash.xxh64_intdigest(
-            f"{shard}\0{entry.instance_id}".encode()
+            f"{shard_number}\0{entry.instance_id}".encode()
         ),
         reverse=True,
     )
@@ -85,7 +85,7 @@
         self._log_cooldowns = _Cooldowns(clock, _LOG_COOLDOWN_S)
 
     async def claim(
-        self, number: int, claim: ttypes.Claim, deadline: float
+        self, shard_number: int, claim: ttypes.Claim, deadline: float
     ) -> ttypes.ClaimReply:
         """Claims a key at the shard's owner.
 
@@ -93,7 +93,7 @@
         first record counts.
 
         Args:
-          number: The shard.
+          shard_number: The shard.
           claim: The claim.
           deadline: Monotonic seconds until which to try.
 
@@ -101,12 +101,14 @@
           The verdict; LOG_UNAVAILABLE when nobody could say.
         """
         ask = ttypes.ClaimAsk(
-            operation=ttypes.ClaimOperation.CLAIM, shard=number, claim=claim
+            operation=ttypes.ClaimOperation.CLAIM,
+            shard=shard_number,
+            claim=claim,
         )
-        return await self._call_by_rank(number, ask, deadline)
+        return await self._call_by_rank(shard_number, ask, deadline)
 
     async def append_ends(
-        self, number: int, ends: list[ttypes.ClaimEnd]
+        self, shard_number: int, ends: list[ttypes.ClaimEnd]
     ) -> bool:
         """Hands ends of claims to the shard's owner.
 
@@ -114,10 +116,10 @@
           Whether they are in the log.
         """
         ask = ttypes.ClaimAsk(
-            operation=ttypes.ClaimOperation.END, shard=number, ends=ends
+            operation=ttypes.ClaimOperation.END, shard=shard_number, ends=ends
         )
         deadline = self._clock.now() + _MAX_CANDIDATES * self._call_timeout_s
-        reply = await self._call_by_rank(number, ask, deadline)
+        reply = await self._call_by_rank(shard_number, ask, deadline)
         return reply.verdict == ttypes.ClaimVerdict.VOID
 
     async def call(
@@ -144,7 +146,7 @@
         return None
 
     async def _call_by_rank(
-        self, number: int, ask: ttypes.ClaimAsk, deadline: float
+        self, shard_number: int, ask: ttypes.ClaimAsk, deadline: float
     ) -> ttypes.ClaimReply:
         """Asks those that rank first for a shard until one can say.
 
@@ -152,9 +154,9 @@
         for itself, each would read the whole horizon once the log is back.
         """
         log_is_down = False
-        for owner in self._candidates(number):
-            left_s = deadline - self._clock.now()
-            if left_s <= 0:
+        for owner in self._candidates(shard_number):
+            remaining_s = deadline - self._clock.now()
+            if remaining_s <= 0:
                 break
             name = self._own_id if owner is None else owner.instance_id
             if self._log_cooldowns.is_active(name):
@@ -162,7 +164,7 @@
                 continue
             if self._connection_cooldowns.is_active(name):
                 continue
-            reply = await self._call_owner(owner, name, ask, left_s)
+            reply = await self._call_owner(owner, name, ask, remaining_s)
             if reply is None:
                 continue
             if reply.verdict != ttypes.ClaimVerdict.LOG_UNAVAILABLE:
@@ -173,10 +175,10 @@
             log_is_down = True
             self._log_cooldowns.start(name)
             deadline = min(deadline, self._clock.now() + _LOG_RECHECK_TIMEOUT_S)
-        left_s = deadline - self._clock.now()
-        if not log_is_down and left_s > 0:
+        remaining_s = deadline - self._clock.now()
+        if not log_is_down and remaining_s > 0:
             # Cut off from all others, an entry may still reach the log.
-            reply = await self._call_owner(None, self._own_id, ask, left_s)
+            reply = await self._call_owner(None, self._own_id, ask, remaining_s)
             if reply is not None:
                 return reply
         return ttypes.ClaimReply(
@@ -189,12 +191,12 @@
         owner: types.Instance | None,
         name: str,
         ask: ttypes.ClaimAsk,
-        left_s: float,
+        remaining_s: float,
     ) -> ttypes.ClaimReply | None:
         """Asks one owner; None stands for this entry, and for no answer."""
-        limit_s = min(self._call_timeout_s, left_s)
+        timeout_s = min(self._call_timeout_s, remaining_s)
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 if owner is not None:
                     return await self.call(owner, ask)
                 shard = self._get_shard(ask.shard)
@@ -203,15 +205,15 @@
                 return await shard.claim(ask.claim)
         except _CALL_ERRORS as error:
             self._counters.add("claims.owner_failed")
-            hasty = (
+            cut_short = (
                 isinstance(error, TimeoutError)
-                and limit_s < self._call_timeout_s
+                and timeout_s < self._call_timeout_s
             )
-            if not hasty:
+            if not cut_short:
                 self._connection_cooldowns.start(name)
             return None
 
-    def _candidates(self, number: int) -> list[types.Instance | None]:
+    def _candidates(self, shard_number: int) -> list[types.Instance | None]:
         """Returns whom to ask in turn; None stands for this entry itself."""
         now = self._clock.now()
         if now >= self._ranking_expires_at:
@@ -219,13 +221,15 @@
             # the claim; who has died since is found out by asking.
             self._ranking_expires_at = now + _RANKING_REFRESH_S
             self._candidates_by_shard.clear()
-        if number not in self._candidates_by_shard:
-            first = rank_entries(number, self._get_entries())[:_MAX_CANDIDATES]
-            self._candidates_by_shard[number] = [
+        if shard_number not in self._candidates_by_shard:
+            first = rank_entries(shard_number, self._get_entries())[
+                :_MAX_CANDIDATES
+            ]
+            self._candidates_by_shard[shard_number] = [
                 None if entry.instance_id == self._own_id else entry
                 for entry in first
             ]
-        return self._candidates_by_shard[number]
+        return self._candidates_by_shard[shard_number]
 
 
 class _Cooldowns:
--- a/src/clementinegw/requests/_claim_shard.py
+++ b/src/clementinegw/requests/_claim_shard.py
@@ -125,16 +125,16 @@
         """
         if self._is_log_down():
             return self._log_unavailable()
-        ask = self._pending_claims.get(claim.claim_id)
-        if ask is None:
+        pending = self._pending_claims.get(claim.claim_id)
+        if pending is None:
             reply = asyncio.get_running_loop().create_future()
-            ask = _PendingClaim(claim, reply)
-            self._pending_claims[claim.claim_id] = ask
+            pending = _PendingClaim(claim, reply)
+            self._pending_claims[claim.claim_id] = pending
             self._claim_added.set()
             self._ensure_running()
         try:
             async with asyncio.timeout(self._timing.append_timeout_s):
-                return await asyncio.shield(ask.reply)
+                return await asyncio.shield(pending.reply)
         except TimeoutError:
             # The stream is still being read, or the log is slow. Told nothing,
             # the asker would take this entry for dead, and the whole fleet
@@ -156,17 +156,17 @@
         if self._is_log_down():
             return self._log_unavailable()
         loop = asyncio.get_running_loop()
-        waiting = []
+        appended = []
         for end in ends:
-            known = self._pending_ends.get(end.claim_id)
-            if known is None or known.end.kind != end.kind:
-                known = _PendingEnd(end, loop.create_future())
-                self._pending_ends[end.claim_id] = known
-            waiting.append(asyncio.shield(known.appended))
+            pending_end = self._pending_ends.get(end.claim_id)
+            if pending_end is None or pending_end.end.kind != end.kind:
+                pending_end = _PendingEnd(end, loop.create_future())
+                self._pending_ends[end.claim_id] = pending_end
+            appended.append(asyncio.shield(pending_end.appended))
         self._ensure_running()
         try:
             async with asyncio.timeout(self._timing.append_timeout_s):
-                await asyncio.gather(*waiting)
+                await asyncio.gather(*appended)
         except TimeoutError:
             return self._log_unavailable()
         return ttypes.ClaimReply(verdict=Verdict.VOID)
@@ -211,18 +211,18 @@
             await self._stream.read()
         await self._wait_for_batch()
         self._reply_decided()
-        claims = [ask.claim for ask in self._pending_claims.values()][
+        claims = [pending.claim for pending in self._pending_claims.values()][
             : self._MAX_BATCH
         ]
-        ended = list(self._pending_ends.values())[: self._MAX_BATCH]
-        ends = [one.end for one in ended]
+        pending_ends = list(self._pending_ends.values())[: self._MAX_BATCH]
+        ends = [pending_end.end for pending_end in pending_ends]
         if not claims and not ends:
             return
         await self._append_batch(ttypes.ClaimBatch(claims=claims, ends=ends))
-        for one in ended:
-            one.appended.set_result(None)
-            if self._pending_ends.get(one.end.claim_id) is one:
-                del self._pending_ends[one.end.claim_id]
+        for pending_end in pending_ends:
+            pending_end.appended.set_result(None)
+            if self._pending_ends.get(pending_end.end.claim_id) is pending_end:
+                del self._pending_ends[pending_end.end.claim_id]
         self._reply_decided()
 
     async def _wait_for_batch(self) -> None:
@@ -291,22 +291,22 @@
 
     def _reply_decided(self) -> None:
         """Answers what the stream has decided."""
-        for ask in list(self._pending_claims.values()):
-            reply = self._stream.verdict(ask.claim)
+        for pending in list(self._pending_claims.values()):
+            reply = self._stream.verdict(pending.claim)
             if reply is not None:
-                self._reply(ask, reply)
+                self._reply(pending, reply)
 
-    def _reply(self, ask: _PendingClaim, reply: ttypes.ClaimReply) -> None:
-        del self._pending_claims[ask.claim.claim_id]
-        if not ask.reply.done():
-            ask.reply.set_result(reply)
+    def _reply(self, pending: _PendingClaim, reply: ttypes.ClaimReply) -> None:
+        del self._pending_claims[pending.claim.claim_id]
+        if not pending.reply.done():
+            pending.reply.set_result(reply)
 
     async def _wait_for_log(self) -> None:
         """Refuses at once what waits, until the log answers again."""
         self._log_available = False
         self._log.write(_claim_events.LOG_DOWN, shard=self._shard_number)
-        for ask in list(self._pending_claims.values()):
-            self._reply(ask, self._log_unavailable())
+        for pending in list(self._pending_claims.values()):
+            self._reply(pending, self._log_unavailable())
         while not self._log_available:
             await asyncio.sleep(self._timing.recovery_poll_interval_s)
             try:
--- a/src/clementinegw/requests/claim.py
+++ b/src/clementinegw/requests/claim.py
@@ -38,14 +38,14 @@
     return hasher.digest(length=HASH_BYTES)
 
 
-def shard_number(key: bytes, shards: int) -> int:
+def shard_number(key: bytes, shard_count: int) -> int:
     """Returns the shard that a hashed key belongs to."""
-    return int.from_bytes(key[:8], "big") % shards
+    return int.from_bytes(key[:8], "big") % shard_count
 
 
-def stream_name(shard: int) -> str:
+def stream_name(shard_number: int) -> str:
     """Returns the name of a shard's stream."""
-    return f"claims-{shard}"
+    return f"claims-{shard_number}"
 
 
 def parse_key_time_ms(key: str, headers: tuple[tuple[str, str], ...]) -> int:
@@ -201,33 +201,35 @@
             return ttypes.ClaimReply(verdict=verdicts.VOID)
         if _is_dated_before(claim, complete_since):
             return ttypes.ClaimReply(verdict=verdicts.EXPIRED)
-        held = self.find(claim.key)
-        if held is not None and held.claim_id == claim.claim_id:
-            return ttypes.ClaimReply(verdict=verdicts.WON, offset=held.offset)
+        winner = self.find(claim.key)
+        if winner is not None and winner.claim_id == claim.claim_id:
+            return ttypes.ClaimReply(verdict=verdicts.WON, offset=winner.offset)
         if _is_dated_before(claim, time - self._horizon.max_key_age_s):
             return ttypes.ClaimReply(verdict=verdicts.EXPIRED)
-        if held is None:
+        if winner is None:
             return None
-        if claim.lease and held.has_lapsed(
+        if claim.lease and winner.has_lapsed(
             time, self._horizon.max_clock_skew_s
         ):
             return None
         return ttypes.ClaimReply(
-            verdict=_losing_verdict(claim, held),
-            offset=held.offset,
-            holder=held.holder,
-            retry_after_ms=self._retry_after_ms(held, time),
+            verdict=_losing_verdict(claim, winner),
+            offset=winner.offset,
+            holder=winner.holder,
+            retry_after_ms=self._retry_after_ms(winner, time),
         )
 
-    def _retry_after_ms(self, held: WinningClaim, time: float) -> int:
+    def _retry_after_ms(self, winner: WinningClaim, time: float) -> int:
         until = (
-            held.time + held.use_ms / _MS_PER_S + self._horizon.max_clock_skew_s
+            winner.time
+            + winner.use_ms / _MS_PER_S
+            + self._horizon.max_clock_skew_s
         )
         return max(0, int((until - time) * _MS_PER_S))
 
     def _apply_end(self, end: ttypes.ClaimEnd, time: float) -> None:
-        held = self.find(end.key)
-        matches = held is not None and held.claim_id == end.claim_id
+        winner = self.find(end.key)
+        matches = winner is not None and winner.claim_id == end.claim_id
         if end.kind == ttypes.ClaimEndKind.RELEASED:
             # The release may stand before the claim: an append whose answer
             # was lost can arrive after its holder has given up. Without this
@@ -236,9 +238,9 @@
             self._released[end.claim_id] = time
             if matches:
                 del self._winners[end.key]
-        elif held is not None and matches:
+        elif winner is not None and matches:
             ended = dataclasses.replace(
-                held, status=_STATUS_BY_END_KIND[end.kind]
+                winner, status=_STATUS_BY_END_KIND[end.kind]
             )
             self._winners[end.key] = self._pack(ended)
 
@@ -247,14 +249,14 @@
     ) -> None:
         if claim.claim_id in self._released:
             return
-        held = self.find(claim.key)
-        if held is not None and not (
-            held.lease
+        winner = self.find(claim.key)
+        if winner is not None and not (
+            winner.lease
             and claim.lease
-            and held.has_lapsed(time, self._horizon.max_clock_skew_s)
+            and winner.has_lapsed(time, self._horizon.max_clock_skew_s)
         ):
             return
-        holding = WinningClaim(
+        new_winner = WinningClaim(
             claim.claim_id,
             claim.fingerprint,
             offset,
@@ -267,7 +269,7 @@
         )
         # Taken out first: the order of the table is the order of its times.
         self._winners.pop(claim.key, None)
-        self._winners[claim.key] = self._pack(holding)
+        self._winners[claim.key] = self._pack(new_winner)
 
     def _prune(self, time: float) -> None:
         oldest = time - self._horizon.retention_s
@@ -282,24 +284,24 @@
                 break
             del self._released[claim_id]
 
-    def _pack(self, holding: WinningClaim) -> bytes:
+    def _pack(self, winner: WinningClaim) -> bytes:
         return self._WINNER_FORMAT.pack(
-            holding.claim_id,
-            holding.fingerprint,
-            holding.offset,
-            holding.time,
-            holding.key_time_ms,
-            holding.use_ms,
-            holding.lease,
-            holding.status,
-            self._holder_number(holding.holder),
+            winner.claim_id,
+            winner.fingerprint,
+            winner.offset,
+            winner.time,
+            winner.key_time_ms,
+            winner.use_ms,
+            winner.lease,
+            winner.status,
+            self._holder_number(winner.holder),
         )
 
     def _unpack(self, packed: bytes) -> WinningClaim:
         claim_id, fingerprint, offset, time, key_time_ms, use_ms, *rest = (
             self._WINNER_FORMAT.unpack(packed)
         )
-        lease, end, holder = rest
+        lease, status, holder_number = rest
         return WinningClaim(
             claim_id,
             fingerprint,
@@ -308,8 +310,8 @@
             key_time_ms,
             use_ms,
             bool(lease),
-            ClaimStatus(end),
-            self._holders[holder],
+            ClaimStatus(status),
+            self._holders[holder_number],
         )
 
     def _holder_number(self, holder: str) -> int:
@@ -338,14 +340,16 @@
 
 
 def _losing_verdict(
-    claim: ttypes.Claim, held: WinningClaim
+    claim: ttypes.Claim, winner: WinningClaim
 ) -> ttypes.ClaimVerdict:
     # A caller that dates each repetition anew would walk past the horizon
     # unseen; the first repetition tells it.
     same = (
-        held.fingerprint == claim.fingerprint
-        and held.key_time_ms == claim.key_time_ms
+        winner.fingerprint == claim.fingerprint
+        and winner.key_time_ms == claim.key_time_ms
     )
     return (
-        _VERDICT_BY_STATUS[held.status] if same else ttypes.ClaimVerdict.REUSED
+        _VERDICT_BY_STATUS[winner.status]
+        if same
+        else ttypes.ClaimVerdict.REUSED
     )
--- a/src/clementinegw/requests/claims_service.py
+++ b/src/clementinegw/requests/claims_service.py
@@ -248,8 +248,8 @@
         """Claims a key that this entry does not hold; None to try again."""
         # The time of use runs from before the append: a holder that is paused
         # in between, and then wakes, finds its claim lapsed by its own clock.
-        left_s = request.deadline - self._clock.now()
-        if left_s <= 0:
+        remaining_s = request.deadline - self._clock.now()
+        if remaining_s <= 0:
             return outcomes.refused(types.NotRunReason.DEADLINE, None)
         claim = ttypes.Claim(
             claim_id=self._new_id(),
@@ -257,7 +257,7 @@
             fingerprint=request.fingerprint,
             holder=self._outcome_resolver.holder_name,
             key_time_ms=key_time_ms,
-            use_ms=int(left_s * _MS_PER_S),
+            use_ms=int(remaining_s * _MS_PER_S),
             lease=False,
         )
         held = _held_claims.HeldClaim(
@@ -290,8 +290,8 @@
     async def _call_owner(
         self, claim: ttypes.Claim, deadline: float
     ) -> ttypes.ClaimReply:
-        number = claim_lib.shard_number(claim.key, claim_lib.SHARDS)
-        reply = await self._owner_client.claim(number, claim, deadline)
+        shard_number = claim_lib.shard_number(claim.key, claim_lib.SHARDS)
+        reply = await self._owner_client.claim(shard_number, claim, deadline)
         self._counters.add(f"claims.verdict.{_verdict_name(reply.verdict)}")
         return reply
 
@@ -312,11 +312,11 @@
             request, claim, reply
         )
 
-    def _get_shard(self, number: int) -> _claim_shard.Shard:
-        shard = self._shards.get(number)
+    def _get_shard(self, shard_number: int) -> _claim_shard.Shard:
+        shard = self._shards.get(shard_number)
         if shard is None:
             shard = _claim_shard.Shard(
-                number,
+                shard_number,
                 self._log_client,
                 self._limits.horizon,
                 self._timing,
@@ -324,7 +324,7 @@
                 self._log,
                 self._counters,
             )
-            self._shards[number] = shard
+            self._shards[shard_number] = shard
         return shard
 
     async def _on_call(
--- a/src/clementinegw/requests/suspect.py
+++ b/src/clementinegw/requests/suspect.py
@@ -21,7 +21,7 @@
     """How long and how much is remembered.
 
     Attributes:
-      retention_s: Seconds a finding lasts after its latest crash.
+      retention_s: Seconds a record lasts after its latest crash.
       max_fingerprints: Findings remembered at most.
     """
 
@@ -83,22 +83,22 @@
         """Takes a crash.
 
         Returns:
-          The fingerprints to which it was news.
+          The fingerprints for which this crash was not known yet.
         """
         crash = CrashId(report.instance_id, report.incarnation, report.sequence)
         time = report.time_ms / _MS_PER_S
         self._expire(time)
-        news = []
+        new_fingerprints = []
         for fingerprint in report.fingerprints:
             # A completion that is younger than the crash has cleared it.
             if self._completed_at.get(fingerprint, 0.0) >= time:
                 continue
-            finding = self._records.setdefault(fingerprint, _RequestRecord())
-            if crash not in finding.crashes:
-                finding.crashes[crash] = time
-                news.append(fingerprint)
+            record = self._records.setdefault(fingerprint, _RequestRecord())
+            if crash not in record.crashes:
+                record.crashes[crash] = time
+                new_fingerprints.append(fingerprint)
         self._evict_excess()
-        return tuple(news)
+        return tuple(new_fingerprints)
 
     def record_completion(self, message: ttypes.Cleared) -> None:
         """Takes that requests completed."""
@@ -108,10 +108,10 @@
 
     def verdict(self, fingerprint: bytes) -> request_types.SuspectVerdict:
         """Returns how a request may run."""
-        finding = self._records.get(fingerprint)
-        if finding is None:
+        record = self._records.get(fingerprint)
+        if record is None:
             return request_types.Clear()
-        if len(finding.crashes) >= _CRASHES_TO_REFUSE:
+        if len(record.crashes) >= _CRASHES_TO_REFUSE:
             return request_types.Refuse()
         return request_types.RunAlone()
 
@@ -120,20 +120,22 @@
         self._completed_at[fingerprint] = time
         while len(self._completed_at) > self._limits.max_fingerprints:
             del self._completed_at[next(iter(self._completed_at))]
-        finding = self._records.get(fingerprint)
-        if finding is None:
+        record = self._records.get(fingerprint)
+        if record is None:
             return
-        later = {c: t for c, t in finding.crashes.items() if t > time}
-        finding.crashes = later
+        later = {c: t for c, t in record.crashes.items() if t > time}
+        record.crashes = later
         if not later:
             del self._records[fingerprint]
 
     def _expire(self, time: float) -> None:
         oldest = time - self._limits.retention_s
-        old = [
-            f for f, it in self._records.items() if it.last_crash_at < oldest
+        expired = [
+            f
+            for f, record in self._records.items()
+            if record.last_crash_at < oldest
         ]
-        for fingerprint in old:
+        for fingerprint in expired:
             del self._records[fingerprint]
 
     def _evict_excess(self) -> None:
--- a/src/clementinegw/requests/suspects_service.py
+++ b/src/clementinegw/requests/suspects_service.py
@@ -115,9 +115,9 @@
                 return types.NotRun(
                     types.NotRunReason.SUSPECT, None, "it crashed two servers"
                 )
-            left_s = request.deadline - self._clock.now()
+            remaining_s = request.deadline - self._clock.now()
             turn = await self._lease_manager.acquire_lease(
-                request.fingerprint, left_s
+                request.fingerprint, remaining_s
             )
             if turn is not None:
                 self._counters.add("suspects.turns")
@@ -160,22 +160,22 @@
                 other.notify(Kind.CRASHED, body)
 
     def _apply(self, record: ttypes.SuspectRecord) -> bool:
-        """Takes a record; returns whether it was news of a crash."""
+        """Takes a record; returns whether it reported a new crash."""
         if record.cleared is not None:
             self._tracker.record_completion(record.cleared)
         if record.crash is None:
             return False
-        news = self._tracker.record_crash(record.crash)
-        if not news:
+        new_fingerprints = self._tracker.record_crash(record.crash)
+        if not new_fingerprints:
             return False
         self._counters.add("suspects.crashes")
         self._log.write(
             _claim_events.SUSPECT_FOUND,
             agent=record.crash.instance_id,
             service=record.crash.service_name,
-            requests=len(news),
+            requests=len(new_fingerprints),
         )
-        refused = [f for f in news if self._is_refused(f)]
+        refused = [f for f in new_fingerprints if self._is_refused(f)]
         if refused:
             self._counters.add("suspects.found", len(refused))
             self._log.write(
--- a/tests/claims_fleet.py
+++ b/tests/claims_fleet.py
@@ -24,11 +24,11 @@
 
     def __init__(self):
         self.endpoints = {}
-        self.cut = set()
+        self.partitions = set()
         self.tasks = set()
 
-    def reaches(self, one, other):
-        return frozenset((one, other)) not in self.cut
+    def can_reach(self, one, other):
+        return frozenset((one, other)) not in self.partitions
 
     def spawn(self, coroutine):
         task = asyncio.ensure_future(coroutine)
@@ -56,7 +56,7 @@
         await asyncio.sleep(LATENCY_S)
         peer = self.network.endpoints.get(address)
         link = Link(self, peer)
-        if peer is None or not link.works():
+        if peer is None or not link.is_up():
             raise exceptions.ConnectionLost("unreachable")
         return link
 
@@ -64,47 +64,51 @@
 class Link:
     """One connection; its frames are lost while it is cut."""
 
-    def __init__(self, near, far):
-        self.near = near
-        self.far = far
+    def __init__(self, client, server):
+        self.client = client
+        self.server = server
 
-    def works(self):
-        names = (e.identity.instance_id for e in (self.near, self.far))
+    def is_up(self):
+        names = (e.identity.instance_id for e in (self.client, self.server))
         return (
-            self.near.up and self.far.up and self.near.network.reaches(*names)
+            self.client.up
+            and self.server.up
+            and self.client.network.can_reach(*names)
         )
 
     def open(self):
-        if not self.works():
+        if not self.is_up():
             raise exceptions.ConnectionLost("cut")
-        near = exchange_lib.Exchange(1, self._to_far, _no_wait, _ignore)
-        self._near_side = near
-        return near
+        client_exchange = exchange_lib.Exchange(
+            1, self._send_to_server, _no_wait, _ignore
+        )
+        self._client_exchange = client_exchange
+        return client_exchange
 
-    def _to_far(self, kind, call, body):
+    def _send_to_server(self, kind, call, body):
         frame = exchange_lib.Frame(kind, body)
-        near = self._near_side
+        client_exchange = self._client_exchange
 
         def answer(kind, call, body):
-            self._deliver(near, exchange_lib.Frame(kind, body))
+            self._deliver(client_exchange, exchange_lib.Frame(kind, body))
 
-        far = exchange_lib.Exchange(1, answer, _no_wait, _ignore)
-        self.near.network.spawn(self._handle(far, frame))
+        server_exchange = exchange_lib.Exchange(1, answer, _no_wait, _ignore)
+        self.client.network.spawn(self._handle(server_exchange, frame))
 
-    def _deliver(self, near, frame):
-        async def later():
+    def _deliver(self, client_exchange, frame):
+        async def deliver_later():
             await asyncio.sleep(LATENCY_S)
-            if self.works():
-                near.deliver(frame)
+            if self.is_up():
+                client_exchange.deliver(frame)
             else:
-                near.fail(exceptions.ConnectionLost("cut"))
+                client_exchange.fail(exceptions.ConnectionLost("cut"))
 
-        self.near.network.spawn(later())
+        self.client.network.spawn(deliver_later())
 
-    async def _handle(self, far, frame):
+    async def _handle(self, server_exchange, frame):
         await asyncio.sleep(LATENCY_S)
-        if self.works():
-            await self.far.handlers[frame.kind](self, far, frame)
+        if self.is_up():
+            await self.server.handlers[frame.kind](self, server_exchange, frame)
 
 
 async def _no_wait():
@@ -143,19 +147,19 @@
         self._port += 1
         endpoint = Endpoint(self.network, name, self._port, incarnation)
         log = self.log.client()
-        keeper = counters.Counters()
+        entry_counters = counters.Counters()
         claims = claims_service.ClaimsService(
             endpoint,
             log,
-            self.alive,
+            self.live_entries,
             self.limits,
             self.timing,
             self.clock,
-            counters=keeper,
+            counters=entry_counters,
             new_id=self._ids(name, incarnation),
         )
         await claims.start()
-        entry = Entry(name, endpoint, claims, log, keeper)
+        entry = Entry(name, endpoint, claims, log, entry_counters)
         self.entries[name] = entry
         return entry
 
@@ -178,7 +182,7 @@
             for record in self.log.all(claim_lib.stream_name(shard))
         ]
 
-    def alive(self):
+    def live_entries(self):
         return [
             types.Instance(
                 entry.name, types.Role.ENTRY, PLACE, entry.endpoint.address
@@ -186,11 +190,11 @@
             for entry in self.entries.values()
         ]
 
-    def cut(self, one, other):
-        self.network.cut.add(frozenset((one, other)))
+    def partition(self, one, other):
+        self.network.partitions.add(frozenset((one, other)))
 
     def heal(self):
-        self.network.cut.clear()
+        self.network.partitions.clear()
 
     def _ids(self, name, incarnation):
         numbers = iter(range(1 << 30))
@@ -218,7 +222,7 @@
         )
 
 
-def in_fleet(*names, **options):
+def with_fleet(*names, **options):
     """Runs a test in virtual time with a fleet of entries."""
 
     def decorate(test):
--- a/tests/test_claim_horizon.py
+++ b/tests/test_claim_horizon.py
@@ -31,7 +31,7 @@
     return (("clementine-key-time", str(seconds)),)
 
 
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_dated_key_is_refused_beyond_the_horizon(fleet):
     """Symptom: a booking repeated the next day is made a second time.
 
@@ -54,7 +54,7 @@
     assert isinstance(await claims.claim(new), request_types.ClaimWon)
 
 
-@claims_fleet.in_fleet("e1", retention_s=600.0)
+@claims_fleet.with_fleet("e1", retention_s=600.0)
 async def test_log_that_keeps_less_than_the_horizon_shortens_it(fleet):
     claims = fleet.entries["e1"].claims
     first = fleet.request("r1", headers=dated(fleet.clock.wall()))
@@ -67,7 +67,7 @@
     assert reason(await claims.claim(late)) == types.NotRunReason.KEY_EXPIRED
 
 
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_log_that_goes_back_refuses_keys_from_before(fleet):
     """Symptom: after the log was restored from a copy, bookings run again.
 
@@ -90,7 +90,7 @@
         )
 
 
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_repetition_that_is_dated_anew_is_found_out(fleet):
     claims = fleet.entries["e1"].claims
     first = fleet.request("r1", headers=dated(fleet.clock.wall() - 10))
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("time", ["soon", "-5", "nan", "99999999999"])
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_time_that_is_none_is_the_callers_mistake(fleet, time):
     result = await fleet.entries["e1"].claims.claim(
         fleet.request("r1", headers=dated(time))
@@ -128,7 +128,7 @@
     return ttypes.Claim(**(fields | changes))
 
 
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_new_owner_reads_the_horizon_and_not_the_whole_log(fleet):
     """Symptom: keyed requests are refused for long after an owner has died.
 
--- a/tests/test_claim_pause.py
+++ b/tests/test_claim_pause.py
@@ -63,7 +63,7 @@
         claims = fleet.entries["e1"].claims
         won = await claims.claim(request)
         assert isinstance(won, request_types.ClaimWon)
-        fleet.cut("e1", "e2")
+        fleet.partition("e1", "e2")
         await asyncio.sleep(90.0)
         told = await fleet.entries["e2"].claims.claim(fleet.request("r2"))
         assert told.outcome.reason == types.UnknownReason.HOLDER_LOST
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -23,7 +23,7 @@
 )
 
 
-class World:
+class FaultSchedule:
     """Entries, agents and a log, with everything that goes wrong."""
 
     def __init__(self, clock, seed):
@@ -34,8 +34,8 @@
         self.gates = {}
         self.runs = collections.defaultdict(list)
         self.ran_requests = set()
-        self.told = {}
-        self.dated = {}
+        self.outcomes = {}
+        self.key_times = {}
         self.tasks = []
 
     async def start(self):
@@ -80,7 +80,7 @@
         await asyncio.sleep(self.rng.uniform(0, SECONDS))
         key = f"k{self.rng.randrange(12)}"
         body = b"other" if self.rng.random() < 0.05 else key.encode()
-        first = self.dated.setdefault(key, self.clock.wall())
+        first = self.key_times.setdefault(key, self.clock.wall())
         name = self.rng.choice(list(self.fleet.entries) or [None])
         if name is None:
             return
@@ -92,7 +92,10 @@
             self.rng.choice([1.0, 5.0]),
             (("clementine-key-time", repr(first)),),
         )
-        self.told[request.request_id] = (key, await self.serve(entry, request))
+        self.outcomes[request.request_id] = (
+            key,
+            await self.serve(entry, request),
+        )
 
     async def serve(self, entry, request):
         """Does what the pipeline does; None when the entry died."""
@@ -125,7 +128,7 @@
     async def attempt(self, request, number, offset):
         """Sends one attempt as `send` does, over a link that may stall."""
         name = self.rng.choice(sorted(self.gates))
-        meant_for = self.gates[name][1]
+        target_incarnation = self.gates[name][1]
         sent_at = self.clock.now()
         attempt = gate_types.Attempt(
             gate_types.AttemptId(request.request_id, number),
@@ -133,31 +136,31 @@
             idempotent=False,
             key=request.key,
             claim_offset=offset,
-            incarnation=meant_for,
+            incarnation=target_incarnation,
             sent_at=sent_at,
         )
-        self._spawn(self.arrive(name, attempt, request))
+        self._spawn(self.deliver(name, attempt, request))
         wait_s = min(1.0, request.deadline - sent_at)
         until = sent_at + wait_s
         while self.clock.now() < until:
             await asyncio.sleep(0.05)
-            done = self.finished(attempt.id)
+            done = self.answer_to(attempt.id)
             if done is not None:
                 return done
         gate, _ = self.gates[name]
         proved, _ = gate.tombstone(
-            attempt.id, False, meant_for, sent_at, self.clock.now()
+            attempt.id, False, target_incarnation, sent_at, self.clock.now()
         )
         if proved:
             return types.NotRun(types.NotRunReason.TOMBSTONED, 0.0)
         return types.Unknown(types.UnknownReason.CONNECTION_LOST)
 
-    def finished(self, attempt_id):
+    def answer_to(self, attempt_id):
         return self.answers.get(attempt_id)
 
     answers: dict
 
-    async def arrive(self, name, attempt, request):
+    async def deliver(self, name, attempt, request):
         await asyncio.sleep(self.rng.choice([0.001, 0.01, 0.5, 15.0]))
         gate, incarnation = self.gates[name]
         # A connection does not outlive the process that it was made to, but
@@ -179,11 +182,11 @@
 
     # What goes wrong meanwhile.
 
-    async def trouble(self):
+    async def inject_faults(self):
         end = self.clock.now() + SECONDS
         while self.clock.now() < end:
             await asyncio.sleep(self.rng.uniform(0.2, 4.0))
-            await self.rng.choice(self._TROUBLES)(self)
+            await self.rng.choice(self._FAULTS)(self)
         self.heal()
 
     def heal(self):
@@ -204,7 +207,7 @@
         self.start_agent(self.rng.choice(sorted(self.gates)))
 
     async def _cut(self):
-        self.fleet.cut(*self.rng.sample(NAMES, 2))
+        self.fleet.partition(*self.rng.sample(NAMES, 2))
 
     async def _heal(self):
         self.heal()
@@ -218,13 +221,13 @@
             faults.answer_lost = self.rng.randrange(3)
             faults.refused = self.rng.randrange(2)
 
-    _TROUBLES = (_crash_entry, _replace_agent, _cut, _heal, _heal, _log_fault)
+    _FAULTS = (_crash_entry, _replace_agent, _cut, _heal, _heal, _log_fault)
 
-    def judge(self):
+    def check(self):
         """Compares what callers were told with what ran."""
         doubled = {k: r for k, r in self.runs.items() if len(r) > 1}
         assert not doubled
-        for request_id, (key, outcome) in self.told.items():
+        for request_id, (key, outcome) in self.outcomes.items():
             if isinstance(outcome, types.NotRun):
                 assert request_id not in self.ran_requests
             if isinstance(outcome, types.Answered):
@@ -244,25 +247,25 @@
     clock = clocks.VirtualClock()
 
     async def body():
-        world = World(clock, seed)
-        world.answers = {}
-        await world.start()
-        troubles = asyncio.ensure_future(world.trouble())
-        await asyncio.gather(*(world.call(number) for number in range(150)))
-        await troubles
-        await asyncio.gather(*world.tasks)
+        schedule = FaultSchedule(clock, seed)
+        schedule.answers = {}
+        await schedule.start()
+        faults = asyncio.ensure_future(schedule.inject_faults())
+        await asyncio.gather(*(schedule.call(number) for number in range(150)))
+        await faults
+        await asyncio.gather(*schedule.tasks)
         await asyncio.sleep(5.0)
-        world.judge()
-        for name, entry in world.fleet.entries.items():
-            fresh = world.fleet.request(f"fresh-{name}", f"fresh-{name}")
+        schedule.check()
+        for name, entry in schedule.fleet.entries.items():
+            fresh = schedule.fleet.request(f"fresh-{name}", f"fresh-{name}")
             won = await entry.claims.claim(fresh)
             assert isinstance(won, request_types.ClaimWon)
-        await world.fleet.stop()
-        return world
+        await schedule.fleet.stop()
+        return schedule
 
-    world = clocks.run(body(), clock)
+    schedule = clocks.run(body(), clock)
     outcomes = collections.Counter(
-        type(outcome).__name__ for _, outcome in world.told.values()
+        type(outcome).__name__ for _, outcome in schedule.outcomes.values()
     )
     # The schedule must have let something through, or it shows nothing.
     assert outcomes["Answered"] > 0
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -16,7 +16,7 @@
 ANSWER = types.Answered(200, (("content-type", "text/plain"),), b"booked")
 
 
-@claims_fleet.in_fleet("e1", "e2", "e3")
+@claims_fleet.with_fleet("e1", "e2", "e3")
 async def test_first_claim_wins_and_its_answer_is_kept_for_repetitions(fleet):
     first = fleet.request("r1")
     won = await fleet.entries["e1"].claims.claim(first)
@@ -28,7 +28,7 @@
         assert again == request_types.Kept(ANSWER)
 
 
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_same_key_at_two_entries_at_once_has_one_winner(fleet):
     """Symptom: one booking is made twice.
 
@@ -50,14 +50,14 @@
     assert kinds == ["ClaimWon", "Kept"]
 
 
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_two_owners_that_do_not_see_each_other_are_safe(fleet):
     """Symptom: one booking is made twice during a network partition.
 
     Sequence: the entries are cut off from each other and both reach the log,
     so that each gathers claims for the same shard. Cause: views differ.
     """
-    fleet.cut("e1", "e2")
+    fleet.partition("e1", "e2")
     results = await asyncio.gather(
         *(
             fleet.entries[name].claims.claim(fleet.request(f"r-{name}"))
@@ -71,7 +71,7 @@
     assert lost[0].outcome.retry_after_s > 0
 
 
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_lost_append_answer_is_settled_by_reading(fleet):
     """Symptom: a key is refused although its claim stands in the log.
 
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("has_read", [True, False])
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_call_that_never_arrived_is_repeated(fleet, has_read):
     entry = fleet.entries["e1"]
     if has_read:
@@ -96,7 +96,7 @@
     assert isinstance(won, request_types.ClaimWon)
 
 
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_log_that_is_down_refuses_at_once_and_the_key_is_free_after(
     fleet,
 ):
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("has_read", [True, False])
-@claims_fleet.in_fleet("e1", "e2", "e3", "e4")
+@claims_fleet.with_fleet("e1", "e2", "e3", "e4")
 async def test_log_that_stalls_refuses_within_two_seconds(fleet, has_read):
     """Symptom: keyed requests hang while the log answers nothing.
 
@@ -143,7 +143,7 @@
         assert fleet.clock.now() - start <= 1.7
 
 
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_claim_that_arrives_after_it_was_given_up_is_void(fleet):
     """Symptom: after a short outage a key is refused for a whole hour.
 
@@ -172,7 +172,7 @@
     assert isinstance(won, request_types.ClaimWon)
 
 
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_entry_that_dies_after_its_claim_leaves_the_key_unknown(fleet):
     """Symptom: a booking runs twice, or its key says "not run" untruly.
 
@@ -195,7 +195,7 @@
     )
 
 
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_replaced_holder_under_its_old_name_is_not_believed(fleet):
     """Symptom: a key is claimed again although it ran.
 
@@ -213,7 +213,7 @@
         assert reason(result) == types.UnknownReason.HOLDER_LOST
 
 
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_proved_not_run_frees_the_key(fleet):
     first = fleet.request("r1")
     claims = fleet.entries["e1"].claims
@@ -224,7 +224,7 @@
     assert again.offset > won.offset
 
 
-@claims_fleet.in_fleet("e1", "e2", "e3")
+@claims_fleet.with_fleet("e1", "e2", "e3")
 async def test_release_that_dies_with_its_owner_is_handed_on_again(fleet):
     """Symptom: a key that was proved not run is refused for an hour.
 
@@ -233,7 +233,7 @@
     """
     first = fleet.request("r1")
     names = claim_owners.rank_entries(
-        claims_fleet.shard_number("k1"), fleet.alive()
+        claims_fleet.shard_number("k1"), fleet.live_entries()
     )
     owner, holder = (names[rank].instance_id for rank in (0, 1))
     claims = fleet.entries[holder].claims
@@ -247,7 +247,7 @@
     assert isinstance(again, request_types.ClaimWon)
 
 
-@claims_fleet.in_fleet("e1", "e2", "e3", "e4", "e5")
+@claims_fleet.with_fleet("e1", "e2", "e3", "e4", "e5")
 async def test_outage_makes_nobody_an_owner_who_was_none(fleet):
     """Symptom: after an outage every entry reads every claim of the hour.
 
@@ -268,7 +268,7 @@
     assert len(readers) <= 3
 
 
-@claims_fleet.in_fleet("e1", "e2", "e3", "e4", "e5")
+@claims_fleet.with_fleet("e1", "e2", "e3", "e4", "e5")
 async def test_owner_that_reads_for_long_is_not_taken_for_dead(fleet):
     """Symptom: after an owner's death every entry reads every claim.
 
@@ -295,7 +295,7 @@
     assert len(readers) <= 3
 
 
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_unknown_end_stays_unknown_for_repetitions(fleet):
     first = fleet.request("r1")
     claims = fleet.entries["e1"].claims
@@ -306,7 +306,7 @@
         assert reason(result) == types.UnknownReason.HOLDER_LOST
 
 
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_same_key_of_two_callers_is_two_keys(fleet):
     claims = fleet.entries["e1"].claims
     for caller in ("zadelmaker", "wagenmaker"):
@@ -316,7 +316,7 @@
 
 
 @pytest.mark.parametrize("name", ["e1", "e2"])
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_key_with_another_body_is_refused(fleet, name):
     first = fleet.request("r1")
     claims = fleet.entries["e1"].claims
@@ -328,7 +328,7 @@
     assert reason(result) == types.NotRunReason.KEY_REUSED
 
 
-@claims_fleet.in_fleet("e1")
+@claims_fleet.with_fleet("e1")
 async def test_answer_too_large_to_keep_is_told_as_already_run(fleet):
     first = fleet.request("r1")
     claims = fleet.entries["e1"].claims
@@ -339,7 +339,7 @@
     assert result.outcome.retry_after_s is None
 
 
-@claims_fleet.in_fleet("e1", "e2", "e3")
+@claims_fleet.with_fleet("e1", "e2", "e3")
 async def test_owner_that_dies_is_followed_by_the_next_in_rank(fleet):
     await fleet.entries["e1"].claims.claim(fleet.request("r0", "k0"))
     readers = [
@@ -354,7 +354,7 @@
     assert isinstance(result, request_types.ClaimWon)
 
 
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_claims_are_appended_in_groups(fleet):
     """At 410 claims a second the log must not get an append for each."""
 
@@ -371,7 +371,7 @@
     assert len(fleet.records()) <= 1.1 * appends
 
 
-@claims_fleet.in_fleet("e1", "e2")
+@claims_fleet.with_fleet("e1", "e2")
 async def test_turn_is_taken_by_one_entry_until_it_is_over(fleet):
     e1, e2 = fleet.entries["e1"].claims, fleet.entries["e2"].claims
     turn = await e1.acquire_lease(b"f" * 16, 5.0)
--- a/tests/test_suspect.py
+++ b/tests/test_suspect.py
@@ -119,7 +119,7 @@
         return []
 
 
-class Site:
+class SuspectFleet:
     """Entries and agents before servers that a poisonous request crashes."""
 
     def __init__(self, clock, entries):
@@ -129,7 +129,7 @@
         self.suspects = {}
         self.crashes = 0
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
         self.poison = request_types.fingerprint("s", "POST", "/", b"poison")
 
     async def __aenter__(self):
@@ -148,7 +148,7 @@
             await service.stop()
         await self.fleet.stop()
 
-    def tell(self, fingerprints, told):
+    def report_crash(self, fingerprints, notified):
         """Records a crash and notifies some entries, as an agent does."""
         self.crashes += 1
         record = ttypes.SuspectRecord(
@@ -157,7 +157,7 @@
             )
         )
         body = codec.encode(record)
-        for name in told:
+        for name in notified:
             handlers = self.suspects[name]._endpoint.handlers
             handlers[connection.Kind.CRASHED](None, body)
         self.fleet.log.put("suspects", body)
@@ -169,13 +169,13 @@
         if isinstance(turn, types.NotRun):
             return turn
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         await asyncio.sleep(0.01)
         self.running -= 1
         if request.fingerprint == self.poison:
             alone = turn is not None
             others = [] if alone else list(innocent_with)
-            self.tell([request.fingerprint, *others], [name])
+            self.report_crash([request.fingerprint, *others], [name])
             return types.Unknown(types.UnknownReason.BACKEND_CRASHED)
         if turn is not None:
             service.end_turn(turn)
@@ -183,8 +183,8 @@
         return types.Answered(200, (), b"")
 
 
-def request(site, body):
-    made = site.fleet.request("r", body=body)
+def request(suspect_fleet, body):
+    made = suspect_fleet.fleet.request("r", body=body)
     made.fingerprint = request_types.fingerprint("s", "POST", "/", body)
     return made
 
@@ -200,25 +200,31 @@
     clock = clocks.VirtualClock()
 
     async def body():
-        async with Site(clock, ["e1", "e2", "e3"]) as site:
-            outcomes = [await site.run("e1", request(site, b"poison"), [b"x"])]
+        async with SuspectFleet(clock, ["e1", "e2", "e3"]) as suspect_fleet:
+            outcomes = [
+                await suspect_fleet.run(
+                    "e1", request(suspect_fleet, b"poison"), [b"x"]
+                )
+            ]
             await asyncio.sleep(0.5)
-            for entry in site.fleet.entries.values():
+            for entry in suspect_fleet.fleet.entries.values():
                 entry.log.faults.down = log_down
             for _ in range(4):
                 results = await asyncio.gather(
                     *(
-                        site.run(name, request(site, b"poison"))
-                        for name in site.names
+                        suspect_fleet.run(
+                            name, request(suspect_fleet, b"poison")
+                        )
+                        for name in suspect_fleet.names
                         for _ in range(3)
                     )
                 )
                 outcomes += results
                 await asyncio.sleep(1.0)
-            assert site.crashes <= 2
-            assert site.most_running == 1
+            assert suspect_fleet.crashes <= 2
+            assert suspect_fleet.max_running == 1
             refused = [o for o in outcomes if isinstance(o, types.NotRun)]
-            assert len(refused) == len(outcomes) - site.crashes
+            assert len(refused) == len(outcomes) - suspect_fleet.crashes
             assert {o.reason for o in refused} == {types.NotRunReason.SUSPECT}
 
     clocks.run(body(), clock)
@@ -228,17 +234,19 @@
     clock = clocks.VirtualClock()
 
     async def body():
-        async with Site(clock, ["e1", "e2"]) as site:
-            innocent = request(site, b"innocent")
+        async with SuspectFleet(clock, ["e1", "e2"]) as suspect_fleet:
+            innocent = request(suspect_fleet, b"innocent")
             shared = [innocent.fingerprint]
-            await site.run("e1", request(site, b"poison"), shared)
+            await suspect_fleet.run(
+                "e1", request(suspect_fleet, b"poison"), shared
+            )
             await asyncio.sleep(0.1)
-            assert site.suspects["e2"].check(innocent, 0.0) == ALONE
-            outcome = await site.run("e2", innocent)
+            assert suspect_fleet.suspects["e2"].check(innocent, 0.0) == ALONE
+            outcome = await suspect_fleet.run("e2", innocent)
             assert isinstance(outcome, types.Answered)
             await asyncio.sleep(0.1)
-            assert site.suspects["e1"].check(innocent, 0.0) == CLEAR
-            assert site.suspects["e2"].check(innocent, 0.0) == CLEAR
+            assert suspect_fleet.suspects["e1"].check(innocent, 0.0) == CLEAR
+            assert suspect_fleet.suspects["e2"].check(innocent, 0.0) == CLEAR
 
     clocks.run(body(), clock)
 
@@ -247,16 +255,16 @@
     clock = clocks.VirtualClock()
 
     async def body():
-        async with Site(clock, ["e1"]) as site:
+        async with SuspectFleet(clock, ["e1"]) as suspect_fleet:
             for _ in range(2):
-                await site.run("e1", request(site, b"poison"))
+                await suspect_fleet.run("e1", request(suspect_fleet, b"poison"))
                 await asyncio.sleep(70.0)
-            assert site.crashes == 2
-        async with Site(clock, ["e9"]) as later:
-            later.fleet.log = site.fleet.log
+            assert suspect_fleet.crashes == 2
+        async with SuspectFleet(clock, ["e9"]) as later:
+            later.fleet.log = suspect_fleet.fleet.log
             service = suspects_service.SuspectsService(
                 Endpoint(later.fleet.network, "e10", 2, 1),
-                site.fleet.log.client(),
+                suspect_fleet.fleet.log.client(),
                 later.fleet.entries["e9"].claims,
                 clock=clock,
             )
