--- a/src/clementinegw/requests/__init__.py
+++ b/src/clementinegw/requests/__init__.py
@@ -1,9 +1,10 @@
-"""The entry's side of a request: a pipeline of small filters.
+"""Handles requests at an entry, as a pipeline of filters.
 
-In the order in which a request passes them: `http` parses it, `rules` resolves
-its settings, `admit` and `limit` take it in or refuse it, claims and suspects
-are checked, `route` chooses a worker, `send` sends an attempt, `retry` decides
-on another. `pipeline` joins them; `service` is the daemon part.
+A request passes them in this order: `http` parses it, `rules` resolves its
+settings, `admit` and `limit` admit or refuse it, claims and suspects are
+checked, `route` chooses a worker, `send` sends an attempt, and `retry` decides
+whether to make another. `pipeline` runs the filters; `service` runs the
+pipeline in the daemon.
 """
 
 from clementinegw.requests import admit as admit
--- a/src/clementinegw/requests/_claim_end_queue.py
+++ b/src/clementinegw/requests/_claim_end_queue.py
@@ -1,4 +1,4 @@
-"""Brings the ends of this entry's claims into the log."""
+"""Sends the ends of this entry's claims to the owners of their shards."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class EndQueue:
-    """Ends that wait, until the owner of their shard has appended them."""
+    """Holds ends of claims until the owner of their shard appended them."""
 
     def __init__(
         self,
@@ -18,13 +18,14 @@
         flush_interval_s: float,
         max_pending: int,
     ):
-        """Starts empty.
+        """Creates an empty queue.
 
         Args:
-          owner_client: Append them.
-          counters: Where delays are counted.
-          flush_interval_s: How long an end may wait; releases do not.
-          max_pending: How many wait at most.
+          owner_client: Sends the ends to the owners.
+          counters: Counts delayed and dropped ends.
+          flush_interval_s: How long an end may wait for others to be sent with
+            it, in seconds; releases are sent at once.
+          max_pending: The most ends in the queue.
         """
         self._owner_client = owner_client
         self._counters = counters
@@ -38,16 +39,16 @@
         return len(self._pending)
 
     def release(self, claim: ttypes.Claim) -> None:
-        """Gives up a claim that may be in the log or get there later."""
+        """Releases a claim that is in the log or may still arrive there."""
         self.add(claim.key, claim.claim_id, ttypes.ClaimEndKind.RELEASED)
 
     def add(
         self, key: bytes, claim_id: bytes, kind: ttypes.ClaimEndKind
     ) -> None:
-        """Takes the end of a claim."""
+        """Adds the end of a claim to the queue."""
         if len(self._pending) >= self._max_pending:
-            # The log has been away for long. The oldest ends are given up:
-            # their keys stay taken until the horizon, and nothing runs twice.
+            # The log has been unavailable for long. The oldest end is dropped:
+            # its key stays claimed until the horizon, so nothing runs twice.
             self._pending.pop(next(iter(self._pending)))
             self._counters.add("claims.ends_dropped")
         self._pending[claim_id] = ttypes.ClaimEnd(
@@ -55,12 +56,12 @@
         )
         self._added.set()
         if kind == ttypes.ClaimEndKind.RELEASED:
-            # Its caller may repeat the key at once, and finds it taken until
-            # this has gone through the log.
+            # The caller may repeat the key at once, and the key stays claimed
+            # until the release is in the log.
             self._release_added.set()
 
     async def run(self) -> None:
-        """Hands ends on, for ever."""
+        """Sends ends until it is cancelled."""
         while True:
             await self._added.wait()
             try:
@@ -76,7 +77,7 @@
                 self._added.set()
 
     async def flush(self) -> None:
-        """Hands on what waits; what is not appended goes on waiting."""
+        """Sends all pending ends; those that are not appended stay pending."""
         by_shard: dict[int, list[ttypes.ClaimEnd]] = {}
         for end in self._pending.values():
             shard_number = claim_lib.shard_number(end.key, claim_lib.SHARDS)
--- a/src/clementinegw/requests/_claim_outcome_resolver.py
+++ b/src/clementinegw/requests/_claim_outcome_resolver.py
@@ -1,4 +1,4 @@
-"""What became of a key's claim: asked of its holder, and told as one."""
+"""Finds out what became of a key's claim, here or at the entry holding it."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class OutcomeResolver:
-    """Asks the entries that hold claims, and answers for this one."""
+    """Queries the entries that hold claims; answers for claims held here."""
 
     def __init__(
         self,
@@ -26,14 +26,15 @@
         clock: clock_lib.Clock,
         call_timeout_s: float,
     ):
-        """Prepares the asker.
+        """Initializes the resolver.
 
         Args:
-          identity: This entry's.
-          held_claims: Its own claims.
-          owner_client: Reaches other entries.
+          identity: The identity of this entry.
+          held_claims: The claims that this entry holds.
+          owner_client: Calls other entries.
           clock: The source of time.
-          call_timeout_s: How long a holder may take to answer, in seconds.
+          call_timeout_s: How long a holder may take to find the outcome of a
+            claim, in seconds.
         """
         self._identity = identity
         self._held_claims = held_claims
@@ -43,9 +44,10 @@
 
     @property
     def holder_name(self) -> str:
-        """This entry's name as a holder.
+        """The name under which this entry holds claims.
 
-        The incarnation tells a holder that was replaced under its old name.
+        The incarnation distinguishes an entry from an earlier process with the
+        same instance id.
         """
         return f"{self._identity.instance_id}@{self._identity.incarnation}"
 
@@ -55,10 +57,10 @@
         request: request_types.Request,
         key_time_ms: int,
     ) -> request_types.ClaimResult | None:
-        """Takes part in the outcome of a claim that this entry holds.
+        """Waits for the outcome of a claim that this entry holds.
 
         Returns:
-          The result; None when the claim was given up and the key is free.
+          The result; None if the claim was released and the key is free.
         """
         if not held.matches(request.fingerprint, key_time_ms):
             return outcomes.key_reused()
@@ -73,35 +75,37 @@
         claim: ttypes.Claim,
         reply: ttypes.ClaimReply,
     ) -> request_types.ClaimResult | None:
-        """Gets the outcome of the claim that has won the key.
+        """Returns the result of a claim that lost, from the winner's outcome.
 
         Args:
-          request: The request whose claim has lost.
-          claim: That claim.
-          reply: What it met.
+          request: The request whose claim lost.
+          claim: The claim that lost.
+          reply: The reply to that claim, which names the winner's holder.
 
         Returns:
-          The result; None when the winner was given up and the key is free,
-          or will be as soon as the log says so.
+          The result; None if the winner was released and the key is free, or
+          becomes free as soon as the release is in the log.
         """
-        kept = await self._query_holder(request, claim, reply)
+        holder_reply = await self._query_holder(request, claim, reply)
         verdict = reply.verdict
-        if kept is None:
+        if holder_reply is None:
             if verdict == Verdict.HELD and not reply.retry_after_ms:
                 verdict = Verdict.UNKNOWN
             return outcomes.RESULT_BY_VERDICT[verdict]()
-        if kept.answer is not None:
-            return request_types.Kept(outcomes.answer_from_wire(kept.answer))
-        if kept.verdict == Verdict.NOT_KEPT:
-            # The holder lives and has no such claim: its word on how it
-            # ended is on its way through the log.
+        if holder_reply.answer is not None:
+            return request_types.Kept(
+                outcomes.answer_from_wire(holder_reply.answer)
+            )
+        if holder_reply.verdict == Verdict.NOT_KEPT:
+            # The holder is alive and has no such claim: the end of the claim
+            # is on its way to the log.
             return outcomes.RESULT_IF_NOT_KEPT[verdict]()
-        if kept.verdict == Verdict.VOID:
+        if holder_reply.verdict == Verdict.VOID:
             return None
-        return outcomes.RESULT_BY_VERDICT[kept.verdict]()
+        return outcomes.RESULT_BY_VERDICT[holder_reply.verdict]()
 
     async def answer_query(self, ask: ttypes.ClaimAsk) -> ttypes.ClaimReply:
-        """Tells another entry what became of a claim of this one."""
+        """Answers another entry's query for a claim that this entry holds."""
         claim = ask.claim
         if ask.incarnation != self._identity.incarnation:
             return ttypes.ClaimReply(verdict=Verdict.UNKNOWN)
@@ -126,13 +130,13 @@
         claim: ttypes.Claim,
         reply: ttypes.ClaimReply,
     ) -> ttypes.ClaimReply | None:
-        """Returns the holder's word; None when it cannot be had."""
+        """Returns the reply of the holder; None if it cannot be reached."""
         holder = reply.holder or ""
         instance_id, _, incarnation = holder.rpartition("@")
         if holder == self.holder_name:
             return ttypes.ClaimReply(verdict=Verdict.NOT_KEPT)
         if instance_id == self._identity.instance_id:
-            # An earlier process under this name; what it knew is gone.
+            # An earlier process of this instance held it; its state is lost.
             return ttypes.ClaimReply(verdict=Verdict.UNKNOWN)
         entry = self._owner_client.find_entry(instance_id)
         if entry is None:
@@ -158,9 +162,9 @@
             return None
 
 
-async def _wait_settled(held: _held_claims.HeldClaim, seconds: float) -> None:
+async def _wait_settled(held: _held_claims.HeldClaim, timeout_s: float) -> None:
     try:
-        async with asyncio.timeout(max(0.0, seconds)):
+        async with asyncio.timeout(max(0.0, timeout_s)):
             await held.done.wait()
     except TimeoutError:
         return
--- a/src/clementinegw/requests/_claim_outcomes.py
+++ b/src/clementinegw/requests/_claim_outcomes.py
@@ -1,4 +1,4 @@
-"""What a claim's verdicts mean for a caller."""
+"""Maps the verdicts and states of claims to results for the caller."""
 
 from clementinegw import types
 from clementinegw.requests import _held_claims
@@ -11,14 +11,14 @@
 def refused(
     reason: types.NotRunReason, retry_after_s: float | None, detail: str = ""
 ) -> request_types.ClaimRefused:
-    """Returns a refusal with proof that this request was not run."""
+    """Returns a refusal that guarantees that this request was not run."""
     return request_types.ClaimRefused(
         types.NotRun(reason, retry_after_s, detail)
     )
 
 
 def claim_lost() -> request_types.ClaimRefused:
-    """Another request with the key is in progress."""
+    """Returns the refusal if another request with the key is in progress."""
     return refused(
         types.NotRunReason.CLAIM_LOST,
         1.0,
@@ -28,7 +28,7 @@
 
 
 def already_run() -> request_types.ClaimRefused:
-    """The first request with the key ran, and its answer is gone."""
+    """Returns the refusal if the first request ran and its answer is gone."""
     return refused(
         types.NotRunReason.ALREADY_RUN,
         None,
@@ -37,12 +37,12 @@
 
 
 def key_reused() -> request_types.ClaimRefused:
-    """The key stands for another request."""
+    """Returns the refusal if the key was used for another request."""
     return refused(types.NotRunReason.KEY_REUSED, None, _KEY_REUSED_DETAIL)
 
 
 def holder_lost() -> request_types.ClaimRefused:
-    """Nobody can say whether the first request with the key ran."""
+    """Returns the refusal if it is unknown whether the first request ran."""
     return request_types.ClaimRefused(
         types.Unknown(
             types.UnknownReason.HOLDER_LOST,
@@ -52,7 +52,7 @@
 
 
 def retry_claim() -> None:
-    """The first request was not run after all: claim once more."""
+    """Returns None: the first request was not run, so the claim is retried."""
     return
 
 
@@ -72,6 +72,7 @@
     Verdict.REUSED: (types.NotRunReason.KEY_REUSED, _KEY_REUSED_DETAIL),
 }
 
+# The result of a claim that lost, by the verdict on the winner.
 RESULT_BY_VERDICT = {
     Verdict.HELD: claim_lost,
     Verdict.RAN: already_run,
@@ -79,12 +80,14 @@
     Verdict.REUSED: key_reused,
 }
 
+# The same, if the winner's holder is alive and does not keep the claim.
 RESULT_IF_NOT_KEPT = {
     Verdict.HELD: retry_claim,
     Verdict.RAN: already_run,
     Verdict.UNKNOWN: holder_lost,
 }
 
+# The result for a request that repeats one of this entry, by its state.
 RESULT_BY_STATE = {
     _held_claims.HeldClaimState.OPEN: claim_lost,
     _held_claims.HeldClaimState.ANSWERED: already_run,
@@ -99,6 +102,7 @@
     _held_claims.HeldClaimState.NOT_RUN: Verdict.VOID,
 }
 
+# How an ended claim is recorded in the log.
 END_KIND_BY_STATE = {
     _held_claims.HeldClaimState.ANSWERED: ttypes.ClaimEndKind.RAN,
     _held_claims.HeldClaimState.UNKNOWN: ttypes.ClaimEndKind.UNKNOWN,
@@ -107,7 +111,7 @@
 
 
 def answer_to_wire(answer: types.Answered) -> ttypes.KeptAnswer:
-    """Returns an answer as it goes between entries."""
+    """Returns the wire form of an answer."""
     return ttypes.KeptAnswer(
         status=answer.status,
         headers=[ttypes.Header(name, value) for name, value in answer.headers],
@@ -116,7 +120,7 @@
 
 
 def answer_from_wire(kept: ttypes.KeptAnswer) -> types.Answered:
-    """Returns an answer that came from another entry."""
+    """Returns the answer that another entry sent."""
     return types.Answered(
         kept.status,
         tuple((header.name, header.value) for header in kept.headers),
--- a/src/clementinegw/requests/_claim_owners.py
+++ b/src/clementinegw/requests/_claim_owners.py
@@ -1,4 +1,4 @@
-"""Finds the entry that gathers a shard's claims, and asks it."""
+"""Finds and calls the entry that owns a shard of claims."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -27,18 +27,22 @@
 
 
 class Connector(Protocol):
-    """Opens or returns the kept connection to another entry."""
+    """Opens a connection to another entry or returns the existing one."""
 
     async def connect(
         self, address: types.Address
     ) -> connection_lib.Connection:
-        """Returns the connection; raises `ConnectionLost`."""
+        """Returns the connection.
+
+        Raises:
+          exceptions.ConnectionLost: The entry cannot be reached.
+        """
 
 
 def rank_entries(
     shard_number: int, entries: Sequence[types.Instance]
 ) -> list[types.Instance]:
-    """Returns entries by their rank for a shard (rendezvous hashing)."""
+    """Returns entries by their rank for a shard, by rendezvous hashing."""
     return sorted(
         entries,
         key=lambda entry: xxhash.xxh64_intdigest(
@@ -49,7 +53,7 @@
 
 
 class OwnerClient:
-    """Asks the owner of a shard; the next in rank when it does not answer."""
+    """Calls the owner of a shard, or the next in rank if it does not answer."""
 
     def __init__(
         self,
@@ -61,16 +65,16 @@
         counters: counters_lib.Counters,
         call_timeout_s: float,
     ):
-        """Prepares the asker.
+        """Initializes the client.
 
         Args:
-          own_id: This entry's instance id.
+          own_id: The instance id of this entry.
           get_entries: Returns the entries that seem alive.
-          connector: Connects to them.
-          get_shard: Returns this entry's own reader of a shard.
+          connector: Connects to other entries.
+          get_shard: Returns this entry's own shard by its number.
           clock: The source of time.
-          counters: Where failed owners are counted.
-          call_timeout_s: How long one owner may take, in seconds.
+          counters: Counts owners that failed.
+          call_timeout_s: How long one owner may take to reply, in seconds.
         """
         self._own_id = own_id
         self._get_entries = get_entries
@@ -87,18 +91,18 @@
     async def claim(
         self, shard_number: int, claim: ttypes.Claim, deadline: float
     ) -> ttypes.ClaimReply:
-        """Claims a key at the shard's owner.
+        """Claims a key at the owner of its shard.
 
-        Asking several owners is safe: they append the same claim id, and its
-        first record counts.
+        Calling several owners is safe: they append the same claim id, of which
+        the first record counts.
 
         Args:
-          shard_number: The shard.
+          shard_number: The number of the shard.
           claim: The claim.
-          deadline: Monotonic seconds until which to try.
+          deadline: When to stop trying, in monotonic seconds.
 
         Returns:
-          The verdict; LOG_UNAVAILABLE when nobody could say.
+          The reply with the verdict; LOG_UNAVAILABLE if no entry decided.
         """
         ask = ttypes.ClaimAsk(
             operation=ttypes.ClaimOperation.CLAIM,
@@ -110,7 +114,7 @@
     async def append_ends(
         self, shard_number: int, ends: list[ttypes.ClaimEnd]
     ) -> bool:
-        """Hands ends of claims to the shard's owner.
+        """Sends ends of claims to the owner of their shard.
 
         Returns:
           Whether they are in the log.
@@ -125,11 +129,12 @@
     async def call(
         self, entry: types.Instance, ask: ttypes.ClaimAsk
     ) -> ttypes.ClaimReply:
-        """Asks another entry.
+        """Calls another entry and returns its reply.
 
         Raises:
-          exceptions.ConnectionLost: It cannot be reached.
-          TimeoutError: It does not answer.
+          exceptions.ConnectionLost: The entry cannot be reached.
+          exceptions.DecodeError: The reply is malformed.
+          TimeoutError: The entry does not reply in time.
         """
         connection = await self._connector.connect(entry.address)
         wait_s = self._call_timeout_s + (ask.wait_ms or 0) / _MS_PER_S
@@ -139,7 +144,7 @@
         return codec.decode(ttypes.ClaimReply, frame.body)
 
     def find_entry(self, instance_id: str) -> types.Instance | None:
-        """Returns an entry that seems alive by its id."""
+        """Returns an entry that seems alive, by its instance id."""
         for entry in self._get_entries():
             if entry.instance_id == instance_id:
                 return entry
@@ -148,36 +153,37 @@
     async def _call_by_rank(
         self, shard_number: int, ask: ttypes.ClaimAsk, deadline: float
     ) -> ttypes.ClaimReply:
-        """Asks those that rank first for a shard until one can say.
+        """Calls the entries that rank first for a shard until one decides.
 
-        Few are asked, also in an outage of the log: were every entry to try
-        for itself, each would read the whole horizon once the log is back.
+        Only a few are called, also while the log is unavailable: if every entry
+        tried on its own, each would read the whole horizon once the log is
+        back.
         """
         log_is_down = False
         for owner in self._candidates(shard_number):
             remaining_s = deadline - self._clock.now()
             if remaining_s <= 0:
                 break
-            name = self._own_id if owner is None else owner.instance_id
-            if self._log_cooldowns.is_active(name):
+            instance_id = self._own_id if owner is None else owner.instance_id
+            if self._log_cooldowns.is_active(instance_id):
                 log_is_down = True
                 continue
-            if self._connection_cooldowns.is_active(name):
+            if self._connection_cooldowns.is_active(instance_id):
                 continue
-            reply = await self._call_owner(owner, name, ask, remaining_s)
+            reply = await self._call_owner(owner, instance_id, ask, remaining_s)
             if reply is None:
                 continue
             if reply.verdict != ttypes.ClaimVerdict.LOG_UNAVAILABLE:
                 return reply
-            # The owner may be cut off from the platform in a failure domain
-            # of its own while others are not. More often the log is down for
-            # all: the others get little time, since a caller waits.
+            # The failure domain of the owner may be cut off from the platform
+            # while others are not. More often the log is down for all entries,
+            # so the others get little time, since a caller waits.
             log_is_down = True
-            self._log_cooldowns.start(name)
+            self._log_cooldowns.start(instance_id)
             deadline = min(deadline, self._clock.now() + _LOG_RECHECK_TIMEOUT_S)
         remaining_s = deadline - self._clock.now()
         if not log_is_down and remaining_s > 0:
-            # Cut off from all others, an entry may still reach the log.
+            # An entry that is cut off from all others may still reach the log.
             reply = await self._call_owner(None, self._own_id, ask, remaining_s)
             if reply is not None:
                 return reply
@@ -189,11 +195,14 @@
     async def _call_owner(
         self,
         owner: types.Instance | None,
-        name: str,
+        instance_id: str,
         ask: ttypes.ClaimAsk,
         remaining_s: float,
     ) -> ttypes.ClaimReply | None:
-        """Asks one owner; None stands for this entry, and for no answer."""
+        """Returns the reply of an owner, or None if the call failed.
+
+        An owner of None stands for this entry.
+        """
         timeout_s = min(self._call_timeout_s, remaining_s)
         try:
             async with asyncio.timeout(timeout_s):
@@ -210,15 +219,15 @@
                 and timeout_s < self._call_timeout_s
             )
             if not cut_short:
-                self._connection_cooldowns.start(name)
+                self._connection_cooldowns.start(instance_id)
             return None
 
     def _candidates(self, shard_number: int) -> list[types.Instance | None]:
-        """Returns whom to ask in turn; None stands for this entry itself."""
+        """Returns the entries to call in order; None stands for this entry."""
         now = self._clock.now()
         if now >= self._ranking_expires_at:
             # Ranking hundreds of entries for each claim would cost more than
-            # the claim; who has died since is found out by asking.
+            # the claim. Calls detect entries that have died since.
             self._ranking_expires_at = now + _RANKING_REFRESH_S
             self._candidates_by_shard.clear()
         if shard_number not in self._candidates_by_shard:
@@ -233,19 +242,19 @@
 
 
 class _Cooldowns:
-    """Entries that are not asked for a while."""
+    """Entries that are not called for a while after a failure."""
 
-    def __init__(self, clock: clock_lib.Clock, seconds: float):
+    def __init__(self, clock: clock_lib.Clock, duration_s: float):
         self._clock = clock
-        self._duration_s = seconds
+        self._duration_s = duration_s
         self._expires_at: dict[str, float] = {}
 
-    def start(self, name: str) -> None:
+    def start(self, instance_id: str) -> None:
         now = self._clock.now()
         self._expires_at = {
             n: t for n, t in self._expires_at.items() if t > now
         }
-        self._expires_at[name] = now + self._duration_s
+        self._expires_at[instance_id] = now + self._duration_s
 
-    def is_active(self, name: str) -> bool:
-        return self._expires_at.get(name, 0.0) > self._clock.now()
+    def is_active(self, instance_id: str) -> bool:
+        return self._expires_at.get(instance_id, 0.0) > self._clock.now()
--- a/src/clementinegw/requests/_claim_shard.py
+++ b/src/clementinegw/requests/_claim_shard.py
@@ -1,8 +1,9 @@
-"""One shard of claims at the entry that gathers its appends.
+"""Handles one shard of claims at the entry that batches its appends.
 
-The owner is a cache and a batcher, no authority: what counts is the order of
-appends. Two owners at once, or one that wakes from a pause, cost appends and
-nothing else.
+The owner of a shard caches its stream and batches appends, but does not decide
+who wins: only the order of records in the log does. If two entries own a shard
+at once, or an owner resumes after a pause, this costs additional appends and
+does no other harm.
 """
 
 import asyncio
@@ -24,15 +25,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """How a shard waits; all in seconds.
+    """Intervals and timeouts of a shard, all in seconds.
 
     Attributes:
-      batch_interval_s: The least time between two appends.
-      max_end_delay_s: How long the end of a claim waits for a claim.
-      append_timeout_s: After which an append's answer counts as lost.
-      lost_answer_timeout_s: How long a lost answer is looked for in the log.
-      retry_interval_s: Between two tries of one append.
-      recovery_poll_interval_s: Between two questions to a log that failed.
+      batch_interval_s: The minimum time between two appends.
+      max_end_delay_s: How long the end of a claim waits for a claim to be
+        appended with.
+      append_timeout_s: The time after which the answer to an append counts as
+        lost.
+      lost_answer_timeout_s: For how long an append whose answer was lost is
+        looked for in the log and retried.
+      retry_interval_s: The time between two attempts of one append.
+      recovery_poll_interval_s: The time between two reads of a log that
+        failed.
     """
 
     batch_interval_s: float = 0.04
@@ -45,18 +50,22 @@
 
 @dataclasses.dataclass(slots=True)
 class _PendingClaim:
+    """A claim without a verdict, and the future of its reply."""
+
     claim: ttypes.Claim
     reply: asyncio.Future[ttypes.ClaimReply]
 
 
 @dataclasses.dataclass(slots=True)
 class _PendingEnd:
+    """An end that is not appended, and the future of its append."""
+
     end: ttypes.ClaimEnd
     appended: asyncio.Future[None]
 
 
 class Shard:
-    """Reads one stream of claims and appends to it in groups."""
+    """Reads one stream of claims and appends to it in batches."""
 
     _MAX_BATCH = 512
 
@@ -70,16 +79,16 @@
         log: logs.Log,
         counters: counters_lib.Counters,
     ):
-        """Starts without knowing the stream.
+        """Initializes the shard; its stream is read on first use.
 
         Args:
-          shard_number: Which shard.
+          shard_number: The number of the shard.
           log_client: The platform's log.
           horizon: How far back claims are remembered.
-          timing: How long to wait.
+          timing: The intervals and timeouts.
           clock: The source of time.
-          log: Where events go.
-          counters: Where appends and claims are counted.
+          log: Receives events.
+          counters: Counts appends and claims.
         """
         self._stream_name = claim_lib.stream_name(shard_number)
         self._shard_number = shard_number
@@ -108,20 +117,20 @@
 
     @property
     def winner_count(self) -> int:
-        """How many winners are remembered."""
+        """The number of winning claims that are remembered."""
         return len(self._stream.table)
 
     async def claim(self, claim: ttypes.Claim) -> ttypes.ClaimReply:
         """Claims a key.
 
-        A claim that is answered with LOG_UNAVAILABLE may be in the log all
-        the same, or get there later; its holder releases it.
+        A claim that is answered with LOG_UNAVAILABLE may nevertheless be in the
+        log, or arrive there later; its holder releases it.
 
         Args:
-          claim: The claim; asking again with the same id is harmless.
+          claim: The claim; it may be repeated with the same id.
 
         Returns:
-          The verdict.
+          The reply with the verdict.
         """
         if self._is_log_down():
             return self._log_unavailable()
@@ -136,22 +145,22 @@
             async with asyncio.timeout(self._timing.append_timeout_s):
                 return await asyncio.shield(pending.reply)
         except TimeoutError:
-            # The stream is still being read, or the log is slow. Told nothing,
-            # the asker would take this entry for dead, and the whole fleet
-            # would begin to read the stream one after the other.
+            # The stream is still being read, or the log is slow. Without a
+            # reply, the caller would consider this entry dead, and one entry
+            # after the other would begin to read the stream.
             self._pending_claims.pop(claim.claim_id, None)
             return self._log_unavailable()
 
     async def append_ends(
         self, ends: list[ttypes.ClaimEnd]
     ) -> ttypes.ClaimReply:
-        """Appends ends of claims with the next group, and waits for it.
+        """Appends ends of claims with the next batch, and waits for it.
 
-        Its asker keeps them until then: were they lost with an owner that
-        dies, a released key would stay taken until the horizon.
+        The caller keeps them until then: if they were lost with an owner that
+        dies, a released key would stay claimed until the horizon.
 
         Returns:
-          VOID when they are in the log, else LOG_UNAVAILABLE.
+          VOID if they are in the log, else LOG_UNAVAILABLE.
         """
         if self._is_log_down():
             return self._log_unavailable()
@@ -172,12 +181,13 @@
         return ttypes.ClaimReply(verdict=Verdict.VOID)
 
     def close(self) -> None:
-        """Stops the work."""
+        """Stops appending."""
         if self._task is not None:
             self._task.cancel()
 
     def _is_log_down(self) -> bool:
-        # A log that stalls is as good as down for a caller that waits.
+        # For a waiting caller, a log that stalls is the same as one that is
+        # down.
         stalled = (
             self._append_started_at is not None
             and self._clock.now() - self._append_started_at
@@ -199,7 +209,7 @@
             self._task = asyncio.ensure_future(self._run())
 
     async def _run(self) -> None:
-        """Works until nothing waits any more."""
+        """Appends until no claim and no end is pending."""
         while self._pending_claims or self._pending_ends:
             try:
                 await self._append_pending()
@@ -226,7 +236,7 @@
         self._reply_decided()
 
     async def _wait_for_batch(self) -> None:
-        """Waits for what may go with the same append."""
+        """Waits for claims and ends that can share the next append."""
         if not self._pending_claims:
             try:
                 async with asyncio.timeout(self._timing.max_end_delay_s):
@@ -243,11 +253,11 @@
             await asyncio.sleep(wait_s)
 
     async def _append_batch(self, batch: ttypes.ClaimBatch) -> None:
-        """Appends a group and folds the stream up to it.
+        """Appends a batch and applies the stream up to it.
 
         Raises:
-          exceptions.PlatformError: The log does not answer; whether the group
-            is in it is not known.
+          exceptions.PlatformError: The log does not answer; the batch may or
+            may not be in it.
         """
         self._append_started_at = self._last_append_at = self._clock.now()
         until = self._append_started_at + self._timing.lost_answer_timeout_s
@@ -262,21 +272,21 @@
         self._counters.add("claims.claims", len(batch.claims))
 
     async def _try_append(self, batch: ttypes.ClaimBatch) -> bool:
-        """Returns whether the group is in the log."""
+        """Appends a batch once; returns whether it is in the log."""
         value = codec.encode(batch)
         try:
             async with asyncio.timeout(self._timing.append_timeout_s):
                 offset = await self._log_client.append(self._stream_name, value)
         except TimeoutError as error:
-            # Callers wait. They are refused now; the holders release claims
-            # that may be in the log, and the log is asked again meanwhile.
+            # The waiting callers are refused now. The holders release claims
+            # that may be in the log, while this shard polls the log.
             raise exceptions.PlatformUnavailable("no answer in time") from error
         except exceptions.PlatformUnavailable:
-            # The answer may be lost after the append took effect. Taken for a
-            # failure, the claim would stand in the log with nobody to use it;
-            # taken for a success, two entries could run one key. The log
-            # itself tells: either it holds this group's claims by now, or
-            # appending the same group again is harmless.
+            # The answer may be lost after the append took effect. If this
+            # counted as a failure, the claim could win in the log without being
+            # used; if it counted as a success, two entries could run one key.
+            # Therefore the log is read: either it holds the claims of this
+            # batch by now, or the same batch can safely be appended again.
             self._counters.add("claims.append_lost")
             await self._stream.read()
             return self._has_all_claims(batch)
@@ -290,7 +300,7 @@
         return all(verdict is not None for verdict in verdicts)
 
     def _reply_decided(self) -> None:
-        """Answers what the stream has decided."""
+        """Replies to the pending claims that the stream has decided."""
         for pending in list(self._pending_claims.values()):
             reply = self._stream.verdict(pending.claim)
             if reply is not None:
@@ -302,7 +312,7 @@
             pending.reply.set_result(reply)
 
     async def _wait_for_log(self) -> None:
-        """Refuses at once what waits, until the log answers again."""
+        """Refuses the pending claims and polls the log until it answers."""
         self._log_available = False
         self._log.write(_claim_events.LOG_DOWN, shard=self._shard_number)
         for pending in list(self._pending_claims.values()):
--- a/src/clementinegw/requests/_claim_stream.py
+++ b/src/clementinegw/requests/_claim_stream.py
@@ -1,4 +1,4 @@
-"""One shard's stream of claims, read up to where it is needed."""
+"""Reads one shard's stream of claims as far as it is needed."""
 
 import asyncio
 
@@ -14,10 +14,10 @@
 
 
 class ClaimStream:
-    """Follows a stream and folds it.
+    """Reads a stream and applies its records to a table of winners.
 
     Attributes:
-      fold: The winners as far as the stream was read.
+      table: The winners, as far as the stream was read.
     """
 
     _PAGE_RECORDS = 500
@@ -33,17 +33,17 @@
         log: logs.Log,
         counters: counters_lib.Counters,
     ):
-        """Starts without knowing the stream.
+        """Initializes the stream, which is read on first use.
 
         Args:
-          shard_number: Which shard.
+          shard_number: The number of the shard.
           log_client: The platform's log.
           horizon: How far back claims are remembered.
-          call_timeout_s: How long a call of the log may take, in seconds.
+          call_timeout_s: How long a call to the log may take, in seconds.
           retry_interval_s: The delay before a call is retried, in seconds.
           clock: The source of time.
-          log: Where events go.
-          counters: Where a stream that goes back is counted.
+          log: Receives events.
+          counters: Counts streams that went back to an older state.
         """
         self.table = claim_lib.ClaimTable(horizon)
         self._shard_number = shard_number
@@ -60,11 +60,11 @@
 
     @property
     def has_read(self) -> bool:
-        """Whether any of it has been read."""
+        """Whether any of the stream has been read."""
         return self._position > 0
 
     def verdict(self, claim: ttypes.Claim) -> ttypes.ClaimReply | None:
-        """Says what a claim meets; None when its key is free."""
+        """Returns the reply to a claim; None if its key is free."""
         return self.table.verdict(
             claim, self._clock.wall(), self._complete_since
         )
@@ -72,27 +72,27 @@
     async def apply_appended(
         self, offset: int, batch: ttypes.ClaimBatch
     ) -> None:
-        """Folds the stream up to a record that was appended here.
+        """Applies the stream up to a record that this entry appended.
 
         Args:
-          offset: The record's offset.
-          batch: What it holds.
+          offset: The offset of the record.
+          batch: The content of the record.
 
         Raises:
-          exceptions.PlatformUnavailable: What others appended before it cannot
-            be read.
+          exceptions.PlatformUnavailable: The records that others appended
+            before it cannot be read.
         """
         if offset < self._position:
             self._handle_rollback(offset)
         if offset == self._position and not _has_leases(batch):
-            # Nobody else has appended since. The time of a lease must be the
-            # log's own, or two owners could disagree whether it has lapsed.
+            # No other entry has appended since. The time of a lease must come
+            # from the log, or two owners could disagree whether it has lapsed.
             self._apply(offset, self._clock.wall(), batch)
         else:
             await self.read(offset)
 
     async def read(self, offset: int | None = None) -> None:
-        """Folds the stream up to its end, or to an offset."""
+        """Applies the stream up to its end, or up to an offset."""
         began = self._position == 0
         if began:
             await self._seek_start()
@@ -115,15 +115,15 @@
         page = await self._read_page(0)
         self._position = await self._find_start(page)
         if page.first_offset > 1:
-            # Records have expired: of keys older than the first that is kept
-            # nothing can be said.
+            # Records have expired: whether a key older than the first kept
+            # record was claimed is unknown.
             self._complete_since = self._page_complete_since(page)
 
     async def _find_start(self, page: platform_log.Page) -> int:
         """Returns the first offset that may be within the horizon.
 
-        The log may keep records for days. Read from its beginning, a shard
-        whose owner has died would refuse claims for that long.
+        The log may keep records for days. If a new owner read the stream from
+        its beginning, the shard would refuse claims until it was done.
         """
         oldest = self._clock.wall() - self._horizon.retention_s
         low, high = max(1, page.first_offset), page.next_offset
@@ -168,9 +168,9 @@
             self._position = page.first_offset
 
     def _handle_rollback(self, offset: int) -> None:
-        # A restored, older log gives offsets out again. What was claimed in
-        # the part that is gone is known to those who read it only; a new owner
-        # would let such a key run a second time.
+        # A log that was restored from an older state assigns offsets again.
+        # Only those who read the lost part know its claims; a new owner would
+        # let such a key run a second time.
         self._log.write(
             _claim_events.STREAM_WENT_BACK, shard=self._shard_number
         )
--- a/src/clementinegw/requests/_held_claims.py
+++ b/src/clementinegw/requests/_held_claims.py
@@ -1,4 +1,4 @@
-"""What one entry knows of the claims it holds, answers among them."""
+"""Stores the claims that this entry holds, and their kept answers."""
 
 import asyncio
 import collections
@@ -9,7 +9,7 @@
 
 
 class HeldClaimState(enum.Enum):
-    """Where a claim of this entry stands."""
+    """The state of a claim that this entry holds."""
 
     OPEN = "open"
     ANSWERED = "answered"
@@ -19,17 +19,18 @@
 
 @dataclasses.dataclass(slots=True)
 class HeldClaim:
-    """One claim of this entry.
+    """A claim that this entry holds.
 
     Attributes:
       key: The hashed key.
-      claim_id: The claim.
-      request_id: The request it was made for.
-      fingerprint: Of that request.
-      key_time_ms: The key's date; 0 for an undated key.
+      claim_id: The id of the claim.
+      request_id: The id of the request that made the claim.
+      fingerprint: The fingerprint of that request.
+      key_time_ms: When the key was first used, in epoch milliseconds; 0 for an
+        undated key.
       done: Set once the request has ended.
-      state: Where it stands.
-      answer: The answer; None when there is none or it was not kept.
+      state: The state of the claim.
+      answer: The answer; None if there is none or it was not kept.
     """
 
     key: bytes
@@ -42,29 +43,30 @@
     answer: types.Answered | None = None
 
     def matches(self, fingerprint: bytes, key_time_ms: int) -> bool:
-        """Whether another request with the key is a repetition."""
+        """Returns whether another request with the key repeats this one."""
         return (
             self.fingerprint == fingerprint and self.key_time_ms == key_time_ms
         )
 
 
 class HeldClaims:
-    """This entry's claims by key; answers are kept in bounded memory."""
+    """Holds this entry's claims by key, with answers in bounded memory."""
 
     _CLAIM_OVERHEAD_BYTES = 1024
 
     def __init__(self, max_memory_bytes: int, max_answer_bytes: int):
-        """Starts empty.
+        """Creates an empty store.
 
         Args:
-          max_memory_bytes: For ended claims and their answers together.
-          max_answer_bytes: The largest answer that is kept.
+          max_memory_bytes: The memory for ended claims and their answers
+            together.
+          max_answer_bytes: The size of the largest answer that is kept.
         """
         self._max_memory_bytes = max_memory_bytes
         self._max_answer_bytes = max_answer_bytes
         self._held: dict[bytes, HeldClaim] = {}
         self._by_request: dict[str, HeldClaim] = {}
-        # Ended claims, oldest first, and the memory each takes.
+        # The estimated memory of each ended claim, oldest first.
         self._ended_bytes: collections.OrderedDict[bytes, int] = (
             collections.OrderedDict()
         )
@@ -72,25 +74,25 @@
 
     @property
     def used_bytes(self) -> int:
-        """Memory that ended claims take, by estimate."""
+        """The estimated memory that ended claims take."""
         return self._used_bytes
 
     def resize(self, max_memory_bytes: int, max_answer_bytes: int) -> None:
-        """Takes other bounds from the next answer on."""
+        """Changes the bounds, which apply from the next answer on."""
         self._max_memory_bytes = max_memory_bytes
         self._max_answer_bytes = max_answer_bytes
 
     def get(self, key: bytes) -> HeldClaim | None:
-        """Returns this entry's claim of a key."""
+        """Returns this entry's claim of a key; None if there is none."""
         return self._held.get(key)
 
     def add(self, held: HeldClaim) -> None:
-        """Enters a claim before it is asked for."""
+        """Adds a claim before it is sent to the owner of its shard."""
         self._held[held.key] = held
         self._by_request[held.request_id] = held
 
     def discard(self, held: HeldClaim) -> None:
-        """Forgets a claim that was not won."""
+        """Removes a claim that was not won or whose request was not run."""
         held.state = HeldClaimState.NOT_RUN
         held.done.set()
         self._remove(held)
@@ -98,10 +100,10 @@
     def settle(
         self, request_id: str, outcome: types.Outcome
     ) -> HeldClaim | None:
-        """Notes how a claimed request ended.
+        """Records how a claimed request ended.
 
         Returns:
-          Its claim; None when this entry holds none for the request.
+          Its claim; None if this entry holds no open claim for the request.
         """
         held = self._by_request.get(request_id)
         if held is None or held.state is not HeldClaimState.OPEN:
--- a/src/clementinegw/requests/_null_filters.py
+++ b/src/clementinegw/requests/_null_filters.py
@@ -1,4 +1,4 @@
-"""Filters that stand in where claims or suspects are not wired."""
+"""Null implementations of the claim and suspect filters."""
 
 from clementinegw import types
 from clementinegw.requests import types as request_types
@@ -8,10 +8,10 @@
 
 
 class NoClaims:
-    """Claims nothing; for services whose operations are all idempotent."""
+    """Refuses every claim; enough if all operations are idempotent."""
 
     async def claim(self, request: Request) -> request_types.ClaimResult:
-        """Refuses: without a log there is no claim."""
+        """Returns a refusal, since claims need a log."""
         return request_types.ClaimRefused(
             types.NotRun(types.NotRunReason.LOG_UNAVAILABLE, _RETRY_AFTER_S)
         )
@@ -21,7 +21,7 @@
 
 
 class NoSuspects:
-    """Suspects nobody."""
+    """Treats no request as a suspect."""
 
     def check(
         self, request: Request, now: float
@@ -32,7 +32,7 @@
     async def turn(
         self, request: Request, wait_s: float
     ) -> request_types.Turn | types.NotRun | None:
-        """Returns None: nobody waits."""
+        """Returns None, which means that the request need not wait."""
         return None
 
     def end_turn(self, turn: request_types.Turn) -> None:
--- a/src/clementinegw/requests/claim.py
+++ b/src/clementinegw/requests/claim.py
@@ -1,9 +1,9 @@
-"""Claims of idempotency keys: the fold of one shard's stream.
+"""Decides claims of idempotency keys from the records of a shard's stream.
 
 The first claim for a key in append order wins, and its offset is the fencing
-number. Every process that folds the same records finds the same winner, so
-that it does not matter who appends, or whether two think that it is their
-turn. See docs/design/claims.md.
+number. Every process that applies the same records finds the same winner, so it
+does not matter which entry appends, or whether two entries own a shard at once.
+See docs/design/claims.md.
 """
 
 import dataclasses
@@ -16,8 +16,9 @@
 from clementinegw.wire.gen.requests import ttypes
 
 HASH_BYTES = 16
-# The same at every entry for ever: two entries that spread keys over different
-# numbers of streams would each find a key free that the other has claimed.
+# Must never change and be the same at every entry: two entries that distribute
+# keys over different numbers of streams would each find a key free that the
+# other has claimed.
 SHARDS = 8
 KEY_TIME_HEADER = "clementine-key-time"
 _UUID7 = re.compile(
@@ -29,7 +30,7 @@
 
 
 def hash_key(service: str, customer: str, key: str) -> bytes:
-    """Returns 16 bytes that stand for one customer's key at one service."""
+    """Returns a 16-byte hash of a customer's key at a service."""
     hasher = blake3.blake3()
     for part in (service, customer, key):
         data = part.encode()
@@ -39,7 +40,7 @@
 
 
 def shard_number(key: bytes, shard_count: int) -> int:
-    """Returns the shard that a hashed key belongs to."""
+    """Returns the number of the shard that a hashed key belongs to."""
     return int.from_bytes(key[:8], "big") % shard_count
 
 
@@ -49,16 +50,16 @@
 
 
 def parse_key_time_ms(key: str, headers: tuple[tuple[str, str], ...]) -> int:
-    """Returns when a key was first used, as its caller dates it.
+    """Returns when a key was first used, according to its caller.
 
-    A key that is a UUID of version 7 carries the time; any other is dated by
-    the header `Clementine-Key-Time`, epoch seconds.
+    The header `Clementine-Key-Time` gives the time in epoch seconds. Without
+    it, a key that is a UUID of version 7 contains the time.
 
     Returns:
       Epoch milliseconds; 0 for an undated key.
 
     Raises:
-      ValueError: The header is no time; the text says what was found.
+      ValueError: The header is not a time; the message quotes its value.
     """
     for name, value in headers:
         if name.lower() == KEY_TIME_HEADER:
@@ -80,7 +81,7 @@
 
 
 class ClaimStatus(enum.IntEnum):
-    """How a claim ended, as far as the log says."""
+    """How a claim ended, according to the log."""
 
     OPEN = 0
     RAN = 1
@@ -92,15 +93,17 @@
     """The winning claim of a key.
 
     Attributes:
-      claim_id: The claim.
-      fingerprint: Of the request it was made for.
-      offset: Its place in the stream, the fencing number.
-      time: When the log took it, epoch seconds.
-      key_time_ms: The key's date; 0 for an undated key.
-      use_ms: Its holder hands over within this time of asking.
-      lease: Whether it is free again after that time.
-      status: How it ended.
-      holder: Who may use it.
+      claim_id: The id of the claim.
+      fingerprint: The fingerprint of the request that made the claim.
+      offset: The offset of its record in the stream, the fencing number.
+      time: When the log accepted the record, in epoch seconds.
+      key_time_ms: When the key was first used, in epoch milliseconds; 0 for an
+        undated key.
+      use_ms: Within how many milliseconds of making the claim its holder hands
+        the request over.
+      lease: Whether the key is free again after that time.
+      status: How the claim ended.
+      holder: The name of the entry that may use the claim.
     """
 
     claim_id: bytes
@@ -114,17 +117,18 @@
     holder: str
 
     def has_lapsed(self, time: float, max_clock_skew_s: float) -> bool:
-        """Whether its holder cannot hand anything over any more."""
+        """Returns whether the holder can no longer hand the request over."""
         return time > self.time + self.use_ms / _MS_PER_S + max_clock_skew_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Horizon:
-    """How far back claims are known.
+    """How far back claims are remembered.
 
     Attributes:
-      max_key_age_s: Keys dated before this age are refused.
-      max_clock_skew_s: How far clocks of callers, entries and the log differ.
+      max_key_age_s: The age in seconds from which on keys are refused.
+      max_clock_skew_s: By how many seconds the clocks of callers, entries and
+        the log may differ.
     """
 
     max_key_age_s: float = 3600.0
@@ -132,21 +136,21 @@
 
     @property
     def retention_s(self) -> float:
-        """How long a claim is remembered by the log's time."""
+        """For how many seconds, by the log's clock, a claim is remembered."""
         return self.max_key_age_s + 2 * self.max_clock_skew_s
 
 
 class ClaimTable:
-    """The winners of one shard, folded from its records in order.
+    """Holds the winners of one shard; its records are applied in order.
 
-    A winner takes about 200 bytes: its fields are packed, because at the
-    target size an owner knows tens of thousands of them.
+    The fields of a winner are packed, so that it takes about 200 bytes: at the
+    target size an owner holds tens of thousands of winners.
     """
 
     _WINNER_FORMAT = struct.Struct(">16s16sqdqiBBH")
 
     def __init__(self, horizon: Horizon):
-        """Starts empty.
+        """Creates an empty table.
 
         Args:
           horizon: How far back claims are remembered.
@@ -161,12 +165,12 @@
         return len(self._winners)
 
     def apply(self, offset: int, time: float, batch: ttypes.ClaimBatch) -> None:
-        """Folds one record.
+        """Applies one record.
 
         Args:
-          offset: Its place in the stream.
-          time: When the log took it, epoch seconds.
-          batch: The record.
+          offset: The offset of the record in the stream.
+          time: When the log accepted the record, in epoch seconds.
+          batch: The content of the record.
         """
         self._prune(time)
         for end in batch.ends:
@@ -175,26 +179,27 @@
             self._apply_claim(claim, offset, time)
 
     def find(self, key: bytes) -> WinningClaim | None:
-        """Returns the winning claim of a key; None when it is free."""
+        """Returns the winning claim of a key; None if the key is free."""
         packed = self._winners.get(key)
         return None if packed is None else self._unpack(packed)
 
     def is_released(self, claim_id: bytes) -> bool:
-        """Whether the claim's holder has given it up for good."""
+        """Returns whether the holder of a claim has released it for good."""
         return claim_id in self._released
 
     def verdict(
         self, claim: ttypes.Claim, time: float, complete_since: float
     ) -> ttypes.ClaimReply | None:
-        """Says what a claim meets.
+        """Returns the reply to a claim.
 
         Args:
           claim: The claim, appended or not.
-          time: Epoch seconds.
-          complete_since: From when on every claim is known, epoch seconds.
+          time: The current time, in epoch seconds.
+          complete_since: The time since which all claims are known, in epoch
+            seconds.
 
         Returns:
-          What its holder is told; None when its key is free.
+          The reply to the holder; None if the key is free.
         """
         verdicts = ttypes.ClaimVerdict
         if claim.claim_id in self._released:
@@ -231,10 +236,10 @@
         winner = self.find(end.key)
         matches = winner is not None and winner.claim_id == end.claim_id
         if end.kind == ttypes.ClaimEndKind.RELEASED:
-            # The release may stand before the claim: an append whose answer
-            # was lost can arrive after its holder has given up. Without this
-            # mark such a late claim would block its key for the whole horizon
-            # although nobody will ever run it.
+            # The release may precede the claim: an append whose answer was lost
+            # can arrive after its holder has released the claim. If the release
+            # were not remembered, such a late claim would block its key for the
+            # whole horizon although its request will never run.
             self._released[end.claim_id] = time
             if matches:
                 del self._winners[end.key]
@@ -267,7 +272,7 @@
             ClaimStatus.OPEN,
             claim.holder,
         )
-        # Taken out first: the order of the table is the order of its times.
+        # Removed first, so that the table stays in order of time.
         self._winners.pop(claim.key, None)
         self._winners[claim.key] = self._pack(new_winner)
 
@@ -342,8 +347,8 @@
 def _losing_verdict(
     claim: ttypes.Claim, winner: WinningClaim
 ) -> ttypes.ClaimVerdict:
-    # A caller that dates each repetition anew would walk past the horizon
-    # unseen; the first repetition tells it.
+    # A caller that gives each repetition a new time would evade the horizon;
+    # the first repetition with another time reveals it.
     same = (
         winner.fingerprint == claim.fingerprint
         and winner.key_time_ms == claim.key_time_ms
--- a/src/clementinegw/requests/claims_service.py
+++ b/src/clementinegw/requests/claims_service.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys at one entry: the filter before hand-over."""
+"""Claims idempotency keys at one entry, before requests are handed over."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -33,18 +33,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """The bounds of claims.
+    """The limits and timeouts of claims.
 
     Attributes:
       horizon: How far back claims are remembered.
-      max_memory_bytes: Memory for kept answers.
-      max_answer_bytes: The largest answer that is kept.
-      call_timeout_s: How long one owner of a shard may take, in seconds.
-      claim_retry_interval_s: Between two tries of a claim that was released.
-      release_wait_s: How long the log may take to tell of that release.
-      flush_interval_s: Within which ends are sent on; releases go at once.
-      stop_timeout_s: How long a service that stops may take to hand on ends.
-      max_pending_ends: Ends of claims that wait at most.
+      max_memory_bytes: The memory for ended claims and their kept answers.
+      max_answer_bytes: The size of the largest answer that is kept.
+      call_timeout_s: How long one owner of a shard may take to reply, in
+        seconds.
+      claim_retry_interval_s: The time between two attempts to claim a key whose
+        holder released it, in seconds.
+      release_wait_s: How long such a release may take to appear in the log, in
+        seconds.
+      flush_interval_s: The time within which ends of claims are sent, in
+        seconds; releases are sent at once.
+      stop_timeout_s: How long a stopping service may take to send the pending
+        ends, in seconds.
+      max_pending_ends: The maximum number of pending ends.
     """
 
     horizon: claim_lib.Horizon = claim_lib.Horizon()
@@ -73,18 +78,19 @@
         counters: counters_lib.Counters | None = None,
         new_id: Callable[[], bytes] | None = None,
     ):
-        """Registers its handler at the endpoint.
+        """Initializes the service and registers its handler at the endpoint.
 
         Args:
-          endpoint: This entry's connections.
+          endpoint: The connections of this entry.
           log_client: The platform's log.
-          entries: The entries that seem alive, this one among them or not.
-          limits: The bounds.
-          timing: How shards wait.
+          entries: Returns the entries that seem alive, with or without this
+            one.
+          limits: The limits and timeouts of claims.
+          timing: The intervals and timeouts of shards.
           clock: The source of time.
-          log: Where events go.
-          counters: Where verdicts are counted.
-          new_id: Makes claim ids that no other process makes.
+          log: Receives events.
+          counters: Counts verdicts.
+          new_id: Returns claim ids that are unique in the fleet.
         """
         super().__init__()
         self._log_client = log_client
@@ -132,7 +138,7 @@
         endpoint.on_call(Kind.CLAIM_ASK, self._on_call)
 
     def apply(self, limits: Limits, timing: Timing) -> None:
-        """Takes over changed bounds from the settings."""
+        """Applies changed limits from the settings."""
         if limits == self._limits and timing == self._timing:
             return
         self._limits = limits
@@ -140,12 +146,13 @@
         self._held_claims.resize(
             limits.max_memory_bytes, limits.max_answer_bytes
         )
-        # A longer horizon needs claims that were forgotten: each shard is read
-        # anew when it is next asked; the old readers finish what they have.
+        # A longer horizon needs claims that have been dropped. Therefore each
+        # shard is read anew when it is next called; the old shards finish their
+        # pending claims.
         self._shards = {}
 
     async def on_stop(self) -> None:
-        """Hands on what has ended; a key whose end is lost stays taken."""
+        """Sends the pending ends; a key whose end is lost stays claimed."""
         try:
             async with asyncio.timeout(self._limits.stop_timeout_s):
                 await self._end_queue.flush()
@@ -174,8 +181,8 @@
                 "Clementine-Key-Time: expected a time that is not in the"
                 " future",
             )
-        # Callers that the settings do not name share one customer; their keys
-        # must not meet, or one would be given another's kept answer.
+        # Callers that the settings do not name share one customer. Their keys
+        # must stay separate, or one would receive another's kept answer.
         caller = request.caller or request.customer
         key = claim_lib.hash_key(request.service, caller, request.key)
         until = min(
@@ -198,7 +205,7 @@
     def settle(
         self, request: request_types.Request, outcome: types.Outcome
     ) -> None:
-        """Tells how a claimed request ended; see `requests.types.Claims`."""
+        """Records how a claimed request ended; see `requests.types.Claims`."""
         held = self._held_claims.settle(request.request_id, outcome)
         if held is not None:
             self._counters.add(f"claims.settled.{held.state.value}")
@@ -209,14 +216,14 @@
     async def acquire_lease(
         self, name: bytes, use_s: float
     ) -> request_types.Turn | None:
-        """Takes the only turn in the fleet for something, for a while.
+        """Acquires a lease that only one entry of the fleet holds at a time.
 
         Args:
-          name: What the turn is for.
-          use_s: After which it is over by itself, in seconds.
+          name: What the lease is for.
+          use_s: The time after which the lease expires, in seconds.
 
         Returns:
-          The turn; None when another entry has it or the log is down.
+          The lease; None if another entry holds it or the log is down.
         """
         key = claim_lib.hash_key("", "", _LEASE_PREFIX + name.hex())
         claim = ttypes.Claim(
@@ -236,18 +243,18 @@
             self._end_queue.release(claim)
         return None
 
-    def release_lease(self, turn: request_types.Turn) -> None:
-        """Gives a turn back."""
+    def release_lease(self, lease: request_types.Turn) -> None:
+        """Releases a lease."""
         self._end_queue.add(
-            turn.key, turn.claim_id, ttypes.ClaimEndKind.RELEASED
+            lease.key, lease.claim_id, ttypes.ClaimEndKind.RELEASED
         )
 
     async def _claim(
         self, request: request_types.Request, key: bytes, key_time_ms: int
     ) -> request_types.ClaimResult | None:
-        """Claims a key that this entry does not hold; None to try again."""
-        # The time of use runs from before the append: a holder that is paused
-        # in between, and then wakes, finds its claim lapsed by its own clock.
+        """Claims a key that this entry does not hold; None to claim again."""
+        # The time of use starts before the append: a holder that is paused in
+        # between finds by its own clock that its claim has lapsed.
         remaining_s = request.deadline - self._clock.now()
         if remaining_s <= 0:
             return outcomes.refused(types.NotRunReason.DEADLINE, None)
@@ -276,7 +283,7 @@
             in_time = self._clock.now() < request.deadline
             won = verdict == Verdict.WON and in_time
         finally:
-            # Also when the caller went away meanwhile.
+            # Also reached if the caller disconnected meanwhile.
             if not won:
                 self._held_claims.discard(held)
             if not won and verdict not in _FINAL_VERDICTS:
@@ -349,11 +356,11 @@
 
     @mode.Service.task
     async def _send_ends(self) -> None:
-        """Brings ends of claims to the owners of their shards."""
+        """Sends ends of claims to the owners of their shards."""
         await self._end_queue.run()
 
 
-# The log has decided against the claim: it will never be used.
+# Verdicts by which the log has decided against the claim for good.
 _FINAL_VERDICTS = frozenset(
     {
         Verdict.HELD,
--- a/src/clementinegw/requests/suspect.py
+++ b/src/clementinegw/requests/suspect.py
@@ -1,10 +1,10 @@
-"""Requests that crash backend servers: the fold of the stream `suspects`.
+"""Tracks requests that may crash backend servers, from the stream `suspects`.
 
-An agent names what was in flight when its backend server crashed. A request
-that was in flight at one crash since it last completed is a suspect: it runs
-alone, at one server at a time in the whole fleet. At its second crash it is
-refused everywhere. One that merely shared a batch is cleared by completing.
-See docs/design/suspects.md.
+An agent reports the requests that were in flight when its backend server
+crashed. A request that was in flight at one crash since it last completed is a
+suspect: it runs alone, on one server at a time in the whole fleet. After a
+second crash it is refused by all entries. A request that merely shared a batch
+is cleared when it completes. See docs/design/suspects.md.
 """
 
 import dataclasses
@@ -18,11 +18,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """How long and how much is remembered.
+    """How long and how many requests are remembered.
 
     Attributes:
-      retention_s: Seconds a record lasts after its latest crash.
-      max_fingerprints: Findings remembered at most.
+      retention_s: How long a request is remembered after its latest crash, in
+        seconds.
+      max_fingerprints: The maximum number of remembered requests.
     """
 
     retention_s: float = 86_400.0
@@ -31,12 +32,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashId:
-    """Names one crash.
+    """Identifies one crash.
 
     Attributes:
-      instance_id: The agent that saw it.
-      incarnation: That agent's incarnation.
-      sequence: Counts the crashes that this incarnation saw.
+      instance_id: The instance id of the agent that observed it.
+      incarnation: The incarnation of that agent.
+      sequence: The number of the crash among those that this incarnation
+        observed.
     """
 
     instance_id: str
@@ -46,7 +48,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _RequestRecord:
-    """Crashes that a request was in flight at, with their times in seconds."""
+    """The crashes at which a request was in flight, by epoch seconds."""
 
     crashes: dict[CrashId, float] = dataclasses.field(default_factory=dict)
 
@@ -56,31 +58,32 @@
 
 
 class SuspectTracker:
-    """What is held against requests, by fingerprint.
+    """Tracks which requests were in flight at crashes, by fingerprint.
 
-    Records may come twice and in any order: by the log, and sooner by notices.
+    Records may arrive repeatedly and in any order: from the log, and earlier in
+    notices.
     """
 
     def __init__(self, limits: Limits | None = None):
-        """Starts without suspicion.
+        """Initializes the tracker without any suspects.
 
         Args:
-          limits: How long and how much is remembered.
+          limits: How long and how many requests are remembered.
         """
         self._limits = limits or Limits()
         self._records: dict[bytes, _RequestRecord] = {}
-        # When a request last completed, for crashes that are told late.
+        # When a request last completed, for crashes that are reported late.
         self._completed_at: dict[bytes, float] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     def is_suspected(self, fingerprint: bytes) -> bool:
-        """Whether anything is held against a request."""
+        """Returns whether a request is a suspect or refused."""
         return fingerprint in self._records
 
     def record_crash(self, report: ttypes.CrashReport) -> tuple[bytes, ...]:
-        """Takes a crash.
+        """Records a crash.
 
         Returns:
           The fingerprints for which this crash was not known yet.
@@ -90,7 +93,7 @@
         self._expire(time)
         new_fingerprints = []
         for fingerprint in report.fingerprints:
-            # A completion that is younger than the crash has cleared it.
+            # The request completed after the crash, which cleared it.
             if self._completed_at.get(fingerprint, 0.0) >= time:
                 continue
             record = self._records.setdefault(fingerprint, _RequestRecord())
@@ -101,7 +104,7 @@
         return tuple(new_fingerprints)
 
     def record_completion(self, message: ttypes.Cleared) -> None:
-        """Takes that requests completed."""
+        """Records that requests completed."""
         time = message.time_ms / _MS_PER_S
         for fingerprint in message.fingerprints:
             self._complete(fingerprint, time)
@@ -142,8 +145,8 @@
         excess = len(self._records) - self._limits.max_fingerprints
         if excess <= 0:
             return
-        # Those that are refused go last: forgotten, they would crash two more
-        # servers, while a mere suspect costs one.
+        # Refused requests are evicted last: without their record they would
+        # crash two more servers, a suspect only one.
         order = sorted(
             self._records,
             key=lambda f: (
--- a/src/clementinegw/requests/suspects_service.py
+++ b/src/clementinegw/requests/suspects_service.py
@@ -1,4 +1,4 @@
-"""Suspects at one entry: follows the log, hears agents, takes turns."""
+"""Tracks suspects at one entry, from the log and the agents' notices."""
 
 import asyncio
 import collections
@@ -30,17 +30,17 @@
 
 
 class LeaseManager(Protocol):
-    """Gives turns of which there is one in the fleet at a time."""
+    """Manages leases that only one entry of the fleet holds at a time."""
 
     async def acquire_lease(self, name: bytes, use_s: float) -> Turn | None:
-        """Takes the turn; None when another has it or the log is down."""
+        """Returns the lease; None if another holds it or the log is down."""
 
-    def release_lease(self, turn: Turn) -> None:
-        """Gives a turn back."""
+    def release_lease(self, lease: Turn) -> None:
+        """Releases a lease."""
 
 
 class SuspectsService(mode.Service):
-    """Knows what is held against requests, and runs suspects in turn."""
+    """Tracks suspects and lets one run at a time in the fleet."""
 
     def __init__(
         self,
@@ -52,16 +52,16 @@
         log: logs.Log | None = None,
         counters: counters_lib.Counters | None = None,
     ):
-        """Registers its handler at the endpoint.
+        """Initializes the service and registers its handler at the endpoint.
 
         Args:
-          endpoint: This entry's connections.
+          endpoint: The connections of this entry.
           log_client: The platform's log.
-          lease_manager: Lets one suspect run at a time.
-          limits: How much is remembered.
+          lease_manager: Grants the leases under which suspects run.
+          limits: How long and how many requests are remembered.
           clock: The source of time.
-          log: Where events go.
-          counters: Where findings are counted.
+          log: Receives events.
+          counters: Counts crashes, refusals and turns.
         """
         super().__init__()
         self._endpoint = endpoint
@@ -80,13 +80,13 @@
 
     @property
     def suspect_count(self) -> int:
-        """How many fingerprints something is held against."""
+        """The number of requests that are suspects or refused."""
         return len(self._tracker)
 
     def check(
         self, request: request_types.Request, now: float
     ) -> request_types.SuspectVerdict:
-        """Says how the request may run; see `requests.types.Suspects`."""
+        """Returns how the request may run; see `requests.types.Suspects`."""
         del now
         if not len(self._tracker):
             return _CLEAR
@@ -102,8 +102,8 @@
           wait_s: How long to wait for its turn, in seconds.
 
         Returns:
-          A turn to give back by `end_turn`; None when nothing is held against
-          the request; NotRun when it may not run, or not yet.
+          A turn to be ended by `end_turn`; None if the request is no suspect;
+          NotRun if it may not run, or not yet.
         """
         until = min(self._clock.now() + wait_s, request.deadline)
         while True:
@@ -125,16 +125,16 @@
             if self._clock.now() + _LEASE_RETRY_INTERVAL_S >= until:
                 self._counters.add("suspects.deferred")
                 return types.NotRun(
-                    types.NotRunReason.SUSPECT, 1.0, "it may run alone only"
+                    types.NotRunReason.SUSPECT, 1.0, "it may only run alone"
                 )
             await asyncio.sleep(_LEASE_RETRY_INTERVAL_S)
 
     def end_turn(self, turn: Turn) -> None:
-        """Gives a turn back."""
+        """Ends a turn."""
         self._lease_manager.release_lease(turn)
 
     def completed(self, request: request_types.Request) -> None:
-        """Takes that a request was answered whole: that clears it."""
+        """Clears a request that was answered completely."""
         if not self._tracker.is_suspected(request.fingerprint):
             return
         message = ttypes.Cleared(
@@ -153,14 +153,14 @@
         record = codec.decode(ttypes.SuspectRecord, body)
         if not self._apply(record):
             return
-        # Other entries hear of it before the log tells them: the caller's
-        # repetition may come through any of them, and the log may be down.
+        # Other entries are notified before the log informs them: the caller may
+        # repeat the request at any of them, and the log may be down.
         for other in self._endpoint.connections():
             if other is not connection and other.peer.role is types.Role.ENTRY:
                 other.notify(Kind.CRASHED, body)
 
     def _apply(self, record: ttypes.SuspectRecord) -> bool:
-        """Takes a record; returns whether it reported a new crash."""
+        """Applies a record; returns whether it reported a new crash."""
         if record.cleared is not None:
             self._tracker.record_completion(record.cleared)
         if record.crash is None:
@@ -190,7 +190,7 @@
 
     @mode.Service.task
     async def _follow_stream(self) -> None:
-        """Reads the stream for ever."""
+        """Reads the stream until the service stops."""
         while not self.should_stop:
             try:
                 await self._read_page()
@@ -202,7 +202,7 @@
             STREAM_NAME, self._position, wait_s=_POLL_WAIT_S
         )
         if page.next_offset < self._position:
-            # The log went back; what it told is known and stays so.
+            # The log went back to an older state; what was read stays known.
             self._position = page.next_offset
         for record in page.records:
             self._apply_record(record)
@@ -220,7 +220,7 @@
 
     @mode.Service.task
     async def _publish_completions(self) -> None:
-        """Brings what was cleared here into the log."""
+        """Appends the completions of this entry to the log."""
         while not self.should_stop:
             await self._added.wait()
             self._added.clear()
