--- a/tests/claims_fleet.py
+++ b/tests/claims_fleet.py
@@ -1,4 +1,4 @@
-"""Entries that claim keys, joined by connections in memory, virtual time."""
+"""A fleet of entries that claim keys, in memory and in virtual time."""
 
 import asyncio
 import dataclasses
@@ -20,7 +20,7 @@
 
 
 class Network:
-    """Which processes can reach which."""
+    """Tracks which processes can reach each other."""
 
     def __init__(self):
         self.endpoints = {}
@@ -37,7 +37,7 @@
 
 
 class Endpoint:
-    """What `ClaimsService` uses of a `wire.connection.Endpoint`."""
+    """Replaces a `wire.connection.Endpoint` with what `ClaimsService` uses."""
 
     def __init__(self, network, name, port, incarnation):
         self.identity = connection.Identity(
@@ -62,7 +62,7 @@
 
 
 class Link:
-    """One connection; its frames are lost while it is cut."""
+    """One connection; its frames are lost while its ends are partitioned."""
 
     def __init__(self, client, server):
         self.client = client
@@ -131,7 +131,7 @@
 
 
 class Fleet:
-    """Some entries and the platform's log."""
+    """Entries and the platform's log."""
 
     def __init__(self, clock, limits=None, timing=None, retention_s=None):
         self.clock = clock
@@ -143,7 +143,7 @@
         self._port = 1000
 
     async def start(self, name, incarnation=1):
-        """Starts an entry, or a new process in the place of an old one."""
+        """Starts an entry, or a new process that replaces an old one."""
         self._port += 1
         endpoint = Endpoint(self.network, name, self._port, incarnation)
         log = self.log.client()
@@ -164,7 +164,7 @@
         return entry
 
     async def crash(self, name):
-        """Ends an entry at once; what it knew is gone."""
+        """Ends an entry at once; its state is lost."""
         entry = self.entries.pop(name)
         entry.endpoint.up = False
         entry.log.faults.down = True
@@ -175,7 +175,7 @@
             await self.crash(name)
 
     def records(self):
-        """Returns all records of claims."""
+        """Returns all records of claims in the log."""
         return [
             record
             for shard in range(claim_lib.SHARDS)
--- a/tests/test_claim_horizon.py
+++ b/tests/test_claim_horizon.py
@@ -1,4 +1,4 @@
-"""How long a key is remembered, and what is refused after that."""
+"""Tests how long keys are remembered and what is refused after that."""
 
 import asyncio
 
@@ -16,30 +16,30 @@
 
 
 def keys_of_one_shard(count):
-    """Returns keys whose claims stand in the same stream."""
-    found = {}
+    """Returns keys whose claims are in the same stream."""
+    keys_by_shard = {}
     for number in range(1000):
         key = f"key-{number}"
         shard = claims_fleet.shard_number(key)
-        found.setdefault(shard, []).append(key)
-        if len(found[shard]) == count:
-            return found[shard]
-    raise AssertionError("hashes are not spread")
+        keys_by_shard.setdefault(shard, []).append(key)
+        if len(keys_by_shard[shard]) == count:
+            return keys_by_shard[shard]
+    raise AssertionError("the keys are not distributed over shards")
 
 
-def dated(seconds):
+def key_time_headers(seconds):
     return (("clementine-key-time", str(seconds)),)
 
 
 @claims_fleet.with_fleet("e1")
 async def test_dated_key_is_refused_beyond_the_horizon(fleet):
-    """Symptom: a booking repeated the next day is made a second time.
+    """Guards against running a booking again that is repeated a day later.
 
-    Sequence: a keyed request runs; after the horizon its claim is forgotten;
-    the caller repeats it. Cause: a forgotten key looks like a new one.
+    After the horizon the claim is dropped, and a dropped key looks like a new
+    one when the caller repeats it.
     """
     claims = fleet.entries["e1"].claims
-    first = fleet.request("r1", headers=dated(fleet.clock.wall()))
+    first = fleet.request("r1", headers=key_time_headers(fleet.clock.wall()))
     assert isinstance(await claims.claim(first), request_types.ClaimWon)
     claims.settle(first, ANSWER)
     await asyncio.sleep(3000.0)
@@ -50,14 +50,16 @@
     claims = (await fleet.start("e1", 2)).claims
     late = fleet.request("r3", headers=first.headers)
     assert reason(await claims.claim(late)) == types.NotRunReason.KEY_EXPIRED
-    new = fleet.request("r4", "k2", headers=dated(fleet.clock.wall()))
+    new = fleet.request(
+        "r4", "k2", headers=key_time_headers(fleet.clock.wall())
+    )
     assert isinstance(await claims.claim(new), request_types.ClaimWon)
 
 
 @claims_fleet.with_fleet("e1", retention_s=600.0)
-async def test_log_that_keeps_less_than_the_horizon_shortens_it(fleet):
+async def test_log_retention_below_the_horizon_shortens_the_horizon(fleet):
     claims = fleet.entries["e1"].claims
-    first = fleet.request("r1", headers=dated(fleet.clock.wall()))
+    first = fleet.request("r1", headers=key_time_headers(fleet.clock.wall()))
     await claims.claim(first)
     claims.settle(first, ANSWER)
     await asyncio.sleep(900.0)
@@ -68,15 +70,17 @@
 
 
 @claims_fleet.with_fleet("e1")
-async def test_log_that_goes_back_refuses_keys_from_before(fleet):
-    """Symptom: after the log was restored from a copy, bookings run again.
+async def test_restored_log_refuses_keys_from_before_the_restore(fleet):
+    """Guards against running bookings again after the log was restored.
 
-    Sequence: claims are appended, the log goes back to an older state, a new
-    owner reads it. Cause: the claims in between are gone.
+    The log goes back to an older state without the latest claims, and a new
+    owner reads it.
     """
     claims = fleet.entries["e1"].claims
     same = keys_of_one_shard(3)
-    first = fleet.request("r1", same[0], headers=dated(fleet.clock.wall()))
+    first = fleet.request(
+        "r1", same[0], headers=key_time_headers(fleet.clock.wall())
+    )
     await claims.claim(first)
     claims.settle(first, ANSWER)
     await asyncio.sleep(1.0)
@@ -91,31 +95,33 @@
 
 
 @claims_fleet.with_fleet("e1")
-async def test_repetition_that_is_dated_anew_is_found_out(fleet):
+async def test_repetition_with_another_key_time_is_refused(fleet):
     claims = fleet.entries["e1"].claims
-    first = fleet.request("r1", headers=dated(fleet.clock.wall() - 10))
+    first = fleet.request(
+        "r1", headers=key_time_headers(fleet.clock.wall() - 10)
+    )
     await claims.claim(first)
     claims.settle(first, ANSWER)
-    again = fleet.request("r2", headers=dated(fleet.clock.wall()))
+    again = fleet.request("r2", headers=key_time_headers(fleet.clock.wall()))
     assert reason(await claims.claim(again)) == types.NotRunReason.KEY_REUSED
 
 
 @pytest.mark.parametrize("time", ["soon", "-5", "nan", "99999999999"])
 @claims_fleet.with_fleet("e1")
-async def test_time_that_is_none_is_the_callers_mistake(fleet, time):
+async def test_malformed_key_time_is_a_bad_request(fleet, time):
     result = await fleet.entries["e1"].claims.claim(
-        fleet.request("r1", headers=dated(time))
+        fleet.request("r1", headers=key_time_headers(time))
     )
     assert reason(result) == types.NotRunReason.BAD_REQUEST
 
 
-def test_version_7_uuid_carries_its_time():
+def test_version_7_uuid_contains_the_key_time():
     key = "018f3c1e-5d2a-7b3c-9d4e-5f6a7b8c9d0e"
     assert claim_lib.parse_key_time_ms(key, ()) == 0x018F3C1E5D2A
     assert claim_lib.parse_key_time_ms("order-77", ()) == 0
 
 
-def claim_of(claim_id, key=b"k", **changes):
+def make_claim(claim_id, key=b"k", **changes):
     fields = {
         "claim_id": claim_id,
         "key": key,
@@ -129,22 +135,22 @@
 
 
 @claims_fleet.with_fleet("e1")
-async def test_new_owner_reads_the_horizon_and_not_the_whole_log(fleet):
-    """Symptom: keyed requests are refused for long after an owner has died.
+async def test_new_owner_reads_only_the_horizon_of_the_log(fleet):
+    """Guards against refusing keyed requests for long after an owner died.
 
-    Sequence: the log keeps far more than the horizon; a new owner takes over.
-    Cause: it reads the stream from its beginning.
+    The log keeps far more than the horizon. A new owner that reads the stream
+    from its beginning cannot answer until it is done.
     """
     key = claim_lib.hash_key("magazijn", "werkplaats", "k1")
     stream = claim_lib.stream_name(
         claim_lib.shard_number(key, claim_lib.SHARDS)
     )
     for number in range(40_000):
-        old = claim_of(number.to_bytes(16, "big"), b"old%d" % number)
+        old = make_claim(number.to_bytes(16, "big"), b"old%d" % number)
         batch = ttypes.ClaimBatch(claims=[old], ends=[])
         fleet.log.put(stream, codec.encode(batch))
     await asyncio.sleep(10_000.0)
-    first = claim_of(b"c" * 16, key, fingerprint=b"other")
+    first = make_claim(b"c" * 16, key, fingerprint=b"other")
     batch = ttypes.ClaimBatch(claims=[first], ends=[])
     fleet.log.put(stream, codec.encode(batch))
     entry = fleet.entries["e1"]
@@ -153,11 +159,11 @@
     assert entry.log.calls <= 12
 
 
-def test_fold_forgets_what_is_past_the_horizon():
+def test_claim_table_drops_claims_older_than_the_horizon():
     horizon = claim_lib.Horizon(100.0, 10.0)
-    fold = claim_lib.ClaimTable(horizon)
+    table = claim_lib.ClaimTable(horizon)
     for number in range(1000):
-        claim = claim_of(number.to_bytes(16, "big"), b"k%d" % number)
+        claim = make_claim(number.to_bytes(16, "big"), b"k%d" % number)
         batch = ttypes.ClaimBatch(claims=[claim], ends=[])
-        fold.apply(number + 1, float(number), batch)
-    assert len(fold) == 121
+        table.apply(number + 1, float(number), batch)
+    assert len(table) == 121
--- a/tests/test_claim_pause.py
+++ b/tests/test_claim_pause.py
@@ -1,4 +1,4 @@
-"""A holder of a claim that is paused, and wakes after its claim lapsed."""
+"""Tests a holder that is paused and resumes after its claim lapsed."""
 
 import asyncio
 import dataclasses
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass
 class _Connector:
-    """Connects at once and notes what is sent."""
+    """Connects at once and records what is sent."""
 
     sent: list
     closed = False
@@ -45,13 +45,13 @@
         return None
 
 
-def test_woken_holder_hands_nothing_over():
-    """Symptom: a booking is made minutes after its caller was told "unknown".
+def test_resumed_holder_hands_nothing_over():
+    """Guards against running a booking whose caller got "unknown" before.
 
-    Sequence: an entry wins a claim and is paused before it hands the request
-    over; its deadline passes; another entry tells the caller's repetition that
-    the holder is lost; the first one wakes. Cause: it still believes that it
-    holds the claim, and it does, but the claim's time of use is over.
+    An entry wins a claim and is paused before it hands the request over. After
+    the deadline another entry answers a repetition that the holder is lost;
+    then the first entry resumes. It still holds the claim, but the claim's time
+    of use is over.
     """
     clock = clocks.VirtualClock()
 
@@ -65,8 +65,8 @@
         assert isinstance(won, request_types.ClaimWon)
         fleet.partition("e1", "e2")
         await asyncio.sleep(90.0)
-        told = await fleet.entries["e2"].claims.claim(fleet.request("r2"))
-        assert told.outcome.reason == types.UnknownReason.HOLDER_LOST
+        repeated = await fleet.entries["e2"].claims.claim(fleet.request("r2"))
+        assert repeated.outcome.reason == types.UnknownReason.HOLDER_LOST
 
         connector = _Connector([])
         sender = send.Sender(connector, clock, counters.Counters())
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -1,4 +1,4 @@
-"""At most once under schedules of faults, drawn at random, in virtual time."""
+"""Tests at-most-once under random schedules of faults, in virtual time."""
 
 import asyncio
 import collections
@@ -24,7 +24,7 @@
 
 
 class FaultSchedule:
-    """Entries, agents and a log, with everything that goes wrong."""
+    """Runs entries, agents and a log, and injects faults at random."""
 
     def __init__(self, clock, seed):
         self.clock = clock
@@ -56,7 +56,7 @@
         self.gates[name] = (gate_lib.Gate(limits, number), number)
 
     def _delay_appends(self, entry):
-        """Lets some appends arrive long after they seemed to fail."""
+        """Makes some appends arrive long after they seemed to fail."""
         append = entry.log.append
 
         async def delayed(stream, value):
@@ -74,7 +74,7 @@
     def _spawn(self, coroutine):
         self.tasks.append(asyncio.ensure_future(coroutine))
 
-    # One caller's request, from its entry to an agent.
+    # A caller's request, from its entry to an agent.
 
     async def call(self, number):
         await asyncio.sleep(self.rng.uniform(0, SECONDS))
@@ -98,7 +98,7 @@
         )
 
     async def serve(self, entry, request):
-        """Does what the pipeline does; None when the entry died."""
+        """Serves a request as the pipeline does; None if the entry died."""
         result = await entry.claims.claim(request)
         if not entry.endpoint.up:
             return None
@@ -107,7 +107,7 @@
         if isinstance(result, request_types.ClaimRefused):
             return result.outcome
         if self.rng.random() < 0.2:
-            # A paused process: everything in it stands still, and goes on.
+            # A paused process stops completely and then continues.
             await asyncio.sleep(self.rng.choice([0.5, 2.0, 40.0]))
         outcome = await self.send(request, result.offset)
         if not entry.endpoint.up:
@@ -163,8 +163,8 @@
     async def deliver(self, name, attempt, request):
         await asyncio.sleep(self.rng.choice([0.001, 0.01, 0.5, 15.0]))
         gate, incarnation = self.gates[name]
-        # A connection does not outlive the process that it was made to, but
-        # now and then one is made anew and its frames sent again.
+        # A connection ends with the process that it was made to, but in some
+        # cases a new one is made and the frames are sent again.
         if attempt.incarnation != incarnation and self.rng.random() < 0.5:
             return
         actions = gate.submit(attempt, self.clock.now())
@@ -180,7 +180,7 @@
             body = b"booked " + request.request_id.encode()
             self.answers[attempt.id] = types.Answered(200, (), body)
 
-    # What goes wrong meanwhile.
+    # The faults.
 
     async def inject_faults(self):
         end = self.clock.now() + SECONDS
@@ -206,7 +206,7 @@
     async def _replace_agent(self):
         self.start_agent(self.rng.choice(sorted(self.gates)))
 
-    async def _cut(self):
+    async def _partition(self):
         self.fleet.partition(*self.rng.sample(NAMES, 2))
 
     async def _heal(self):
@@ -221,12 +221,19 @@
             faults.answer_lost = self.rng.randrange(3)
             faults.refused = self.rng.randrange(2)
 
-    _FAULTS = (_crash_entry, _replace_agent, _cut, _heal, _heal, _log_fault)
+    _FAULTS = (
+        _crash_entry,
+        _replace_agent,
+        _partition,
+        _heal,
+        _heal,
+        _log_fault,
+    )
 
     def check(self):
-        """Compares what callers were told with what ran."""
-        doubled = {k: r for k, r in self.runs.items() if len(r) > 1}
-        assert not doubled
+        """Checks the outcomes of callers against the requests that ran."""
+        repeated_runs = {k: r for k, r in self.runs.items() if len(r) > 1}
+        assert not repeated_runs
         for request_id, (key, outcome) in self.outcomes.items():
             if isinstance(outcome, types.NotRun):
                 assert request_id not in self.ran_requests
@@ -237,12 +244,12 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_schedule_of_faults_runs_no_key_twice(seed):
-    """Symptom: a booking is made twice, or told "not run" although it ran.
+    """Guards against bookings that run twice or ran in spite of "not run".
 
-    Sequence: entries and agents die and are replaced, links between entries
-    break, the log is down, slow, loses answers and takes records late, holders
-    of claims are paused and wake, callers repeat keys at any entry. Cause: any
-    two of these together.
+    Entries and agents die and are replaced, links between entries break, the
+    log is down or slow, loses answers and accepts records late, holders of
+    claims are paused and resume, and callers repeat keys at any entry. Any two
+    of these together may cause the failure.
     """
     clock = clocks.VirtualClock()
 
@@ -267,6 +274,6 @@
     outcomes = collections.Counter(
         type(outcome).__name__ for _, outcome in schedule.outcomes.values()
     )
-    # The schedule must have let something through, or it shows nothing.
+    # Without any answer or refusal the schedule would not test anything.
     assert outcomes["Answered"] > 0
     assert outcomes["NotRun"] > 0
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: who wins, and every way to lose track."""
+"""Tests claims of idempotency keys: who wins, and what failures cause."""
 
 import asyncio
 
@@ -30,11 +30,10 @@
 
 @claims_fleet.with_fleet("e1", "e2")
 async def test_same_key_at_two_entries_at_once_has_one_winner(fleet):
-    """Symptom: one booking is made twice.
+    """Guards against running a booking twice.
 
-    Sequence: the caller's software sends the same key through two entries of
-    two failure domains at the same moment. Cause: neither can know of the
-    other but through the log.
+    The caller sends the same key through entries of two failure domains at the
+    same time. Each learns of the other request only from the log.
     """
     requests = {name: fleet.request(f"r-{name}") for name in fleet.entries}
 
@@ -51,11 +50,11 @@
 
 
 @claims_fleet.with_fleet("e1", "e2")
-async def test_two_owners_that_do_not_see_each_other_are_safe(fleet):
-    """Symptom: one booking is made twice during a network partition.
+async def test_two_owners_in_a_network_partition_have_one_winner(fleet):
+    """Guards against running a booking twice during a network partition.
 
-    Sequence: the entries are cut off from each other and both reach the log,
-    so that each gathers claims for the same shard. Cause: views differ.
+    The entries cannot reach each other, but both reach the log, so each
+    batches claims for the same shard.
     """
     fleet.partition("e1", "e2")
     results = await asyncio.gather(
@@ -72,11 +71,11 @@
 
 
 @claims_fleet.with_fleet("e1")
-async def test_lost_append_answer_is_settled_by_reading(fleet):
-    """Symptom: a key is refused although its claim stands in the log.
+async def test_lost_answer_to_an_append_is_resolved_by_reading_the_log(fleet):
+    """Guards against refusing a key whose claim is in the log.
 
-    Sequence: the append takes effect, its answer is lost. Cause: the error is
-    the same as that of an append that never arrived.
+    The append takes effect and its answer is lost. The error is the same as
+    that of an append that never arrived.
     """
     entry = fleet.entries["e1"]
     entry.log.faults.answer_lost = 1
@@ -87,7 +86,7 @@
 
 @pytest.mark.parametrize("has_read", [True, False])
 @claims_fleet.with_fleet("e1")
-async def test_call_that_never_arrived_is_repeated(fleet, has_read):
+async def test_call_to_the_log_that_never_arrived_is_repeated(fleet, has_read):
     entry = fleet.entries["e1"]
     if has_read:
         await entry.claims.claim(fleet.request("r0", "k0"))
@@ -100,10 +99,10 @@
 async def test_log_that_is_down_refuses_at_once_and_the_key_is_free_after(
     fleet,
 ):
-    """Symptom: keyed requests hang until their deadline during an outage.
+    """Guards against keyed requests that wait for their deadline in an outage.
 
-    Sequence: the log goes down; the first request finds it out, and the
-    following ones are told at once when to come back. The log returns.
+    The first request detects that the log is down; the following ones are
+    refused at once with a retry delay. After the outage the key is free.
     """
     for entry in fleet.entries.values():
         entry.log.faults.down = True
@@ -125,10 +124,10 @@
 @pytest.mark.parametrize("has_read", [True, False])
 @claims_fleet.with_fleet("e1", "e2", "e3", "e4")
 async def test_log_that_stalls_refuses_within_two_seconds(fleet, has_read):
-    """Symptom: keyed requests hang while the log answers nothing.
+    """Guards against keyed requests that wait long while the log stalls.
 
-    Sequence: the log keeps its connections and stalls; each of the owners that
-    are asked in turn has yet to find that out.
+    The log keeps its connections open without answering, and each of the
+    owners that are called in turn has to detect that.
     """
     if has_read:
         for entry in fleet.entries.values():
@@ -144,21 +143,21 @@
 
 
 @claims_fleet.with_fleet("e1")
-async def test_claim_that_arrives_after_it_was_given_up_is_void(fleet):
-    """Symptom: after a short outage a key is refused for a whole hour.
+async def test_claim_that_arrives_after_its_release_is_void(fleet):
+    """Guards against refusing a key for an hour after a short outage.
 
-    Sequence: an append is on its way so long that its holder gives up and
-    tells its caller "not run"; then the record arrives after all. Cause: the
-    claim wins in the log, and nobody will ever use it.
+    An append is delayed until its holder releases the claim and answers "not
+    run"; then the record arrives. The claim would win in the log, but its
+    request will never run.
     """
     entry = fleet.entries["e1"]
-    late = []
+    delayed_appends = []
 
-    real = entry.log.append
+    original_append = entry.log.append
 
     async def delayed(stream, value):
-        late.append((stream, value))
-        entry.log.append = real
+        delayed_appends.append((stream, value))
+        entry.log.append = original_append
         entry.log.faults.down = True
         raise claims_fleet.exceptions.PlatformUnavailable("no answer")
 
@@ -167,18 +166,17 @@
     assert reason(result) == types.NotRunReason.LOG_UNAVAILABLE
     entry.log.faults.down = False
     await asyncio.sleep(2.0)
-    fleet.log.put(*late[0])
+    fleet.log.put(*delayed_appends[0])
     won = await entry.claims.claim(fleet.request("r2"))
     assert isinstance(won, request_types.ClaimWon)
 
 
 @claims_fleet.with_fleet("e1", "e2")
 async def test_entry_that_dies_after_its_claim_leaves_the_key_unknown(fleet):
-    """Symptom: a booking runs twice, or its key says "not run" untruly.
+    """Guards against a second run of a booking, or a false "not run".
 
-    Sequence: an entry dies after its claim; whether it handed the request over
-    nobody can say. The caller repeats the key at another entry. Cause: the
-    only one that knew is gone.
+    An entry dies after its claim, and only it knew whether it had handed the
+    request over. The caller repeats the key at another entry.
     """
     won = await fleet.entries["e1"].claims.claim(
         fleet.request("r1", seconds=2.0)
@@ -196,11 +194,13 @@
 
 
 @claims_fleet.with_fleet("e1", "e2")
-async def test_replaced_holder_under_its_old_name_is_not_believed(fleet):
-    """Symptom: a key is claimed again although it ran.
+async def test_replacement_with_the_holders_instance_id_is_not_the_holder(
+    fleet,
+):
+    """Guards against claiming a key again whose request ran.
 
-    Sequence: the holder is replaced by a new process of the same name, which
-    knows nothing of the key. Cause: the name alone does not tell them apart.
+    A new process with the same instance id replaces the holder and knows
+    nothing of the key. The instance id alone does not distinguish them.
     """
     first = fleet.request("r1")
     assert isinstance(
@@ -214,7 +214,7 @@
 
 
 @claims_fleet.with_fleet("e1", "e2")
-async def test_proved_not_run_frees_the_key(fleet):
+async def test_request_that_was_not_run_frees_its_key(fleet):
     first = fleet.request("r1")
     claims = fleet.entries["e1"].claims
     won = await claims.claim(first)
@@ -225,17 +225,17 @@
 
 
 @claims_fleet.with_fleet("e1", "e2", "e3")
-async def test_release_that_dies_with_its_owner_is_handed_on_again(fleet):
-    """Symptom: a key that was proved not run is refused for an hour.
+async def test_release_that_is_lost_with_an_owner_is_sent_again(fleet):
+    """Guards against refusing a key for an hour whose request was not run.
 
-    Sequence: its holder tells the owner of the shard that it is free; the
-    owner dies before it has appended that.
+    The holder sends the release to the owner of the shard, which dies before it
+    has appended it.
     """
     first = fleet.request("r1")
-    names = claim_owners.rank_entries(
+    ranked = claim_owners.rank_entries(
         claims_fleet.shard_number("k1"), fleet.live_entries()
     )
-    owner, holder = (names[rank].instance_id for rank in (0, 1))
+    owner, holder = (ranked[rank].instance_id for rank in (0, 1))
     claims = fleet.entries[holder].claims
     assert isinstance(await claims.claim(first), request_types.ClaimWon)
     fleet.entries[owner].log.faults.stalled = True
@@ -248,10 +248,10 @@
 
 
 @claims_fleet.with_fleet("e1", "e2", "e3", "e4", "e5")
-async def test_outage_makes_nobody_an_owner_who_was_none(fleet):
-    """Symptom: after an outage every entry reads every claim of the hour.
+async def test_outage_of_the_log_creates_no_new_owners(fleet):
+    """Guards against every entry reading all claims after an outage.
 
-    Sequence: the log is down; claims are refused by one owner after another.
+    While the log is down, one owner after the other refuses the claims.
     """
     for entry in fleet.entries.values():
         entry.log.faults.down = True
@@ -269,11 +269,11 @@
 
 
 @claims_fleet.with_fleet("e1", "e2", "e3", "e4", "e5")
-async def test_owner_that_reads_for_long_is_not_taken_for_dead(fleet):
-    """Symptom: after an owner's death every entry reads every claim.
+async def test_owner_that_reads_slowly_is_not_considered_dead(fleet):
+    """Guards against every entry reading all claims after an owner died.
 
-    Sequence: a new owner takes seconds to read the horizon; claims wait for
-    it. Cause: an owner that is silent looks like one that is dead.
+    A new owner takes seconds to read the horizon while claims wait. Without a
+    reply it would look like a dead owner.
     """
     stream = claim_lib.stream_name(claims_fleet.shard_number("k1"))
     batch = ttypes.ClaimBatch(claims=[], ends=[])
@@ -296,7 +296,7 @@
 
 
 @claims_fleet.with_fleet("e1", "e2")
-async def test_unknown_end_stays_unknown_for_repetitions(fleet):
+async def test_unknown_outcome_stays_unknown_for_repetitions(fleet):
     first = fleet.request("r1")
     claims = fleet.entries["e1"].claims
     await claims.claim(first)
@@ -307,7 +307,7 @@
 
 
 @claims_fleet.with_fleet("e1")
-async def test_same_key_of_two_callers_is_two_keys(fleet):
+async def test_same_key_of_two_callers_is_claimed_separately(fleet):
     claims = fleet.entries["e1"].claims
     for caller in ("zadelmaker", "wagenmaker"):
         request = fleet.request(f"r-{caller}")
@@ -329,7 +329,7 @@
 
 
 @claims_fleet.with_fleet("e1")
-async def test_answer_too_large_to_keep_is_told_as_already_run(fleet):
+async def test_answer_too_large_to_keep_is_refused_as_already_run(fleet):
     first = fleet.request("r1")
     claims = fleet.entries["e1"].claims
     await claims.claim(first)
@@ -340,7 +340,7 @@
 
 
 @claims_fleet.with_fleet("e1", "e2", "e3")
-async def test_owner_that_dies_is_followed_by_the_next_in_rank(fleet):
+async def test_owner_that_dies_is_replaced_by_the_next_in_rank(fleet):
     await fleet.entries["e1"].claims.claim(fleet.request("r0", "k0"))
     readers = [
         name
@@ -355,8 +355,8 @@
 
 
 @claims_fleet.with_fleet("e1", "e2")
-async def test_claims_are_appended_in_groups(fleet):
-    """At 410 claims a second the log must not get an append for each."""
+async def test_claims_are_appended_in_batches(fleet):
+    """Checks that 410 claims per second do not cause one append each."""
 
     async def claim(number):
         await asyncio.sleep(number / 410)
@@ -372,12 +372,12 @@
 
 
 @claims_fleet.with_fleet("e1", "e2")
-async def test_turn_is_taken_by_one_entry_until_it_is_over(fleet):
+async def test_lease_is_held_by_one_entry_until_it_ends(fleet):
     e1, e2 = fleet.entries["e1"].claims, fleet.entries["e2"].claims
-    turn = await e1.acquire_lease(b"f" * 16, 5.0)
-    assert turn is not None
+    lease = await e1.acquire_lease(b"f" * 16, 5.0)
+    assert lease is not None
     assert await e2.acquire_lease(b"f" * 16, 5.0) is None
-    e1.release_lease(turn)
+    e1.release_lease(lease)
     await asyncio.sleep(fleet.timing.max_end_delay_s + 0.2)
     assert await e2.acquire_lease(b"f" * 16, 5.0) is not None
     await fleet.crash("e2")
--- a/tests/test_suspect.py
+++ b/tests/test_suspect.py
@@ -1,4 +1,4 @@
-"""Requests that crash backend servers: found soon, innocents go free."""
+"""Tests that requests that crash servers are refused and others are not."""
 
 import asyncio
 import random
@@ -38,58 +38,58 @@
     return ttypes.Cleared(fingerprints=fingerprints, time_ms=int(time * 1000))
 
 
-def test_second_crash_refuses_and_innocents_go_free():
-    """Symptom: one request takes down server after server.
+def test_second_crash_refuses_and_completed_requests_are_cleared():
+    """Guards against a request that crashes one server after another.
 
-    Sequence: it crashes a server with three others in its batch; all four run
-    alone from then on; the innocent ones complete, it crashes a second server.
-    Cause: its caller, or a retry, sends it again.
+    The request crashes a server with three others in its batch, and all four
+    run alone from then on. The others complete; the request is sent again by
+    its caller or as a retry, and crashes a second server.
     """
-    known = suspect.SuspectTracker()
+    tracker = suspect.SuspectTracker()
     batch = [b"poison", b"a", b"b", b"c"]
-    known.record_crash(crash("agent-1", 1, batch))
-    assert {known.verdict(f) for f in batch} == {ALONE}
-    known.record_completion(cleared([b"a", b"b"], 101.0))
-    known.record_crash(crash("agent-2", 1, [b"poison"], 102.0))
-    verdicts = [known.verdict(f) for f in batch]
+    tracker.record_crash(crash("agent-1", 1, batch))
+    assert {tracker.verdict(f) for f in batch} == {ALONE}
+    tracker.record_completion(cleared([b"a", b"b"], 101.0))
+    tracker.record_crash(crash("agent-2", 1, [b"poison"], 102.0))
+    verdicts = [tracker.verdict(f) for f in batch]
     assert verdicts == [REFUSE, CLEAR, CLEAR, ALONE]
 
 
-def test_one_crash_that_is_told_twice_counts_once():
-    known = suspect.SuspectTracker()
+def test_crash_that_is_reported_twice_counts_once():
+    tracker = suspect.SuspectTracker()
     for _ in range(3):
-        known.record_crash(crash("agent-1", 1, [b"a"]))
-    assert known.verdict(b"a") == ALONE
-    known.record_crash(crash("agent-1", 1, [b"a"], incarnation=2))
-    assert known.verdict(b"a") == REFUSE
+        tracker.record_crash(crash("agent-1", 1, [b"a"]))
+    assert tracker.verdict(b"a") == ALONE
+    tracker.record_crash(crash("agent-1", 1, [b"a"], incarnation=2))
+    assert tracker.verdict(b"a") == REFUSE
 
 
-def test_crash_that_is_told_after_the_completion_does_not_accuse():
-    known = suspect.SuspectTracker()
-    known.record_completion(cleared([b"a"], 101.0))
-    known.record_crash(crash("agent-1", 1, [b"a"], 100.0))
-    assert known.verdict(b"a") == CLEAR
-    known.record_crash(crash("agent-1", 2, [b"a"], 102.0))
-    assert known.verdict(b"a") == ALONE
+def test_crash_reported_after_a_later_completion_is_ignored():
+    tracker = suspect.SuspectTracker()
+    tracker.record_completion(cleared([b"a"], 101.0))
+    tracker.record_crash(crash("agent-1", 1, [b"a"], 100.0))
+    assert tracker.verdict(b"a") == CLEAR
+    tracker.record_crash(crash("agent-1", 2, [b"a"], 102.0))
+    assert tracker.verdict(b"a") == ALONE
 
 
-def test_memory_is_bounded_and_forgets_the_refused_last():
-    known = suspect.SuspectTracker(suspect.Limits(max_fingerprints=10))
-    known.record_crash(crash("agent-1", 1, [b"poison"], 1.0))
-    known.record_crash(crash("agent-2", 1, [b"poison"], 2.0))
+def test_memory_is_bounded_and_refused_requests_are_evicted_last():
+    tracker = suspect.SuspectTracker(suspect.Limits(max_fingerprints=10))
+    tracker.record_crash(crash("agent-1", 1, [b"poison"], 1.0))
+    tracker.record_crash(crash("agent-2", 1, [b"poison"], 2.0))
     for number in range(100):
         name = b"%d" % number
-        known.record_crash(crash("agent-3", number, [name], 3.0 + number))
-    assert len(known) == 10
-    assert known.verdict(b"poison") == REFUSE
-    known.record_crash(crash("agent-4", 1, [], 90_000.0))
-    assert known.verdict(b"poison") == CLEAR
+        tracker.record_crash(crash("agent-3", number, [name], 3.0 + number))
+    assert len(tracker) == 10
+    assert tracker.verdict(b"poison") == REFUSE
+    tracker.record_crash(crash("agent-4", 1, [], 90_000.0))
+    assert tracker.verdict(b"poison") == CLEAR
 
 
 @hypothesis.settings(max_examples=100, deadline=None, derandomize=True)
 @hypothesis.given(strategies.integers(0, 1 << 32))
-def test_records_in_any_order_and_number_end_the_same(seed):
-    """Entries hear by notices and by the log, in different orders."""
+def test_order_and_repetition_of_records_do_not_change_the_verdicts(seed):
+    """Entries receive notices and records of the log in different orders."""
     rng = random.Random(seed)
     names = [b"a", b"b", b"c"]
     records = [
@@ -99,18 +99,18 @@
     clears = [cleared([rng.choice(names)], rng.randrange(100))]
     verdicts = []
     for _ in range(4):
-        known = suspect.SuspectTracker()
-        steps = [(known.record_crash, r) for r in records + records]
-        steps += [(known.record_completion, c) for c in clears]
+        tracker = suspect.SuspectTracker()
+        steps = [(tracker.record_crash, r) for r in records + records]
+        steps += [(tracker.record_completion, c) for c in clears]
         rng.shuffle(steps)
         for take, record in steps:
             take(record)
-        verdicts.append([known.verdict(name) for name in names])
+        verdicts.append([tracker.verdict(name) for name in names])
     assert all(verdict == verdicts[0] for verdict in verdicts)
 
 
 class Endpoint(claims_fleet.Endpoint):
-    """An endpoint that agents notify."""
+    """An endpoint that also receives notices of agents."""
 
     def on_notice(self, kind, handler):
         self.handlers[kind] = handler
@@ -120,7 +120,7 @@
 
 
 class SuspectFleet:
-    """Entries and agents before servers that a poisonous request crashes."""
+    """Entries and agents whose servers crash on the request `poison`."""
 
     def __init__(self, clock, entries):
         self.clock = clock
@@ -162,7 +162,7 @@
             handlers[connection.Kind.CRASHED](None, body)
         self.fleet.log.put("suspects", body)
 
-    async def run(self, name, request, innocent_with=()):
+    async def run(self, name, request, batched_with=()):
         """Runs a request as the pipeline does; returns its outcome."""
         service = self.suspects[name]
         turn = await service.turn(request, 2.0)
@@ -174,7 +174,7 @@
         self.running -= 1
         if request.fingerprint == self.poison:
             alone = turn is not None
-            others = [] if alone else list(innocent_with)
+            others = [] if alone else list(batched_with)
             self.report_crash([request.fingerprint, *others], [name])
             return types.Unknown(types.UnknownReason.BACKEND_CRASHED)
         if turn is not None:
@@ -190,12 +190,12 @@
 
 
 @pytest.mark.parametrize("log_down", [False, True])
-def test_poison_from_many_entries_crashes_two_servers_at_most(log_down):
-    """Symptom: a caller's repetitions walk through the fleet, crash by crash.
+def test_crashing_request_at_many_entries_crashes_at_most_two_servers(log_down):
+    """Guards against repetitions that crash one server after the other.
 
-    Sequence: the caller sends the request again and again, each time through
-    another entry; with the log down the entries only have the notices. Cause:
-    no entry sees the crashes of the others by itself.
+    The caller repeats the request through different entries, and no entry
+    observes the crashes of the others itself. While the log is down, entries
+    know of them only from notices.
     """
     clock = clocks.VirtualClock()
 
@@ -230,28 +230,28 @@
     clocks.run(body(), clock)
 
 
-def test_innocent_of_the_same_batch_is_free_everywhere_after_one_answer():
+def test_other_request_of_the_batch_is_cleared_everywhere_by_one_answer():
     clock = clocks.VirtualClock()
 
     async def body():
         async with SuspectFleet(clock, ["e1", "e2"]) as suspect_fleet:
-            innocent = request(suspect_fleet, b"innocent")
-            shared = [innocent.fingerprint]
+            other = request(suspect_fleet, b"innocent")
+            shared = [other.fingerprint]
             await suspect_fleet.run(
                 "e1", request(suspect_fleet, b"poison"), shared
             )
             await asyncio.sleep(0.1)
-            assert suspect_fleet.suspects["e2"].check(innocent, 0.0) == ALONE
-            outcome = await suspect_fleet.run("e2", innocent)
+            assert suspect_fleet.suspects["e2"].check(other, 0.0) == ALONE
+            outcome = await suspect_fleet.run("e2", other)
             assert isinstance(outcome, types.Answered)
             await asyncio.sleep(0.1)
-            assert suspect_fleet.suspects["e1"].check(innocent, 0.0) == CLEAR
-            assert suspect_fleet.suspects["e2"].check(innocent, 0.0) == CLEAR
+            assert suspect_fleet.suspects["e1"].check(other, 0.0) == CLEAR
+            assert suspect_fleet.suspects["e2"].check(other, 0.0) == CLEAR
 
     clocks.run(body(), clock)
 
 
-def test_finding_outlives_every_entry_that_made_it():
+def test_refusal_outlives_the_entries_that_recorded_it():
     clock = clocks.VirtualClock()
 
     async def body():
@@ -276,7 +276,7 @@
     clocks.run(body(), clock)
 
 
-def test_fingerprint_is_of_the_request_and_not_of_its_caller():
+def test_fingerprint_depends_on_the_request_and_not_on_its_caller():
     one = request_types.fingerprint("s", "POST", "/v1", b"body")
     assert one == request_types.fingerprint("s", "POST", "/v1", b"body")
     assert one != request_types.fingerprint("s", "POST", "/v", b"1body")
