--- a/tests/soak/checker.py
+++ b/tests/soak/checker.py
@@ -1,4 +1,4 @@
-"""Judges promises from what callers and servers saw, not from the system."""
+"""Checks guarantees from outside, by what callers and servers observe."""
 
 import collections
 import dataclasses
@@ -12,7 +12,7 @@
       kind: safe, once or stream.
       key: Its API key.
       sent_at: When it was sent, in seconds.
-      status: What it was told; 0 for no answer.
+      status: The status of its complete answer; 0 for none.
     """
 
     kind: str
@@ -22,9 +22,26 @@
 
 
 class Checker:
-    """Collects what was seen and lists the promises that were broken."""
+    """Records what callers and servers observe and lists violations.
+
+    Times are in seconds since the soak began.
+
+    Attributes:
+      sent: Each request, by attempt id.
+      runs: How often servers began to run an attempt id.
+      arrivals: How often an attempt id arrived at servers.
+      retries: When an attempt id arrived again, a time for each arrival.
+      violations: A line for each guarantee that was violated.
+      revoked_at: When each revoked API key was revoked.
+    """
 
     def __init__(self, ratio, slack):
+        """Starts without records.
+
+        Args:
+          ratio: Retries allowed for each request.
+          slack: Retries allowed in a window besides those.
+        """
         self._ratio = ratio
         self._slack = slack
         self.sent = {}
@@ -34,8 +51,8 @@
         self.violations = []
         self.revoked_at = {}
 
-    def record_sent(self, attempt_id, kind, key, at):
-        self.sent[attempt_id] = SentRequest(kind, key, at)
+    def record_sent(self, attempt_id, kind, key, sent_at):
+        self.sent[attempt_id] = SentRequest(kind, key, sent_at)
 
     def record_arrival(self, attempt_id, at):
         if self.arrivals[attempt_id]:
@@ -43,30 +60,34 @@
         self.arrivals[attempt_id] += 1
 
     def record_run(self, server, call):
-        """Takes a run, as the server sees it begin."""
+        """Records that a server begins to run a request, and checks it."""
         attempt_id = call.attempt_id
         self.runs[attempt_id] += 1
         sent = self.sent.get(attempt_id)
         if sent is None:
-            self._add_violation("asked for", f"{attempt_id} was never sent")
+            self._add_violation(
+                "unknown request", f"{attempt_id} was never sent"
+            )
             return
         if call.headers.get("x-clementinegw-expect-instance") != server.name:
             self._add_violation(
-                "own server", f"{attempt_id} ran at {server.name}"
+                "wrong server", f"{attempt_id} ran on {server.name}"
             )
         if sent.kind == "once" and self.runs[attempt_id] > 1:
             self._add_violation("at most once", f"{attempt_id} ran again")
-        at = self.revoked_at.get(sent.key)
-        if at is not None and sent.sent_at > at + 5.0:
-            late = round(sent.sent_at - at, 2)
-            self._add_violation("keys gone", f"{attempt_id} ran {late} s after")
+        revoked_at = self.revoked_at.get(sent.key)
+        if revoked_at is not None and sent.sent_at > revoked_at + 5.0:
+            late_s = round(sent.sent_at - revoked_at, 2)
+            self._add_violation(
+                "revoked key", f"{attempt_id} ran, sent {late_s} s after"
+            )
         if "authorization" in call.headers:
             self._add_violation(
-                "key kept", f"{attempt_id}: the key was passed on"
+                "key forwarded", f"{attempt_id} reached a server with its key"
             )
 
     def record_answer(self, attempt_id, answer):
-        """Takes what the caller got."""
+        """Records the answer that the caller received, and checks it."""
         sent = self.sent[attempt_id]
         sent.status = answer.status if answer.complete else 0
         if answer.status != 200 or not answer.complete:
@@ -78,57 +99,60 @@
                 if line.startswith(b"id: ")
             ]
             if numbers != list(range(1, len(numbers) + 1)) or not numbers:
-                self._add_violation("order", f"{attempt_id}: {numbers}")
+                self._add_violation("event order", f"{attempt_id}: {numbers}")
             elif f"end {attempt_id}".encode() not in answer.body:
                 self._add_violation(
-                    "whole", f"{attempt_id} ends at {numbers[-1]}"
+                    "incomplete stream", f"{attempt_id} ends at {numbers[-1]}"
                 )
         elif answer.body != f"answer to {attempt_id}".encode():
             self._add_violation(
-                "own answer", f"{attempt_id}: {answer.body[:60]}"
+                "wrong answer", f"{attempt_id}: {answer.body[:60]}"
             )
 
     def finish(self):
-        """Judges what can be judged at the end only."""
+        """Checks what can be checked only at the end."""
         for attempt_id, sent in self.sent.items():
             if sent.status in (503, 429) and self.runs[attempt_id]:
                 self._add_violation(
-                    "not run", f"{attempt_id} was told {sent.status}"
+                    "false refusal", f"{attempt_id} got {sent.status} and ran"
                 )
         self._check_retry_budget()
         if not any(sent.status == 200 for sent in self.sent.values()):
-            self._add_violation("service", "nothing was served")
+            self._add_violation("service", "no request was answered with 200")
 
     def _check_retry_budget(self):
-        """Judges every window of ten seconds, a step of one second each."""
-        asked = sorted(sent.sent_at for sent in self.sent.values())
-        end = int(max([*asked, *self.retries], default=0)) + 1
+        """Checks every window of ten seconds, in steps of one second."""
+        sent_at = sorted(sent.sent_at for sent in self.sent.values())
+        end = int(max([*sent_at, *self.retries], default=0)) + 1
         for start in range(-9, end):
             retries = _count_between(self.retries, start, start + 10)
-            # What is asked in the window before, or half a window before,
-            # counts where it is more.
+            # Retries may be due to requests of the previous window or of one
+            # that began half a window earlier; the largest count applies.
             requests = max(
-                _count_between(asked, start - back, start - back + 10)
-                for back in (0, 5, 10)
+                _count_between(sent_at, start - offset, start - offset + 10)
+                for offset in (0, 5, 10)
             )
             if retries > self._ratio * requests + self._slack:
                 self._add_violation(
-                    "budget", f"{retries} repeats of {requests}"
+                    "retry budget", f"{retries} retries, {requests} requests"
                 )
                 return
 
-    def served_share_since(self, at):
-        """Returns the share of what was sent since then that was served."""
-        late = [
+    def served_share_since(self, since):
+        """Returns the share of requests sent since then that got a 200.
+
+        Requests with a key that has been revoked are left out.
+        """
+        recent = [
             sent
             for sent in self.sent.values()
-            if sent.sent_at >= at and sent.key not in self.revoked_at
+            if sent.sent_at >= since and sent.key not in self.revoked_at
         ]
-        good = sum(sent.status == 200 for sent in late)
-        return good / max(1, len(late))
+        served = sum(sent.status == 200 for sent in recent)
+        return served / max(1, len(recent))
 
-    def _add_violation(self, promise, text):
-        self.violations.append(f"{promise}: {text}")
+    def _add_violation(self, kind, text):
+        self.violations.append(f"{kind}: {text}")
 
 
 def _count_between(times, start, end):
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -1,4 +1,4 @@
-"""Entries before servers: requests keep their promises at any time."""
+"""A soak of entries: requests keep their guarantees under faults."""
 
 import asyncio
 import collections
@@ -14,18 +14,28 @@
 SERVERS = 4
 CALLERS = 16
 EVENTS = 8
-# Tighter than a platform's, so that a few callers come near them.
+# Lower than on a platform, so that a few callers come close to the limit.
 RETRY_RATIO, RETRY_SLACK = 0.02, 6.0
 KEYS = ("key-of-one", "key-of-two", "key-of-three")
 MAX_MEMORY_MB = 120
-# How long it must have been calm at the end, and a stall of this process that
-# is no calm, in seconds.
+# The length of the quiet period without faults at the end, and a stall of this
+# process that restarts the period, in seconds.
 QUIET_S = 4.0
 STALL_S = 0.5
 
 
 class Soak:
-    """One seed."""
+    """Runs one seed against entries.
+
+    Times are in seconds since the soak began.
+
+    Attributes:
+      kinds: The kinds of routes that callers use.
+      headers: Headers that every request carries besides.
+      bounds: Bounds in the entries' instance files besides the retry limits.
+      entry_of: The entry that each attempt id was sent to.
+      plan: The faults injected, as pairs of a time and a kind.
+    """
 
     kinds = ("safe", "once", "stream")
     headers = ()
@@ -51,7 +61,7 @@
 
     @property
     def operation_count(self):
-        """How many requests were sent."""
+        """The number of requests sent."""
         return len(self.checker.sent)
 
     @property
@@ -59,6 +69,7 @@
         return asyncio.get_running_loop().time() - self._started_at
 
     async def run(self):
+        """Runs the seed and returns the violations."""
         loop = asyncio.get_running_loop()
         self._started_at = loop.time()
         await self.store.start()
@@ -106,11 +117,11 @@
         return self.checker.violations
 
     async def _wait_until_quiet(self):
-        """Waits until it has been calm for a while; returns since when.
+        """Waits for a quiet period without stalls; returns when it began.
 
-        Callers, servers and the store are this process: while it stands still,
-        nobody is answered. Seen with seed 1 at a load of 38 on 16 cores: no
-        request for 2.04 s, and a call to the store given up meanwhile.
+        Callers, servers and the store run in this process: while it stalls, no
+        request is answered. Seen with seed 1 at a load of 38 on 16 cores: no
+        request for 2.04 s, and a call to the store abandoned meanwhile.
         """
         quiet_since = self.now
         while self.now < quiet_since + QUIET_S:
@@ -122,16 +133,16 @@
 
     def _finish(self, quiet_since):
         self.checker.finish()
-        # The first seconds of calm are for what was on its way.
+        # Requests of the first seconds may still suffer from the last faults.
         served = self.checker.served_share_since(quiet_since + 2.5)
         if served < 0.25:
-            told = collections.Counter(
+            statuses = collections.Counter(
                 sent.status
                 for sent in self.checker.sent.values()
                 if sent.sent_at >= quiet_since + 2.5
             )
             self.checker.violations.append(
-                f"recovery: {served:.2f} served, {told}"
+                f"recovery: {served:.2f} served, {statuses}"
             )
         for entry in self.entries:
             self.checker.violations += entry.violations(MAX_MEMORY_MB)
@@ -154,8 +165,8 @@
         self._put_record(server)
 
     def _put_record(self, server):
-        entry = server.record(address=server.listed_address)
-        self.store.put("keyed.servers", server.name, entry)
+        record = server.record(address=server.listed_address)
+        self.store.put("keyed.servers", server.name, record)
 
     async def _serve(self, server, call):
         self.checker.record_arrival(call.attempt_id, self.now)
@@ -175,17 +186,17 @@
             return
         call.answer(f"answer to {call.attempt_id}".encode())
         if chance < 0.05:
-            call.answer(b"an answer that nobody asked for")
+            call.answer(b"an answer without a request")
 
     def _accepts(self, server, call):
-        """Returns whether a server runs a call; else it has answered."""
+        """Returns whether a server runs a call; if not, it has answered."""
         del server, call
         return True
 
     async def _stream(self, call, cut):
-        begin = int(call.headers.get("last-event-id", 0))
+        last_event = int(call.headers.get("last-event-id", 0))
         call.begin_stream()
-        for number in range(begin + 1, EVENTS + 1):
+        for number in range(last_event + 1, EVENTS + 1):
             await asyncio.sleep(0.03)
             if cut and number == EVENTS - 2:
                 call.send(b"20\r\nid: ")
@@ -201,7 +212,7 @@
     # Callers.
 
     async def _run_caller(self):
-        """Keeps a connection for as long as its process serves it."""
+        """Sends requests over one connection at a time, to random entries."""
         while True:
             entry = self._rng.choice(self.entries)
             self.address = (processes.HOST, entry.port)
@@ -219,6 +230,7 @@
                 caller.writer.transport.abort()
 
     async def _send_request(self, caller):
+        """Sends a request; returns whether its connection can be used again."""
         self._last_id += 1
         attempt_id = f"s{self._last_id}"
         kind = self._rng.choice(self.kinds)
@@ -261,12 +273,12 @@
         }
 
     async def _run_faults(self, store_port):
-        table = self._fault_actions(store_port)
+        actions = self._fault_actions(store_port)
         running = set()
         while self.now < self._seconds:
-            kind = self._rng.choice(sorted(table))
+            kind = self._rng.choice(sorted(actions))
             self.plan.append((round(self.now, 1), kind))
-            running.add(asyncio.create_task(table[kind]()))
+            running.add(asyncio.create_task(actions[kind]()))
             await asyncio.sleep(self._rng.uniform(0.3, 1.5))
         await asyncio.gather(*running)
 
@@ -299,7 +311,7 @@
             entry.signal(signal.SIGHUP)
 
     async def _fault_replace_server(self):
-        """Another start takes a server's address before the list says so."""
+        """A server is replaced at its address before the list shows it."""
         server = self._rng.choice(self.servers)
         former, server.name = server.name, f"{server.name}x"
         await asyncio.sleep(self._rng.uniform(0.2, 1.5))
@@ -316,7 +328,7 @@
             self.checker.revoked_at[key] = self.now
 
     async def _fault_cut_and_revoke(self):
-        """A key is taken away while no entry reaches the store."""
+        """A key is revoked while no entry reaches the store."""
         self.store_proxy.mode = "silence"
         await asyncio.sleep(0.5)
         await self._fault_revoke()
@@ -324,7 +336,7 @@
         self.store_proxy.mode = "pass"
 
     async def _fault_reject(self):
-        """Servers are full for a while."""
+        """Servers reject most requests for a while."""
         self._reject_share = 0.7
         await asyncio.sleep(self._rng.uniform(1.0, 3.0))
         self._reject_share = 0.03
@@ -338,5 +350,5 @@
         self.store.put("keyed.op", "config", {**config, **self._extra_config()})
 
     def _extra_config(self):
-        """Returns what the configuration says besides."""
+        """Returns further fields of the configuration."""
         return {}
--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -1,4 +1,4 @@
-"""The real programs, as the soak starts and ends them."""
+"""Starts and ends the real daemons as separate processes."""
 
 import asyncio
 import json
@@ -8,14 +8,24 @@
 import socket
 import sys
 
-# A port that was free a moment ago may be taken by whoever asks next. Soaks run
-# beside each other: on one address, callers of one reached the page of another
-# that says whether an entry is ready, and took 232 empty answers for their own.
+# An address of this process alone: a free port may be taken by another process
+# before it is used. With one address for several soaks at once, callers of one
+# reached the readiness page of another's entry and got 232 empty answers.
 HOST = f"127.{1 + os.getpid() // 256 % 200}.{os.getpid() % 256}.200"
 
 
 class Process:
-    """One program, started and ended by its process id."""
+    """One daemon in a process of its own.
+
+    Attributes:
+      role: The daemon to run: entry or agent.
+      number: The daemon's number among those of its role.
+      exit_expected: Whether an exit is expected or already recorded.
+      started_at: When it was last started, in seconds of the event loop.
+      unexpected_exit: How it exited unexpectedly; empty if it did not.
+      pause_count: How often it was paused.
+      peak_mb: The most resident memory seen, in MB.
+    """
 
     role = ""
 
@@ -44,8 +54,8 @@
             stderr=log,
         )
         self.started_at = asyncio.get_running_loop().time()
-        # Only now: until the new process is there, `poll` would take the end
-        # of the former one for its own.
+        # Not earlier: until the new process exists, `poll` would report the
+        # exit of the former one.
         self.exit_expected = False
 
     def signal(self, signal_number):
@@ -55,9 +65,9 @@
     def handles(self, signal_number):
         """Returns whether the program ignores or handles a signal by now.
 
-        Before its first line runs, the kernel ends it at SIGHUP; nothing in
-        the program can prevent that. Seen beside load with seed 1: an end with
-        code -1 and not one line in its log.
+        SIGHUP ends a process whose first line has not run yet; the program
+        cannot prevent that. Seen on a loaded machine with seed 1: exit code -1
+        and an empty log.
         """
         if self._process is None or self._process.returncode is not None:
             return False
@@ -70,13 +80,14 @@
         return any(mask >> (signal_number - 1) & 1 for mask in masks)
 
     async def end(self, signal_number):
+        """Sends a signal and waits until the process has exited."""
         self.exit_expected = True
         self.signal(signal.SIGCONT)
         self.signal(signal_number)
         await self._process.wait()
 
     def poll(self):
-        """Notes an end that nobody asked for, and the memory."""
+        """Records an unexpected exit and the resident memory."""
         if self._process is None or self.exit_expected:
             return
         if self._process.returncode is not None:
@@ -89,17 +100,21 @@
                 self.peak_mb = max(self.peak_mb, int(line.split()[1]) / 1024)
 
     async def pause(self, rng):
-        """Stands still for a while."""
+        """Stops the process for a while with SIGSTOP."""
         self.pause_count += 1
         self.signal(signal.SIGSTOP)
         await asyncio.sleep(rng.uniform(0.5, 3.0))
         self.signal(signal.SIGCONT)
 
     def violations(self, max_mb):
-        """Returns the promises of a process that it broke."""
+        """Returns the violations by this process.
+
+        Args:
+          max_mb: The most resident memory allowed, in MB.
+        """
         found = []
         if self.unexpected_exit:
-            found.append(f"ended by itself: {self.unexpected_exit}")
+            found.append(f"unexpected exit: {self.unexpected_exit}")
         if self.peak_mb > max_mb:
             found.append(f"memory: {self.peak_mb:.0f} MB")
         return found
@@ -109,7 +124,7 @@
 
 
 class Entry(Process):
-    """An entry."""
+    """An entry process."""
 
     role = "entry"
 
@@ -138,7 +153,7 @@
 
 
 class Agent(Process):
-    """An agent beside a model server on a loopback address of its own."""
+    """An agent process beside a model server, on an address of its own."""
 
     role = "agent"
 
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -4,7 +4,13 @@
 
 
 class Proxy:
-    """Stands before one address; `mode` is what it does to every byte."""
+    """Forwards connections to one loopback port and injects faults.
+
+    Attributes:
+      mode: What happens to data: "pass"; "delay"; "silence", which drops both
+        directions; "one_way", which drops what the server sends; or "reset",
+        which refuses new connections with a reset.
+    """
 
     def __init__(self, port):
         self._port = port
@@ -21,7 +27,7 @@
         self.reset()
 
     async def inject_fault(self, rng):
-        """Does one kind of harm for a while."""
+        """Injects a random kind of fault for a while."""
         self.mode = rng.choice(("delay", "silence", "one_way", "reset"))
         if self.mode == "reset":
             self.reset()
@@ -29,7 +35,7 @@
         self.mode = "pass"
 
     def reset(self):
-        """Breaks every connection."""
+        """Resets every connection."""
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -68,5 +74,5 @@
                     await writer.drain()
         except OSError:
             pass
-        # The other way ends too: a closed end is seen, as in a real network.
+        # A close is passed on in every mode, as in a real network.
         writer.close()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,12 +1,12 @@
-"""Real entries between real faults: `python tests/soak/run.py --seeds=50`.
-
-Starts entries as separate processes in front of stand-ins, with a proxy on each
-link, plays a plan of faults drawn from the seed, and judges the promises from
-both ends; with `--subject=signals` servers that report limits, leave or ask for
-pauses; with `--subject=weights` agents beside model servers; with
-`--subject=versions` entries that start again while a version of weights is due.
-`--guard=NAME` breaks one guard in a copy of the code: the judge must then
-find it.
+"""Runs real processes under random faults.
+
+Usage: `python tests/soak/run.py --seeds=50`. Starts entries as separate
+processes in front of stand-ins, with a proxy on each link, injects faults drawn
+from the seed, and checks guarantees by what callers and servers observe.
+`--subject=signals` has servers that report limits, leave or ask for backoff;
+`--subject=weights` has agents beside model servers; `--subject=versions` has
+entries that restart while a version of weights is due. `--guard=NAME` disables
+one guard in a copy of the code: the checks must then find violations.
 """
 
 import argparse
@@ -36,7 +36,7 @@
     "weights": weights.Soak,
 }
 
-# Each guard as the text that is replaced in a copy of the code.
+# For each guard its file, its text, and the text that disables it.
 GUARDS = {
     "expected_instance": (
         "platform/adapter/headers.py",
@@ -88,21 +88,34 @@
 
 
 def prepare_code(guard, folder):
-    """Returns where the code is; a copy with one guard broken."""
+    """Returns the root of the code, or of a copy with one guard disabled."""
     if not guard:
         return ROOT
     path, text, replacement = GUARDS[guard]
     for name in ("src", "platform"):
         shutil.copytree(ROOT / name, folder / name)
     file = folder / path
-    before = file.read_text()
-    assert text in before, f"{path}: the guard {guard} is written otherwise"
-    file.write_text(before.replace(text, replacement))
+    source = file.read_text()
+    assert text in source, f"{path} lacks the text of guard {guard}"
+    file.write_text(source.replace(text, replacement))
     return folder
 
 
 def run_seed(seed, seconds, guard="", subject="requests"):
-    """Plays one seed and returns the promises that were broken."""
+    """Runs one seed.
+
+    On violations the logs are kept in the system's temporary folder, unless a
+    guard is disabled.
+
+    Args:
+      seed: Decides the faults.
+      seconds: For how long faults are injected.
+      guard: The guard to disable; empty for none.
+      subject: The kind of soak; see `SUBJECTS`.
+
+    Returns:
+      The violations, the number of operations and the number of faults.
+    """
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         code = prepare_code(guard, folder)
@@ -118,7 +131,7 @@
 
 
 def main():
-    """Plays seeds and prints a line for each."""
+    """Runs seeds and prints a line for each."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--first", type=int, default=1)
--- a/tests/soak/versions.py
+++ b/tests/soak/versions.py
@@ -1,4 +1,4 @@
-"""Entries that start again while a version of weights is due."""
+"""A soak of entries that restart while a version of weights is due."""
 
 import asyncio
 import signal
@@ -8,20 +8,20 @@
 
 MODEL = "m"
 DUE_AFTER_S = 4.0
-# A process is held to a time only when it has run for so long, in seconds: as a
-# platform's window of calm.
+# How long an entry must have run before a due time binds it, in seconds; as
+# `settled_ms` of a platform's bounds.
 MIN_UPTIME_S = 3.0
-# What a busy machine may take from a send to its arrival, in seconds.
+# The longest time from a send to its arrival on a busy machine, in seconds.
 MAX_TRANSIT_S = 0.3
 
 
 class Soak(entries.Soak):
-    """One seed.
+    """Runs one seed against entries while versions are declared.
 
-    A version is declared; some servers load it in time, and one long after it
-    is due. An entry is ended in between and starts again: it learns the
-    version from the store, and not when it was declared. Callers keep their
-    connections until the process is gone.
+    Of a declared version, all servers but one load it in time, and one long
+    after it is due. Meanwhile an entry is ended and restarted: it reads the
+    version from the store, but not when it was declared. Callers keep their
+    connections until the process has exited.
     """
 
     kinds = ("stream",)
@@ -44,10 +44,10 @@
         server.version = getattr(server, "version", 1)
         layers = {"from": 0, "target": 1, "version": server.version}
         held = {"name": MODEL, "version": server.version, "layers": layers}
-        entry = server.record(
+        record = server.record(
             "engine", address=server.listed_address, models=[held]
         )
-        self.store.put("keyed.servers", server.name, entry)
+        self.store.put("keyed.servers", server.name, record)
 
     def _accepts(self, server, call):
         expected = call.headers.get("x-clementinegw-expect-version")
@@ -68,7 +68,7 @@
             late_s = self.now - at - DUE_AFTER_S
             if version > server.version and late_s > MAX_TRANSIT_S:
                 self.checker.violations.append(
-                    f"version: {call.attempt_id} begins on {server.version}, "
+                    f"version: {call.attempt_id} starts on {server.version}, "
                     f"{late_s:.2f} s after {version} was due, "
                     f"from entry-{entry.number}"
                 )
--- a/tests/soak/weights.py
+++ b/tests/soak/weights.py
@@ -1,4 +1,4 @@
-"""Agents, model servers and an origin: versions come whole at any time."""
+"""A soak of agents: model servers load intact weights under faults."""
 
 import asyncio
 import hashlib
@@ -20,22 +20,32 @@
 PIECES = 12
 PIECE_BYTES = 4096
 LOAD_S = 0.2
-# Between the check of a piece and the order it may rot unseen: the rules allow
-# three seconds. Here both are in one process's reach, and far quicker.
+# How long a staged piece may be corrupted between its check and the load order,
+# in seconds. The rules allow three; here both are local and far quicker.
 MAX_UNDETECTED_S = 0.5
-# After the last fault, until every server must hold the newest version: what
-# was left aside is tried again after four seconds, and then comes and loads.
+# From the last fault until every server must hold the newest version, in
+# seconds: a version that stalled is retried after four seconds, and must then
+# be fetched and loaded.
 CONVERGENCE_TIMEOUT_S = 14.0
 MAX_MEMORY_MB = 120
 
 
 def piece(version, number):
+    """Returns the bytes of a piece."""
     seed = f"{version}/{number}".encode()
     return hashlib.sha256(seed).digest() * (PIECE_BYTES // 32)
 
 
 class ModelServer:
-    """A model server that checks nothing, as the real one."""
+    """A model server that verifies nothing, like the real one.
+
+    Attributes:
+      start_count: How often it started.
+      load_count: How many load orders it accepted.
+      version: The version that is loaded; 0 for none, -1 while one loads.
+      sequence: The number of orders accepted since the start.
+      staged: The staged pieces by number.
+    """
 
     def __init__(self, name, violations):
         self.name = name
@@ -50,7 +60,7 @@
         return f"{self.name}-{self.start_count}"
 
     def restart(self):
-        """Loses its layers and what was staged."""
+        """Restarts without layers and staged pieces."""
         self.start_count += 1
         self.version = 0
         self.sequence = 0
@@ -58,6 +68,7 @@
         self._corrupted_at = {}
 
     def corrupt_staged(self, rng):
+        """Corrupts a random staged piece, if there is one."""
         if self.staged:
             number = rng.choice(sorted(self.staged))
             self.staged[number] = b"r" * PIECE_BYTES
@@ -71,13 +82,13 @@
 
     async def _handle(self, request, responder):
         path, _, query = request.target.partition("?")
-        table = {
+        handlers = {
             "report": self._report,
             "stage-get": self._stage_get,
             "stage-put": self._stage_put,
             "order": self._order,
         }
-        status, body = table[path.split("/")[1]](query, request.body)
+        status, body = handlers[path.split("/")[1]](query, request.body)
         await responder.answer(status, [], body)
 
     def _report(self, query, body):
@@ -124,23 +135,23 @@
             self.version = version
 
     def _check_staged(self, version):
-        right = [piece(version, number) for number in range(PIECES)]
-        found = [self.staged.get(number) for number in range(PIECES)]
-        since = asyncio.get_running_loop().time() - MAX_UNDETECTED_S
+        expected = [piece(version, number) for number in range(PIECES)]
+        staged = [self.staged.get(number) for number in range(PIECES)]
+        cutoff = asyncio.get_running_loop().time() - MAX_UNDETECTED_S
         wrong = [
             number
             for number in range(PIECES)
-            if found[number] != right[number]
-            and self._corrupted_at.get(number, since) <= since
+            if staged[number] != expected[number]
+            and self._corrupted_at.get(number, cutoff) <= cutoff
         ]
         if wrong:
             self._violations.append(
-                f"weights whole: {self.name} loads {version} with {wrong}"
+                f"corrupt weights: {self.name} loads {version}, pieces {wrong}"
             )
 
 
 class Origin:
-    """The origin of weights; spoils a share of its pieces."""
+    """The origin of weights; sends a share of its pieces corrupted."""
 
     def __init__(self, rng):
         self._rng = rng
@@ -171,7 +182,14 @@
 
 
 class Soak:
-    """One seed."""
+    """Runs one seed against agents beside model servers.
+
+    Times are in seconds since the soak began.
+
+    Attributes:
+      violations: A line for each guarantee that was violated.
+      plan: The faults injected, as pairs of a time and a kind.
+    """
 
     def __init__(self, seed, seconds, code, folder):
         self._rng = random.Random(seed)
@@ -199,7 +217,7 @@
 
     @property
     def operation_count(self):
-        """How many loads were ordered."""
+        """The number of load orders that servers accepted."""
         return sum(server.load_count for server in self.servers)
 
     @property
@@ -207,7 +225,7 @@
         return asyncio.get_running_loop().time() - self._started_at
 
     async def run(self):
-        """Plays the seed and returns the promises that were broken."""
+        """Runs the seed and returns the violations."""
         self._started_at = asyncio.get_running_loop().time()
         await self.store.start()
         self.store_proxy = proxies.Proxy(self.store.address.port)
@@ -243,13 +261,13 @@
             await asyncio.sleep(0.1)
         held = [server.version for server in self.servers]
         self.violations.append(
-            f"declared: {held} hold, {self._declared_version} is named"
+            f"convergence: {held} held, {self._declared_version} declared"
         )
 
     # Faults.
 
     async def _run_faults(self):
-        table = {
+        actions = {
             "declare": self._fault_declare,
             "two_versions": self._fault_two_versions,
             "kill": self._fault_kill,
@@ -262,9 +280,9 @@
         }
         running = set()
         while self.now < self._seconds:
-            kind = self._rng.choice(sorted(table))
+            kind = self._rng.choice(sorted(actions))
             self.plan.append((round(self.now, 1), kind))
-            running.add(asyncio.create_task(table[kind]()))
+            running.add(asyncio.create_task(actions[kind]()))
             await asyncio.sleep(self._rng.uniform(0.3, 1.5))
             for agent in self.agents:
                 agent.poll()
@@ -302,7 +320,7 @@
         self.origin.corrupt_share = 0.0
 
     async def _fault_restart_server(self):
-        """A model server starts again, with nothing."""
+        """A model server restarts without any weights."""
         number = self._rng.randrange(AGENTS)
         former = self.servers[number].server_id
         self.servers[number].restart()
@@ -312,14 +330,14 @@
 
     def _put_record(self, number):
         server = self.servers[number]
-        entry = {
+        record = {
             "service": "engine",
             "address": f"{self._hosts[number]}:{self._ports[2]}",
             "zone": f"d{number}",
             "slots": 8,
             "state": "ready",
         }
-        self.store.put("keyed.servers", server.server_id, entry)
+        self.store.put("keyed.servers", server.server_id, record)
 
     def _put_config(self, origin_port):
         engine = {
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,6 +1,6 @@
-"""A short soak with a fixed seed, and every seed that ever failed.
+"""Short soaks with a fixed seed, and with every seed that has failed.
 
-Real processes and real signals; only promises are judged, no times. Longer:
+Real processes and real signals; only guarantees are checked, no times. Longer:
 `python tests/soak/run.py --seeds=50`.
 """
 
@@ -13,16 +13,16 @@
 
 import run
 
-# Seed 1 found two faults: questions that many ask were refused after three
-# lost answers, and a reload during the start ended the process.
+# Seed 1 found two faults: identical requests of many callers were refused after
+# three lost answers, and a reload during startup ended the process.
 SEEDS = [1, 101]
-# Seed 3 found that the judge took a piece for spoilt that had rotted between
-# its check and the order, which the rules allow.
+# Seed 3 found that the checks reported a piece that was corrupted between its
+# check and the load order, which is allowed.
 WEIGHTS_SEEDS = [3]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_under_a_seeded_plan_of_faults(seed):
+def test_requests_keep_their_guarantees_under_seeded_faults(seed):
     violations, requests, faults = run.run_seed(seed, seconds=6.0)
     assert violations == []
     assert requests > 0
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("seed", WEIGHTS_SEEDS)
-def test_versions_come_whole_under_a_seeded_plan_of_faults(seed):
+def test_only_intact_weights_are_loaded_under_seeded_faults(seed):
     violations, loads, faults = run.run_seed(
         seed, seconds=6.0, subject="weights"
     )
@@ -39,7 +39,7 @@
     assert faults > 0
 
 
-def test_what_servers_report_is_heeded_under_a_seeded_plan_of_faults():
+def test_entries_follow_server_signals_under_seeded_faults():
     violations, requests, faults = run.run_seed(
         3, seconds=6.0, subject="signals"
     )
@@ -48,8 +48,8 @@
     assert faults > 0
 
 
-def test_versions_are_kept_to_by_entries_that_start_again():
-    """Entries are killed or stopped while a version is due; see the soak."""
+def test_restarted_entries_serve_a_version_once_it_is_due():
+    """Entries are killed or terminated before the version is due."""
     violations, requests, faults = run.run_seed(
         1, seconds=6.0, subject="versions"
     )
