--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon of the direct path: wiring only."""
+"""The entry daemon of the direct path, which connects its components."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,39 +33,42 @@
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
 
-# How topics are read. The platform answers as soon as something changes, so
-# the wait only bounds how long a connection that went silent goes unnoticed,
-# and how old a key's proof grows; each call is paid for.
-_PACES = topic_watch.PollTimings(
+# Timing of the long polls of the topics. The platform answers as soon as
+# something changes, so the wait only bounds how long a silent connection goes
+# unnoticed and how old the proof of a key's validity gets. Calls are billed, so
+# the wait is not shorter.
+_POLL_TIMINGS = topic_watch.PollTimings(
     operators=topic_watch.PollTiming(wait_s=2.0, pause_s=0.0),
     servers=topic_watch.PollTiming(wait_s=2.0, pause_s=0.9),
 )
-# The part of the time in which a key that was taken away must stop that its
-# last proof may be old, and the part after which the process takes no new
-# callers: others may have heard from the platform since.
+# Shares of the time within which a revoked key must be refused. A key is
+# accepted while the last read of the configuration is younger than the first
+# share. After the second one the process is not ready for new callers, since
+# other entries may have heard from the platform more recently.
 _MAX_KEY_PROOF_SHARE = 0.9
 _MAX_READY_SHARE = 0.55
-# Unknown routes are refused for good while the last answer is younger, in
-# seconds.
+# While the platform's last answer is younger than this, an unknown route is
+# refused as final, in seconds.
 _ROUTES_FRESH_S = 1.9
 _MAINTENANCE_INTERVAL_S = 0.2
-# How often agents are asked for reports, in seconds.
+# How often subscriptions to agents' reports are renewed, in seconds.
 _SUBSCRIBE_INTERVAL_S = 1.0
-# After SIGTERM the process still takes connections until the balancer has
-# asked twice, in seconds; and the rest before it must end.
+# After SIGTERM the process still accepts connections, in seconds, until the
+# load balancer has checked its readiness twice.
 _ACCEPT_WHILE_LEAVING_S = 2.4
+# Draining ends this long before the process must end, in seconds.
 _SHUTDOWN_MARGIN_S = 0.4
 
 
 class Platform(raw.Platform, Protocol):
-    """What the daemon needs of the platform."""
+    """What the daemon needs from the platform adapter."""
 
     def header_codec(self) -> header_codec_lib.HeaderCodec:
-        """Returns what knows the platform's headers."""
+        """Returns the codec for the platform's headers."""
 
 
 class Entry(mode.Service):
-    """One entry."""
+    """An entry: accepts callers' requests and forwards them to servers."""
 
     def __init__(
         self,
@@ -77,23 +80,24 @@
         boot_clock: Callable[[], float] = topic_watch.boot_time,
         wall_clock: Callable[[], float] = time.time,
     ):
-        """Prepares the daemon.
+        """Creates the components of the daemon without starting them.
 
         Args:
-          instance: What it knows of itself.
-          platform: Speaks to the platform.
-          log: Where events go.
+          instance: The settings of the instance.
+          platform: The adapter to the platform.
+          log: Receives the log events.
           counters: Counts refusals and retries.
           rng: Breaks ties.
-          boot_clock: Seconds that also count while the machine is suspended.
-          wall_clock: The time of day, in seconds.
+          boot_clock: Returns seconds that include the time in which the
+            machine was suspended.
+          wall_clock: Returns Unix time, in seconds.
         """
         super().__init__()
-        assert instance.callers_address is not None
+        assert instance.callers is not None
         rng = rng or random.Random()
         clock = asyncio.get_running_loop().time
         self._instance = instance
-        self._callers_address = instance.callers_address
+        self._callers_address = instance.callers
         self._log = log
         self._counters = counters
         self._clock = clock
@@ -102,14 +106,14 @@
             instance,
             shared_types.Role.ENTRY,
             platform,
-            _PACES,
+            _POLL_TIMINGS,
             log,
             counters,
             boot_clock,
         )
         topics = topic_watch.TopicWatchers(
             self._relay,
-            _PACES,
+            _POLL_TIMINGS,
             self._on_operators,
             self._on_servers,
             log,
@@ -127,7 +131,7 @@
             log,
             self._max_connections,
             rng,
-            _fleet_terms(bounds),
+            _listing_times(bounds),
             entry=instance.name,
             wall_clock=wall_clock,
             counters=counters,
@@ -174,7 +178,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it takes new callers."""
+        """Whether the entry accepts new callers."""
         keys_s = self._instance.bounds.keys_ms / 1e3
         return (
             not self._leaving
@@ -184,10 +188,10 @@
         )
 
     async def on_start(self) -> None:
-        """Listens at once: a caller hears "not yet" rather than nothing."""
+        """Starts listening at once, so that early callers get a refusal."""
         await self._server.listen(self._callers_address)
-        if self._instance.ready_address is not None:
-            await self._health.listen(self._instance.ready_address)
+        if self._instance.ready is not None:
+            await self._health.listen(self._instance.ready)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self._reports,
@@ -199,18 +203,18 @@
         self._log.write(events.PROCESS_STARTED)
 
     def reload(self, instance: instances.Instance) -> None:
-        """Takes over a changed instance file; addresses stay as they are."""
+        """Applies a changed instance file, except for its addresses."""
         self._instance = instance
         bounds = instance.bounds
         self._config_view.max_key_age_s = (
             bounds.keys_ms / 1e3 * _MAX_KEY_PROOF_SHARE
         )
         self._versions.due_s = bounds.weights_ms / 1e3
-        self._fleet.listing_expiry.times = _fleet_terms(bounds)
+        self._fleet.listing_expiry.times = _listing_times(bounds)
         self._forwarder.set_retry_limits(_retry_limits(bounds))
 
     async def drain(self) -> None:
-        """Takes no new callers and finishes what it has."""
+        """Stops accepting callers and finishes the requests in progress."""
         self._log.write(
             events.PROCESS_STOPPING, busy=self._server.open_requests
         )
@@ -218,7 +222,7 @@
         started = self._clock()
         end = started + self._instance.bounds.grace_s - _SHUTDOWN_MARGIN_S
         self._server.announce_close()
-        # The balancer goes on sending callers until it has asked twice.
+        # The load balancer sends callers until it has checked twice.
         await asyncio.sleep(_ACCEPT_WHILE_LEAVING_S)
         self._server.close_idle()
         try:
@@ -228,7 +232,7 @@
             self._log.write(_events.CUT_OFF, busy=self._server.open_requests)
 
     async def on_shutdown(self) -> None:
-        """Ends what is left."""
+        """Closes the remaining connections and servers."""
         self._reports.close()
         await self._server.stop()
         await self._health.stop()
@@ -269,7 +273,7 @@
         self._forwarder.dispatch_for(backend)
 
     def _typical_prefill_s(self, service: str) -> float:
-        """Returns how long a usual prompt is read; 0 when that is unknown."""
+        """Returns the prefill time of a typical prompt; 0 if it is unknown."""
         engine = self._config_view.engine(service)
         if engine is None or not engine.prefill_tokens_per_s:
             return 0.0
@@ -292,8 +296,10 @@
         del request
         await responder.answer(200 if self.ready else 503, [], b"")
 
-    def _on_operators(self, batch: topic_watch.Batch, whole: bool) -> None:
-        del whole
+    def _on_operators(
+        self, batch: topic_watch.Batch, is_snapshot: bool
+    ) -> None:
+        del is_snapshot
         for record in batch.records:
             if isinstance(record.value, types.Configuration):
                 self._apply_configuration(record.value)
@@ -301,8 +307,8 @@
                 self._apply_declared_version(record.value)
 
     def _apply_declared_version(self, declared: types.DeclaredVersion) -> None:
-        unread_s = self._operators.lag_s
-        change = self._versions.record_declared(declared, unread_s)
+        lag_s = self._operators.lag_s
+        change = self._versions.record_declared(declared, lag_s)
         self._log_declarations([change] if change else [])
 
     def _log_declarations(self, changes: list[declarations.Change]) -> None:
@@ -318,8 +324,8 @@
         catalog = self._config_view.catalog
         if catalog is not None and configuration.version <= catalog.version:
             if configuration.version < catalog.version:
-                # Records may be read twice after the platform lost its
-                # history; going back would serve routes that are gone.
+                # After the platform lost its history, records may be read
+                # again; going back would serve routes that were removed.
                 self._log.write(
                     _events.CONFIGURATION_OLD,
                     found=configuration.version,
@@ -336,10 +342,10 @@
             was=catalog.version if catalog else None,
         )
 
-    def _on_servers(self, batch: topic_watch.Batch, whole: bool) -> None:
+    def _on_servers(self, batch: topic_watch.Batch, is_snapshot: bool) -> None:
         self._fleet.apply(
             batch,
-            whole,
+            is_snapshot,
             self._server_list.available_s,
             self._server_list.outage_s,
             self._clock(),
@@ -351,7 +357,7 @@
         return known.max_connections if known else 32
 
 
-def _fleet_terms(bounds: instances.Bounds) -> outage.ListingTimes:
+def _listing_times(bounds: instances.Bounds) -> outage.ListingTimes:
     return outage.ListingTimes(bounds.drain_ms / 1e3, bounds.listing_ms / 1e3)
 
 
