--- a/src/clementinegw/backend/_http.py
+++ b/src/clementinegw/backend/_http.py
@@ -1,4 +1,4 @@
-"""What both clients share: headers, and aiohttp's errors as our own."""
+"""Header filtering, timeouts and error translation for both clients."""
 
 from collections.abc import Iterator
 import contextlib
@@ -11,6 +11,7 @@
 
 CONNECT_TIMEOUT_S = 2.0
 
+# Headers of a single connection, which are never forwarded.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -27,10 +28,10 @@
 )
 
 
-def end_to_end(
+def end_to_end_headers(
     headers: "multidict.CIMultiDictProxy[str]",
 ) -> types.Headers:
-    """Returns an answer's headers without those of the connection."""
+    """Returns an answer's headers without the hop-by-hop ones."""
     return tuple(
         (name.lower(), value)
         for name, value in headers.items()
@@ -38,8 +39,8 @@
     )
 
 
-def outgoing(headers: types.Headers) -> "multidict.CIMultiDict[str]":
-    """Returns a caller's headers without those of the connection."""
+def outgoing_headers(headers: types.Headers) -> "multidict.CIMultiDict[str]":
+    """Returns a caller's headers without the hop-by-hop ones."""
     result: multidict.CIMultiDict[str] = multidict.CIMultiDict()
     for name, value in headers:
         if name.lower() not in _HOP_BY_HOP:
@@ -48,32 +49,44 @@
 
 
 def timeout(total_s: float | None, idle_s: float | None = None):
-    """Returns the timeouts of one exchange, in seconds."""
+    """Returns the timeouts of one exchange.
+
+    Args:
+      total_s: Limit for the whole exchange, in seconds; None for no limit.
+      idle_s: Limit for the time without a received byte, in seconds; None for
+        no limit.
+    """
     return aiohttp.ClientTimeout(
         total=total_s, sock_connect=CONNECT_TIMEOUT_S, sock_read=idle_s
     )
 
 
 @contextlib.contextmanager
-def errors(what: str) -> Iterator[None]:
-    """Turns aiohttp's errors into ours.
+def translate_errors(operation: str) -> Iterator[None]:
+    """Translates aiohttp's errors into those of `exceptions`.
 
-    The difference between "no connection" and all others carries weight: only
-    the first proves that nothing was handed to the backend server.
+    Only a failed connection proves that nothing was sent to the backend
+    server; after any other error the request may have run.
 
     Args:
-      what: The exchange, for the error's text.
+      operation: Describes the exchange in the error message.
 
     Raises:
-      exceptions.BackendUnreachable: No connection could be made.
-      exceptions.BackendStalled: Nothing came in time.
-      exceptions.BackendLost: The connection broke, or bytes made no sense.
+      exceptions.BackendUnreachable: The connection could not be
+        established.
+      exceptions.BackendStalled: The exchange timed out.
+      exceptions.BackendLost: The connection broke, or the answer could not
+        be parsed.
     """
     try:
         yield
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as e:
-        raise exceptions.BackendUnreachable(f"{what}: {e}") from e
+        raise exceptions.BackendUnreachable(f"{operation}: {e}") from e
     except TimeoutError as e:
-        raise exceptions.BackendStalled(f"{what}: no answer in time") from e
+        raise exceptions.BackendStalled(
+            f"{operation}: no answer in time"
+        ) from e
     except (aiohttp.ClientError, OSError, ValueError, KeyError) as e:
-        raise exceptions.BackendLost(f"{what}: {e or type(e).__name__}") from e
+        raise exceptions.BackendLost(
+            f"{operation}: {e or type(e).__name__}"
+        ) from e
--- a/src/clementinegw/backend/_stream.py
+++ b/src/clementinegw/backend/_stream.py
@@ -1,4 +1,4 @@
-"""The answer of a model engine as an iterator of events."""
+"""Parses the answer of a model engine into an iterator of events."""
 
 from collections.abc import AsyncIterator
 import json
@@ -9,23 +9,24 @@
 from clementinegw.backend import _http
 from clementinegw.backend import types
 
-EVENT_LIMIT_BYTES = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 _BLANK_LINE = b"\n\n"
 _DONE = b"data: [DONE]"
 _ID = b"id:"
 
 
 class AnswerStream:
-    """Iterates over `Head`, `Data` pieces and the explicit `End`.
+    """Iterates over a `Head`, `Data` events and a final `End`.
 
-    Without an `End` the answer is not whole: the iterator raises instead of
-    ending early. `aclose` drops the connection unless the answer is whole, by
-    which the engine stops generating.
+    An answer without `End` is incomplete: the iterator raises
+    `exceptions.BackendLost` instead of ending early. `aclose` closes the
+    connection unless the answer is complete, which makes the engine stop
+    generating.
     """
 
-    def __init__(self, response: aiohttp.ClientResponse, what: str):
+    def __init__(self, response: aiohttp.ClientResponse, operation: str):
         self._response = response
-        self._what = what
+        self._operation = operation
         self._events = self._read()
 
     def __aiter__(self) -> "AnswerStream":
@@ -35,51 +36,51 @@
         return await self._events.__anext__()
 
     async def aclose(self) -> None:
-        """Ends the exchange; the engine notices when it still generates."""
+        """Closes the exchange; an engine that still generates then stops."""
         await self._events.aclose()  # type: ignore[attr-defined]
         self._response.close()
 
     async def _read(self) -> AsyncIterator[types.AnswerEvent]:
         response = self._response
-        yield _head(response)
-        with _http.errors(self._what):
+        yield _make_head(response)
+        with _http.translate_errors(self._operation):
             if response.content_type == "text/event-stream":
-                source = _events(response.content)
+                source = _read_events(response.content)
             else:
-                source = _whole(response)
+                source = _read_body(response)
             async for event in source:
                 yield event
         response.release()
 
 
-def _head(response: aiohttp.ClientResponse) -> types.Head:
+def _make_head(response: aiohttp.ClientResponse) -> types.Head:
     headers = response.headers
     return types.Head(
         status=response.status,
-        headers=_http.end_to_end(headers),
+        headers=_http.end_to_end_headers(headers),
         version=headers.get(types.VERSION_HEADER, ""),
         digest=headers.get(types.DIGEST_HEADER, ""),
         refused=headers.get(types.REFUSED_HEADER, ""),
     )
 
 
-async def _whole(
+async def _read_body(
     response: aiohttp.ClientResponse,
 ) -> AsyncIterator[types.AnswerEvent]:
     body = await response.read()
-    tokens = _usage(body)
+    tokens = _completion_tokens(body)
     yield types.Data(body, tokens)
     yield types.End(tokens)
 
 
-def _usage(body: bytes) -> int:
+def _completion_tokens(body: bytes) -> int:
     try:
         return int(json.loads(body)["usage"]["completion_tokens"])
     except (ValueError, KeyError, TypeError):
         return 0
 
 
-async def _events(
+async def _read_events(
     content: aiohttp.StreamReader,
 ) -> AsyncIterator[types.AnswerEvent]:
     buffer = b""
@@ -87,8 +88,9 @@
     while True:
         data = await content.readany()
         if not data:
-            # A server that dies between two events ends the body as cleanly
-            # as one that is done; only the last event tells them apart.
+            # The body of a server that crashes between two events ends like
+            # that of a complete answer; only the final event distinguishes
+            # them.
             raise exceptions.BackendLost("stream ended without its last event")
         buffer += data
         while (end := buffer.find(_BLANK_LINE)) >= 0:
@@ -99,11 +101,13 @@
             if event.startswith(_DONE):
                 yield types.End(tokens)
                 return
-        if len(buffer) > EVENT_LIMIT_BYTES:
-            raise exceptions.BackendLost("an event exceeds its limit")
+        if len(buffer) > MAX_EVENT_BYTES:
+            raise exceptions.BackendLost(
+                f"an event exceeds {MAX_EVENT_BYTES} bytes"
+            )
 
 
-def _event_tokens(event: bytes, before: int) -> int:
+def _event_tokens(event: bytes, previous: int) -> int:
     if not event.startswith(_ID):
-        return before
+        return previous
     return int(event[len(_ID) : event.find(b"\n")])
--- a/src/clementinegw/commands/matrix.py
+++ b/src/clementinegw/commands/matrix.py
@@ -1,4 +1,4 @@
-"""`clementinegw matrix`: plays every fault at every step."""
+"""`clementinegw matrix`: injects every fault at every step."""
 
 import asyncio
 import json
@@ -17,82 +17,89 @@
 HELP = """usage: clementinegw matrix [--paths=NAME,...] [--pairs=N]
        clementinegw matrix --cell=PATH:FAULT@STEP[:FAULT@STEP]
 
-Plays each fault at each step of each path against the real decisions in
-virtual time, then pairs of faults, then the cells with one guard broken at a
-time: each broken guard must turn a cell red. Ends with exit code 5 when a
-promise was broken or a broken guard was not noticed.
+Injects each fault at each step of each path into the real decision code in
+virtual time, then pairs of faults, then repeats cells with one guard broken at
+a time: each broken guard must make a cell fail. Exit code 5 if an invariant was
+violated or a broken guard was not detected.
 
-By default one cell in --one_in is played, in this process. `make matrix` plays
-all of them on ten host processes."""
+By default one cell in --one_in runs, in this process. `make matrix` runs all of
+them on ten host processes."""
 
 _DEFAULT_PAIRS = 4
 _DEFAULT_ONE_IN = 8
 
 
 def define(flag_values) -> None:
-    """Defines the flags."""
+    """Defines the command's flags."""
     flags.DEFINE_list(
         "paths",
         [],
-        "The paths to play; all by default.",
+        "The paths to run; all by default.",
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "pairs",
         _DEFAULT_PAIRS,
-        "Pairs of faults to play of each path, chosen by the seed; -1 for all.",
+        "Pairs of faults to run per path, chosen by the seed; -1 for all.",
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
-        "seed", 1, "Chooses the pairs.", flag_values=flag_values
+        "seed",
+        1,
+        "Seed for the choice of cells and pairs.",
+        flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "one_in",
         _DEFAULT_ONE_IN,
-        "Play one cell in so many, chosen by the seed; 1 for all.",
+        "Run one cell in this many, chosen by the seed; 1 for all.",
         lower_bound=1,
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "hosts",
         0,
-        "Host processes that play; see `bench host`. 0: this one plays.",
+        "Number of host processes that run cells; see `bench host`. 0 runs"
+        " them in this process.",
         lower_bound=0,
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "desk_port",
         7700,
-        "Where host processes come.",
+        "Port on which host processes connect.",
         flag_values=flag_values,
     )
     flags.DEFINE_boolean(
-        "guards", True, "Break each guard as well.", flag_values=flag_values
+        "guards",
+        True,
+        "Also run cells with each guard broken.",
+        flag_values=flag_values,
     )
     flags.DEFINE_string(
         "cell",
         None,
-        "Play this one cell, PATH:FAULT@STEP[:FAULT@STEP].",
+        "Run this one cell, PATH:FAULT@STEP[:FAULT@STEP].",
         flag_values=flag_values,
     )
 
 
 async def run(args: list[str], flag_values) -> int:
-    """Plays the matrix and prints what it found."""
+    """Runs the matrix, or one cell, and prints the result."""
     if args:
         raise exceptions.UsageError(f"matrix: unexpected {args[0]!r}")
     if flag_values.cell:
-        return await asyncio.to_thread(_play_one, flag_values.cell)
+        return await asyncio.to_thread(_run_cell, flag_values.cell)
     names = flag_values.paths or list(paths.all_paths())
     _check_names(names)
-    report = await asyncio.to_thread(_play_all, names, flag_values)
+    report = await asyncio.to_thread(_run_matrix, names, flag_values)
     _print(report, flag_values.json)
     failed = bool(report.failed or report.uncaught)
     return exceptions.CheckFailed.exit_code if failed else 0
 
 
-def _play_all(names: list[str], flag_values) -> runner.Report:
-    def _play(player: players.Player) -> runner.Report:
+def _run_matrix(names: list[str], flag_values) -> runner.Report:
+    def _run_with(player: players.Player) -> runner.Report:
         return runner.run(
             names,
             flag_values.pairs,
@@ -103,11 +110,11 @@
         )
 
     if not flag_values.hosts:
-        return _play(players.Here())
+        return _run_with(players.Here())
     desk = desks.Desk(types.Address("127.0.0.1", flag_values.desk_port))
     hosts = players.Hosts(desk, flag_values.hosts)
     try:
-        return _play(hosts)
+        return _run_with(hosts)
     finally:
         hosts.close()
         desk.close()
@@ -122,7 +129,7 @@
             )
 
 
-def _play_one(text: str) -> int:
+def _run_cell(text: str) -> int:
     cell = engine.parse(text)
     _check_names([cell.path])
     path = paths.all_paths()[cell.path]
@@ -150,5 +157,7 @@
     for result in report.failed:
         print(f"  FAILED {result.cell}: {', '.join(result.broken)}")
     for caught in report.guards:
-        verdict = f"red at {caught.cell}" if caught.cell else "NOT NOTICED"
+        verdict = (
+            f"detected at {caught.cell}" if caught.cell else "NOT DETECTED"
+        )
         print(f"  guard {caught.guard} broken: {verdict}")
--- a/src/clementinegw/commands/settings.py
+++ b/src/clementinegw/commands/settings.py
@@ -12,7 +12,7 @@
 
 from clementinegw import exceptions
 from clementinegw import types
-from clementinegw.commands import _settings_text as text
+from clementinegw.commands import _settings_format as formats
 from clementinegw.platform import log as log_lib
 from clementinegw.settings import changes
 from clementinegw.settings import fold as fold_lib
@@ -24,28 +24,29 @@
 NAME = "settings"
 HELP = """usage: clementinegw settings ACTION --log=URL [ARGUMENT...]
 
-  get [PATH]           the tree, or what is at PATH
-  set PATH=VALUE...    sets values, written in JSON; plain words need no quotes
-  unset PATH...        takes values away, so that the level before counts
+  get [PATH]           prints the tree, or the value at PATH
+  set PATH=VALUE...    sets values, as JSON; plain words need no quotes
+  unset PATH...        removes values, so that inherited ones apply
   apply FILE           makes the tree equal to a JSON file
-  diff FILE|REVISION   what `apply FILE` would change, or what did change since
-  history [PATH]       who changed what, when and why
-  explain GROUP.KNOB   the value at a place and the level that it comes from
-  undo REVISION|PATH   undoes that change, or the newest that touched PATH
+  diff FILE|REVISION   shows what `apply FILE` would change, or the changes
+                       since REVISION
+  history [PATH]       shows who changed what, when and why
+  explain GROUP.KNOB   shows the effective value and the level that sets it
+  undo REVISION|PATH   undoes that change, or the latest that changed PATH
 
-A change is accepted or rejected by its place in the log, the same on every
-process: rejected when something that it touches has moved since --base, the
-revision that you saw (by default the newest). --dry_run shows what it would do
-and publishes nothing. Exit code 1: the change was rejected."""
+A change is accepted or rejected by its position in the log, with the same
+result on every process: it is rejected if a value that it touches has changed
+since --base, a revision (by default the newest). --dry_run shows the effect
+without publishing. Exit code 1: the change was rejected."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Session:
-    """What an action works with.
+    """The context of an action.
 
     Attributes:
-      log: The platform's log.
-      fold: The log's settings at the start.
+      log: The client of the platform's log.
+      fold: The settings in the log when the command started.
       flags: The command's flags.
     """
 
@@ -59,30 +60,37 @@
 
 def define(flag_values) -> None:
     """Defines the command's flags."""
-    for name, default, help_text in _STRINGS:
+    for name, default, help_text in _STRING_FLAGS:
         flags.DEFINE_string(name, default, help_text, flag_values=flag_values)
     flags.DEFINE_integer(
         "base",
         None,
-        "The revision that the change is made for.",
+        "The revision that the change is based on.",
         lower_bound=0,
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
-        "limit", 20, "Changes that `history` shows.", flag_values=flag_values
+        "limit",
+        20,
+        "Maximum number of changes that `history` shows.",
+        flag_values=flag_values,
     )
     flags.DEFINE_boolean(
         "dry_run",
         False,
-        "Show what the change would do.",
+        "Show the effect of the change without publishing it.",
         flag_values=flag_values,
     )
 
 
-_STRINGS = (
+_STRING_FLAGS = (
     ("log", None, "Base URL of the platform's log."),
-    ("who", None, "The operator, for the history; by default the login."),
-    ("why", "", "The reason, for the history."),
+    (
+        "who",
+        None,
+        "The operator recorded in the history; the login name by default.",
+    ),
+    ("why", "", "The reason recorded in the history."),
     ("region", "", "For explain: the region."),
     ("failure_domain", "", "For explain: the failure domain."),
     ("service", "", "For explain: the service."),
@@ -109,23 +117,23 @@
         return await action(_Session(log, fold, flag_values), args[1:])
 
 
-def _one(args: list[str], action: str, expected: str) -> str:
+def _single_argument(args: list[str], action: str, expected: str) -> str:
     if len(args) != 1:
         raise exceptions.UsageError(f"settings {action}: expected {expected}")
     return args[0]
 
 
-def _none_or_one(args: list[str], action: str) -> str:
-    return _one(args, action, "at most one PATH") if args else ""
+def _optional_path(args: list[str], action: str) -> str:
+    return _single_argument(args, action, "at most one PATH") if args else ""
 
 
-def _show(session: _Session, data: Any, lines: str) -> int:
+def _print_result(session: _Session, data: Any, lines: str) -> int:
     print(json.dumps(data) if session.flags.json else lines)
     return 0
 
 
 async def _get(session: _Session, args: list[str]) -> int:
-    path = _none_or_one(args, "get")
+    path = _optional_path(args, "get")
     try:
         value = changes.lookup(
             session.fold.raw, changes.split(path) if path else ()
@@ -136,14 +144,16 @@
             " explain` shows inherited and default values"
         ) from None
     data = {"revision": session.fold.revision, "path": path, "value": value}
-    return _show(session, data, json.dumps(value, indent=2, sort_keys=True))
+    return _print_result(
+        session, data, json.dumps(value, indent=2, sort_keys=True)
+    )
 
 
 def parse_assignment(argument: str) -> changes.Set:
-    """Returns the operation that `PATH=VALUE` stands for.
+    """Returns the operation that a `PATH=VALUE` argument describes.
 
     Raises:
-      exceptions.UsageError: There is no `=` or no path.
+      exceptions.UsageError: The argument has no `=` or no path.
     """
     path, equals, value = argument.partition("=")
     if not equals or not path:
@@ -183,22 +193,24 @@
 def operations_between(
     before: changes.Json, after: changes.Json
 ) -> tuple[changes.Operation, ...]:
-    """Returns the operations that make one tree into another."""
+    """Returns the operations that change one tree into another."""
     operations: list[changes.Operation] = []
     for difference in changes.diff(before, after):
         if difference.kind is changes.DiffKind.REMOVED:
-            unset = changes.Unset(_first_absent(after, difference.path))
+            unset = changes.Unset(
+                _shortest_missing_path(after, difference.path)
+            )
             if unset not in operations:
                 operations.append(unset)
         else:
             operations.append(changes.Set(difference.path, difference.after))
-    # A value that becomes an object is taken away before its parts are set.
+    # A value that becomes an object must be removed before its parts are set.
     operations.sort(key=lambda o: isinstance(o, changes.Set))
     return tuple(operations)
 
 
-def _first_absent(tree: changes.Json, path: str) -> str:
-    """Returns the path or the shortest part of it that a tree lacks."""
+def _shortest_missing_path(tree: changes.Json, path: str) -> str:
+    """Returns the shortest prefix of a path that a tree does not contain."""
     keys = changes.split(path)
     for length in range(1, len(keys)):
         try:
@@ -209,19 +221,19 @@
 
 
 async def _apply(session: _Session, args: list[str]) -> int:
-    wanted = _read_tree(_one(args, "apply", "FILE"))
-    operations = operations_between(session.fold.raw, wanted)
+    target = _read_tree(_single_argument(args, "apply", "FILE"))
+    operations = operations_between(session.fold.raw, target)
     if not operations:
         data = {"revision": session.fold.revision, "changed": 0}
-        return _show(session, data, "nothing to change")
+        return _print_result(session, data, "nothing to change")
     return await _publish(session, operations)
 
 
 def tree_at(fold: fold_lib.Fold, revision: int) -> changes.Json:
-    """Returns the tree as it was at an earlier revision.
+    """Returns the tree at an earlier revision.
 
     Raises:
-      exceptions.SettingsError: That is longer ago than the history goes.
+      exceptions.SettingsError: The history does not contain that revision.
     """
     history = fold.history()
     oldest = history[0].revision if history else 0
@@ -239,31 +251,31 @@
 
 
 async def _diff(session: _Session, args: list[str]) -> int:
-    what = _one(args, "diff", "FILE or REVISION")
-    if what.isdigit():
-        before, after = tree_at(session.fold, int(what)), session.fold.raw
+    target = _single_argument(args, "diff", "FILE or REVISION")
+    if target.isdigit():
+        before, after = tree_at(session.fold, int(target)), session.fold.raw
     else:
-        before, after = session.fold.raw, _read_tree(what)
+        before, after = session.fold.raw, _read_tree(target)
     differences = changes.diff(before, after)
     data = {
         "revision": session.fold.revision,
         "differences": [dataclasses.asdict(d) for d in differences],
     }
-    return _show(session, data, text.differences(differences))
+    return _print_result(session, data, formats.format_differences(differences))
 
 
 async def _history(session: _Session, args: list[str]) -> int:
-    entries = session.fold.history(_none_or_one(args, "history"))
+    entries = session.fold.history(_optional_path(args, "history"))
     entries = entries[-max(session.flags.limit, 1) :]
     data = {
         "revision": session.fold.revision,
         "changes": [entry.to_json() for entry in entries],
     }
-    return _show(session, data, text.history(entries))
+    return _print_result(session, data, formats.format_history(entries))
 
 
 async def _explain(session: _Session, args: list[str]) -> int:
-    path = _one(args, "explain", "GROUP.KNOB")
+    path = _single_argument(args, "explain", "GROUP.KNOB")
     values = session.flags
     tree = session.fold.tree
     for section, name in (
@@ -287,30 +299,40 @@
     )
     data = {"revision": session.fold.revision, "path": path}
     data.update(dataclasses.asdict(explained))
-    return _show(session, data, text.explained(path, explained))
+    return _print_result(
+        session, data, formats.format_explained(path, explained)
+    )
 
 
-def find_change(fold: fold_lib.Fold, what: str) -> fold_lib.HistoryEntry:
-    """Returns the change of a revision, or the newest that touched a path.
+def find_change(fold: fold_lib.Fold, target: str) -> fold_lib.HistoryEntry:
+    """Returns the change of a revision, or the latest that touched a path.
+
+    Args:
+      fold: The settings and their history.
+      target: A revision or a path.
 
     Raises:
-      exceptions.SettingsError: There is none in the history.
+      exceptions.SettingsError: The history contains no such change.
     """
-    if what.isdigit():
-        found = [e for e in fold.history() if e.revision == int(what)]
+    if target.isdigit():
+        found = [e for e in fold.history() if e.revision == int(target)]
     else:
-        found = fold.history(what)
+        found = fold.history(target)
     if not found:
         raise exceptions.SettingsError(
-            f"undo: expected a revision or path of the history, found {what!r}"
+            "undo: expected a revision or path of the history,"
+            f" found {target!r}"
         )
     return found[-1]
 
 
 async def _undo(session: _Session, args: list[str]) -> int:
-    entry = find_change(session.fold, _one(args, "undo", "REVISION or PATH"))
+    entry = find_change(
+        session.fold, _single_argument(args, "undo", "REVISION or PATH")
+    )
     why = session.flags.why or f"undo of revision {entry.revision}"
-    # Made for the undone revision: whatever moved after it is not overridden.
+    # Based on the undone revision, so that it is rejected rather than
+    # overriding later changes.
     return await _publish(session, entry.inverse, entry.revision, why)
 
 
@@ -340,7 +362,9 @@
             "base": change.base,
             "differences": [dataclasses.asdict(d) for d in differences],
         }
-        return _show(session, data, text.differences(differences))
+        return _print_result(
+            session, data, formats.format_differences(differences)
+        )
     result = await publisher.publish(session.log, change)
     if isinstance(result, results.Rejected):
         raise _rejected(await publisher.read_fold(session.log), result)
@@ -351,13 +375,15 @@
         "differences": [dataclasses.asdict(d) for d in differences],
     }
     lines = f"accepted at revision {result.revision}"
-    return _show(session, data, f"{text.differences(differences)}\n{lines}")
+    return _print_result(
+        session, data, f"{formats.format_differences(differences)}\n{lines}"
+    )
 
 
 def _rejected(
     fold: fold_lib.Fold, rejected: results.Rejected
 ) -> exceptions.ClementineError:
-    """Returns the error that names what stood in the way."""
+    """Returns an error with the reason and the conflicting change."""
     if rejected.reason is results.RejectReason.INVALID:
         return exceptions.SettingsError(f"rejected: {rejected.detail}")
     line = f"rejected, {rejected.reason}"
--- a/src/clementinegw/commands/standin.py
+++ b/src/clementinegw/commands/standin.py
@@ -1,4 +1,4 @@
-"""`clementinegw standin`: what daemons need around them, to try them out."""
+"""`clementinegw standin`: runs stand-ins of the daemons' environment."""
 
 import asyncio
 import json
@@ -24,9 +24,9 @@
 HELP = """usage: clementinegw standin --write=DIR
 
 Runs a log, an instance list, a weight store, an origin, a model engine and a
-plain service on the loopback, declares both services, and writes an instance
-file for an entry and for the agent of each into DIR. Then, each in a terminal
-of its own:
+plain service on the loopback interface, declares both services, and writes the
+instance files of an entry and of an agent for each service to DIR. Then run,
+each in its own terminal:
 
   clementinegw agent --config=DIR/agent-plain.json
   clementinegw agent --config=DIR/agent-engine.json
@@ -35,7 +35,7 @@
 _PLACE = types.Place("region-1", "domain-1")
 _ENGINE = "assistant"
 _PLAIN = "lookup"
-_TREE: dict[str, Any] = {
+_SETTINGS_TREE: dict[str, Any] = {
     "regions": {_PLACE.region: {}},
     "failure_domains": {_PLACE.failure_domain: {"region": _PLACE.region}},
     "services": {
@@ -59,13 +59,13 @@
     flags.DEFINE_string(
         "write",
         None,
-        "Folder for the instance files; made when missing.",
+        "Directory for the instance files; created if missing.",
         flag_values=flag_values,
     )
     flags.DEFINE_integer(
         "http_port",
         8080,
-        "Port on which the entry will take callers' HTTP.",
+        "Port on which the entry accepts callers' HTTP.",
         lower_bound=0,
         upper_bound=65535,
         flag_values=flag_values,
@@ -73,12 +73,12 @@
 
 
 async def run(args: list[str], flag_values) -> int:
-    """Runs the stand-ins until interrupted."""
+    """Runs the stand-ins until SIGTERM or SIGINT."""
     if args:
         raise exceptions.UsageError(f"standin: unexpected {args[0]!r}")
     if flag_values.write is None:
         raise exceptions.UsageError(
-            "name a folder: clementinegw standin --write=DIR"
+            "missing --write: clementinegw standin --write=DIR"
         )
     folder = pathlib.Path(flag_values.write)
     platform = platform_lib.PlatformStandIn()
@@ -89,48 +89,54 @@
     for server in servers:
         await server.start()
     try:
-        await _declare(platform.log_address)
+        await _publish_settings(platform.log_address)
         urls = {_ENGINE: engine.base_url, _PLAIN: plain.base_url}
-        for path in _write(folder, platform, urls, flag_values.http_port):
+        for path in _write_instance_files(
+            folder, platform, urls, flag_values.http_port
+        ):
             print(path)
         print(f"log: {platform.log_address}\norigin: {platform.origin_address}")
-        await _interrupted()
+        await _wait_for_signal()
     finally:
         for server in servers:
             await server.stop()
     return 0
 
 
-async def _declare(log_url: str) -> None:
+async def _publish_settings(log_url: str) -> None:
     async with aiohttp.ClientSession() as session:
         log = log_lib.HttpLog(log_url, session)
         change = publisher.new_change(
             0,
             "standin",
             "the services of the stand-ins",
-            tuple(changes_lib.Set(path, v) for path, v in _TREE.items()),
+            tuple(
+                changes_lib.Set(path, v) for path, v in _SETTINGS_TREE.items()
+            ),
         )
         result = await publisher.publish(log, change)
     if not isinstance(result, results.Accepted):
-        raise exceptions.InvariantError(f"own settings were refused: {result}")
+        raise exceptions.InvariantError(
+            f"the settings of the stand-ins were rejected: {result}"
+        )
 
 
-def _write(
+def _write_instance_files(
     folder: pathlib.Path,
     platform: platform_lib.PlatformStandIn,
     urls: dict[str, str],
     http_port: int,
 ) -> list[pathlib.Path]:
     kinds = {_ENGINE: "engine", _PLAIN: "plain"}
-    files = {"entry": _instance("entry", platform, http_port, None)}
+    files = {"entry": _instance_file("entry", platform, http_port, None)}
     for service, url in urls.items():
         backend = {
             "service": service,
-            "kind": _TREE["services"][service]["kind"],
+            "kind": _SETTINGS_TREE["services"][service]["kind"],
             "url": url,
         }
         name = f"agent-{kinds[service]}"
-        files[name] = _instance(name, platform, 0, backend)
+        files[name] = _instance_file(name, platform, 0, backend)
     try:
         folder.mkdir(parents=True, exist_ok=True)
         for name, data in files.items():
@@ -141,7 +147,7 @@
     return [folder / f"{name}.json" for name in files]
 
 
-def _instance(
+def _instance_file(
     name: str,
     platform: platform_lib.PlatformStandIn,
     http_port: int,
@@ -172,7 +178,7 @@
     return data
 
 
-async def _interrupted() -> None:
+async def _wait_for_signal() -> None:
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/src/clementinegw/daemons/agent.py
+++ b/src/clementinegw/daemons/agent.py
@@ -1,4 +1,4 @@
-"""The agent daemon: the gate to one backend server, and its weights."""
+"""The agent daemon: gates one backend server and manages its weights."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -14,7 +14,7 @@
 from clementinegw.backend import service as plain_client
 from clementinegw.backend import sessions
 from clementinegw.daemons import core as core_lib
-from clementinegw.daemons import fleet_weights
+from clementinegw.daemons import engine_weights
 from clementinegw.daemons import status as status_lib
 from clementinegw.gate import backends
 from clementinegw.gate import service as gate_lib
@@ -22,11 +22,11 @@
 from clementinegw.settings import model as model_lib
 from clementinegw.telemetry import events
 
-_LOAD_S = 1.0
+_LOAD_REPORT_INTERVAL_S = 1.0
 
 
 class Agent(mode.Service):
-    """One agent and its part of the backend server beside it."""
+    """Runs the gate of one backend server and, for an engine, its weights."""
 
     def __init__(
         self,
@@ -34,38 +34,44 @@
         clock: clock_lib.Clock | None = None,
         rng: random.Random | None = None,
     ):
-        """Prepares the daemon; see `daemons.core.Core`."""
+        """Initializes the daemon; see `daemons.core.Core`.
+
+        Args:
+          file: The validated instance file; must name a backend server.
+          clock: The source of time; the system clock by default.
+          rng: The source of random numbers; newly seeded by default.
+        """
         super().__init__()
         assert file.backend is not None
         self._file = file
         self._backend = file.backend
         self._core = core_lib.Core(file, clock, rng)
         self._gate: gate_lib.GateService
-        self._weights: fleet_weights.FleetWeights | None = None
+        self._weights: engine_weights.EngineWeights | None = None
         self._session: aiohttp.ClientSession | None = None
-        self._status: status_lib.StatusPages | None = None
+        self._status: status_lib.StatusServer | None = None
 
     @property
     def core(self) -> core_lib.Core:
-        """What it shares with the entry daemon."""
+        """The services shared with the entry daemon."""
         return self._core
 
     @property
     def serving_version(self) -> str:
-        """The model version that requests are let through to."""
+        """The model version that the gate admits requests for."""
         return self._gate.version
 
     @property
     def status_address(self) -> types.Address | None:
-        """Where `/status` is served, once started."""
+        """The address of `/status`, or None when it is not served."""
         return None if self._status is None else self._status.address
 
     def weights_status(self) -> Mapping[str, Any]:
-        """Returns its part in a rollout; empty beside a plain service."""
+        """Returns the rollout status; empty for a plain service."""
         return {} if self._weights is None else self._weights.as_json()
 
     async def on_start(self) -> None:
-        """Starts the gate; an engine takes requests once its load is proved."""
+        """Starts the gate; an engine's opens once its load is verified."""
         await self.add_runtime_dependency(self._core)
         core = self._core
         self._session = sessions.create()
@@ -76,8 +82,10 @@
             await self._start_gate(backends.PlainBackend(client))
         core.follower.subscribe(self._on_settings)
         if self._file.listen.admin is not None:
-            self._status = status_lib.StatusPages(
-                self._file.listen.admin, self._report, self._not_ready
+            self._status = status_lib.StatusServer(
+                self._file.listen.admin,
+                self._status_report,
+                self._not_ready_reasons,
             )
             await self.add_runtime_dependency(self._status)
         core.event_log.write(
@@ -85,20 +93,22 @@
         )
 
     async def drain(self) -> None:
-        """Refuses new work at once and finishes what it has.
+        """Refuses new requests at once and completes those in flight.
 
-        The gate comes first: whoever has not heard yet is refused there, with
-        proof that nothing was run.
+        The gate does not wait for the announcement to succeed: it refuses
+        entries that have not received it yet, with proof that nothing was run.
         """
         core = self._core
         core.event_log.write(events.PROCESS_STOPPING)
-        grace_s = core.effective(self._backend.service).shutdown.grace_s
+        grace_s = core.effective_settings(
+            self._backend.service
+        ).shutdown.grace_s
         finishing = self.add_future(self._gate.leave(grace_s))
         await core.leave()
         await finishing
 
     async def on_shutdown(self) -> None:
-        """Closes the session once the children have stopped."""
+        """Closes the session after the child services have stopped."""
         if self._session is not None:
             await self._session.close()
         self._core.event_log.write(events.PROCESS_STOPPED)
@@ -107,7 +117,7 @@
         assert self._session is not None
         client = engine_client.EngineClient(self._backend.url, self._session)
         await self._start_gate(backends.EngineBackend(client))
-        self._weights = fleet_weights.FleetWeights(
+        self._weights = engine_weights.EngineWeights(
             self._core, self._backend.service, client, self._gate
         )
         await self.add_runtime_dependency(self._weights)
@@ -126,20 +136,20 @@
         await self.add_runtime_dependency(self._gate)
 
     @mode.Service.task
-    async def _tell_load(self) -> None:
+    async def _report_load_loop(self) -> None:
         while not self.should_stop:
-            await self.sleep(_LOAD_S)
+            await self.sleep(_LOAD_REPORT_INTERVAL_S)
             load = self._gate.load
-            busy = load.in_flight / max(1, load.capacity)
+            load_ratio = load.in_flight / max(1, load.capacity)
             self._core.membership.set_self(
-                load=busy, version=self._gate.version
+                load=load_ratio, version=self._gate.version
             )
 
     def _on_settings(self, state: follower_lib.State) -> None:
         if self._weights is not None:
             self._weights.apply(state)
 
-    def _not_ready(self) -> Mapping[str, Any]:
+    def _not_ready_reasons(self) -> Mapping[str, Any]:
         reasons = {}
         if self._core.leaving:
             reasons["leaving"] = "told to stop"
@@ -147,7 +157,7 @@
             reasons["gate"] = "the backend server does not serve"
         return reasons
 
-    def _report(self) -> Mapping[str, Any]:
+    def _status_report(self) -> Mapping[str, Any]:
         core = self._core
         return {
             "instance_id": self._file.instance_id,
--- a/src/clementinegw/daemons/core.py
+++ b/src/clementinegw/daemons/core.py
@@ -1,4 +1,4 @@
-"""What both daemons are made of: sessions, links, settings, membership."""
+"""Services that both daemons use: connections, settings and membership."""
 
 import asyncio
 import dataclasses
@@ -25,27 +25,27 @@
 from clementinegw.wire import auth
 from clementinegw.wire import connection as connection_lib
 
-# Peers without a key file belong to a test or a demo on one machine.
-_OPEN_KEY = b"no key file was given"
-_MILLIS = 1000
+# Used without a key file, in tests and in demos on one machine.
+_DEFAULT_KEY = b"no key file was given"
+_MS_PER_S = 1000
 _ANNOUNCE_RETRY_S = 2.0
-_BIND_TRIES = 20
+_MAX_BIND_ATTEMPTS = 20
 
 
 class Core(mode.Service):
-    """The parts that an entry and an agent have in common.
+    """The services that an entry and an agent have in common.
 
     Attributes:
-      file: What the process was told at its start.
+      file: The instance file of this process.
       clock: The source of time.
-      rng: Random numbers of this process.
-      event_log: Numbered events.
-      counters: Metrics.
-      session: HTTP towards the platform and the backend server.
+      rng: The source of random numbers.
+      event_log: Writes numbered events.
+      counters: The metrics of this process.
+      session: The HTTP session for the platform.
       endpoint: Connections to peers.
-      log_client: The platform's log.
+      log_client: The client of the platform's log.
       membership: The other processes.
-      follower: The settings in force.
+      follower: Follows the settings.
     """
 
     def __init__(
@@ -54,15 +54,15 @@
         clock: clock_lib.Clock | None = None,
         rng: random.Random | None = None,
     ):
-        """Reads the key file; nothing is opened before `start`.
+        """Reads the key and TLS files; `start` opens the sockets.
 
         Args:
-          file: The checked instance file.
-          clock: The source of time; the machine's by default.
-          rng: The source of random numbers; a fresh one by default.
+          file: The validated instance file.
+          clock: The source of time; the system clock by default.
+          rng: The source of random numbers; newly seeded by default.
 
         Raises:
-          exceptions.SettingsError: The key file or a TLS file does not fit.
+          exceptions.SettingsError: The key file or a TLS file is invalid.
         """
         super().__init__()
         self.file = file
@@ -74,48 +74,52 @@
         self.counters = counters_lib.Counters(
             file.statsd, f"clementinegw.{file.role.value}"
         )
-        self._ring = _key_ring(file)
-        self._incarnation = int(self.clock.wall() * _MILLIS)
+        self._key_ring = _load_key_ring(file)
+        self._incarnation = int(self.clock.wall() * _MS_PER_S)
         identity = connection_lib.Identity(
             file.instance_id, file.role, file.type_place(), self._incarnation
         )
         self.endpoint = connection_lib.Endpoint(
             identity,
-            self._ring,
+            self._key_ring,
             self.event_log,
             self.counters,
-            tls=None if file.tls is None else tls_lib.contexts(file.tls),
+            tls=None if file.tls is None else tls_lib.make_contexts(file.tls),
         )
         self.session: aiohttp.ClientSession
         self.log_client: log_lib.HttpLog
         self.membership: membership_lib.Membership
         self.follower: follower_lib.Follower
-        self._list: instances_lib.HttpInstanceList
+        self._instance_list: instances_lib.HttpInstanceList
         self._leaving = False
 
     @property
     def place(self) -> types.Place:
-        """Where this process stands."""
+        """The region and failure domain of this process."""
         return self.file.type_place()
 
     @property
     def instance(self) -> types.Instance:
-        """This process as its peers know it, once started."""
+        """The identity that peers see; available after the start."""
         return self.membership.instance
 
     @property
     def leaving(self) -> bool:
-        """Whether it was told to leave."""
+        """Whether this process is leaving."""
         return self._leaving
 
-    def effective(self, service: str = "") -> tree_lib.Effective:
-        """Returns the knobs that hold here; defaults before any settings."""
+    def effective_settings(self, service: str = "") -> tree_lib.Effective:
+        """Returns the settings in effect here; defaults before any are known.
+
+        Args:
+          service: The service whose settings apply; empty for none.
+        """
         state = self.follower.current
         tree = model_lib.Tree() if state is None else state.tree
         return tree_lib.resolve(tree, self.place, service)
 
     async def on_start(self) -> None:
-        """Opens the sockets, joins the members, follows the settings."""
+        """Opens the sockets, joins the membership and follows the settings."""
         self.session = aiohttp.ClientSession()
         platform = self.file.platform
         self.log_client = log_lib.HttpLog(
@@ -124,7 +128,7 @@
             counters=self.counters,
             log=self.event_log,
         )
-        self._list = instances_lib.HttpInstanceList(
+        self._instance_list = instances_lib.HttpInstanceList(
             platform.instances,
             self.session,
             counters=self.counters,
@@ -138,38 +142,42 @@
         self.add_future(self._announce(instances_lib.State.LIVE))
 
     async def leave(self) -> None:
-        """Says at once that this process leaves; refusal is its owner's."""
+        """Announces that this process leaves.
+
+        The daemon itself refuses new requests.
+        """
         self._leaving = True
         self.membership.set_self(state=views.MemberState.LEAVING)
         try:
-            await self._list.announce(
+            await self._instance_list.announce(
                 self.instance, instances_lib.State.LEAVING
             )
         except exceptions.PlatformError:
-            # Peers know already; the list only speeds the balancer up.
+            # Membership has informed the peers; the list only lets the
+            # balancer react sooner.
             self.counters.add("daemon.leave_not_announced")
 
     async def on_shutdown(self) -> None:
-        """Closes what `on_start` opened, after the children have stopped."""
+        """Closes what `on_start` opened, after the child services stopped."""
         await self.membership.leave()
         await self.membership.stop()
         await self.endpoint.close()
         await self.session.close()
 
     async def _bind(self) -> None:
-        """Takes one port number for both TCP and UDP."""
-        wanted = self.file.listen.peer
-        for last in (*(False,) * (_BIND_TRIES - 1), True):
-            address = await self.endpoint.listen(wanted)
+        """Binds the same port number for TCP and UDP."""
+        requested = self.file.listen.peer
+        for is_last_attempt in (*(False,) * (_MAX_BIND_ATTEMPTS - 1), True):
+            address = await self.endpoint.listen(requested)
             self.membership = self._make_membership(address)
             try:
                 await self.membership.start()
                 return
             except exceptions.SettingsError:
-                # The kernel chose a TCP port whose UDP twin is taken. Only a
-                # port that it chose can be exchanged for another.
+                # The kernel chose a TCP port whose number is in use for UDP.
+                # Only a port chosen by the kernel can be replaced.
                 await self.endpoint.stop_listening()
-                if wanted.port or last:
+                if requested.port or is_last_attempt:
                     raise
 
     def _make_membership(
@@ -186,9 +194,9 @@
         )
         return membership_lib.Membership(
             instance,
-            self._ring,
+            self._key_ring,
             seeds=tuple(views.Seed(seed) for seed in self.file.seeds),
-            source=_ListedSeeds(self._list),
+            source=_InstanceListSeeds(self._instance_list),
             rng=self.rng,
             clock=self.clock,
             log=self.event_log,
@@ -206,16 +214,16 @@
             counters=self.counters,
             log=self.event_log,
         )
-        settings_peers.answer_pulls(self.endpoint, follower)
+        settings_peers.register_pull_handler(self.endpoint, follower)
         return follower
 
     def _on_settings(self, state: follower_lib.State) -> None:
         self.membership.set_self(settings_revision=state.revision)
         security = tree_lib.resolve(state.tree, self.place).security
-        ring = keys_lib.narrowed(
-            self._ring, security.key_id, security.accepted_key_ids
+        ring = keys_lib.select_keys(
+            self._key_ring, security.key_id, security.accepted_key_ids
         )
-        self.endpoint.rotate(ring)
+        self.endpoint.set_keys(ring)
         self.membership.set_keys(ring)
 
     def _on_member(self, member: views.MemberView) -> None:
@@ -224,7 +232,7 @@
     async def _announce(self, state: instances_lib.State) -> None:
         while not self.should_stop:
             try:
-                await self._list.announce(self.instance, state)
+                await self._instance_list.announce(self.instance, state)
                 return
             except exceptions.PlatformError:
                 self.counters.add("daemon.announce_retry")
@@ -232,13 +240,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _ListedSeeds:
-    """Seeds for membership from the platform's lagging list."""
+class _InstanceListSeeds:
+    """Membership seeds from the platform's instance list, which lags behind."""
 
     source: instances_lib.InstanceList
 
     async def seeds(self) -> list[views.Seed]:
-        """Returns the listed addresses."""
+        """Returns the listed instances as seeds."""
         listed = await self.source.fetch()
         return [
             views.Seed(one.instance.address, one.instance.place.failure_domain)
@@ -246,7 +254,7 @@
         ]
 
 
-def _key_ring(file: model_lib.InstanceFile) -> auth.KeyRing:
+def _load_key_ring(file: model_lib.InstanceFile) -> auth.KeyRing:
     if file.key_file is None:
-        return auth.single(_OPEN_KEY)
+        return auth.single_key_ring(_DEFAULT_KEY)
     return keys_lib.load(file.key_file)
--- a/src/clementinegw/daemons/fleet_weights.py
+++ b/src/clementinegw/daemons/engine_weights.py
@@ -1,4 +1,4 @@
-"""Wires an engine's weights to the settings, the members and the exchange."""
+"""Connects an engine's weights to settings, membership and the transfer."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -13,26 +13,27 @@
 from clementinegw.settings import follower as follower_lib
 from clementinegw.settings import knobs
 from clementinegw.settings import model as model_lib
-from clementinegw.weights import drawers
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import pacing as pacing_lib
 from clementinegw.weights import service as weights_lib
 from clementinegw.weights import store as chunk_stores
 from clementinegw.weights import swarm
 from clementinegw.weights import transfer as transfer_lib
 
-_MEMBERS_S = 0.5
-_MB = 1 << 20
+_PEER_REFRESH_INTERVAL_S = 0.5
+_BYTES_PER_MB = 1 << 20
 
-# A policy `none` has each agent draw for itself: it is its own group.
+# The policy `none` is absent: each agent then fetches for itself, without
+# peers.
 _DRAW_POLICIES = {
-    knobs.DrawPolicy.FLEET: drawers.DrawPolicy.FLEET,
-    knobs.DrawPolicy.REGION: drawers.DrawPolicy.REGION,
-    knobs.DrawPolicy.FAILURE_DOMAIN: drawers.DrawPolicy.FAILURE_DOMAIN,
+    knobs.DrawPolicy.FLEET: origin_fetchers.DrawPolicy.FLEET,
+    knobs.DrawPolicy.REGION: origin_fetchers.DrawPolicy.REGION,
+    knobs.DrawPolicy.FAILURE_DOMAIN: origin_fetchers.DrawPolicy.FAILURE_DOMAIN,
 }
 
 
-class FleetWeights(mode.Service):
-    """The weights of the engine beside one agent."""
+class EngineWeights(mode.Service):
+    """Manages the weights of the engine that one agent serves."""
 
     def __init__(
         self,
@@ -41,13 +42,13 @@
         engine: engine_client.EngineClient,
         gate: gate_lib.GateService,
     ):
-        """Prepares the parts; `core` must be started.
+        """Initializes the service; `core` must be started.
 
         Args:
-          core: The daemon's common part.
-          service: The service behind the agent.
+          core: The services shared by both daemons.
+          service: The name of the service that the agent serves.
           engine: The engine's client.
-          gate: Drained before a load and resumed after it.
+          gate: The gate, drained before a load and resumed after it.
         """
         super().__init__()
         self._core = core
@@ -60,36 +61,36 @@
         self._peers: frozenset[types.Instance] = frozenset()
 
     def as_json(self) -> Mapping[str, Any]:
-        """Returns what the `/status` page shows; empty before any settings."""
+        """Returns the weights for `/status`; empty before any settings."""
         if self._weights is None:
             return {}
         return self._weights.status().as_json()
 
     def apply(self, state: follower_lib.State) -> None:
-        """Takes over settings; the parts start with the first."""
+        """Applies settings; the first ones start the child services."""
         self._state = state
         if self._weights is None:
             self.add_future(self._start_parts(state))
         else:
-            self._want(self._weights, state)
+            self._declare_versions(self._weights, state)
 
     @mode.Service.task
-    async def _follow_members(self) -> None:
+    async def _refresh_peers_loop(self) -> None:
         while not self.should_stop:
-            await self.sleep(_MEMBERS_S)
-            self._refresh()
+            await self.sleep(_PEER_REFRESH_INTERVAL_S)
+            self._refresh_peers()
 
     async def _start_parts(self, state: follower_lib.State) -> None:
-        knob_set = self._core.effective(self._service).weights
+        settings = self._core.effective_settings(self._service).weights
         core = self._core
         platform = core.file.platform
         store = chunk_stores.StagedStore(
-            self._engine, knob_set.memory_mb * _MB, core.counters
+            self._engine, settings.memory_mb * _BYTES_PER_MB, core.counters
         )
         origin = store_lib.HttpStore(platform.origin, core.session)
         weight_store = store_lib.HttpStore(platform.store, core.session)
-        if knob_set.draw_policy in _DRAW_POLICIES:
-            self._transfer = self._make_transfer(knob_set, store, origin)
+        if settings.draw_policy in _DRAW_POLICIES:
+            self._transfer = self._make_transfer(settings, store, origin)
         self._weights = weights_lib.Weights(
             core.file.instance_id,
             self._service,
@@ -100,37 +101,37 @@
             store,
             exchange=self._transfer,
             endpoint=core.endpoint,
-            checks_fencing=self._declared(state).checks_fencing,
+            checks_fencing=self._declared_service(state).checks_fencing,
             policy=self._policy(),
             clock=core.clock,
             rng=core.rng,
             log=core.event_log,
             counters=core.counters,
         )
-        self._refresh()
-        self._want(self._weights, self._state or state)
+        self._refresh_peers()
+        self._declare_versions(self._weights, self._state or state)
         if self._transfer is not None:
             await self.add_runtime_dependency(self._transfer)
         await self.add_runtime_dependency(self._weights)
 
     def _make_transfer(
         self,
-        knob_set: knobs.Weights,
+        settings: knobs.Weights,
         store: chunk_stores.StagedStore,
         origin: store_lib.HttpStore,
     ) -> transfer_lib.Transfer:
         core = self._core
         limits = swarm.Limits(
-            outstanding=knob_set.max_downloads,
-            upload_slots=knob_set.max_uploads,
-            draw_policy=_DRAW_POLICIES[knob_set.draw_policy],
-            draw_deadline_s=knob_set.deadline_s,
-            link_bytes_per_s=float(knob_set.download_rate),
-            cross_copies=knob_set.cross_domain_copies,
+            outstanding=settings.max_downloads,
+            upload_slots=settings.max_uploads,
+            draw_policy=_DRAW_POLICIES[settings.draw_policy],
+            draw_deadline_s=settings.deadline_s,
+            link_bytes_per_s=float(settings.download_rate),
+            cross_copies=settings.cross_domain_copies,
         )
         rate = float("inf")
-        if knob_set.pacing is not knobs.Pacing.NONE:
-            rate = float(knob_set.upload_rate)
+        if settings.pacing is not knobs.Pacing.NONE:
+            rate = float(settings.upload_rate)
         return transfer_lib.Transfer(
             core.instance,
             core.endpoint,
@@ -144,29 +145,30 @@
             counters=core.counters,
         )
 
-    def _declared(self, state: follower_lib.State) -> model_lib.Service:
-        found = state.tree.services.get(self._service)
-        if found is not None:
-            return found
+    def _declared_service(self, state: follower_lib.State) -> model_lib.Service:
+        declared = state.tree.services.get(self._service)
+        if declared is not None:
+            return declared
         return model_lib.Service(kind=types.ServiceKind.MODEL_ENGINE)
 
-    def _policy(self) -> weights_lib.Policy:
-        found = self._core.effective(self._service)
+    def _policy(self) -> weights_lib.SwapPolicy:
+        settings = self._core.effective_settings(self._service)
         state = self._state
-        # Views of the members differ for a while; a declared number does not.
-        workers = self._declared(state).workers if state else None
-        return weights_lib.Policy(
-            max_out_share=found.weights.max_out_share,
+        # The declared number of workers is the same everywhere, while views of
+        # the membership differ for a while.
+        workers = self._declared_service(state).workers if state else None
+        return weights_lib.SwapPolicy(
+            max_out_share=settings.weights.max_out_share,
             workers=workers or max(1, len(self._peers)),
-            drain_timeout_s=found.shutdown.grace_s,
-            load_timeout_s=found.weights.load_timeout_s,
+            drain_timeout_s=settings.shutdown.grace_s,
+            load_timeout_s=settings.weights.load_timeout_s,
         )
 
-    def _want(
+    def _declare_versions(
         self, weights: weights_lib.Weights, state: follower_lib.State
     ) -> None:
         weights.set_policy(self._policy())
-        service = self._declared(state)
+        service = self._declared_service(state)
         if service.model is None:
             return
         previous = None
@@ -177,10 +179,10 @@
             weights_lib.DeclaredAdapter(one.name, one.version, one.manifest)
             for one in service.adapters
         )
-        weights.want(target, previous, adapters)
+        weights.set_declared(target, previous, adapters)
 
-    def _refresh(self) -> None:
-        """Takes over who else is in the fleet."""
+    def _refresh_peers(self) -> None:
+        """Applies the current set of the service's agents."""
         members = self._core.membership.members(
             role=types.Role.AGENT, service=self._service
         )
@@ -196,5 +198,5 @@
 
 def _declared_version(
     model: model_lib.ModelVersion, revision: int
-) -> weights_lib.Declared:
-    return weights_lib.Declared(model.version, model.manifest, revision)
+) -> weights_lib.DeclaredVersion:
+    return weights_lib.DeclaredVersion(model.version, model.manifest, revision)
--- a/src/clementinegw/daemons/entry.py
+++ b/src/clementinegw/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: callers' HTTP in front, agents behind. Wiring only."""
+"""The entry daemon: accepts callers' HTTP and forwards it to agents."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -23,12 +23,12 @@
 from clementinegw.settings import model as model_lib
 from clementinegw.telemetry import events
 
-_MS = 1000.0
-_MB = 1 << 20
+_MS_PER_S = 1000.0
+_BYTES_PER_MB = 1 << 20
 
 
 class Entry(mode.Service):
-    """One entry instance."""
+    """Runs the HTTP server and the services that handle its requests."""
 
     def __init__(
         self,
@@ -36,7 +36,13 @@
         clock: clock_lib.Clock | None = None,
         rng: random.Random | None = None,
     ):
-        """Prepares the daemon; see `daemons.core.Core`."""
+        """Initializes the daemon; see `daemons.core.Core`.
+
+        Args:
+          file: The validated instance file.
+          clock: The source of time; the system clock by default.
+          rng: The source of random numbers; newly seeded by default.
+        """
         super().__init__()
         self._file = file
         self._core = core_lib.Core(file, clock, rng)
@@ -45,25 +51,25 @@
         self._suspects: suspects_lib.SuspectsService
         self._runner: web.AppRunner | None = None
         self._http = file.listen.http
-        self._status: status_lib.StatusPages | None = None
+        self._status: status_lib.StatusServer | None = None
 
     @property
     def core(self) -> core_lib.Core:
-        """What it shares with the agent daemon."""
+        """The services shared with the agent daemon."""
         return self._core
 
     @property
     def http_address(self) -> types.Address:
-        """Where callers reach it, once started."""
+        """The address for callers; its port is final after the start."""
         return self._http
 
     @property
     def status_address(self) -> types.Address | None:
-        """Where `/status` is served, once started."""
+        """The address of `/status`, or None when it is not served."""
         return None if self._status is None else self._status.address
 
     async def on_start(self) -> None:
-        """Starts to serve; readiness follows once settings are known."""
+        """Starts to serve; the entry is ready once settings are known."""
         await self.add_runtime_dependency(self._core)
         core = self._core
         self._claims = self._make_claims()
@@ -76,37 +82,38 @@
             counters=core.counters,
         )
         self._requests = self._make_requests()
-        for part in (self._claims, self._suspects, self._requests):
-            await self.add_runtime_dependency(part)
+        for service in (self._claims, self._suspects, self._requests):
+            await self.add_runtime_dependency(service)
         core.membership.subscribe(lambda _: self._requests.refresh())
         core.follower.subscribe(lambda _: self._requests.settings_changed())
         core.follower.subscribe(
-            lambda _: self._claims.apply(*self._claim_bounds())
+            lambda _: self._claims.apply(*self._claim_limits())
         )
         await self._serve_http()
         if self._file.listen.admin is not None:
-            self._status = status_lib.StatusPages(
-                self._file.listen.admin, self._report, self._not_ready
+            self._status = status_lib.StatusServer(
+                self._file.listen.admin,
+                self._status_report,
+                self._not_ready_reasons,
             )
             await self.add_runtime_dependency(self._status)
         core.event_log.write(events.PROCESS_STARTED, http=str(self._http))
 
     async def drain(self) -> None:
-        """Finishes every request before the process may end.
+        """Announces the shutdown and completes all requests.
 
-        The balancer and the peers are told first. For a while requests are
-        still taken, since the balancer learns of it late: a refusal would
-        reach callers who have done nothing wrong.
+        New requests are still accepted for `leave_s` seconds: the balancer
+        notices the announcement late, and a refusal would fail valid requests.
         """
         core = self._core
         core.event_log.write(events.PROCESS_STOPPING)
-        shutdown = core.effective().shutdown
+        shutdown = core.effective_settings().shutdown
         await core.leave()
         await self.sleep(shutdown.leave_s)
         await self._requests.pipeline.drain(shutdown.grace_s)
 
     async def on_stop(self) -> None:
-        """Closes the callers' listener."""
+        """Stops the HTTP server."""
         if self._runner is not None:
             await self._runner.cleanup()
         self._core.event_log.write(events.PROCESS_STOPPED)
@@ -117,7 +124,7 @@
             core.instance,
             core.endpoint,
             rules_lib.SettingsRules(lambda: core.follower.current, core.place),
-            self._members,
+            self._fleet_members,
             claims=self._claims,
             suspects=self._suspects,
             clock=core.clock,
@@ -131,24 +138,24 @@
         return claims_lib.ClaimsService(
             core.endpoint,
             core.log_client,
-            self._entries,
-            *self._claim_bounds(),
+            self._alive_entries,
+            *self._claim_limits(),
             clock=core.clock,
             log=core.event_log,
             counters=core.counters,
         )
 
-    def _claim_bounds(self) -> tuple[claims_lib.Limits, claims_lib.Timing]:
-        found = self._core.effective().claims
+    def _claim_limits(self) -> tuple[claims_lib.Limits, claims_lib.Timing]:
+        settings = self._core.effective_settings().claims
         limits = claims_lib.Limits(
-            horizon=claim_lib.Horizon(found.horizon_s),
-            kept_bytes=found.memory_mb * _MB,
-            answer_bytes=found.kept_answer_bytes,
+            horizon=claim_lib.Horizon(settings.horizon_s),
+            kept_bytes=settings.memory_mb * _BYTES_PER_MB,
+            answer_bytes=settings.kept_answer_bytes,
         )
-        return limits, claims_lib.Timing(group_s=found.group_ms / _MS)
+        return limits, claims_lib.Timing(group_s=settings.group_ms / _MS_PER_S)
 
-    def _entries(self) -> list[types.Instance]:
-        """Returns the entries that a claim may be handed to."""
+    def _alive_entries(self) -> list[types.Instance]:
+        """Returns the entries that may own a claim."""
         members = self._core.membership.members(role=types.Role.ENTRY)
         return [
             member.instance
@@ -156,16 +163,17 @@
             if member.state is views.MemberState.ALIVE
         ]
 
-    def _members(self) -> list[fleet_lib.Member]:
+    def _fleet_members(self) -> list[fleet_lib.Member]:
         return [
             fleet_lib.Member(
-                # What the agent itself says of its incarnation comes with its
-                # connection; a changing one here would only cause churn.
+                # The agent reports its incarnation when it connects; a changing
+                # value here would only cause reconnections.
                 dataclasses.replace(member.instance, incarnation=0),
                 member.state is views.MemberState.LEAVING,
             )
-            # Suspect ones among them: they may be alive and be cut off from
-            # the prober only; their own connection says more than gossip.
+            # Includes suspected members: they may be alive and unreachable only
+            # for the prober. The direct connection to a member is better
+            # evidence than gossip.
             for member in self._core.membership.members()
         ]
 
@@ -179,7 +187,7 @@
             self._file.instance_id,
         )
         app = http_lib.make_app(handlers)
-        status_lib.add_health_routes(app, self._not_ready)
+        status_lib.add_health_routes(app, self._not_ready_reasons)
         self._runner = http_lib.make_runner(app)
         await self._runner.setup()
         site = web.TCPSite(self._runner, self._http.host, self._http.port)
@@ -187,7 +195,7 @@
         port = self._runner.addresses[0][1]
         self._http = types.Address(self._http.host, port)
 
-    def _not_ready(self) -> Mapping[str, Any]:
+    def _not_ready_reasons(self) -> Mapping[str, Any]:
         reasons = {}
         if self._core.follower.current is None:
             reasons["settings"] = "none folded yet"
@@ -195,7 +203,7 @@
             reasons["leaving"] = "told to stop"
         return reasons
 
-    def _report(self) -> Mapping[str, Any]:
+    def _status_report(self) -> Mapping[str, Any]:
         core = self._core
         lanes = self._requests.fleet.lanes()
         return {
--- a/src/clementinegw/daemons/status.py
+++ b/src/clementinegw/daemons/status.py
@@ -1,8 +1,8 @@
-"""The pages of a daemon for the balancer and for operators.
+"""Serves health and status pages for the balancer and operators.
 
-`/healthz` says that the process turns, `/readyz` whether it should be given
-work, `/status` what it knows. They are served on the admin address, apart from
-the port that callers reach.
+`/healthz` reports that the process runs, `/readyz` whether it should receive
+requests, and `/status` its state. They are served on the admin address,
+separate from the port for callers.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,36 +13,41 @@
 
 from clementinegw import types
 
-Report = Callable[[], Mapping[str, Any]]
+StatusCallback = Callable[[], Mapping[str, Any]]
 
 
-class StatusPages(mode.Service):
-    """Serves the pages of one daemon."""
+class StatusServer(mode.Service):
+    """Serves the health and status pages of one daemon."""
 
-    def __init__(self, address: types.Address, report: Report, ready: Report):
-        """Prepares the pages.
+    def __init__(
+        self,
+        address: types.Address,
+        report: StatusCallback,
+        not_ready_reasons: StatusCallback,
+    ):
+        """Initializes the server.
 
         Args:
-          address: Where they are served; port 0 lets the kernel choose.
-          report: Returns what `/status` shows.
-          ready: Returns the reasons why the daemon should get no new work, by
-            name; empty when it should.
+          address: The address to listen on; port 0 lets the kernel choose.
+          report: Returns the contents of `/status`.
+          not_ready_reasons: Returns the reasons why the daemon should receive
+            no new requests, by name; empty when it is ready.
         """
         super().__init__()
         self._address = address
         self._report = report
-        self._ready = ready
+        self._not_ready_reasons = not_ready_reasons
         self._runner: web.AppRunner | None = None
 
     @property
     def address(self) -> types.Address:
-        """Where the pages are served, once started."""
+        """The listening address; its port is final after the start."""
         return self._address
 
     async def on_start(self) -> None:
-        """Starts to serve."""
+        """Starts the HTTP server."""
         app = web.Application()
-        add_health_routes(app, self._ready)
+        add_health_routes(app, self._not_ready_reasons)
         app.router.add_get("/status", self._status)
         self._runner = web.AppRunner(app, access_log=None)
         await self._runner.setup()
@@ -52,7 +57,7 @@
         self._address = types.Address(self._address.host, port)
 
     async def on_stop(self) -> None:
-        """Stops serving."""
+        """Stops the HTTP server."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -61,8 +66,16 @@
         return web.json_response(dict(self._report()))
 
 
-def add_health_routes(app: web.Application, ready: Report) -> None:
-    """Adds `/healthz` and `/readyz`, which the balancer asks for."""
+def add_health_routes(
+    app: web.Application, not_ready_reasons: StatusCallback
+) -> None:
+    """Adds `/healthz` and `/readyz`, which the balancer polls.
+
+    Args:
+      app: The application to add them to.
+      not_ready_reasons: Returns the reasons why the daemon should receive no
+        new requests, by name; empty when it is ready.
+    """
 
     async def _healthz(request: web.Request) -> web.Response:
         del request
@@ -70,7 +83,7 @@
 
     async def _readyz(request: web.Request) -> web.Response:
         del request
-        reasons = dict(ready())
+        reasons = dict(not_ready_reasons())
         status = 503 if reasons else 200
         return web.json_response(
             {"ready": not reasons, "reasons": reasons}, status=status
--- a/src/clementinegw/direct/fetcher.py
+++ b/src/clementinegw/direct/fetcher.py
@@ -16,8 +16,8 @@
 from clementinegw.direct import manifest_cache
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
-from clementinegw.weights import drawers
 from clementinegw.weights import manifest as manifests
+from clementinegw.weights import origin_fetchers
 from clementinegw.weights import pacing as pacing_lib
 from clementinegw.weights import store as stores
 from clementinegw.weights import swarm
@@ -72,7 +72,9 @@
 # domain that is first in line.
 _FAR_ADVERT_INTERVAL_S = 0.3
 # Allows for one ping before a silent peer is dropped.
-_TIMING = connections.Timing(connect_s=1.0, ping_s=1.0, silent_s=2.1)
+_TIMING = connections.Timing(
+    connect_timeout_s=1.0, ping_after_s=1.0, idle_timeout_s=2.1
+)
 
 
 def digest_of(data: bytes) -> bytes:
@@ -100,7 +102,7 @@
         self._origin = origin
         self._manifest = manifest
         self._numbers = {
-            manifests.chunk_blob(digest): number
+            manifests.chunk_blob_name(digest): number
             for number, digest in enumerate(manifest.digests)
         }
 
@@ -167,7 +169,7 @@
         self._me = me
         self._log = log
         self._endpoint = connections.Endpoint(
-            identity, auth.single(_KEY), log, counters, _TIMING
+            identity, auth.single_key_ring(_KEY), log, counters, _TIMING
         )
         self._clock = clock
         self._origin = _OriginBlobStore(counters, clock)
@@ -271,7 +273,7 @@
         if len(fleet) <= _MAX_FLEET_ASKING_ORIGIN:
             return ()
         name = f"{model}/{version}".encode()
-        return fleet.ranked(name, drawers.DrawPolicy.FLEET, "")
+        return fleet.ranked(name, origin_fetchers.DrawPolicy.FLEET, "")
 
     def holds_all(self, manifest: agent_interfaces.VersionManifest) -> bool:
         """Returns whether this agent holds every piece of a version."""
@@ -322,7 +324,7 @@
         self, manifest: agent_interfaces.VersionManifest
     ) -> list[int]:
         """Returns the missing pieces that this agent fetches first of all."""
-        firsts = self.transfer.first_draws(
+        firsts = self.transfer.assigned_chunks(
             manifest_cache.to_swarm_manifest(manifest)
         )
         return [n for n in firsts if not self._store.holds(manifest.digests[n])]
@@ -339,7 +341,7 @@
           exceptions.PlatformError: The origin did not return the whole piece.
         """
         # Lowest priority: traffic of the exchange uses the link first.
-        await self.transfer.take_pace(manifest.chunk_bytes)
+        await self.transfer.wait_for_bandwidth(manifest.chunk_bytes)
         data = await origin.piece(manifest.model, manifest.version, number)
         return await self._store.put(manifest.digests[number], data)
 
--- a/src/clementinegw/gate/_calls.py
+++ b/src/clementinegw/gate/_calls.py
@@ -1,4 +1,4 @@
-"""One submitted attempt that is open at this agent, and its caller's side."""
+"""Open SUBMIT calls: the messages of their answers, and delays of frames."""
 
 import asyncio
 import math
@@ -13,66 +13,70 @@
 _PRIORITIES = {int(priority): priority for priority in shared.Priority}
 _MS = 1000.0
 
-Verdict = types.HandOver | types.Refuse | types.Fail | types.FailDuplicate
+Decision = types.HandOver | types.Refuse | types.Fail | types.FailDuplicate
 
 
-class Call:
-    """An open SUBMIT call."""
+class SubmitCall:
+    """An open SUBMIT call of an entry."""
 
     def __init__(
         self, exchange: connection_lib.Exchange, submit: ttypes.Submit
     ):
-        """Wraps the call that a SUBMIT frame opened."""
+        """Initializes the call that a SUBMIT frame opened."""
         self._exchange = exchange
-        self._verdict: asyncio.Future[Verdict] = (
+        self._decision: asyncio.Future[Decision] = (
             asyncio.get_running_loop().create_future()
         )
         self._task: asyncio.Task | None = None
-        self._aborted: types.Failure | None = None
+        self._aborted: types.FailureReason | None = None
         self._body_bytes = 0
         self._submit = submit
         self._id = types.AttemptId(submit.request_id, submit.attempt)
 
     @property
     def id(self) -> types.AttemptId:
-        """The attempt's name."""
+        """The id of the submitted attempt."""
         return self._id
 
     @property
     def submit(self) -> ttypes.Submit:
-        """What was submitted."""
+        """The submission."""
         return self._submit
 
     @property
-    def aborted(self) -> types.Failure | None:
-        """Why the run was ended from outside; None when it was not."""
+    def aborted(self) -> types.FailureReason | None:
+        """Why `abort` was called; None if it was not."""
         return self._aborted
 
-    def decide(self, verdict: Verdict) -> None:
-        """Takes the gate's decision; the first one counts."""
-        if not self._verdict.done():
-            self._verdict.set_result(verdict)
+    def decide(self, decision: Decision) -> None:
+        """Sets the gate's decision; calls after the first have no effect."""
+        if not self._decision.done():
+            self._decision.set_result(decision)
 
-    async def verdict(self) -> Verdict:
-        """Waits for the gate's decision."""
-        return await self._verdict
+    async def decision(self) -> Decision:
+        """Waits for the gate's decision and returns it."""
+        return await self._decision
 
-    def running(self, task: asyncio.Task | None) -> None:
-        """Names the task that talks to the backend server; None when done."""
+    def set_task(self, task: asyncio.Task | None) -> None:
+        """Sets the task that runs the attempt at the backend server.
+
+        Args:
+          task: The task; None once it is done.
+        """
         self._task = task
 
-    def abort(self, reason: types.Failure) -> None:
-        """Ends the talk with the backend server."""
+    def abort(self, reason: types.FailureReason) -> None:
+        """Cancels the task that runs the attempt; the first reason counts."""
         if self._aborted is not None:
             return
         self._aborted = reason
         if self._task is not None:
             self._task.cancel()
 
-    async def head(
+    async def send_head(
         self, status: int, headers: tuple[tuple[str, str], ...], version: str
     ) -> None:
-        """Sends the start of the answer."""
+        """Sends the status and headers of the answer."""
         message = ttypes.AnswerHead(
             request_id=self._id.request_id,
             attempt=self._id.attempt,
@@ -82,13 +86,13 @@
         )
         await self._send(connection_lib.Kind.ANSWER_HEAD, message)
 
-    async def data(self, data: bytes) -> None:
-        """Sends the next bytes of the answer."""
+    async def send_data(self, data: bytes) -> None:
+        """Sends the next bytes of the answer's body."""
         self._body_bytes += len(data)
         await self._exchange.send(connection_lib.Kind.ANSWER_DATA, data)
 
-    async def end(self, tokens: int, in_flight: int, queued: int) -> None:
-        """Sends the explicit end of a whole answer, and the gate's load."""
+    async def send_end(self, tokens: int, in_flight: int, queued: int) -> None:
+        """Sends the explicit end of a complete answer, and the gate's load."""
         message = ttypes.AnswerEnd(
             request_id=self._id.request_id,
             attempt=self._id.attempt,
@@ -99,7 +103,7 @@
         )
         await self._send(connection_lib.Kind.ANSWER_END, message)
 
-    async def refuse(self, refusal: types.Refuse) -> None:
+    async def send_refused(self, refusal: types.Refuse) -> None:
         """Sends proof that the attempt was not handed over."""
         message = ttypes.Refused(
             request_id=self._id.request_id,
@@ -109,8 +113,8 @@
         )
         await self._send(connection_lib.Kind.REFUSED, message)
 
-    async def fail(self, reason: types.Failure) -> None:
-        """Sends that the attempt was handed over and its end is unknown."""
+    async def send_failed(self, reason: types.FailureReason) -> None:
+        """Sends that the attempt was handed over and its outcome is unknown."""
         message = ttypes.Failed(
             request_id=self._id.request_id,
             attempt=self._id.attempt,
@@ -122,50 +126,56 @@
         await self._exchange.send(kind, codec.encode(message))
 
 
-class Delays:
-    """How long frames of one connection were on their way.
+class DelayEstimator:
+    """Estimates how long the frames of one connection were in transit.
 
-    Clocks of two processes have nothing in common but their rate, so the
-    smallest difference seen of late stands for no delay. A link that stalls
-    and then delivers a submission with "3 s left" would otherwise make the
-    agent run it long after its entry gave it up.
+    The monotonic clocks of two processes have different origins. The smallest
+    recent difference between them is therefore taken as zero delay. Without
+    the estimate, a submission with 3 s left that a stalled link delivers late
+    would run long after its entry has given it up.
 
-    Rates differ too, by some 50 millionths: against the smallest difference
-    ever seen, every frame of a connection would be 4 s late after a day, and
-    be refused. So only the present and the last window count.
+    Clock rates differ by about 50 ppm. Compared with the smallest difference
+    ever seen, every frame would appear 4 s late after a day and be refused.
+    Only the current and the previous window are therefore compared.
     """
 
     _WINDOW_S = 60.0
 
     def __init__(self) -> None:
-        self._window_ends = -math.inf
-        self._present = math.inf
-        self._last = math.inf
-
-    def delay(self, sent_ms: int, now: float) -> float:
-        """Returns a frame's delay in seconds; 0.0 when it names no time."""
+        self._window_end = -math.inf
+        self._current_min = math.inf
+        self._previous_min = math.inf
+
+    def estimate_s(self, sent_ms: int, now: float) -> float:
+        """Returns a frame's delay in seconds.
+
+        Args:
+          sent_ms: When it was sent, milliseconds on the sender's monotonic
+            clock; 0 if unknown, and then the delay is 0.0.
+          now: When it was received, seconds on this process's clock.
+        """
         if sent_ms <= 0:
             return 0.0
-        if now >= self._window_ends:
-            is_next = now < self._window_ends + self._WINDOW_S
-            self._last = self._present if is_next else math.inf
-            self._present = math.inf
-            self._window_ends = now + self._WINDOW_S
+        if now >= self._window_end:
+            is_next = now < self._window_end + self._WINDOW_S
+            self._previous_min = self._current_min if is_next else math.inf
+            self._current_min = math.inf
+            self._window_end = now + self._WINDOW_S
         difference = now - sent_ms / _MS
-        self._present = min(self._present, difference)
-        return difference - min(self._present, self._last)
+        self._current_min = min(self._current_min, difference)
+        return difference - min(self._current_min, self._previous_min)
 
 
-def attempt_of(
+def build_attempt(
     submit: ttypes.Submit, service: str, delay_s: float, now: float
 ) -> types.Attempt:
-    """Returns what the gate decides by.
+    """Returns the attempt that a submission describes.
 
     Args:
       submit: The submission.
-      service: The service behind this agent.
-      delay_s: How long it was on its way.
-      now: The time.
+      service: The name of the service behind this agent.
+      delay_s: How long the submission was in transit, in seconds.
+      now: The current time, monotonic seconds.
     """
     shard = 0
     if submit.claim_offset:
@@ -178,7 +188,7 @@
         idempotent=submit.idempotent,
         alone=submit.alone,
         fingerprint=submit.fingerprint,
-        key=_key(submit),
+        key=_scoped_key(submit),
         claim_offset=submit.claim_offset,
         shard=shard,
         incarnation=submit.incarnation or 0,
@@ -186,7 +196,7 @@
     )
 
 
-def _key(submit: ttypes.Submit) -> str:
+def _scoped_key(submit: ttypes.Submit) -> str:
     if not submit.idempotency_key:
         return ""
     return f"{submit.customer}\0{submit.idempotency_key}"
--- a/src/clementinegw/gate/_reports.py
+++ b/src/clementinegw/gate/_crash_reports.py
@@ -1,4 +1,4 @@
-"""Crash reports: to connected entries at once, and into the log."""
+"""Sends crash reports to connected entries and appends them to the log."""
 
 import asyncio
 import collections
@@ -14,17 +14,17 @@
 from clementinegw.wire import connection as connection_lib
 from clementinegw.wire.gen.requests import ttypes
 
-STREAM = "suspects"
-_KEPT = 256
-_RETRY_S = 1.0
+STREAM_NAME = "suspects"
+_MAX_UNSENT = 256
+_RETRY_INTERVAL_S = 1.0
 _MS = 1000.0
 
 
-class Reports:
-    """Sends what an agent saw at a crash.
+class CrashReporter:
+    """Reports the requests that were in flight when the server crashed.
 
-    A record may be appended twice when an answer of the log was lost: readers
-    tell crashes apart by agent, incarnation and sequence.
+    A record may be appended twice if a response of the log was lost. Readers
+    identify crashes by agent, incarnation and sequence.
     """
 
     def __init__(
@@ -35,19 +35,27 @@
         log: logs.Log,
         log_client: platform_log.LogClient | None,
     ):
-        """Starts with nothing to send."""
+        """Initializes the reporter.
+
+        Args:
+          endpoint: The connections to entries.
+          service_name: The service's name in the settings tree.
+          clock: The source of time.
+          log: Receives the events.
+          log_client: The platform's log; None appends nothing.
+        """
         self._endpoint = endpoint
         self._service_name = service_name
         self._clock = clock
         self._log = log
         self._log_client = log_client
-        self._waiting: collections.deque[bytes] = collections.deque(
-            maxlen=_KEPT
+        self._unsent: collections.deque[bytes] = collections.deque(
+            maxlen=_MAX_UNSENT
         )
         self._added = asyncio.Event()
 
-    def crash(self, report: types.ReportCrash) -> None:
-        """Names the requests in flight at a crash."""
+    def report_crash(self, report: types.ReportCrash) -> None:
+        """Reports the requests that were in flight at a crash."""
         identity = self._endpoint.identity
         message = ttypes.CrashReport(
             instance_id=identity.instance_id,
@@ -57,42 +65,42 @@
             fingerprints=list(report.fingerprints),
             time_ms=int(self._clock.wall() * _MS),
         )
-        self._send(ttypes.SuspectRecord(crash=message))
+        self._publish(ttypes.SuspectRecord(crash=message))
 
-    def cleared(self, report: types.ReportCleared) -> None:
-        """Names requests that completed after a crash."""
+    def report_cleared(self, report: types.ReportCleared) -> None:
+        """Reports requests that completed after a crash."""
         message = ttypes.Cleared(
             fingerprints=list(report.fingerprints),
             time_ms=int(self._clock.wall() * _MS),
         )
-        self._send(ttypes.SuspectRecord(cleared=message))
+        self._publish(ttypes.SuspectRecord(cleared=message))
 
-    def _send(self, record: ttypes.SuspectRecord) -> None:
+    def _publish(self, record: ttypes.SuspectRecord) -> None:
         body = codec.encode(record)
-        # The caller's repetition may be faster than the log: entries that
-        # are connected hear of the crash before they hear of its failures.
+        # A caller's retry may be faster than the log, so connected entries
+        # are notified of the crash before its attempts fail.
         for connection in self._endpoint.connections():
             if connection.peer.role is shared.Role.ENTRY:
                 connection.notify(connection_lib.Kind.CRASHED, body)
         if self._log_client is not None:
-            self._waiting.append(body)
+            self._unsent.append(body)
             self._added.set()
 
     async def run(self) -> None:
-        """Appends what waits, for ever; a log that is down is asked again."""
+        """Appends unsent records until cancelled; retries failed appends."""
         while self._log_client is not None:
             await self._added.wait()
             self._added.clear()
-            while self._waiting:
+            while self._unsent:
                 await self._append(self._log_client)
 
     async def _append(self, log_client: platform_log.LogClient) -> None:
-        record = self._waiting[0]
+        record = self._unsent[0]
         try:
-            await log_client.append(STREAM, record)
+            await log_client.append(STREAM_NAME, record)
         except exceptions.PlatformError:
             self._log.write(_events.CRASH_NOT_RECORDED)
-            await asyncio.sleep(_RETRY_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
             return
-        if self._waiting and self._waiting[0] is record:
-            self._waiting.popleft()
+        if self._unsent and self._unsent[0] is record:
+            self._unsent.popleft()
--- a/src/clementinegw/gate/backends.py
+++ b/src/clementinegw/gate/backends.py
@@ -1,4 +1,4 @@
-"""The backend server as the gate sees it: start, cancel, probe."""
+"""The gate's interface to backend servers, for engines and plain services."""
 
 from collections.abc import AsyncGenerator
 import dataclasses
@@ -12,19 +12,19 @@
 from clementinegw.wire.gen.requests import ttypes
 
 _PRIORITIES = {int(priority): priority for priority in types.Priority}
-Events = AsyncGenerator[backend_types.AnswerEvent, None]
+AnswerEvents = AsyncGenerator[backend_types.AnswerEvent, None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Health:
-    """What a probe found.
+    """The result of a probe.
 
     Attributes:
-      up: Whether the backend server answers.
-      version: The version it says it serves; empty for a plain service.
+      up: Whether the backend server responded.
+      version: The version it reports; empty for a plain service.
       digest: The digest of its weights; empty for a plain service.
-      load: Its own word on its load; 0.0 for a plain service.
-      capacity: The most it runs at once; 0 when it does not say.
+      load: The load it reports; 0.0 for a plain service.
+      capacity: How many requests it runs at once; 0 if not reported.
     """
 
     up: bool
@@ -35,30 +35,31 @@
 
 
 class Backend(Protocol):
-    """One backend server."""
+    """The operations that the gate needs of a backend server."""
 
     @property
     def kind(self) -> types.ServiceKind:
-        """What it is."""
+        """The kind of service it belongs to."""
 
-    def start(self, submit: ttypes.Submit) -> Events:
-        """Hands an attempt over; iterates over head, data and end.
+    def start(self, submit: ttypes.Submit) -> AnswerEvents:
+        """Hands an attempt over and iterates over head, data and end.
 
         Raises:
-          exceptions.BackendUnreachable: Before the first event: nothing was
-            handed over.
-          exceptions.BackendLost: It may have run.
+          exceptions.BackendUnreachable: Nothing was handed over; raised only
+            before the first event.
+          exceptions.BackendLost: The connection broke; the attempt may have
+            run.
         """
 
     async def cancel(self, request_id: str) -> None:
-        """Stops a request; does nothing when that cannot be done."""
+        """Stops a request, if the backend server supports that."""
 
     async def probe(self) -> Health:
-        """Asks for a sign of life.
+        """Returns the backend server's health.
 
         Raises:
-          exceptions.BackendUnreachable: Nobody listens there.
-          exceptions.BackendLost: It listens and does not answer.
+          exceptions.BackendUnreachable: Its address refuses connections.
+          exceptions.BackendLost: It accepts connections but does not respond.
         """
 
     async def prefixes(self) -> list[int]:
@@ -66,26 +67,26 @@
 
 
 class EngineBackend:
-    """A model engine."""
+    """The backend of a model engine."""
 
-    def __init__(self, client: engine.EngineClient, kept_prefixes: int = 256):
-        """Wraps a client.
+    def __init__(self, client: engine.EngineClient, max_prefixes: int = 256):
+        """Initializes the backend.
 
         Args:
-          client: Speaks to the engine.
-          kept_prefixes: The most prefix hashes that are kept.
+          client: The client of the engine.
+          max_prefixes: How many prefix hashes are kept at most.
         """
         self._client = client
-        self._kept = kept_prefixes
+        self._max_prefixes = max_prefixes
         self._cached: dict[int, None] = {}
-        self._after = 0
+        self._last_event = 0
 
     @property
     def kind(self) -> types.ServiceKind:
-        """A model engine."""
+        """Always `MODEL_ENGINE`."""
         return types.ServiceKind.MODEL_ENGINE
 
-    async def start(self, submit: ttypes.Submit) -> Events:
+    async def start(self, submit: ttypes.Submit) -> AnswerEvents:
         """Hands an attempt over; see `Backend`."""
         stream = await self._client.complete(_completion(submit))
         try:
@@ -95,15 +96,15 @@
             await stream.aclose()
 
     async def cancel(self, request_id: str) -> None:
-        """Stops a request."""
+        """Stops a request; ignores an engine that cannot be reached."""
         try:
             await self._client.cancel(request_id)
         except exceptions.BackendError:
-            # The engine is gone or stalled; there is nothing left to stop.
+            # The engine is down or stalled; there is nothing to stop.
             return
 
     async def probe(self) -> Health:
-        """Asks the engine for its status."""
+        """Returns the health from the engine's status."""
         status = await self._client.status()
         return Health(
             True,
@@ -114,21 +115,23 @@
         )
 
     async def prefixes(self) -> list[int]:
-        """Follows the engine's cache events."""
-        events = await self._client.cache_events(self._after)
-        if events.first > self._after + 1 or events.next <= self._after:
-            # Events were lost, or the engine began anew: what was kept may
-            # have been evicted unseen, and would draw requests to a cache
-            # that is no longer there.
+        """Reads new cache events; returns the hashes of cached prefixes."""
+        events = await self._client.cache_events(self._last_event)
+        if (
+            events.first > self._last_event + 1
+            or events.next <= self._last_event
+        ):
+            # Events were lost or the engine restarted. Known prefixes may have
+            # been evicted since and would attract requests to an empty cache.
             self._cached.clear()
         for event in events.events:
-            self._take(event)
-        self._after = events.next - 1
-        while len(self._cached) > self._kept:
+            self._apply_event(event)
+        self._last_event = events.next - 1
+        while len(self._cached) > self._max_prefixes:
             del self._cached[next(iter(self._cached))]
         return list(self._cached)
 
-    def _take(self, event: backend_types.CacheEvent) -> None:
+    def _apply_event(self, event: backend_types.CacheEvent) -> None:
         for block in event.blocks:
             self._cached.pop(block, None)
             if event.change is backend_types.CacheChange.STORED:
@@ -136,24 +139,24 @@
 
 
 class PlainBackend:
-    """A plain service."""
+    """The backend of a plain service."""
 
     def __init__(self, client: service.PlainClient, probe_path: str = "/"):
-        """Wraps a client.
+        """Initializes the backend.
 
         Args:
-          client: Speaks to the service.
-          probe_path: Asked for by `HEAD` to see whether anybody listens.
+          client: The client of the service.
+          probe_path: The path that probes request with `HEAD`.
         """
         self._client = client
         self._probe_path = probe_path
 
     @property
     def kind(self) -> types.ServiceKind:
-        """A plain service."""
+        """Always `PLAIN`."""
         return types.ServiceKind.PLAIN
 
-    async def start(self, submit: ttypes.Submit) -> Events:
+    async def start(self, submit: ttypes.Submit) -> AnswerEvents:
         """Hands an attempt over; see `Backend`."""
         headers = [(header.name, header.value) for header in submit.headers]
         headers.append((backend_types.REQUEST_ID_HEADER, submit.request_id))
@@ -168,15 +171,15 @@
         yield backend_types.End()
 
     async def cancel(self, request_id: str) -> None:
-        """A plain service cannot stop a request."""
+        """Does nothing; a plain service cannot stop a request."""
 
     async def probe(self) -> Health:
-        """Asks for any answer at all."""
+        """Sends a `HEAD` request; any response counts as healthy."""
         await self._client.forward("HEAD", self._probe_path, (), b"")
         return Health(True)
 
     async def prefixes(self) -> list[int]:
-        """A plain service has none."""
+        """Returns an empty list; a plain service has no prefix cache."""
         return []
 
 
--- a/src/clementinegw/gate/gate.py
+++ b/src/clementinegw/gate/gate.py
@@ -1,28 +1,28 @@
-"""The gate's decisions: what is handed to the backend server, and when.
+"""Decides which attempts are handed to the backend server, and when.
 
-A state machine without I/O. Events and the time go in, actions come out. It is
-the one place that knows whether an attempt was handed to the backend server,
-and all proof of "not run" rests on it.
+A state machine without I/O: it takes events and the time and returns actions.
+It is the only place that knows whether an attempt was handed to the backend
+server, and every proof of "not run" relies on it.
 """
 
 import dataclasses
 
 from clementinegw.gate import _admission
-from clementinegw.gate import _memory
+from clementinegw.gate import _attempt_table
 from clementinegw.gate import _queue
 from clementinegw.gate import types
 
-_State = _memory.State
+_State = _attempt_table.State
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """How busy the gate is.
+    """The gate's load.
 
     Attributes:
       in_flight: Attempts at the backend server.
       queued: Attempts that wait for it.
-      capacity: The most that may be at the backend server.
+      capacity: How many may be at the backend server at once.
     """
 
     in_flight: int
@@ -31,52 +31,54 @@
 
 
 class Gate:
-    """Decides over every attempt that reaches one agent."""
+    """Decides about every attempt that one agent receives."""
 
     def __init__(
         self, limits: types.Limits, incarnation: int, ready: bool = True
     ):
-        """Starts empty.
+        """Initializes a gate without attempts.
 
         Args:
-          limits: The bounds.
-          incarnation: This process's; other processes name it in what they
-            send, so that nothing meant for a predecessor is taken.
+          limits: The gate's bounds.
+          incarnation: The incarnation of this process. Other processes name it
+            in their messages, so that messages to a predecessor are refused.
           ready: Whether the backend server may be given requests.
         """
         self._limits = limits
-        self._memory = _memory.Memory(limits)
-        self._admission = _admission.Admission(self._memory, incarnation, ready)
+        self._attempts = _attempt_table.AttemptTable(limits)
+        self._admission = _admission.Admission(
+            self._attempts, incarnation, ready
+        )
         self._queue = _queue.Queue()
-        self._in_flight: dict[types.AttemptId, _memory.Record] = {}
+        self._in_flight: dict[types.AttemptId, _attempt_table.Record] = {}
         self._alone = False
-        self._crashes = 0
-        self._order = 0
+        self._crash_count = 0
+        self._last_sequence = 0
         self._uncleared: set[bytes] = set()
 
     @property
     def ready(self) -> bool:
-        """Whether new attempts are taken."""
-        return self._admission.open
+        """Whether new attempts are accepted."""
+        return self._admission.accepting
 
     @property
     def leaving(self) -> bool:
-        """Whether this agent is leaving for good."""
+        """Whether this agent is leaving."""
         return self._admission.leaving
 
     @property
     def loading(self) -> bool:
-        """Whether it takes nothing new because of a load."""
+        """Whether new attempts are refused until a load is done."""
         return self._admission.loading
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is in flight or waits."""
+        """Whether no attempt is in flight or queued."""
         return not self._in_flight and not len(self._queue)
 
     @property
     def load(self) -> Load:
-        """How busy the gate is."""
+        """The gate's load."""
         return Load(
             len(self._in_flight), len(self._queue), self._limits.capacity
         )
@@ -87,201 +89,218 @@
         return tuple(self._in_flight)
 
     def set_capacity(self, capacity: int) -> None:
-        """Takes over how much the backend server runs at once."""
+        """Sets how many attempts the backend server runs at once."""
         if capacity != self._limits.capacity:
             self._limits = dataclasses.replace(self._limits, capacity=capacity)
 
     def submit(self, attempt: types.Attempt, now: float) -> list[types.Action]:
-        """Takes an attempt: hands it over, queues or refuses it."""
-        known = self._memory.find(attempt.id)
+        """Hands over, queues or refuses a submitted attempt."""
+        known = self._attempts.find(attempt.id)
         if known is not None:
-            return self._submit_again(attempt, known)
+            return self._on_duplicate(attempt, known)
         reason = self._admission.refusal(attempt, now)
         if reason is not None:
-            self._memory.refuse(attempt.id, now)
+            self._attempts.add_refused(attempt.id, now)
             return [self._refusal(attempt.id, reason)]
-        actions = self._make_room(attempt, now)
+        actions = self._evict_lower_priority(attempt, now)
         if actions is None:
-            self._memory.refuse(attempt.id, now)
-            return [self._refusal(attempt.id, types.Refusal.OVERLOADED)]
-        self._order += 1
-        record = self._memory.add(attempt, now, self._order)
+            self._attempts.add_refused(attempt.id, now)
+            return [self._refusal(attempt.id, types.RefusalReason.OVERLOADED)]
+        self._last_sequence += 1
+        record = self._attempts.add(attempt, now, self._last_sequence)
         self._queue.push(record)
         return actions + self._dispatch(now)
 
     def tombstone(
         self,
         attempt_id: types.AttemptId,
-        whole: bool,
+        include_earlier: bool,
         incarnation: int,
         submitted_at: float | None,
         now: float,
     ) -> tuple[bool, list[types.Action]]:
-        """Forbids an attempt that was not handed over.
+        """Prevents the hand-over of an attempt that was not handed over yet.
 
         Args:
-          attempt_id: The attempt; with `whole`, and all before it.
-          whole: Whether earlier attempts are meant as well.
-          incarnation: Whom the attempt was submitted to.
-          submitted_at: When the first of them was, by this agent's clock;
-            None when unknown.
-          now: The time.
+          attempt_id: The attempt.
+          include_earlier: Whether the request's earlier attempts are covered
+            as well.
+          incarnation: The incarnation that the attempt was submitted to.
+          submitted_at: When the first covered attempt was submitted, in
+            seconds on this agent's monotonic clock; None if unknown.
+          now: The current time, monotonic seconds.
 
         Returns:
-          Whether it is proved that nothing was or will be handed over, and
-          what to do besides.
+          Whether it is proved that no covered attempt was or will be handed
+          over, and the actions to carry out.
         """
         if not self._admission.is_for_this(incarnation):
-            # A replaced agent never saw the attempt. Were that taken for
-            # proof, the caller would be told "not run" of what its
-            # predecessor ran.
+            # This process has no record of attempts sent to a predecessor.
+            # Taking that for proof would report "not run" for a request that
+            # the predecessor ran.
             return False, []
-        records = self._records(attempt_id, whole)
-        asked = attempt_id.attempt if whole else 1
-        proved = self._is_proved(records, asked, submitted_at)
+        records = self._find_records(attempt_id, include_earlier)
+        covered = attempt_id.attempt if include_earlier else 1
+        proved = self._is_proved(records, covered, submitted_at)
         actions: list[types.Action] = []
         for record in records:
             if record.state is _State.QUEUED:
-                actions += self._withdraw(record, types.Refusal.TOMBSTONED, now)
-        self._memory.entomb(attempt_id, whole, proved, now)
+                actions += self._withdraw(
+                    record, types.RefusalReason.TOMBSTONED, now
+                )
+        self._attempts.add_tombstone(attempt_id, include_earlier, proved, now)
         return proved, actions
 
     def cancel(
         self, attempt_id: types.AttemptId, now: float
     ) -> list[types.Action]:
-        """Takes the word that nobody waits for the attempt any more.
+        """Cancels an attempt whose caller no longer waits.
 
-        A non-idempotent attempt that was handed over goes on: cut off in the
-        middle, nobody could say what it had done.
+        A non-idempotent attempt that was handed over continues: if it were
+        interrupted, its effect would be unknown.
         """
-        record = self._memory.find(attempt_id)
+        record = self._attempts.find(attempt_id)
         if record is None or record.attempt is None:
             return []
         if record.state is _State.QUEUED:
-            return self._withdraw(record, types.Refusal.CANCELLED, now)
+            return self._withdraw(record, types.RefusalReason.CANCELLED, now)
         if record.state is not _State.HANDED_OVER:
             return []
         if not record.attempt.idempotent:
             return []
         return [
             types.CancelBackend(attempt_id),
-            types.Fail(attempt_id, types.Failure.CANCELLED),
-            *self._end(record, now),
+            types.Fail(attempt_id, types.FailureReason.CANCELLED),
+            *self._finish(record, now),
         ]
 
-    def answered(
+    def on_answered(
         self, attempt_id: types.AttemptId, now: float
     ) -> list[types.Action]:
-        """Takes the explicit end of a whole answer."""
+        """Handles the explicit end of a complete answer."""
         record = self._in_flight.get(attempt_id)
         if record is None or record.attempt is None:
             return []
-        actions = self._end(record, now)
+        actions = self._finish(record, now)
         fingerprint = record.attempt.fingerprint
         if record.attempt.alone or fingerprint in self._uncleared:
             self._uncleared.discard(fingerprint)
             actions.append(types.ReportCleared((fingerprint,)))
         return actions
 
-    def failed(
-        self, attempt_id: types.AttemptId, reason: types.Failure, now: float
+    def on_failed(
+        self,
+        attempt_id: types.AttemptId,
+        reason: types.FailureReason,
+        now: float,
     ) -> list[types.Action]:
-        """Takes the end of one attempt without a whole answer."""
+        """Handles the end of an attempt without a complete answer."""
         record = self._in_flight.get(attempt_id)
         if record is None:
             return []
-        return [types.Fail(attempt_id, reason), *self._end(record, now)]
+        return [types.Fail(attempt_id, reason), *self._finish(record, now)]
 
-    def not_taken(
-        self, attempt_id: types.AttemptId, reason: types.Refusal, now: float
+    def on_not_begun(
+        self,
+        attempt_id: types.AttemptId,
+        reason: types.RefusalReason,
+        now: float,
     ) -> list[types.Action]:
-        """Takes proof that the backend server did not begin the attempt.
+        """Handles proof that the backend server did not begin the attempt.
 
-        No connection could be made, or the server refused before running.
+        No connection could be opened, or the server refused it before running.
         """
         record = self._in_flight.pop(attempt_id, None)
         if record is None:
             return []
-        self._memory.take_back(record, now)
+        self._attempts.revert_hand_over(record, now)
         self._alone = False
         return [self._refusal(attempt_id, reason), *self._dispatch(now)]
 
-    def crashed(self, now: float) -> list[types.Action]:
-        """Takes the word that the backend server crashed.
+    def on_crash(self, now: float) -> list[types.Action]:
+        """Handles a crash of the backend server.
 
-        Every attempt in flight is lost; their fingerprints are named. What
-        waits is refused, with proof, so that it runs elsewhere at once.
+        All attempts in flight fail, and their fingerprints are reported.
+        Queued attempts are refused with proof, so that they can run on another
+        agent at once.
         """
         self._admission.ready = False
         records = list(self._in_flight.values())
         fingerprints = _fingerprints(records)
-        actions = self._fail_all(types.Failure.CRASHED, now)
-        actions += self._refuse_queue(types.Refusal.NOT_READY, now)
+        actions = self._fail_all(types.FailureReason.CRASHED, now)
+        actions += self._refuse_queue(types.RefusalReason.NOT_READY, now)
         if fingerprints:
-            self._crashes += 1
+            self._crash_count += 1
             self._uncleared.update(fingerprints)
-            actions.append(types.ReportCrash(self._crashes, fingerprints))
+            actions.append(types.ReportCrash(self._crash_count, fingerprints))
         return actions
 
-    def stalled(self, now: float) -> list[types.Action]:
-        """Takes the word that the backend server stopped answering."""
+    def on_stall(self, now: float) -> list[types.Action]:
+        """Handles a backend server that stopped responding."""
         self._admission.ready = False
         cancels: list[types.Action] = [
             types.CancelBackend(attempt_id) for attempt_id in self._in_flight
         ]
         return (
             cancels
-            + self._fail_all(types.Failure.STALLED, now)
-            + self._refuse_queue(types.Refusal.NOT_READY, now)
+            + self._fail_all(types.FailureReason.STALLED, now)
+            + self._refuse_queue(types.RefusalReason.NOT_READY, now)
         )
 
     def close(self, now: float) -> list[types.Action]:
-        """Takes nothing new until `loaded`; nothing is said of what runs."""
+        """Refuses new attempts until `on_loaded`; those in flight continue."""
         self._admission.ready = False
-        return self._refuse_queue(types.Refusal.NOT_READY, now)
+        return self._refuse_queue(types.RefusalReason.NOT_READY, now)
 
-    def loaded(self, now: float) -> list[types.Action]:
-        """Takes the word that the backend server is ready to serve."""
+    def on_loaded(self, now: float) -> list[types.Action]:
+        """Handles a backend server that is ready to serve."""
         self._admission.ready = True
         self._admission.loading = False
         return self._dispatch(now)
 
     def drain(self, now: float) -> list[types.Action]:
-        """Takes nothing new until `loaded`; what is in flight finishes."""
+        """Refuses new attempts for a load, until `on_loaded`."""
         self._admission.loading = True
-        return self._refuse_queue(types.Refusal.LOADING, now)
+        return self._refuse_queue(types.RefusalReason.LOADING, now)
 
     def leave(self, now: float) -> list[types.Action]:
-        """Takes nothing new ever again; what is in flight finishes."""
+        """Refuses new attempts for good; those in flight continue."""
         self._admission.leaving = True
-        return self._refuse_queue(types.Refusal.LEAVING, now)
+        return self._refuse_queue(types.RefusalReason.LEAVING, now)
 
-    def tick(self, now: float) -> list[types.Action]:
-        """Refuses what waited past its deadline and forgets what is old."""
-        self._memory.expire(now)
+    def on_tick(self, now: float) -> list[types.Action]:
+        """Refuses overdue queued attempts and drops expired records."""
+        self._attempts.expire(now)
         return self._dispatch(now)
 
-    def _submit_again(
-        self, attempt: types.Attempt, known: _memory.Record
+    def _on_duplicate(
+        self, attempt: types.Attempt, known: _attempt_table.Record
     ) -> list[types.Action]:
-        # A frame that is delivered twice, or a defect at an entry. The first
-        # submission stands; a proof of "not run" here would be untrue.
-        if known.state is _State.NEVER:
-            return [self._refusal(attempt.id, types.Refusal.TOMBSTONED)]
+        # A frame was delivered twice, or an entry is defective. The first
+        # submission is still valid, so a proof of "not run" would be false.
+        if known.state is _State.REFUSED:
+            return [self._refusal(attempt.id, types.RefusalReason.TOMBSTONED)]
         return [types.FailDuplicate(attempt.id)]
 
-    def _make_room(
+    def _evict_lower_priority(
         self, attempt: types.Attempt, now: float
     ) -> list[types.Action] | None:
-        """Returns what makes room in the queue; None when there is none."""
-        if len(self._queue) < self._limits.queue or self._may_start(attempt):
+        """Makes room in the queue for an attempt.
+
+        Returns:
+          The actions for a removed attempt, if one must be removed; None if
+          the queue is full and no attempt in it has a lower priority.
+        """
+        if len(self._queue) < self._limits.max_queued or self._may_start(
+            attempt
+        ):
             return []
-        worst = self._queue.lowest()
-        if worst is None or worst.attempt is None:
+        lowest = self._queue.lowest()
+        if lowest is None or lowest.attempt is None:
             return None
-        if worst.attempt.priority >= attempt.priority:
+        if lowest.attempt.priority >= attempt.priority:
             return None
-        return self._withdraw(worst, types.Refusal.OVERLOADED, now)
+        return self._withdraw(lowest, types.RefusalReason.OVERLOADED, now)
 
     def _may_start(self, attempt: types.Attempt) -> bool:
         if not self.ready or self._alone:
@@ -295,39 +314,42 @@
         while (record := self._queue.first()) is not None:
             attempt = record.attempt
             if attempt is None or attempt.deadline <= now:
-                actions += self._withdraw(record, types.Refusal.DEADLINE, now)
+                actions += self._withdraw(
+                    record, types.RefusalReason.DEADLINE, now
+                )
                 continue
-            # An attempt that must run alone and is first in line holds the
-            # others back: were they let past, it might never find the server
-            # empty.
+            # An attempt that must run alone blocks those behind it. If they
+            # passed it, the server might never become empty.
             if not self._may_start(attempt):
                 break
             self._queue.remove(record)
-            self._memory.hand_over(record)
+            self._attempts.mark_handed_over(record)
             self._in_flight[attempt.id] = record
             self._alone = attempt.alone
             actions.append(types.HandOver(attempt.id))
         return actions
 
-    def _end(self, record: _memory.Record, now: float) -> list[types.Action]:
+    def _finish(
+        self, record: _attempt_table.Record, now: float
+    ) -> list[types.Action]:
         assert record.attempt is not None
         del self._in_flight[record.attempt.id]
         self._alone = False
-        self._memory.finish(record, _State.ENDED, now)
+        self._attempts.finish(record, _State.ENDED, now)
         return self._dispatch(now)
 
     def _fail_all(
-        self, reason: types.Failure, now: float
+        self, reason: types.FailureReason, now: float
     ) -> list[types.Action]:
         records = self._in_flight
         self._in_flight = {}
         self._alone = False
         for record in records.values():
-            self._memory.finish(record, _State.ENDED, now)
+            self._attempts.finish(record, _State.ENDED, now)
         return [types.Fail(attempt_id, reason) for attempt_id in records]
 
     def _refuse_queue(
-        self, reason: types.Refusal, now: float
+        self, reason: types.RefusalReason, now: float
     ) -> list[types.Action]:
         actions: list[types.Action] = []
         while (record := self._queue.first()) is not None:
@@ -335,41 +357,44 @@
         return actions
 
     def _withdraw(
-        self, record: _memory.Record, reason: types.Refusal, now: float
+        self,
+        record: _attempt_table.Record,
+        reason: types.RefusalReason,
+        now: float,
     ) -> list[types.Action]:
         assert record.attempt is not None
         self._queue.remove(record)
-        self._memory.finish(record, _State.NEVER, now)
+        self._attempts.finish(record, _State.REFUSED, now)
         return [self._refusal(record.attempt.id, reason)]
 
-    def _records(
-        self, attempt_id: types.AttemptId, whole: bool
-    ) -> list[_memory.Record]:
-        if whole:
-            return self._memory.earlier(attempt_id)
-        record = self._memory.find(attempt_id)
+    def _find_records(
+        self, attempt_id: types.AttemptId, include_earlier: bool
+    ) -> list[_attempt_table.Record]:
+        if include_earlier:
+            return self._attempts.find_up_to(attempt_id)
+        record = self._attempts.find(attempt_id)
         return [] if record is None else [record]
 
     def _is_proved(
         self,
-        records: list[_memory.Record],
-        asked: int,
+        records: list[_attempt_table.Record],
+        covered: int,
         submitted_at: float | None,
     ) -> bool:
-        never = (_State.QUEUED, _State.NEVER)
-        if any(record.state not in never for record in records):
+        not_handed_over = (_State.QUEUED, _State.REFUSED)
+        if any(record.state not in not_handed_over for record in records):
             return False
-        if len(records) == asked:
+        if len(records) == covered:
             return True
-        return self._memory.proves_absence(submitted_at)
+        return self._attempts.proves_not_handed_over(submitted_at)
 
     def _refusal(
-        self, attempt_id: types.AttemptId, reason: types.Refusal
+        self, attempt_id: types.AttemptId, reason: types.RefusalReason
     ) -> types.Refuse:
         return types.Refuse(attempt_id, reason, self._limits.retry_after_s)
 
 
-def _fingerprints(records: list[_memory.Record]) -> tuple[bytes, ...]:
+def _fingerprints(records: list[_attempt_table.Record]) -> tuple[bytes, ...]:
     found = {
         record.attempt.fingerprint: None
         for record in records
--- a/src/clementinegw/weights/_swap_runner.py
+++ b/src/clementinegw/weights/_swap_runner.py
@@ -1,4 +1,4 @@
-"""Carries out what a swap lease decides: reads and appends of the log."""
+"""Carries out the decisions of a swap lease: reads and appends to the log."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,19 +9,19 @@
 from clementinegw.telemetry import counters as metrics
 from clementinegw.weights import swap as swaps
 
-POLL_S = 5.0
-TICK_S = 0.25
-RETRY_S = 0.5
-CLOSE_S = 1.0
+READ_WAIT_S = 5.0
+TICK_INTERVAL_S = 0.25
+READ_RETRY_S = 0.5
+CLOSE_TIMEOUT_S = 1.0
 
 
-def stream_of(service: str) -> str:
-    """Returns the log stream of a service's leases."""
+def stream_name(service: str) -> str:
+    """Returns the name of the log stream with a service's leases."""
     return f"swaps-{service}"
 
 
 class SwapRunner:
-    """Follows the stream as long as the worker wants to be out."""
+    """Follows the stream while the worker holds or waits for a lease."""
 
     def __init__(
         self,
@@ -30,87 +30,87 @@
         service: str,
         clock: clocks.Clock,
         counters: metrics.Counters,
-        give: Callable[[swaps.Action], None],
+        on_action: Callable[[swaps.Action], None],
     ):
-        """Prepares; `run` does the work.
+        """Initializes the runner; `run` does the work.
 
         Args:
-          swap: The decisions.
-          log_client: The platform's log.
-          service: Whose workers share the leases.
+          swap: The lease whose decisions are carried out.
+          log_client: The client of the platform's log.
+          service: The service whose workers share the leases.
           clock: The source of time.
-          counters: Counts appends and failures as `weights.swap.*`.
-          give: Takes `Granted`, `Covered` and `Lost`.
+          counters: The counters of appends and failures, `weights.swap.*`.
+          on_action: Called with `Granted`, `Covered` and `Lost`.
         """
         self._swap = swap
         self._log = log_client
-        self._stream = stream_of(service)
+        self._stream = stream_name(service)
         self._clock = clock
         self._counters = counters
-        self._give = give
-        self._poked = asyncio.Event()
+        self._on_action = on_action
+        self._wake = asyncio.Event()
         self._read_now = asyncio.Event()
-        self._unsent: asyncio.Queue[bytes] = asyncio.Queue()
+        self._append_queue: asyncio.Queue[bytes] = asyncio.Queue()
 
     @property
-    def queue(self) -> tuple[int, int]:
-        """How many are out, and how many wait before this worker."""
-        return self._swap.queue
+    def queue_counts(self) -> tuple[int, int]:
+        """How many workers are out, and how many wait before this one."""
+        return self._swap.queue_counts
 
-    def set_load_s(self, load_s: float) -> None:
-        """Changes the longest that a load may take, in seconds."""
-        self._swap.set_load_s(load_s)
+    def set_max_load_s(self, max_load_s: float) -> None:
+        """Sets the longest time a load may take, in seconds."""
+        self._swap.set_max_load_s(max_load_s)
 
-    def ask(self, limit: int, spread_s: float) -> None:
-        """Asks for the permit to be out; see `swap.Swap.ask`."""
-        self._swap.ask(self._clock.now(), limit, spread_s)
-        self._poked.set()
+    def acquire(self, limit: int, spread_s: float) -> None:
+        """Requests the permit to be out of service; see `swap.Swap.acquire`."""
+        self._swap.acquire(self._clock.now(), limit, spread_s)
+        self._wake.set()
 
     def cover(self) -> None:
-        """Has the permit cover a whole load."""
+        """Extends the permit to cover a whole load."""
         self._swap.cover()
         self._tick()
 
     def release(self) -> None:
-        """Gives the permit back."""
+        """Releases the permit."""
         self._swap.release()
         self._tick()
 
     async def run(self) -> None:
-        """Works until it is cancelled."""
+        """Runs until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._read())
-            group.create_task(self._keep_time())
-            group.create_task(self._append())
+            group.create_task(self._read_loop())
+            group.create_task(self._tick_loop())
+            group.create_task(self._append_loop())
 
     async def close(self) -> None:
-        """Gives back what is held or waited for; tries it once.
+        """Releases the lease or the place in the queue, in a single attempt.
 
-        Left to lapse, the place of a worker that leaves would be lost to the
-        others for as long as its lease lasts.
+        Otherwise the other workers could not use this worker's place until its
+        lease expires.
         """
         self._swap.release()
         for action in self._swap.on_tick(self._clock.now()):
             if isinstance(action, swaps.Append):
                 try:
-                    async with asyncio.timeout(CLOSE_S):
+                    async with asyncio.timeout(CLOSE_TIMEOUT_S):
                         await self._log.append(self._stream, action.value)
                 except (exceptions.PlatformError, TimeoutError):
                     self._counters.add("weights.swap.append_unknown")
 
-    async def _read(self) -> None:
+    async def _read_loop(self) -> None:
         while True:
-            await self._poked.wait()
+            await self._wake.wait()
             if not self._swap.active:
-                self._poked.clear()
+                self._wake.clear()
                 continue
             try:
                 page = await self._log.read(
-                    self._stream, self._swap.next_offset, wait_s=POLL_S
+                    self._stream, self._swap.next_offset, wait_s=READ_WAIT_S
                 )
             except exceptions.PlatformError:
                 self._counters.add("weights.swap.read_failed")
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(READ_RETRY_S)
                 continue
             self._carry_out(self._swap.on_page(self._clock.now(), page))
             if self._swap.read_pause_s:
@@ -124,21 +124,21 @@
         except TimeoutError:
             pass
 
-    async def _keep_time(self) -> None:
+    async def _tick_loop(self) -> None:
         while True:
-            await self._poked.wait()
+            await self._wake.wait()
             self._tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    async def _append(self) -> None:
+    async def _append_loop(self) -> None:
         while True:
-            value = await self._unsent.get()
+            value = await self._append_queue.get()
             try:
                 await self._log.append(self._stream, value)
                 self._counters.add("weights.swap.appended")
             except exceptions.PlatformError:
-                # It may be in the log all the same. The decisions wait until
-                # they read it there, and repeat it when they do not.
+                # The record may be in the log all the same. The swap waits
+                # until it is read back and repeats it if it is not.
                 self._counters.add("weights.swap.append_unknown")
 
     def _tick(self) -> None:
@@ -149,11 +149,11 @@
             if isinstance(action, swaps.Append):
                 self._send(action.value)
             else:
-                self._give(action)
+                self._on_action(action)
 
     def _send(self, value: bytes) -> None:
-        # While the log is slow only the newest record is worth sending.
-        while not self._unsent.empty():
-            self._unsent.get_nowait()
+        # While the log is slow, only the latest record is worth sending.
+        while not self._append_queue.empty():
+            self._append_queue.get_nowait()
         self._read_now.set()
-        self._unsent.put_nowait(value)
+        self._append_queue.put_nowait(value)
--- a/src/clementinegw/weights/_swarm_target.py
+++ b/src/clementinegw/weights/_swarm_target.py
@@ -1,4 +1,4 @@
-"""The manifest that an agent follows and what it holds of it."""
+"""The manifest that an agent fetches and the chunks it holds."""
 
 import dataclasses
 
@@ -7,38 +7,38 @@
 
 @dataclasses.dataclass(slots=True)
 class Target:
-    """One manifest's chunks; sets of them are integers with a bit a chunk.
+    """One manifest's chunks; sets are integers with one bit per chunk.
 
     Attributes:
       digest: The manifest's digest; empty without a target.
       chunks: The manifest's chunks.
       have: The chunks held.
-      began: When it was set, in monotonic seconds.
+      started_at: When the target was set, in monotonic seconds.
       digests: The digests of all chunks.
-      full: All chunks.
+      all_chunks: All chunks.
     """
 
     digest: str = ""
     chunks: tuple[manifests.Chunk, ...] = ()
     have: int = 0
-    began: float = 0.0
+    started_at: float = 0.0
     digests: tuple[bytes, ...] = dataclasses.field(init=False)
-    full: int = dataclasses.field(init=False)
+    all_chunks: int = dataclasses.field(init=False)
 
     def __post_init__(self):
         self.digests = tuple(chunk.digest for chunk in self.chunks)
-        self.full = (1 << len(self.chunks)) - 1
-        self.have &= self.full
+        self.all_chunks = (1 << len(self.chunks)) - 1
+        self.have &= self.all_chunks
 
     @property
     def missing(self) -> int:
         """The chunks that are not held."""
-        return self.full & ~self.have
+        return self.all_chunks & ~self.have
 
     @property
     def complete(self) -> bool:
         """Whether there are chunks and all are held."""
-        return bool(self.chunks) and self.have == self.full
+        return bool(self.chunks) and self.have == self.all_chunks
 
     @property
     def largest(self) -> int:
@@ -47,9 +47,9 @@
 
     @property
     def held_bits(self) -> bytes:
-        """The chunks held, as a `bitset`."""
+        """The chunks held, in the format of `bitset`."""
         return self.have.to_bytes((len(self.chunks) + 7) // 8, "little")
 
     def holds(self, index: int) -> bool:
-        """Whether there is such a chunk and it is held."""
+        """Returns whether the index is valid and the chunk is held."""
         return 0 <= index < len(self.chunks) and bool(self.have >> index & 1)
--- a/src/clementinegw/weights/pacing.py
+++ b/src/clementinegw/weights/pacing.py
@@ -1,8 +1,8 @@
-"""How fast chunks may pass on the machine's link beside live requests.
+"""Pacing of chunks on the machine's link alongside live requests.
 
-A rollout takes what live requests leave of the link, and never less than a
-small floor, so that it ends. One bucket a direction; a flag makes both
-directions share one.
+A rollout uses the bandwidth that live requests leave, but at least a small
+floor, so that it completes. There is one token bucket per direction; a flag
+makes both directions share one.
 """
 
 import asyncio
@@ -13,23 +13,23 @@
 
 from clementinegw import clock as clocks
 
-# Seconds after which live traffic of the past counts for 1/e.
-_MEMORY_S = 0.5
+# The time constant of the running mean of the live rate, in seconds.
+_LIVE_RATE_DECAY_S = 0.5
 _BURST_S = 0.02
 
 
 class Link(Protocol):
-    """A link whose rate something else enforces; used by the benches."""
+    """A link whose rate is enforced elsewhere; used by the benches."""
 
     async def send(self, count: int) -> None:
-        """Waits until that many bytes have left."""
+        """Waits until that many bytes have been sent."""
 
     async def receive(self, count: int) -> None:
-        """Waits until that many bytes have come in."""
+        """Waits until that many bytes have been received."""
 
 
 class Bucket:
-    """Tokens that come in at the rate that live requests leave."""
+    """A token bucket that refills at the rate that live requests leave."""
 
     def __init__(
         self,
@@ -41,116 +41,126 @@
         """Starts full.
 
         Args:
-          rate: The link's rate in bytes a second; infinity paces nothing.
-          now: Monotonic seconds.
-          floor: The share of the rate that is left in any case.
-          burst: The most tokens held; a fiftieth of a second by default.
+          rate: The link's rate in bytes per second; infinity disables pacing.
+          now: The current time in monotonic seconds.
+          floor: The minimum share of the rate that is available.
+          burst: The bucket's capacity in bytes; by default the bytes of a
+            fiftieth of a second.
         """
         self._rate = rate
         self._floor = floor
         self._burst = rate * _BURST_S if burst is None else burst
-        self._level = self._burst
-        self._live = 0.0
-        self._at = now
+        self._tokens = self._burst
+        self._live_bytes_per_s = 0.0
+        self._updated_at = now
 
     @property
     def live_rate(self) -> float:
-        """Live bytes a second, a running mean."""
-        return self._live
+        """The running mean of live bytes per second."""
+        return self._live_bytes_per_s
 
     @property
     def rate(self) -> float:
-        """Tokens that come in a second at the moment."""
-        return max(self._floor * self._rate, self._rate - self._live)
+        """The current refill rate in tokens per second."""
+        return max(
+            self._floor * self._rate, self._rate - self._live_bytes_per_s
+        )
 
-    def live(self, count: int, now: float) -> None:
-        """Notes bytes of live requests that passed."""
-        self._fill(now)
-        self._live += count / _MEMORY_S
+    def record_live(self, count: int, now: float) -> None:
+        """Records bytes of live requests that passed."""
+        self._refill(now)
+        self._live_bytes_per_s += count / _LIVE_RATE_DECAY_S
 
     def take(self, count: int, now: float) -> bool:
-        """Takes tokens once the level is above zero; it may then go below.
+        """Takes tokens if the level is above zero; it may drop below zero.
 
-        A part larger than the burst could else never pass.
+        Otherwise a part larger than the burst could never pass.
+
+        Args:
+          count: The number of tokens, which are bytes.
+          now: The current time in monotonic seconds.
+
+        Returns:
+          Whether the tokens were taken.
         """
         if math.isinf(self._rate):
             return True
-        self._fill(now)
-        if self._level <= 0:
+        self._refill(now)
+        if self._tokens <= 0:
             return False
-        self._level -= count
+        self._tokens -= count
         return True
 
     def charge(self, count: int, now: float) -> None:
         """Takes tokens for bytes that have passed already."""
         if not math.isinf(self._rate):
-            self._fill(now)
-            self._level -= count
+            self._refill(now)
+            self._tokens -= count
 
     def ready_in(self, now: float) -> float:
-        """Returns seconds until `take` succeeds."""
+        """Returns the time until `take` succeeds, in seconds."""
         if math.isinf(self._rate):
             return 0.0
-        self._fill(now)
-        # A little above zero, or rounding would wake the taker too early.
-        return max(0.0, (1.0 - self._level) / self.rate)
+        self._refill(now)
+        # Slightly above zero, or rounding would wake the waiter too early.
+        return max(0.0, (1.0 - self._tokens) / self.rate)
 
-    def _fill(self, now: float) -> None:
-        elapsed = now - self._at
+    def _refill(self, now: float) -> None:
+        elapsed = now - self._updated_at
         if elapsed <= 0:
             return
-        self._level = min(self._burst, self._level + elapsed * self.rate)
-        self._live *= math.exp(-elapsed / _MEMORY_S)
-        self._at = now
+        self._tokens = min(self._burst, self._tokens + elapsed * self.rate)
+        self._live_bytes_per_s *= math.exp(-elapsed / _LIVE_RATE_DECAY_S)
+        self._updated_at = now
 
 
 class Pacer:
-    """Lets coroutines pass at a bucket's rate, the smallest order first."""
+    """Admits coroutines at a bucket's rate, lowest order first."""
 
     def __init__(self, bucket: Bucket, clock: clocks.Clock):
-        """Starts with nobody waiting.
+        """Starts without waiters.
 
         Args:
-          bucket: The rate.
+          bucket: Determines the rate.
           clock: The source of time.
         """
         self._bucket = bucket
         self._clock = clock
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._waiting: list[tuple[float, int, int, asyncio.Future]] = []
         self._timer: asyncio.TimerHandle | None = None
 
     @property
     def bucket(self) -> Bucket:
-        """The rate."""
+        """The bucket that determines the rate."""
         return self._bucket
 
-    def live(self, count: int) -> None:
-        """Notes bytes of live requests that passed."""
-        self._bucket.live(count, self._clock.now())
+    def record_live(self, count: int) -> None:
+        """Records bytes of live requests that passed."""
+        self._bucket.record_live(count, self._clock.now())
 
     async def take(self, count: int, order: float = 0.0) -> None:
         """Waits until that many bytes may pass.
 
         Args:
-          count: Bytes.
-          order: Those with a smaller one pass first. Chunks that are sent one
-            after the other arrive earlier on average than side by side.
+          count: The number of bytes.
+          order: Waiters with a lower order pass first. Chunks sent one after
+            another arrive earlier on average than chunks sent in parallel.
         """
         now = self._clock.now()
         if not self._waiting and self._bucket.take(count, now):
             return
         future = asyncio.get_running_loop().create_future()
-        entry = (order, next(self._numbers), count, future)
+        entry = (order, next(self._sequence), count, future)
         heapq.heappush(self._waiting, entry)
-        self._wake_later()
+        self._schedule_wake()
         await future
 
     def charge(self, count: int) -> None:
-        """Notes bytes that passed without waiting; the next wait longer."""
+        """Records bytes that passed unpaced; later bytes wait longer."""
         self._bucket.charge(count, self._clock.now())
 
-    def _wake_later(self) -> None:
+    def _schedule_wake(self) -> None:
         if self._timer is None:
             delay = self._bucket.ready_in(self._clock.now())
             loop = asyncio.get_running_loop()
@@ -163,14 +173,14 @@
             _, _, count, future = self._waiting[0]
             if not future.done():
                 if not self._bucket.take(count, now):
-                    self._wake_later()
+                    self._schedule_wake()
                     return
                 future.set_result(None)
             heapq.heappop(self._waiting)
 
 
 class Pacing:
-    """Both directions of one machine's link."""
+    """Paces both directions of one machine's link."""
 
     def __init__(
         self,
@@ -183,11 +193,12 @@
         """Starts idle.
 
         Args:
-          rate: Bytes a second each way; infinity paces nothing.
+          rate: The rate per direction in bytes per second; infinity disables
+            pacing.
           clock: The source of time.
           shared: Whether both directions share the rate.
-          floor: The share that live requests leave in any case.
-          burst: See `Bucket`.
+          floor: The minimum share of the rate that is available.
+          burst: The capacity of each bucket; see `Bucket`.
         """
         now = clock.now()
         self._up = Pacer(Bucket(rate, now, floor, burst), clock)
@@ -197,15 +208,15 @@
 
     @property
     def up(self) -> Pacer:
-        """What the machine sends."""
+        """Paces what the machine sends."""
         return self._up
 
     @property
     def down(self) -> Pacer:
-        """What the machine receives."""
+        """Paces what the machine receives."""
         return self._down
 
-    def live(self, sent: int, received: int) -> None:
-        """Notes bytes of live requests on the machine's link."""
-        self._up.live(sent)
-        self._down.live(received)
+    def record_live(self, sent: int, received: int) -> None:
+        """Records bytes of live requests on the machine's link."""
+        self._up.record_live(sent)
+        self._down.record_live(received)
--- a/src/clementinegw/weights/publish.py
+++ b/src/clementinegw/weights/publish.py
@@ -1,8 +1,8 @@
-"""Puts a version into the weight store: chunks first, the manifest last.
+"""Publishes a version to the weight store: chunks first, the manifest last.
 
-The manifest is written only when every chunk it names is there, so that a
-publication that was cut off leaves nothing that could be declared. A second
-run sends only what is missing.
+The manifest is written only once every chunk it names is stored, so that an
+interrupted publication leaves nothing that could be declared. A second run
+uploads only what is missing.
 """
 
 import asyncio
@@ -17,20 +17,22 @@
 from clementinegw.platform import retries
 from clementinegw.weights import manifest as manifests
 
-CONCURRENCY = 4
-# Besides those of the store's client: a store may be down for half a minute.
-RETRIES = retries.RetryPolicy(attempts=6, base_s=1.0, max_s=16.0)
+MAX_CONCURRENT_UPLOADS = 4
+# In addition to the retries of the store's client: a store may be down for half
+# a minute.
+RETRY_POLICY = retries.RetryPolicy(attempts=6, base_s=1.0, max_s=16.0)
 
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far a publication is.
+    """The progress of a publication.
 
     Attributes:
-      total_bytes: All bytes of the version.
-      done_bytes: Bytes of chunks that are in the store.
-      sent_chunks: Chunks that were sent.
-      skipped_chunks: Chunks that the store had, and repeated ones.
+      total_bytes: The size of the version in bytes.
+      done_bytes: The size of the chunks that are stored, in bytes.
+      sent_chunks: The number of chunks that were uploaded.
+      skipped_chunks: The number of chunks that were already stored or occur
+        repeatedly in the version.
     """
 
     total_bytes: int = 0
@@ -49,42 +51,43 @@
 ) -> manifests.Manifest:
     """Publishes a file or a directory of files as one version.
 
-    Memory is bounded by `CONCURRENCY` chunks, whatever the size of the files.
+    Memory is bounded by `MAX_CONCURRENT_UPLOADS` chunks, whatever the size of
+    the files.
 
     Args:
-      path: A file, or a directory whose files are taken, with those below it.
+      path: A file, or a directory that is searched recursively for files.
       model: The model's name.
       version: The version's name.
-      store: Where chunks and manifest go.
-      chunk_bytes: The length of a chunk. Versions share chunks only when it
-        is the same for both.
+      store: The store to which chunks and manifest are uploaded.
+      chunk_bytes: The length of a chunk in bytes. Versions share chunks only
+        if it is the same for both.
       on_progress: Called after each chunk.
 
     Returns:
-      The manifest; its digest is what the settings declare.
+      The manifest, whose digest is to be declared in the settings.
 
     Raises:
       exceptions.UsageError: The path or a file cannot be read, is empty or
-        changed meanwhile, or a name or length is out of bounds.
-      exceptions.PlatformError: The store did not take a blob.
+        changed while it was read, or a name or length is out of bounds.
+      exceptions.PlatformError: The store did not accept a blob.
     """
     root = pathlib.Path(path)
     sources = find_files(root)
     files = tuple(source for source, _ in sources)
     _check_bounds(model, version, chunk_bytes, files)
-    sender = _Sender(store, on_progress or (lambda progress: None))
-    sender.progress.total_bytes = sum(file.size for file in files)
-    digests = await sender.send_all(_read(sources, chunk_bytes))
+    uploader = _Uploader(store, on_progress or (lambda progress: None))
+    uploader.progress.total_bytes = sum(file.size for file in files)
+    digests = await uploader.upload_all(_read_files(sources, chunk_bytes))
     manifest = manifests.build(model, version, chunk_bytes, files, digests)
-    await sender.put(manifest.blob, manifest.encode())
+    await uploader.put(manifest.blob_name, manifest.encode())
     return manifest
 
 
 def find_files(root: pathlib.Path) -> list[tuple[manifests.File, pathlib.Path]]:
-    """Returns the files of a version with where they lie, by path.
+    """Returns the files of a version and their locations, sorted by path.
 
     Raises:
-      exceptions.UsageError: There is none, or one cannot be read.
+      exceptions.UsageError: All files are empty, or one cannot be read.
     """
     try:
         if root.is_dir():
@@ -111,7 +114,11 @@
     chunk_bytes: int,
     files: tuple[manifests.File, ...],
 ) -> None:
-    """Finds a wrong name or length before the first byte is sent."""
+    """Validates names and lengths before any data is uploaded.
+
+    Raises:
+      exceptions.UsageError: A name or length is invalid or out of bounds.
+    """
     if not (
         manifests.MIN_CHUNK_BYTES <= chunk_bytes <= manifests.MAX_CHUNK_BYTES
     ):
@@ -127,30 +134,30 @@
         raise exceptions.UsageError(error.message) from error
 
 
-async def _read(
+async def _read_files(
     sources: list[tuple[manifests.File, pathlib.Path]], chunk_bytes: int
 ) -> AsyncIterator[bytes]:
     for file, path in sources:
-        pieces = _pieces(file, path, chunk_bytes)
-        while piece := await asyncio.to_thread(next, pieces, b""):
-            yield piece
+        chunks = _read_chunks(file, path, chunk_bytes)
+        while chunk := await asyncio.to_thread(next, chunks, b""):
+            yield chunk
 
 
-def _pieces(
+def _read_chunks(
     file: manifests.File, path: pathlib.Path, chunk_bytes: int
 ) -> Iterator[bytes]:
-    left = file.size
+    remaining = file.size
     try:
         with path.open("rb") as source:
-            while left:
-                piece = source.read(min(chunk_bytes, left))
-                left -= len(piece)
-                if not piece:
+            while remaining:
+                chunk = source.read(min(chunk_bytes, remaining))
+                remaining -= len(chunk)
+                if not chunk:
                     break
-                yield piece
-            # A file that is still being written would be published cut off,
-            # and every instance would verify and serve the cut version.
-            if left or source.read(1):
+                yield chunk
+            # A file that is still being written would be published truncated,
+            # and every instance would verify and serve the truncated version.
+            if remaining or source.read(1):
                 raise exceptions.UsageError(
                     f"{path}: its length changed while it was read"
                 )
@@ -160,8 +167,8 @@
         ) from error
 
 
-class _Sender:
-    """Sends chunks that the store does not have, a few at once."""
+class _Uploader:
+    """Uploads missing chunks, a few of them concurrently."""
 
     def __init__(
         self,
@@ -174,53 +181,55 @@
         self._random = random.Random()
         self.progress = Progress()
 
-    async def send_all(self, pieces: AsyncIterator[bytes]) -> list[bytes]:
-        """Sends all pieces and returns their digests in order."""
+    async def upload_all(self, chunks: AsyncIterator[bytes]) -> list[bytes]:
+        """Uploads missing chunks and returns the digests of all in order."""
         digests: list[bytes] = []
         running: set[asyncio.Task[None]] = set()
         try:
-            async for piece in pieces:
-                digest = await asyncio.to_thread(manifests.digest_of, piece)
+            async for chunk in chunks:
+                digest = await asyncio.to_thread(manifests.digest_of, chunk)
                 digests.append(digest)
-                if len(running) >= CONCURRENCY:
-                    running = await _finish(running, asyncio.FIRST_COMPLETED)
-                running.add(asyncio.create_task(self._send(digest, piece)))
-            await _finish(running, asyncio.ALL_COMPLETED)
+                if len(running) >= MAX_CONCURRENT_UPLOADS:
+                    running = await _wait(running, asyncio.FIRST_COMPLETED)
+                running.add(
+                    asyncio.create_task(self._upload_if_missing(digest, chunk))
+                )
+            await _wait(running, asyncio.ALL_COMPLETED)
         finally:
             for task in running:
                 task.cancel()
         return digests
 
     async def put(self, name: str, data: bytes) -> None:
-        """Puts a blob, and again after a while when the store is not there."""
-        for tried in range(1, RETRIES.attempts):
+        """Uploads a blob, retrying while the store is unavailable."""
+        for attempt in range(1, RETRY_POLICY.attempts):
             try:
                 return await self._store.put(name, data)
             except exceptions.PlatformUnavailable:
-                await asyncio.sleep(RETRIES.pause_s(tried, self._random))
+                await asyncio.sleep(RETRY_POLICY.pause_s(attempt, self._random))
         return await self._store.put(name, data)
 
-    async def _send(self, digest: bytes, piece: bytes) -> None:
-        name = manifests.chunk_blob(digest)
+    async def _upload_if_missing(self, digest: bytes, chunk: bytes) -> None:
+        name = manifests.chunk_blob_name(digest)
         repeated = digest in self._seen
         self._seen.add(digest)
-        if repeated or await self._has(name, len(piece)):
+        if repeated or await self._is_stored(name, len(chunk)):
             self.progress.skipped_chunks += 1
         else:
-            await self.put(name, piece)
+            await self.put(name, chunk)
             self.progress.sent_chunks += 1
-        self.progress.done_bytes += len(piece)
+        self.progress.done_bytes += len(chunk)
         self._on_progress(self.progress)
 
-    async def _has(self, name: str, size: int) -> bool:
-        # A blob of another length is one whose upload was cut off.
+    async def _is_stored(self, name: str, size: int) -> bool:
+        # A blob of another length is the result of an interrupted upload.
         try:
             return await self._store.size(name) == size
         except exceptions.PlatformError:
             return False
 
 
-async def _finish(
+async def _wait(
     tasks: set[asyncio.Task[None]], until: str
 ) -> set[asyncio.Task[None]]:
     if not tasks:
--- a/src/clementinegw/weights/swarm.py
+++ b/src/clementinegw/weights/swarm.py
@@ -1,7 +1,8 @@
 """Decisions of one agent in the exchange of a version's chunks.
 
-A state machine without I/O: events and the time go in, actions come out.
-`weights.transfer` carries them out; docs/design/swarm.md weighs the ways.
+A state machine without I/O that maps events and the current time to actions.
+`weights.transfer` executes the actions; docs/design/swarm.md compares the
+alternatives.
 """
 
 from clementinegw.weights import _swarm_machine
@@ -12,7 +13,7 @@
 ORIGIN = types_.ORIGIN
 Limits = types_.Limits
 RefuseReason = types_.RefuseReason
-AsideReason = types_.AsideReason
+ExclusionReason = types_.ExclusionReason
 CancelReason = types_.CancelReason
 
 TargetSet = types_.TargetSet
@@ -27,20 +28,20 @@
 Corrupt = types_.Corrupt
 Refused = types_.Refused
 Failed = types_.Failed
-Wanted = types_.Wanted
+ChunkRequested = types_.ChunkRequested
 Served = types_.Served
 Tick = types_.Tick
 Event = types_.Event
 
 Connect = types_.Connect
-Forget = types_.Forget
-Ask = types_.Ask
+StopConnecting = types_.StopConnecting
+RequestChunk = types_.RequestChunk
 Cancel = types_.Cancel
-TellAll = types_.TellAll
-TellGained = types_.TellGained
+AdvertiseAll = types_.AdvertiseAll
+AdvertiseGained = types_.AdvertiseGained
 Serve = types_.Serve
 StopServing = types_.StopServing
 Refuse = types_.Refuse
-PutAside = types_.PutAside
+PeerExcluded = types_.PeerExcluded
 Completed = types_.Completed
 Action = types_.Action
--- a/src/clementinegw/wire/_handshake.py
+++ b/src/clementinegw/wire/_handshake.py
@@ -1,9 +1,9 @@
-"""The handshake of two processes: who they are, and proof of a shared key.
+"""Messages of the handshake, which proves that both sides hold a shared key.
 
-The opener sends HELLO with a nonce, the acceptor answers CHALLENGE with its own
-nonce and proof over both, the opener sends PROOF, the acceptor WELCOME. Each
-proof covers the role in the handshake and both identities, so that neither can
-be reflected or passed on for another pair.
+The opener sends HELLO with a nonce. The acceptor answers CHALLENGE with its own
+nonce and a proof over both. The opener sends PROOF, the acceptor WELCOME. Each
+proof covers the side (opener or acceptor) and both instance ids, so that it
+cannot be reflected or relayed to another pair.
 """
 
 import dataclasses
@@ -15,109 +15,128 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.frame import ttypes
 
-PROTOCOL = 1
+PROTOCOL_VERSION = 1
 _ACCEPTOR = b"acceptor"
 _OPENER = b"opener"
 
 
 @dataclasses.dataclass(slots=True)
-class Opened:
-    """What the opener remembers between HELLO and WELCOME."""
+class OpenerState:
+    """The opener's state between HELLO and WELCOME."""
 
     hello: ttypes.Hello
     challenge: ttypes.Challenge | None = None
 
 
 @dataclasses.dataclass(slots=True)
-class Accepted:
-    """What the acceptor remembers between CHALLENGE and PROOF."""
+class AcceptorState:
+    """The acceptor's state between CHALLENGE and PROOF."""
 
     hello: ttypes.Hello
     challenge: ttypes.Challenge
 
 
-def hello(me: _link.Identity) -> ttypes.Hello:
-    """Returns the first message of the opener."""
+def make_hello(own: _link.Identity) -> ttypes.Hello:
+    """Returns a HELLO with a new nonce."""
     return ttypes.Hello(
-        protocol=PROTOCOL,
-        instance_id=me.instance_id,
-        role=me.role.value,
-        region=me.place.region,
-        failure_domain=me.place.failure_domain,
-        incarnation=me.incarnation,
+        protocol=PROTOCOL_VERSION,
+        instance_id=own.instance_id,
+        role=own.role.value,
+        region=own.place.region,
+        failure_domain=own.place.failure_domain,
+        incarnation=own.incarnation,
         nonce=auth.new_nonce(),
     )
 
 
-def challenge(me: _link.Identity, keys: auth.KeyRing, body: bytes) -> Accepted:
-    """Answers a HELLO.
+def answer_hello(
+    own: _link.Identity, keys: auth.KeyRing, body: bytes
+) -> AcceptorState:
+    """Decodes a HELLO and returns it with the CHALLENGE that answers it.
 
     Raises:
-      exceptions.DecodeError: The bytes are no HELLO of this protocol.
+      exceptions.DecodeError: The bytes are not a HELLO of this protocol.
     """
     message = codec.decode(ttypes.Hello, body)
-    if message.protocol != PROTOCOL or len(message.nonce) != auth.NONCE_BYTES:
-        raise exceptions.DecodeError(f"protocol {message.protocol}")
+    if (
+        message.protocol != PROTOCOL_VERSION
+        or len(message.nonce) != auth.NONCE_BYTES
+    ):
+        raise exceptions.DecodeError(
+            f"unsupported HELLO: protocol {message.protocol}, "
+            f"nonce of {len(message.nonce)} bytes"
+        )
     nonce = auth.new_nonce()
-    proof = keys.sign(*_parts(_ACCEPTOR, message, me.instance_id, nonce))
+    proof = keys.sign(
+        *_signed_parts(_ACCEPTOR, message, own.instance_id, nonce)
+    )
     answer = ttypes.Challenge(
-        protocol=PROTOCOL,
-        instance_id=me.instance_id,
+        protocol=PROTOCOL_VERSION,
+        instance_id=own.instance_id,
         nonce=nonce,
         key_id=keys.active,
         proof=proof,
-        role=me.role.value,
-        region=me.place.region,
-        failure_domain=me.place.failure_domain,
-        incarnation=me.incarnation,
+        role=own.role.value,
+        region=own.place.region,
+        failure_domain=own.place.failure_domain,
+        incarnation=own.incarnation,
     )
-    return Accepted(message, answer)
+    return AcceptorState(message, answer)
 
 
-def prove(keys: auth.KeyRing, opened: Opened, body: bytes) -> ttypes.Proof:
-    """Checks a CHALLENGE and answers it.
+def answer_challenge(
+    keys: auth.KeyRing, opened: OpenerState, body: bytes
+) -> ttypes.Proof:
+    """Verifies a CHALLENGE and returns the PROOF that answers it.
 
     Raises:
-      exceptions.DecodeError: The bytes are no CHALLENGE, or its proof is wrong.
+      exceptions.DecodeError: The bytes are not a CHALLENGE, or its proof is
+        wrong.
     """
     answer = codec.decode(ttypes.Challenge, body)
     name = answer.instance_id
-    parts = _parts(_ACCEPTOR, opened.hello, name, answer.nonce)
+    parts = _signed_parts(_ACCEPTOR, opened.hello, name, answer.nonce)
     if not keys.verify(answer.key_id, answer.proof, *parts):
         raise exceptions.DecodeError("the acceptor's proof is wrong")
     opened.challenge = answer
-    proof = keys.sign(*_parts(_OPENER, opened.hello, name, answer.nonce))
+    proof = keys.sign(*_signed_parts(_OPENER, opened.hello, name, answer.nonce))
     return ttypes.Proof(key_id=keys.active, proof=proof)
 
 
-def check(keys: auth.KeyRing, accepted: Accepted, body: bytes) -> None:
-    """Checks a PROOF.
+def check_proof(
+    keys: auth.KeyRing, accepted: AcceptorState, body: bytes
+) -> None:
+    """Verifies a PROOF.
 
     Raises:
-      exceptions.DecodeError: The bytes are no PROOF, or it is wrong.
+      exceptions.DecodeError: The bytes are not a PROOF, or it is wrong.
     """
     message = codec.decode(ttypes.Proof, body)
     answer = accepted.challenge
-    parts = _parts(_OPENER, accepted.hello, answer.instance_id, answer.nonce)
+    parts = _signed_parts(
+        _OPENER, accepted.hello, answer.instance_id, answer.nonce
+    )
     if not keys.verify(message.key_id, message.proof, *parts):
         raise exceptions.DecodeError("the opener's proof is wrong")
 
 
-def identity(message: ttypes.Hello | ttypes.Challenge) -> _link.Identity:
-    """Returns who sent a HELLO or a CHALLENGE.
+def sender_of(message: ttypes.Hello | ttypes.Challenge) -> _link.Identity:
+    """Returns the identity of the sender of a HELLO or a CHALLENGE.
 
     Raises:
-      exceptions.DecodeError: The role is none of ours.
+      exceptions.DecodeError: The role is unknown.
     """
     try:
         role = types.Role(message.role)
     except ValueError as error:
-        raise exceptions.DecodeError(f"role {message.role!r}") from error
+        raise exceptions.DecodeError(
+            f"unknown role {message.role!r}"
+        ) from error
     place = types.Place(message.region, message.failure_domain)
     return _link.Identity(message.instance_id, role, place, message.incarnation)
 
 
-def _parts(
+def _signed_parts(
     side: bytes, opener: ttypes.Hello, acceptor_id: str, nonce: bytes
 ) -> tuple[bytes, ...]:
     return (
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -23,7 +23,7 @@
 from clementinegw.telemetry import histograms
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clocks
-from clementinegw.weights import drawers
+from clementinegw.weights import origin_fetchers
 
 PIECES = 12
 PIECE_BYTES = 4096
@@ -524,7 +524,7 @@
             await site.until_all_hold(2)
             return site.origin.asked
 
-    assert run(scenario()) <= drawers.RANKED
+    assert run(scenario()) <= origin_fetchers.MAX_RANKED_FETCHERS
 
 
 def test_a_manifest_from_another_agent_is_validated():
--- a/tests/weights_fakes.py
+++ b/tests/weights_fakes.py
@@ -1,4 +1,4 @@
-"""A model engine and a gate at the interfaces of `weights.service`."""
+"""A fake engine and a fake gate for `weights.service`."""
 
 import asyncio
 import contextvars
@@ -8,24 +8,35 @@
 from clementinegw.backend import types as backend
 from clementinegw.weights import manifest as manifests
 
-CHUNK = manifests.MIN_CHUNK_BYTES
+CHUNK_BYTES = manifests.MIN_CHUNK_BYTES
 
 
 def version_of(name: str, *parts: bytes):
     """Returns a manifest and its blobs; each part fills one chunk."""
-    data = [(part * CHUNK)[:CHUNK] for part in parts]
-    chunks = [manifests.digest_of(piece) for piece in data]
-    file = manifests.File("weights", len(data) * CHUNK)
-    manifest = manifests.build("gear", name, CHUNK, (file,), chunks)
+    data = [(part * CHUNK_BYTES)[:CHUNK_BYTES] for part in parts]
+    chunks = [manifests.digest_of(content) for content in data]
+    file = manifests.File("weights", len(data) * CHUNK_BYTES)
+    manifest = manifests.build("gear", name, CHUNK_BYTES, (file,), chunks)
     blobs = {
-        manifests.chunk_blob(d): p for d, p in zip(chunks, data, strict=True)
+        manifests.chunk_blob_name(d): p
+        for d, p in zip(chunks, data, strict=True)
     }
-    return manifest, {**blobs, manifest.blob: manifest.encode()}
+    return manifest, {**blobs, manifest.blob_name: manifest.encode()}
 
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """The next n of each kind fail in this way."""
+    """Faults to inject.
+
+    Attributes:
+      answers_lost: How many of the next answers to load orders are lost.
+      orders_late_s: The delays in seconds of the next orders, which take effect
+        after their connection has broken.
+      corrupt_loads: How many of the next loads corrupt a chunk.
+      corrupt_adapters: How many of the next adapter reports have a wrong
+        digest.
+      down: Whether the engine is unreachable.
+    """
 
     answers_lost: int = 0
     orders_late_s: list[float] = dataclasses.field(default_factory=list)
@@ -35,66 +46,70 @@
 
 
 class FakeEngine:
-    """Loads in place, chunk by chunk; its digest is of the bytes in place."""
+    """An engine that loads chunk by chunk, overwriting the loaded weights."""
 
     def __init__(self, checks_fencing: bool = True, load_s: float = 1.0):
         self.checks_fencing = checks_fencing
         self.load_s = load_s
         self.faults = Faults()
         self.chunks: dict[str, bytes] = {}
-        self.in_place: list[str] = []
+        self.loaded_chunks: list[str] = []
         self.version = ""
         self.loading = ""
         self.fencing = 0
         self.orders: list[backend.LoadOrder] = []
         self.adapters: dict[str, str] = {}
         self.puts = 0
-        self._life = 0
-        self._one = asyncio.Lock()
+        self._generation = 0
+        self._load_lock = asyncio.Lock()
 
     @property
     def digest(self) -> str:
-        """What an answer would be computed by at this moment."""
-        return backend.content_digest(self.in_place) if self.in_place else ""
+        """The content digest of the weights that would answer a request now."""
+        return (
+            backend.content_digest(self.loaded_chunks)
+            if self.loaded_chunks
+            else ""
+        )
 
     def crash(self) -> None:
-        """Loses everything."""
-        self._life += 1
+        """Crashes and restarts the engine, losing all weights and chunks."""
+        self._generation += 1
         self.chunks.clear()
         self.adapters.clear()
-        self.in_place = []
+        self.loaded_chunks = []
         self.version = self.loading = ""
         self.fencing = 0
-        self._one = asyncio.Lock()
+        self._load_lock = asyncio.Lock()
 
     async def stage_chunk(self, chunk_digest, data):
-        """Puts a chunk in."""
-        self._reach()
+        """Stages a chunk."""
+        self._check_reachable()
         if manifests.digest_of(data).hex() != chunk_digest:
             return backend.StageResult.CORRUPT
         self.chunks[chunk_digest] = data
         self.puts += 1
         return backend.StageResult.STORED
 
-    async def staged(self, chunk_digest):
-        """Returns a chunk."""
-        self._reach()
+    async def get_staged_chunk(self, chunk_digest):
+        """Returns a staged chunk, or None."""
+        self._check_reachable()
         return self.chunks.get(chunk_digest)
 
-    async def unstage(self, chunk_digest):
-        """Takes a chunk out."""
-        self._reach()
+    async def unstage_chunk(self, chunk_digest):
+        """Removes a staged chunk."""
+        self._check_reachable()
         self.chunks.pop(chunk_digest, None)
 
-    async def staging(self):
-        """Returns what is there."""
-        self._reach()
+    async def staging_status(self):
+        """Returns the status of the staging memory."""
+        self._check_reachable()
         used = sum(map(len, self.chunks.values()))
         return backend.StagingStatus(tuple(self.chunks), used, 1 << 30)
 
     async def status(self):
-        """Returns what the engine says of itself."""
-        self._reach()
+        """Returns the engine's status."""
+        self._check_reachable()
         return backend.EngineStatus(
             model="gear",
             version=self.version,
@@ -110,16 +125,18 @@
         )
 
     async def load(self, order):
-        """Carries an order out, even when nobody hears the answer."""
-        self._reach()
-        life = self._life
+        """Carries out an order, even if its answer does not reach the agent."""
+        self._check_reachable()
+        generation = self._generation
         if self.faults.orders_late_s:
-            # It lies in the accept queue; the agent's connection is gone.
+            # The order is in the accept queue; the agent's connection breaks.
             late_s = self.faults.orders_late_s.pop(0)
-            _apart(self._late(order, late_s, life))
+            _spawn_detached(self._load_later(order, late_s, generation))
             raise exceptions.BackendLost("load: connection lost")
-        answer = await asyncio.shield(_apart(self._load(order, life)))
-        if self._life != life:
+        answer = await asyncio.shield(
+            _spawn_detached(self._load(order, generation))
+        )
+        if self._generation != generation:
             raise exceptions.BackendLost("load: the engine crashed")
         if self.faults.answers_lost:
             self.faults.answers_lost -= 1
@@ -128,7 +145,7 @@
 
     async def load_adapter(self, order):
         """Loads an adapter."""
-        self._reach()
+        self._check_reachable()
         missing = tuple(c for c in order.chunks if c not in self.chunks)
         if missing:
             return backend.OrderRefused(
@@ -141,13 +158,13 @@
             digest = "0" * 64
         return backend.LoadReport(order.version, digest, order.fencing)
 
-    async def _late(self, order, late_s, life):
+    async def _load_later(self, order, late_s, generation):
         await asyncio.sleep(late_s)
-        if life == self._life:
-            await self._load(order, life)
+        if generation == self._generation:
+            await self._load(order, generation)
 
-    async def _load(self, order, life):
-        async with self._one:
+    async def _load(self, order, generation):
+        async with self._load_lock:
             self.orders.append(order)
             if self.checks_fencing and order.fencing < self.fencing:
                 return self._refused(backend.OrderRefusal.FENCING)
@@ -158,42 +175,42 @@
                 )
             self.fencing = order.fencing
             self.loading = order.version
-            await self._replace(order.chunks, life)
-            if life == self._life:
+            await self._replace(order.chunks, generation)
+            if generation == self._generation:
                 self.loading, self.version = "", order.version
             return backend.LoadReport(self.version, self.digest, self.fencing)
 
-    async def _replace(self, chunks, life):
+    async def _replace(self, chunks, generation):
         corrupt = self.faults.corrupt_loads > 0
         self.faults.corrupt_loads -= corrupt
-        pieces = [self.chunks[digest] for digest in chunks]
-        del self.in_place[len(pieces) :]
-        for index, piece in enumerate(pieces):
-            await asyncio.sleep(self.load_s / len(pieces))
-            if life != self._life:
+        chunk_data = [self.chunks[digest] for digest in chunks]
+        del self.loaded_chunks[len(chunk_data) :]
+        for index, data in enumerate(chunk_data):
+            await asyncio.sleep(self.load_s / len(chunk_data))
+            if generation != self._generation:
                 return
             if corrupt and index == 0:
-                piece = b"?" + piece[1:]
-            self.in_place[index : index + 1] = [
-                manifests.digest_of(piece).hex()
+                data = b"?" + data[1:]
+            self.loaded_chunks[index : index + 1] = [
+                manifests.digest_of(data).hex()
             ]
 
     def _refused(self, reason, missing=()):
         return backend.OrderRefused(reason, self.fencing, missing)
 
-    def _reach(self):
+    def _check_reachable(self):
         if self.faults.down:
             raise exceptions.BackendUnreachable("engine: down")
 
 
-def _apart(work):
-    """Runs as the engine's process, also when the agent's is paused."""
+def _spawn_detached(work):
+    """Runs a coroutine outside the agent's process, which may be paused."""
     loop = asyncio.get_running_loop()
     return loop.create_task(work, context=contextvars.Context())
 
 
 class FakeGate:
-    """Lets requests in; a request takes some time on the engine."""
+    """A gate whose requests run on the engine for some time."""
 
     def __init__(self, engine: FakeEngine, request_s: float = 0.5):
         self.engine = engine
@@ -204,10 +221,10 @@
         self.in_flight = 0
         self.mixed = 0
         self.answers: dict[str, int] = {}
-        self.lives = 0
+        self.generation = 0
 
     async def drain(self, timeout_s):
-        """Takes nothing new and waits."""
+        """Stops accepting requests and waits for those in flight."""
         self.open = False
         waited = 0.0
         while self.in_flight and waited < timeout_s:
@@ -216,24 +233,24 @@
         return not self.in_flight
 
     def resume(self, version="", digest=""):
-        """Takes requests again."""
+        """Accepts requests again."""
         self.version, self.digest = version, digest
         self.open = True
 
     def crash(self):
-        """The engine has ended: what is in flight fails, nothing is let in."""
+        """Handles a crash of the engine: requests fail and the gate closes."""
         self.open = False
-        self.lives += 1
+        self.generation += 1
 
     async def request(self):
-        """Runs one request and checks which weights answer it."""
+        """Runs one request and checks that one version answers all of it."""
         if not self.open:
             return
         self.in_flight += 1
-        served, life = self.digest, self.lives
+        served, generation = self.digest, self.generation
         try:
             for _ in range(5):
-                if self.lives != life:
+                if self.generation != generation:
                     return
                 if self.engine.digest != served:
                     self.mixed += 1
@@ -244,7 +261,7 @@
             self.in_flight -= 1
 
     async def traffic(self, every_s: float = 0.1):
-        """Sends requests for ever."""
+        """Sends requests until cancelled."""
         async with asyncio.TaskGroup() as group:
             while True:
                 group.create_task(self.request())
