--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -156,7 +156,7 @@
         self._declared.due_s = instance.bounds.weights_ms / 1e3
 
     async def drain(self) -> None:
-        """Logs that the process stops; staged pieces stay with the server."""
+        """Logs that the process stops; staged chunks stay with the server."""
         self._log.write(events.PROCESS_STOPPING)
 
     async def on_shutdown(self) -> None:
@@ -217,10 +217,10 @@
         self,
         model: str,
         version: int,
-        unread_s: float,
+        lag_s: float,
         source: declarations.Source,
     ) -> None:
-        change = self._declared.record(model, version, unread_s, source)
+        change = self._declared.record(model, version, lag_s, source)
         self._publish_changes([change] if change else [])
 
     def _publish_changes(self, changes: list[declarations.Change]) -> None:
--- a/src/clementinegw/direct/agent_interfaces.py
+++ b/src/clementinegw/direct/agent_interfaces.py
@@ -34,13 +34,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionManifest:
-    """The pieces of one version of a model's weights.
+    """The chunks of one version of a model's weights.
 
     Attributes:
       model: The model's name.
       version: The version's number.
-      chunk_bytes: The size of a piece, in bytes.
-      digests: The SHA-256 digest of each piece.
+      chunk_bytes: The size of a chunk, in bytes.
+      digests: The SHA-256 digest of each chunk.
     """
 
     model: str
@@ -60,18 +60,18 @@
         """Returns the server's current state."""
 
     async def staged(self) -> frozenset[int]:
-        """Returns the numbers of the staged pieces."""
+        """Returns the numbers of the staged chunks."""
 
     async def read_staged(self, number: int) -> bytes | None:
-        """Returns a staged piece, unverified; None if it is missing."""
+        """Returns a staged chunk, unverified; None if it is missing."""
 
     async def stage(self, number: int, data: bytes) -> None:
-        """Stages a piece, replacing any with the same number."""
+        """Stages a chunk, replacing any with the same number."""
 
     async def load(
         self, model: str, version: int, sequence: int, abort_running: bool
     ) -> bool:
-        """Orders the server to load the staged pieces.
+        """Orders the server to load the staged chunks.
 
         Args:
           model: The model's name.
@@ -97,5 +97,5 @@
     ) -> VersionManifest:
         """Returns a version's manifest; the newest one's for version None."""
 
-    async def piece(self, model: str, version: int, number: int) -> bytes:
-        """Returns a piece, unverified."""
+    async def chunk(self, model: str, version: int, number: int) -> bytes:
+        """Returns a chunk, unverified."""
--- a/src/clementinegw/direct/balance.py
+++ b/src/clementinegw/direct/balance.py
@@ -126,7 +126,7 @@
         candidates = self.candidates(requirements)
         if tried:
             candidates = [b for b in candidates if b.server.start not in tried]
-        found = [
+        available = [
             backend
             for backend in self._reachable(candidates, requirements, now)
             if not backend.loading
@@ -136,10 +136,10 @@
             and self.utilization(backend, now) < requirements.max_utilization
         ]
         for preferred in self._preferences(requirements, now):
-            found = [b for b in found if preferred(b)] or found
+            available = [b for b in available if preferred(b)] or available
         # Checked after the preferences: a request waits for the next report
         # rather than go to a server that will soon interrupt it.
-        with_share = [b for b in found if b.has_share(now)]
+        with_share = [b for b in available if b.has_share(now)]
         return min(with_share, key=lambda b: self._score(b, now), default=None)
 
     def has_capacity(self, service: str) -> bool:
@@ -179,8 +179,8 @@
 
     def is_limited(self, requirements: Requirements) -> bool:
         """Returns whether all servers for a request have a rate limit."""
-        found = self.candidates(requirements)
-        return bool(found) and all(b.signals.limited for b in found)
+        candidates = self.candidates(requirements)
+        return bool(candidates) and all(b.signals.limited for b in candidates)
 
     def has_restricted(self, service: str) -> bool:
         """Returns whether a server is unavailable or rate-limited.
@@ -199,9 +199,9 @@
     def is_restricted(self, requirements: Requirements) -> bool:
         """Returns whether all servers are unavailable or rate-limited."""
         now = self._clock()
-        found = self.candidates(requirements)
-        return bool(found) and all(
-            b.available_at(now) > now or b.signals.limited for b in found
+        candidates = self.candidates(requirements)
+        return bool(candidates) and all(
+            b.available_at(now) > now or b.signals.limited for b in candidates
         )
 
     def capacity_until(self, requirements: Requirements, until: float) -> float:
@@ -262,11 +262,11 @@
 
     def _distance_cost(self, domain: str) -> float:
         """Returns the load added for the distance to a failure domain."""
-        found = self._distances.get(domain)
-        if found is None:
+        cost = self._distances.get(domain)
+        if cost is None:
             distance = distance_to(self._regions, self._place, domain)
-            found = self._distances[domain] = _DISTANCE_COSTS[distance]
-        return found
+            cost = self._distances[domain] = _DISTANCE_COSTS[distance]
+        return cost
 
 
 def distance_to(
--- a/src/clementinegw/direct/declarations.py
+++ b/src/clementinegw/direct/declarations.py
@@ -10,7 +10,7 @@
 earliest one wins, regardless of the order and number of messages. Estimates are
 sent as ages, which need no common clock. A datagram's transit time makes an
 estimate late by a few milliseconds. An estimate can only be early because of
-records that may have been unread for a while, by at most `MAX_UNREAD_S`.
+records that may have been unread for a while, by at most `MAX_LAG_S`.
 """
 
 from collections.abc import Callable, Mapping
@@ -26,7 +26,7 @@
 # was stalled; this is how long a stalled connection takes to be noticed. After
 # an outage of the platform for all processes the time starts anew, as otherwise
 # all servers would load at once.
-MAX_UNREAD_S = 1.2
+MAX_LAG_S = 1.2
 # The time that a process takes to start, in seconds.
 _STARTUP_S = 0.5
 # Smaller changes of an estimate are not logged or reported, in seconds.
@@ -119,7 +119,7 @@
         self,
         model: str,
         version: int,
-        unread_s: float,
+        lag_s: float,
         source: Source = Source.STORE,
     ) -> Change | None:
         """Records that a version was found to be declared.
@@ -127,7 +127,7 @@
         Args:
           model: The model's name.
           version: The version's number.
-          unread_s: For how long it may have been declared already, in seconds;
+          lag_s: For how long it may have been declared already, in seconds;
             infinite at the first reading.
           source: Where it was found.
 
@@ -135,19 +135,21 @@
           The change; None if there is none.
         """
         known = {d.version: d.time_known for d in self.for_model(model)}
-        if not math.isinf(unread_s) and not known.get(version, True):
+        if not math.isinf(lag_s) and not known.get(version, True):
             # The store was read anew, for example after it lost its history.
             # The version had been declared before the process started.
             return None
-        if math.isinf(unread_s):
+        if math.isinf(lag_s):
             # Perhaps no process knows the time, for example after a power
             # failure. The version may be due already, but deadlines do not
             # apply to this process right from its start.
-            found = Declaration(version, self._enforced_at - self.due_s, False)
+            declaration = Declaration(
+                version, self._enforced_at - self.due_s, False
+            )
         else:
-            at = self._clock() - min(unread_s, MAX_UNREAD_S)
-            found = Declaration(version, at)
-        return self._update(model, found, source)
+            at = self._clock() - min(lag_s, MAX_LAG_S)
+            declaration = Declaration(version, at)
+        return self._update(model, declaration, source)
 
     def merge_ages(
         self, model: str, ages_s: Mapping[int, float], source: Source
@@ -168,23 +170,25 @@
         return [change for change in changes if change is not None]
 
     def _update(
-        self, model: str, found: Declaration, source: Source
+        self, model: str, declaration: Declaration, source: Source
     ) -> Change | None:
-        if found.version <= 0:
+        if declaration.version <= 0:
             return None
         versions = {d.version: d for d in self.for_model(model)}
-        former = versions.get(found.version)
-        if former is not None and not _supersedes(found, former):
+        former = versions.get(declaration.version)
+        if former is not None and not _supersedes(declaration, former):
             return None
-        versions[found.version] = found
+        versions[declaration.version] = declaration
         kept = _relevant(versions)
-        if found not in kept:
+        if declaration not in kept:
             return None
         self._models[model] = kept
         moved_s = (
-            None if former is None else found.declared_at - former.declared_at
+            None
+            if former is None
+            else declaration.declared_at - former.declared_at
         )
-        return Change(model, found, source, moved_s)
+        return Change(model, declaration, source, moved_s)
 
     def for_model(self, model: str) -> tuple[Declaration, ...]:
         """Returns the declared versions of a model, the newest last."""
@@ -192,7 +196,10 @@
 
     def newest(self) -> dict[str, int]:
         """Returns the newest declared version of each model."""
-        return {name: found[-1].version for name, found in self._models.items()}
+        return {
+            name: declared[-1].version
+            for name, declared in self._models.items()
+        }
 
     def ages_s(self, model: str) -> dict[int, float]:
         """Returns the ages to report to other processes, in seconds by version.
@@ -201,18 +208,18 @@
         Unknown ages are left out, as the receiver would take them for known.
         """
         now = self._clock()
-        found = self.for_model(model)
+        declared = self.for_model(model)
         return {
             d.version: now - d.declared_at
-            for d in found
+            for d in declared
             if d.time_known
-            and (d is found[-1] or now < d.declared_at + self.due_s)
+            and (d is declared[-1] or now < d.declared_at + self.due_s)
         }
 
     def all_ages_s(self) -> dict[str, dict[int, float]]:
         """Returns the ages to report, in seconds by model and version."""
-        found = {model: self.ages_s(model) for model in self._models}
-        return {model: ages for model, ages in found.items() if ages}
+        ages_by_model = {model: self.ages_s(model) for model in self._models}
+        return {model: ages for model, ages in ages_by_model.items() if ages}
 
 
 def log_change(
@@ -226,17 +233,17 @@
       now: The current boot time, in seconds.
       required_at: When the former version stops being served, in boot seconds.
     """
-    found = change.declaration
+    declaration = change.declaration
     event = _events.WEIGHTS_REDATED
     if change.moved_s is None:
         event = _events.WEIGHTS_DECLARED
     log.write(
         event,
         model=change.model,
-        version=found.version,
+        version=declaration.version,
         source=str(change.source),
-        known=found.time_known,
-        age_s=round(now - found.declared_at, 3),
+        known=declaration.time_known,
+        age_s=round(now - declaration.declared_at, 3),
         moved_s=change.moved_s and round(change.moved_s, 3),
         demanded_in_s=round(required_at - now, 3),
     )
@@ -250,16 +257,16 @@
     kept: list[Declaration] = []
     earliest_at = math.inf
     for version in sorted(versions, reverse=True)[:_MAX_VERSIONS]:
-        found = versions[version]
-        if found.declared_at < earliest_at:
-            kept.append(found)
-        if found.time_known:
-            earliest_at = min(earliest_at, found.declared_at)
+        declaration = versions[version]
+        if declaration.declared_at < earliest_at:
+            kept.append(declaration)
+        if declaration.time_known:
+            earliest_at = min(earliest_at, declaration.declared_at)
     return tuple(reversed(kept))
 
 
-def _supersedes(found: Declaration, former: Declaration) -> bool:
+def _supersedes(declaration: Declaration, former: Declaration) -> bool:
     """Returns whether an estimate replaces the former one."""
-    if found.time_known != former.time_known:
-        return found.time_known
-    return found.declared_at < former.declared_at
+    if declaration.time_known != former.time_known:
+        return declaration.time_known
+    return declaration.declared_at < former.declared_at
--- a/src/clementinegw/direct/fetcher.py
+++ b/src/clementinegw/direct/fetcher.py
@@ -1,6 +1,6 @@
-"""Fetches a version's pieces and stages them at the agent's server.
+"""Fetches a version's chunks and stages them at the agent's server.
 
-Pieces come from other agents and from the origin; `weights.transfer` runs the
+Chunks come from other agents and from the origin; `weights.transfer` runs the
 exchange.
 """
 
@@ -25,29 +25,29 @@
 from clementinegw.wire import auth
 from clementinegw.wire import connection as connections
 
-# Versions whose pieces are kept in memory: the one served, the one being
+# Versions whose chunks are kept in memory: the one served, the one being
 # fetched, and one more that was declared meanwhile.
 _VERSIONS_KEPT = 3
 _MIN_STORE_BYTES = 8 << 20
-# The share of the machine's link that pieces may use. The rest is for the local
+# The share of the machine's link that chunks may use. The rest is for the local
 # server's answers, new connections to it, and reports.
 _LINK_SHARE = 0.87
-# The size of one request for a part of a piece, in bytes. On a small machine's
+# The size of one request for a part of a chunk, in bytes. On a small machine's
 # link a streamed event waits for about two parts, well below the delay at which
 # a stream counts as late.
 _PART_BYTES = 8 << 10
 # Concurrent requests to one agent. In a failure domain of two agents, only one
-# peer has the last missing pieces; one request at a time would leave two fifths
+# peer has the last missing chunks; one request at a time would leave two fifths
 # of the link idle during the round trips.
 _REQUESTS_PER_PEER = 2
 # Connections to agents of the same failure domain, enough for all of a dozen.
-# An agent only knows what its neighbours hold, and would otherwise fetch pieces
+# An agent only knows what its neighbours hold, and would otherwise fetch chunks
 # from other regions that an unconnected agent nearby holds.
 _LOCAL_NEIGHBOURS = 16
 # Requests to the origin are spread over time. While the origin's rate is
 # unknown, its link is assumed to be this many times a machine's link; once the
 # rate is known, requests are made at this many times that rate. The sooner all
-# pieces have left the origin, the less is lost if it becomes unreachable, but
+# chunks have left the origin, the less is lost if it becomes unreachable, but
 # requests beyond the link's rate all finish late and block new connections.
 _DEFAULT_ORIGIN_LINKS = 3.0
 _ORIGIN_RATE_FACTOR = 1.1
@@ -65,10 +65,10 @@
 # Copies of a version that may enter a failure domain in addition to the first
 # one, fetched by agents that assist. Traffic between domains is paid for.
 _CROSS_DOMAIN_COPIES = 0.4
-# How often agents announce new pieces to each other, in seconds.
+# How often agents announce new chunks to each other, in seconds.
 _ADVERT_INTERVAL_S = 0.1
 # The same for agents of other failure domains that only assist in importing a
-# piece there, in seconds. They wait longer than that for the agent of their
+# chunk there, in seconds. They wait longer than that for the agent of their
 # domain that is first in line.
 _FAR_ADVERT_INTERVAL_S = 0.3
 # Allows for one ping before a silent peer is dropped.
@@ -78,12 +78,12 @@
 
 
 def digest_of(data: bytes) -> bytes:
-    """Returns the SHA-256 digest that identifies a piece."""
+    """Returns the SHA-256 digest that identifies a chunk."""
     return hashlib.sha256(data).digest()
 
 
 class _OriginBlobStore:
-    """Adapts the origin to a blob store that returns a piece by its digest."""
+    """Adapts the origin to a blob store that returns a chunk by its digest."""
 
     def __init__(self, counters: counters_lib.Counters, clock: clocks.Clock):
         self.failing_since: float | None = None
@@ -98,7 +98,7 @@
         origin: agent_interfaces.Origin,
         manifest: agent_interfaces.VersionManifest,
     ) -> None:
-        """Sets the version whose pieces are requested."""
+        """Sets the version whose chunks are requested."""
         self._origin = origin
         self._manifest = manifest
         self._numbers = {
@@ -114,11 +114,11 @@
         number = self._numbers.get(name)
         if self._origin is None or self._manifest is None or number is None:
             raise exceptions.BlobMissing(
-                f"the origin has no piece {name} of the target"
+                f"the origin has no chunk {name} of the target"
             )
         self._counters.add("weights.origin.calls")
         try:
-            data = await self._origin.piece(
+            data = await self._origin.chunk(
                 self._manifest.model, self._manifest.version, number
             )
         except exceptions.PlatformError:
@@ -138,10 +138,10 @@
 
 
 class Fetcher:
-    """Fetches the pieces of the target version.
+    """Fetches the chunks of the target version.
 
     Attributes:
-      transfer: Exchanges pieces with other agents and the origin.
+      transfer: Exchanges chunks with other agents and the origin.
       origin_bytes_per_s: The rate of the origin's link; an estimate until
         `set_origin_rate` is called.
     """
@@ -200,7 +200,7 @@
 
     @property
     def missing_fraction(self) -> float:
-        """The fraction of the target's pieces that this agent lacks."""
+        """The fraction of the target's chunks that this agent lacks."""
         progress = self.transfer.progress
         if not progress.total:
             return 1.0
@@ -229,22 +229,22 @@
         cached = self._manifest_cache.get(model, version)
         if cached is not None:
             return cached
-        found = await self._manifest_from_agents(model, version)
-        if found is not None:
-            return found
+        manifest = await self._manifest_from_agents(model, version)
+        if manifest is not None:
+            return manifest
         try:
-            found = await origin.manifest(model, version)
+            manifest = await origin.manifest(model, version)
         except exceptions.PlatformError:
             from_agent = await self._manifest_cache.fetch(model, version)
             if from_agent is None:
                 raise
-            found = from_agent
-        if found.version != version or not found.digests:
+            manifest = from_agent
+        if manifest.version != version or not manifest.digests:
             raise exceptions.PlatformUnavailable(
                 f"manifest of {model} is empty or not of version {version}"
             )
-        self._manifest_cache.add(found)
-        return found
+        self._manifest_cache.add(manifest)
+        return manifest
 
     async def _manifest_from_agents(
         self, model: str, version: int
@@ -258,10 +258,10 @@
             return None
         deadline = self._clock.now() + _ASK_TIMEOUT_S
         while self._clock.now() < deadline:
-            found = await self._manifest_cache.fetch(model, version, askers)
-            if found is not None:
-                self._manifest_cache.add(found)
-                return found
+            manifest = await self._manifest_cache.fetch(model, version, askers)
+            if manifest is not None:
+                self._manifest_cache.add(manifest)
+                return manifest
             await asyncio.sleep(_ASK_INTERVAL_S)
         return None
 
@@ -276,7 +276,7 @@
         return fleet.ranked(name, origin_fetchers.DrawPolicy.FLEET, "")
 
     def holds_all(self, manifest: agent_interfaces.VersionManifest) -> bool:
-        """Returns whether this agent holds every piece of a version."""
+        """Returns whether this agent holds every chunk of a version."""
         return all(self._store.holds(digest) for digest in manifest.digests)
 
     async def listen(self) -> None:
@@ -306,10 +306,10 @@
         """Starts to fetch a version and abandons the former target.
 
         Args:
-          origin: The origin of its pieces.
+          origin: The origin of its chunks.
           manifest: The version's manifest.
           is_new: Whether it has just been declared, so that no agent has any
-            piece.
+            chunk.
         """
         if manifest == self._manifest:
             return
@@ -320,10 +320,10 @@
             manifest_cache.to_swarm_manifest(manifest), is_new
         )
 
-    def assigned_pieces(
+    def assigned_chunks(
         self, manifest: agent_interfaces.VersionManifest
     ) -> list[int]:
-        """Returns the missing pieces that this agent fetches first of all."""
+        """Returns the missing chunks that this agent fetches first of all."""
         firsts = self.transfer.assigned_chunks(
             manifest_cache.to_swarm_manifest(manifest)
         )
@@ -335,14 +335,14 @@
         manifest: agent_interfaces.VersionManifest,
         number: int,
     ) -> bool:
-        """Fetches one piece outside the exchange; returns whether it was kept.
+        """Fetches one chunk outside the exchange; returns whether it was kept.
 
         Raises:
-          exceptions.PlatformError: The origin did not return the whole piece.
+          exceptions.PlatformError: The origin did not return the whole chunk.
         """
         # Lowest priority: traffic of the exchange uses the link first.
         await self.transfer.wait_for_bandwidth(manifest.chunk_bytes)
-        data = await origin.piece(manifest.model, manifest.version, number)
+        data = await origin.chunk(manifest.model, manifest.version, number)
         return await self._store.put(manifest.digests[number], data)
 
     async def restore_staged(
@@ -350,7 +350,7 @@
         local_server: agent_interfaces.LocalServer,
         manifest: agent_interfaces.VersionManifest,
     ) -> int:
-        """Stores staged pieces that match a version; returns how many did."""
+        """Stores staged chunks that match a version; returns how many did."""
         stored = 0
         for number in sorted(await local_server.staged()):
             if number >= len(manifest.digests):
@@ -367,17 +367,17 @@
         local_server: agent_interfaces.LocalServer,
         manifest: agent_interfaces.VersionManifest,
     ) -> bool:
-        """Stages every piece at the server and verifies it by reading it back.
+        """Stages every chunk at the server and verifies it by reading it back.
 
         Staged data may become corrupt or belong to an older version, and the
         server does not check it: it would generate tokens with corrupt layers.
-        So every piece is compared with its digest right before the load order.
+        So every chunk is compared with its digest right before the load order.
 
         Returns:
-          Whether all pieces are staged; False if one was missing or corrupt.
+          Whether all chunks are staged; False if one was missing or corrupt.
         """
-        # Usually nothing is staged yet. Reading every missing piece took a
-        # third of all calls between the last piece and the order.
+        # Usually nothing is staged yet. Reading every missing chunk took a
+        # third of all calls between the last chunk and the order.
         staged = await local_server.staged()
         for number, digest in enumerate(manifest.digests):
             existing = None
@@ -394,7 +394,7 @@
             if existing is None or digest_of(existing) != digest:
                 self._log.write(_events.STAGED_SPOILT, piece=number)
                 return False
-        # A server that restarted meanwhile has lost the verified pieces.
+        # A server that restarted meanwhile has lost the verified chunks.
         return set(range(len(manifest.digests))) <= await local_server.staged()
 
 
@@ -403,7 +403,7 @@
 
     A version must serve within seconds of its declaration, so a stalled
     request is given up after about a second, and the agent that is next in line
-    for a piece requests it from the origin just as soon.
+    for a chunk requests it from the origin just as soon.
     """
     return swarm.Limits(
         outstanding=4,
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -118,9 +118,9 @@
     def apply(
         self,
         batch: topic_watch.Batch,
-        whole: bool,
-        settled_s: float,
-        away_s: float = math.inf,
+        is_snapshot: bool,
+        available_s: float,
+        outage_s: float = math.inf,
         now: float = 0.0,
     ) -> None:
         """Applies records of the platform's server list.
@@ -128,20 +128,20 @@
         Args:
           batch: The records. A record without a value means that the server is
             gone; an unreadable one lists no server.
-          whole: Whether the batch is complete, so that servers missing from it
-            are gone.
-          settled_s: How long the platform has answered without failure, in
+          is_snapshot: Whether the batch is complete, so that servers missing
+            from it are gone.
+          available_s: How long the platform has answered without failure, in
             seconds.
-          away_s: How long it did not answer before, in seconds.
+          outage_s: How long it did not answer before, in seconds.
           now: Monotonic seconds.
         """
         last = {record.key: record.value for record in batch.records}
         gone = {key for key, value in last.items() if value is None}
-        if whole:
+        if is_snapshot:
             gone |= set(self._backends) - set(last)
-        left_s = self.listing_expiry.times.relist_s - settled_s
+        left_s = self.listing_expiry.times.relist_s - available_s
         if not self.listing_expiry.likely_expired(
-            gone, set(self._backends), left_s, away_s
+            gone, set(self._backends), left_s, outage_s
         ):
             left_s = 0.0
         for record in batch.records:
@@ -182,17 +182,17 @@
         for key, backend in self._backends.items():
             backend.set_followed(key in server_ids, now)
 
-    def drop_missing(self, settled_s: float, now: float = 0.0) -> None:
+    def drop_missing(self, available_s: float, now: float = 0.0) -> None:
         """Drops servers still missing after the platform has recovered.
 
         Args:
-          settled_s: How long the platform has answered without failure, in
+          available_s: How long the platform has answered without failure, in
             seconds.
           now: Monotonic seconds.
         """
-        settled = settled_s >= self.listing_expiry.times.relist_s
+        recovered = available_s >= self.listing_expiry.times.relist_s
         for key, backend in list(self._backends.items()):
-            if backend.missing and (settled or now >= backend.missing_until):
+            if backend.missing and (recovered or now >= backend.missing_until):
                 self._drop(key)
         self._rebuild_index()
 
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -208,13 +208,13 @@
             job.request, job.customer_name, self._clock()
         ):
             return self._placer.refuse(job, Reason.CRASHES_SERVERS)
-        place = await self._placer.reserve(job)
-        if isinstance(place, outcomes.Refusal):
-            return place
+        reservation = await self._placer.reserve(job)
+        if isinstance(reservation, outcomes.Refusal):
+            return reservation
         try:
-            return await self._send(job, place.backend)
+            return await self._send(job, reservation.backend)
         finally:
-            place.release()
+            reservation.release()
 
     async def _send(
         self, job: attempts.Job, backend: backend_lib.Backend
--- a/src/clementinegw/direct/manifest_cache.py
+++ b/src/clementinegw/direct/manifest_cache.py
@@ -2,12 +2,12 @@
 
 Manifests come from the origin. Without sharing, an agent that starts while the
 origin is down gets one only after the origin recovers, and then still has to
-fetch all pieces: six replaced servers served four seconds after the others,
-although every other agent nearby held nine tenths of the pieces.
+fetch all chunks: six replaced servers served four seconds after the others,
+although every other agent nearby held nine tenths of the chunks.
 
 In a large fleet a few agents ask the origin and the others ask them. When 102
 agents asked at once, an origin that accepts 48 connections reset the other
-connections, including some that were transferring pieces.
+connections, including some that were transferring chunks.
 """
 
 from collections.abc import Collection
@@ -27,7 +27,7 @@
 # suspended one does not answer.
 _MAX_ASKED = 3
 _ANSWER_TIMEOUT_S = 0.3
-# The number of cached manifests: one more than the versions whose pieces are
+# The number of cached manifests: one more than the versions whose chunks are
 # kept.
 _MAX_CACHED = 4
 
@@ -71,7 +71,7 @@
     ) -> agent_interfaces.VersionManifest | None:
         """Returns a manifest from another agent; None if no agent has it.
 
-        Wrong digests cause no harm beyond a delay, as no piece matches them.
+        Wrong digests cause no harm beyond a delay, as no chunk matches them.
 
         Args:
           model: The model's name.
@@ -97,10 +97,10 @@
             except (exceptions.ConnectionLost, TimeoutError):
                 self._counters.add("weights.digests.unanswered")
                 continue
-            found = self.decode(frame.body, model, version)
-            if found is not None:
+            manifest = self.decode(frame.body, model, version)
+            if manifest is not None:
                 self._counters.add("weights.digests.from_agents")
-                return found
+                return manifest
         return None
 
     def decode(
@@ -110,16 +110,16 @@
         if not body:
             return None
         try:
-            found = manifests.decode(body, manifests.digest_of(body).hex())
+            manifest = manifests.decode(body, manifests.digest_of(body).hex())
         except exceptions.DecodeError:
             self._counters.add("weights.digests.unreadable")
             return None
-        if (found.model, found.version) != (model, str(version)):
+        if (manifest.model, manifest.version) != (model, str(version)):
             self._counters.add("weights.digests.unreadable")
             return None
-        digests = tuple(chunk.digest for chunk in found.chunks)
+        digests = tuple(chunk.digest for chunk in manifest.chunks)
         return agent_interfaces.VersionManifest(
-            model, version, found.chunk_bytes, digests
+            model, version, manifest.chunk_bytes, digests
         )
 
     async def _on_get(
@@ -138,7 +138,7 @@
 def to_swarm_manifest(
     manifest: agent_interfaces.VersionManifest,
 ) -> manifests.Manifest:
-    """Returns a version's manifest in the format of the piece exchange."""
+    """Returns a version's manifest in the format of the chunk exchange."""
     size = manifest.chunk_bytes * len(manifest.digests)
     return manifests.Manifest(
         model=manifest.model,
--- a/src/clementinegw/direct/placement.py
+++ b/src/clementinegw/direct/placement.py
@@ -279,14 +279,14 @@
     def _estimator(
         self, service: str, engine: types.Engine
     ) -> latency_estimator.LatencyEstimator:
-        found = self._estimators.get(service)
-        if found is None:
+        estimator = self._estimators.get(service)
+        if estimator is None:
             pass_s = engine.pass_s
-            found = latency_estimator.LatencyEstimator(
+            estimator = latency_estimator.LatencyEstimator(
                 _FIRST_EVENT_PASSES * pass_s, _MAX_FIRST_EVENT_PASSES * pass_s
             )
-            self._estimators[service] = found
-        return found
+            self._estimators[service] = estimator
+        return estimator
 
     def _requirements(self, job: attempts.Job) -> balance.Requirements:
         """Returns the current requirements of a request on its server."""
@@ -303,16 +303,18 @@
         )
 
     def _queue(self, service: str) -> queue.Queue:
-        found = self._queues.get(service)
-        if found is None:
+        service_queue = self._queues.get(service)
+        if service_queue is None:
             policy = (
                 self._engine_policy
                 if self._config_view.engine(service)
                 else _PLAIN_POLICY
             )
-            found = queue.Queue(service, self._balancer, policy, self._clock)
-            self._queues[service] = found
-        return found
+            service_queue = queue.Queue(
+                service, self._balancer, policy, self._clock
+            )
+            self._queues[service] = service_queue
+        return service_queue
 
     def _draw_share(self, span: tuple[float, float]) -> float:
         """Returns a random fraction from a range."""
--- a/src/clementinegw/direct/plan.py
+++ b/src/clementinegw/direct/plan.py
@@ -11,7 +11,7 @@
 _NO_ABANDONED: Mapping[int, float] = builtin_types.MappingProxyType({})
 
 # How far an agent's own missing fraction may differ from the estimate for all
-# agents before its own is used. The order of pieces and single late pieces
+# agents before its own is used. The order of chunks and single late chunks
 # account for differences of 0.1 to 0.2.
 _MAX_PROGRESS_DEVIATION = 0.35
 
@@ -22,7 +22,7 @@
 
     Attributes:
       version: The version's number.
-      missing: The fraction of its pieces that is missing.
+      missing: The fraction of its chunks that is missing.
     """
 
     version: int
@@ -35,7 +35,7 @@
 
     Attributes:
       fetch_s: The time to fetch a whole version over the links.
-      swap_s: The time from the last piece until servers serve the version.
+      swap_s: The time from the last chunk until servers serve the version.
       due_s: The time after its declaration by which a version must serve.
     """
 
@@ -66,12 +66,12 @@
       now: The current boot time, in seconds.
       excluded: Versions that have stalled or are served already.
       abandoned_missing: For versions that were replaced as the target before
-        they were complete, the fraction of pieces missing at that time.
+        they were complete, the fraction of chunks missing at that time.
     """
     if not declared:
         return 0
     # The origin may become unreachable right after a newer version is declared,
-    # while the agents hold the pieces of the older one between them. Without
+    # while the agents hold the chunks of the older one between them. Without
     # the older one no server could serve from its due time on. If all versions
     # stall, the newest is tried again.
     usable = _servable_before_next(
@@ -104,16 +104,16 @@
     timing: RolloutTiming,
     now: float,
 ) -> bool:
-    """Returns whether an older version's last pieces go before the newest.
+    """Returns whether an older version's last chunks go before the newest.
 
-    If the older version is abandoned just before its last pieces leave the
+    If the older version is abandoned just before its last chunks leave the
     origin, and the origin becomes unreachable before it has sent the newest,
     neither version can be completed and no server may start requests.
 
     Args:
       older: The version that is being fetched.
       newest: The version that would be delayed.
-      unspread_s: How long the origin takes to send the pieces of the older
+      unspread_s: How long the origin takes to send the chunks of the older
         version that no agent has, in seconds.
       timing: The durations of a rollout.
       now: The current boot time, in seconds.
@@ -143,10 +143,10 @@
     Finishing a version after that time is useless and delays the newest one.
     The newest version is always included.
     """
-    found = []
+    useful = []
     for version, newer in zip(declared, declared[1:], strict=False):
         # A version that was never the target counts as complete, as it is
-        # unknown which of its pieces are missing. An abandoned version counts
+        # unknown which of its chunks are missing. An abandoned version counts
         # with the fraction that was missing then: if it counted as complete, it
         # would be resumed at once and abandoned again in the next step.
         missing = abandoned_missing.get(version.version, 0.0)
@@ -154,8 +154,8 @@
             missing = current.missing
         serves_at = now + missing * timing.fetch_s + timing.swap_s
         if serves_at < newer.declared_at + timing.due_s:
-            found.append(version)
-    return [*found, declared[-1]]
+            useful.append(version)
+    return [*useful, declared[-1]]
 
 
 def _expected_missing(
@@ -163,7 +163,7 @@
 ) -> float:
     """Returns the missing fraction, estimated alike by all agents.
 
-    Agents whose progress differs by a few pieces must not decide differently:
+    Agents whose progress differs by a few chunks must not decide differently:
     half of them would drop a version that the others finish, which then takes
     longer. So the fraction is derived from the declaration time, which all of
     them know. An agent uses its own fraction only if it is far off.
--- a/src/clementinegw/direct/prefetch.py
+++ b/src/clementinegw/direct/prefetch.py
@@ -1,7 +1,7 @@
-"""Fetches pieces of a newer version while an older one is still exchanged.
+"""Fetches chunks of a newer version while an older one is still exchanged.
 
 The origin's link is idle once it has sent one copy, long before the agents have
-exchanged it. Pieces of the next version that are fetched meanwhile are already
+exchanged it. Chunks of the next version that are fetched meanwhile are already
 distributed over the agents when that version becomes the target, and stay
 available if the origin becomes unreachable by then.
 """
@@ -17,7 +17,7 @@
 
 
 class Prefetcher:
-    """Fetches the pieces of a later version that are assigned to this agent."""
+    """Fetches the chunks of a later version that are assigned to this agent."""
 
     def __init__(
         self,
@@ -28,9 +28,9 @@
         """Creates an idle prefetcher.
 
         Args:
-          fetcher: Fetches and stores the pieces.
+          fetcher: Fetches and stores the chunks.
           log: Where events go.
-          counters: Counts the fetched pieces.
+          counters: Counts the fetched chunks.
         """
         self._fetcher = fetcher
         self._log = log
@@ -50,9 +50,9 @@
         self._task = asyncio.ensure_future(self._fetch(origin, model, version))
 
     async def stop(self) -> None:
-        """Stops after the current piece and waits for it.
+        """Stops after the current chunk and waits for it.
 
-        Otherwise the exchange would fetch that piece from the origin again.
+        Otherwise the exchange would fetch that chunk from the origin again.
         """
         self._stopping = True
         if self._task is not None:
@@ -71,7 +71,7 @@
             manifest = await self._fetcher.fetch_manifest(
                 origin, model, version
             )
-            for number in self._fetcher.assigned_pieces(manifest):
+            for number in self._fetcher.assigned_chunks(manifest):
                 if self._stopping:
                     break
                 fetched += await self._fetcher.fetch_from_origin(
--- a/src/clementinegw/direct/queue.py
+++ b/src/clementinegw/direct/queue.py
@@ -209,7 +209,7 @@
             self._timer = loop.call_later(_DISPATCH_INTERVAL_S, self._on_timer)
 
     def _record_wait(
-        self, waiter: Waiter, late: bool, found: bool, now: float
+        self, waiter: Waiter, late: bool, placed: bool, now: float
     ) -> None:
         """Updates the limit for late requests from the wait of a request."""
         if waiter.counted:
@@ -220,7 +220,7 @@
             # its capacity.
             if self._balancer.candidates(waiter.requirements()):
                 self._late_limit.record_miss()
-        elif found:
+        elif placed:
             self._late_limit.record_placed(now - waiter.queued_at)
 
     def _will_expire(self, waiter: Waiter, ahead: _Ahead) -> bool:
--- a/src/clementinegw/direct/signals.py
+++ b/src/clementinegw/direct/signals.py
@@ -197,20 +197,20 @@
 
     def get(self, start: types.ServerStart) -> Signals:
         """Returns the signals of a start, which are new for a new start."""
-        found = self._by_server.get(start.server_id)
-        if found is None or not found.start.matches(start):
-            found = Signals(
+        signals = self._by_server.get(start.server_id)
+        if signals is None or not signals.start.matches(start):
+            signals = Signals(
                 start,
                 self._fleet_position,
                 self._wall_clock,
                 self._log,
                 self._counters,
             )
-            self._by_server[start.server_id] = found
+            self._by_server[start.server_id] = signals
         elif start.started_ms:
             # The platform may list a start before its start time is known.
-            found.start = start
+            signals.start = start
         self._by_server.move_to_end(start.server_id)
         while len(self._by_server) > _MAX_STARTS:
             self._by_server.popitem(last=False)
-        return found
+        return signals
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -121,26 +121,26 @@
     def _update_followed(self) -> None:
         """Selects the servers that the entry follows."""
         self._serving = self._find_serving()
-        found: set[str] = set()
+        followed: set[str] = set()
         for service in self._fleet.services():
             backends = [b for b in self._fleet.of(service) if not b.retired]
             if self._config_view.engine(service) is None:
                 # Plain servers have no agent to report on them, and are few.
-                found.update(b.server.server_id for b in backends)
+                followed.update(b.server.server_id for b in backends)
             else:
-                found |= subsetting.select_followed(
+                followed |= subsetting.select_followed(
                     self._instance.name, [self._candidate(b) for b in backends]
                 )
-        self._fleet.set_followed(found, self._clock())
-        if found != self._followed:
-            self._followed = found
-            self._log_followed(found)
+        self._fleet.set_followed(followed, self._clock())
+        if followed != self._followed:
+            self._followed = followed
+            self._log_followed(followed)
 
-    def _log_followed(self, found: set[str]) -> None:
-        self._counters.gauge("direct.servers.followed", len(found))
+    def _log_followed(self, followed: set[str]) -> None:
+        self._counters.gauge("direct.servers.followed", len(followed))
         self._log.write(
             _events.FOLLOWING_CHANGED,
-            followed=len(found),
+            followed=len(followed),
             listed=sum(1 for _ in self._fleet.all()),
             serving=sum(self._serving.values()),
         )
@@ -155,7 +155,7 @@
 
     def _find_serving(self) -> dict[str, bool]:
         """Returns for each engine server whether a request may start there."""
-        found: dict[str, bool] = {}
+        serving: dict[str, bool] = {}
         for service in self._fleet.services():
             engine = self._config_view.engine(service)
             if engine is None:
@@ -163,13 +163,13 @@
             model = engine.models[0] if engine.models else ""
             least = self._versions.preferred(model, self._versions.now)
             for backend in self._fleet.of(service):
-                found[backend.server.server_id] = (
+                serving[backend.server.server_id] = (
                     backend.serves(max(1, least), engine.layers)
                     and not backend.retired
                     and not backend.loading
                     and not backend.yielding
                 )
-        return found
+        return serving
 
     def _subscriptions_by_agent(
         self,
--- a/src/clementinegw/direct/subsetting.py
+++ b/src/clementinegw/direct/subsetting.py
@@ -53,9 +53,9 @@
     ranked = sorted(candidates, key=lambda c: _hash(entry, c.server_id))
     near = [c for c in ranked if c.near][:_MAX_NEAR]
     far = [c for c in ranked if not c.near]
-    found = near + far[: max(_MIN_FAR, _MAX_NEAR - len(near))]
-    chosen = {c.server_id for c in found}
-    missing = _MIN_SERVING - sum(c.serves for c in found)
+    followed = near + far[: max(_MIN_FAR, _MAX_NEAR - len(near))]
+    chosen = {c.server_id for c in followed}
+    missing = _MIN_SERVING - sum(c.serves for c in followed)
     extra = [c for c in ranked if c.serves and c.server_id not in chosen]
     chosen.update(c.server_id for c in extra[: max(0, missing)])
     return frozenset(chosen)
--- a/src/clementinegw/direct/suspects.py
+++ b/src/clementinegw/direct/suspects.py
@@ -248,7 +248,7 @@
             report its completion.
           now: Monotonic seconds.
         """
-        found = []
+        suspicions = []
         for key, record in reversed(self._records.items()):
             crashes, completed = reported(record)
             age_s = now - record.completed_at
@@ -256,10 +256,10 @@
                 age_s if completed and age_s < _PUBLISH_S else None
             )
             if crashes or completed_age_s is not None:
-                found.append(Suspicion(key, crashes, completed_age_s))
-            if len(found) == MAX_SUSPICIONS:
+                suspicions.append(Suspicion(key, crashes, completed_age_s))
+            if len(suspicions) == MAX_SUSPICIONS:
                 break
-        return tuple(found)
+        return tuple(suspicions)
 
     def merge(self, suspicions: Iterable[Suspicion], now: float) -> None:
         """Merges observations of others; ignores malformed and too old ones."""
--- a/src/clementinegw/direct/swap_schedule.py
+++ b/src/clementinegw/direct/swap_schedule.py
@@ -54,8 +54,8 @@
 ) -> SwapTimes:
     """Returns when a server drains and loads.
 
-    The first group drains while its last pieces arrive, so that its requests
-    have ended by then. If pieces arrive late, the groups load at shorter
+    The first group drains while its last chunks arrive, so that its requests
+    have ended by then. If chunks arrive late, the groups load at shorter
     intervals and drain for a shorter time: when all groups drained for the
     whole time, no server was left for a second.
 
@@ -63,7 +63,7 @@
       server_id: The server's id.
       servers: The ids of all servers.
       version: The version; the order of the servers differs between versions.
-      complete_at: When the server has every piece, in boot seconds.
+      complete_at: When the server has every chunk, in boot seconds.
       latest_at: When the last group must load to serve in time, in boot
         seconds.
       policy: How the loads are spread over time.
--- a/src/clementinegw/direct/updater.py
+++ b/src/clementinegw/direct/updater.py
@@ -34,7 +34,7 @@
 # full rate.
 _FETCH_TIME_FACTOR = 1.22
 _VERSIONS_KEPT = 3
-# How long a version may get no new piece before it counts as stalled and
+# How long a version may get no new chunk before it counts as stalled and
 # another declared version is fetched, in seconds. Agents abandon the newest
 # version within a second of each other. An agent that abandoned an older one as
 # quickly would leave it just as the others switch to it, and no version would
@@ -42,15 +42,15 @@
 _STALL_TIMEOUT_S = 1.0
 _OLDER_STALL_TIMEOUT_S = 3.0
 # How long requests to the origin may fail before the newest version counts as
-# stalled, in seconds. Pieces that have left the origin still arrive then, but
+# stalled, in seconds. Chunks that have left the origin still arrive then, but
 # others are missing at every agent.
 _ORIGIN_FAILURE_TIMEOUT_S = 0.5
 # How long a stalled version is excluded, in seconds.
 _STALL_COOLDOWN_S = 4.0
 
 
-# No agent has pieces of a version that was declared less than this ago, in
-# seconds: the first piece is requested from the origin after 0.1 s.
+# No agent has chunks of a version that was declared less than this ago, in
+# seconds: the first chunk is requested from the origin after 0.1 s.
 _NEW_VERSION_S = 0.3
 
 
@@ -98,10 +98,10 @@
         # the most recently listed one.
         newest = max(
             enumerate(same_address),
-            key=lambda found: (
-                found[1].started_ms == started_ms,
-                found[1].started_ms,
-                found[0],
+            key=lambda indexed: (
+                indexed[1].started_ms == started_ms,
+                indexed[1].started_ms,
+                indexed[0],
             ),
             default=None,
         )
@@ -134,7 +134,7 @@
 
         Args:
           context: What the agent knows; the agent keeps it up to date.
-          fetcher: Fetches pieces.
+          fetcher: Fetches chunks.
           log: Where events go.
           counters: Counts load orders.
           histograms: Records the time from a declaration to the load order.
@@ -146,7 +146,7 @@
         self._counters = counters
         self._histograms = histograms
         # Stalls are measured with a clock that stops while the machine is
-        # suspended, as no piece can arrive then. Due times use boot time.
+        # suspended, as no chunk can arrive then. Due times use boot time.
         self._clock = asyncio.get_running_loop().time
         self._declared = declared
         self._prefetcher = prefetch.Prefetcher(fetcher, log, counters)
@@ -190,7 +190,7 @@
 
     @property
     def _halted(self) -> bool:
-        """Whether pieces are missing and none is arriving."""
+        """Whether chunks are missing and none is arriving."""
         if self._fetcher.missing_fraction <= 0:
             return False
         quiet_s = self._clock() - self._progress_at
@@ -270,23 +270,23 @@
         if not version:
             return
         await self._prefetcher.stop()
-        found = self._manifests.get(version)
-        if found is None:
-            found = await self._fetcher.fetch_manifest(
+        new_manifest = self._manifests.get(version)
+        if new_manifest is None:
+            new_manifest = await self._fetcher.fetch_manifest(
                 self._context.origin, self._context.model, version
             )
-        self._manifests[version] = found
+        self._manifests[version] = new_manifest
         for old in sorted(self._manifests)[:-_VERSIONS_KEPT]:
             del self._manifests[old]
         staged = 0
         if self._context.local_server is not None:
             staged = await self._fetcher.restore_staged(
-                self._context.local_server, found
+                self._context.local_server, new_manifest
             )
         self._log.write(
             _events.WEIGHTS_WANTED,
             version=version,
-            pieces=len(found.digests),
+            pieces=len(new_manifest.digests),
             staged=staged,
             was=manifest.version if manifest is not None else 0,
             was_left=round(self._fetcher.missing_fraction, 3),
@@ -304,10 +304,10 @@
             and self._declared.now - declared.declared_at < _NEW_VERSION_S
             for declared in self._declared.for_model(self._context.model)
         )
-        self._fetcher.set_target(self._context.origin, found, is_new)
+        self._fetcher.set_target(self._context.origin, new_manifest, is_new)
 
     def _must_finish_spreading(self, version: int, newer: int) -> bool:
-        """Returns whether to finish a version's last pieces before a newer one.
+        """Returns whether to finish a version's last chunks before a newer one.
 
         See `plan.should_finish_spreading`.
         """
@@ -410,7 +410,7 @@
         if not await self._fetcher.stage(self._context.local_server, manifest):
             return
         state = await self._context.local_server.state()
-        # After a restart, the staged pieces and the state that led to this load
+        # After a restart, the staged chunks and the state that led to this load
         # are gone.
         if state.busy or not _same_start(observed, former, state):
             return
@@ -422,7 +422,7 @@
             return
         # Running streams are aborted: they last for seconds, while resuming
         # them at another server takes a quarter of a second.
-        # The sequence is the one from before the pieces were staged: a server
+        # The sequence is the one from before the chunks were staged: a server
         # that restarted since has accepted no order and refuses this one.
         begun = await self._context.local_server.load(
             self._context.model,
@@ -481,7 +481,7 @@
     ) -> float:
         """Returns the time at which the load no longer waits for requests.
 
-        This may be later than planned: if the pieces arrived earlier than
+        This may be later than planned: if the chunks arrived earlier than
         estimated, the server started to drain later than its schedule says.
         """
         yielded_at = self._yielding_since + times.load_at - times.yield_at
--- a/src/clementinegw/direct/version_policy.py
+++ b/src/clementinegw/direct/version_policy.py
@@ -14,7 +14,7 @@
 # in seconds.
 _PREFER_LEAD_S = 0.3
 # The time before a version is required in which the servers without it load it,
-# in seconds. They load in groups, as late as possible if pieces arrive late.
+# in seconds. They load in groups, as late as possible if chunks arrive late.
 _STABLE_LEAD_S = 1.3
 # How long before a newer version is due a request that has not started is
 # withdrawn from a server with an older one, in seconds: a few round trips.
@@ -61,16 +61,16 @@
         return self._clock()
 
     def record_declared(
-        self, declared: types.DeclaredVersion, unread_s: float = 0.0
+        self, declared: types.DeclaredVersion, lag_s: float = 0.0
     ) -> declarations.Change | None:
         """Records a declaration; returns the change or None if there is none.
 
         Args:
           declared: The record that the operators wrote.
-          unread_s: For how long it may have been declared already, in seconds;
+          lag_s: For how long it may have been declared already, in seconds;
             infinite if the process found it declared at its start.
         """
-        return self._declared.record(declared.model, declared.version, unread_s)
+        return self._declared.record(declared.model, declared.version, lag_s)
 
     def merge_ages(
         self, model: str, ages_s: Mapping[int, float]
@@ -92,9 +92,9 @@
         """Returns the newest declared version of each model."""
         return self._declared.newest()
 
-    def required_at(self, found: declarations.Declaration) -> float:
+    def required_at(self, declaration: declarations.Declaration) -> float:
         """Returns when former versions stop starting requests."""
-        return found.declared_at + self.due_s - _DISPATCH_MARGIN_S
+        return declaration.declared_at + self.due_s - _DISPATCH_MARGIN_S
 
     def required(self, model: str, now: float) -> int | None:
         """Returns the lowest version that may start a request; None for any."""
@@ -119,9 +119,9 @@
     def _required_by(self, model: str, until: float) -> int:
         """Returns the newest version that is required by a time; 0 for none."""
         required = [
-            found.version
-            for found in self._declared.for_model(model)
-            if self.required_at(found) <= until
+            declaration.version
+            for declaration in self._declared.for_model(model)
+            if self.required_at(declaration) <= until
         ]
         return max(required, default=0)
 
@@ -139,9 +139,9 @@
           The boot time, in seconds; infinite if no newer version is declared.
         """
         newer = [
-            self.required_at(found)
-            for found in self._declared.for_model(model)
-            if found.version > held
+            self.required_at(declaration)
+            for declaration in self._declared.for_model(model)
+            if declaration.version > held
         ]
         grace_s = _DISPATCH_MARGIN_S - _WITHDRAW_LEAD_S
         return min(newer, default=math.inf) + grace_s
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -25,8 +25,8 @@
 from clementinegw.testing import clock as clocks
 from clementinegw.weights import origin_fetchers
 
-PIECES = 12
-PIECE_BYTES = 4096
+CHUNKS = 12
+CHUNK_BYTES = 4096
 PORT = 17_731
 # Agents of one deployment share a port and have an address each. Tests run in
 # several processes at once, so each process has its own loopback network.
@@ -34,8 +34,8 @@
 MODEL = "m"
 
 
-def piece(version, number):
-    return random.Random(f"{version}/{number}").randbytes(PIECE_BYTES)
+def chunk(version, number):
+    return random.Random(f"{version}/{number}").randbytes(CHUNK_BYTES)
 
 
 def digest(data):
@@ -43,17 +43,17 @@
 
 
 class LocalServer:
-    """A model server that loads staged pieces without checking them."""
+    """A model server that loads staged chunks without checking them."""
 
     def __init__(self):
-        self.staged_pieces = {}
+        self.staged_chunks = {}
         self.held = ()
         self.busy_until = 0.0
         self.sequence = 0
         self.started_ms = 0
         self.loads = []
         self.loads_intact = []
-        self.corrupt_one_piece = False
+        self.corrupt_one_chunk = False
         self.restart_while_staging = False
         self.restart_when_staged = 0
         self.lose_answer = False
@@ -67,34 +67,34 @@
         )
 
     async def staged(self):
-        found = frozenset(self.staged_pieces)
-        wanted = [piece(self.restart_when_staged, n) for n in range(PIECES)]
-        if wanted == [self.staged_pieces.get(n) for n in range(PIECES)]:
+        found = frozenset(self.staged_chunks)
+        wanted = [chunk(self.restart_when_staged, n) for n in range(CHUNKS)]
+        if wanted == [self.staged_chunks.get(n) for n in range(CHUNKS)]:
             self.restart_when_staged = 0
-            self.staged_pieces.clear()
+            self.staged_chunks.clear()
             self.sequence = 0
             self.held = ()
         return found
 
     async def read_staged(self, number):
-        return self.staged_pieces.get(number)
+        return self.staged_chunks.get(number)
 
     async def stage(self, number, data):
-        if self.corrupt_one_piece and number == 3:
-            self.corrupt_one_piece = False
+        if self.corrupt_one_chunk and number == 3:
+            self.corrupt_one_chunk = False
             data = b"rotten" + data[6:]
         if self.restart_while_staging and number == 3:
             self.restart_while_staging = False
-            self.staged_pieces.clear()
-        self.staged_pieces[number] = data
+            self.staged_chunks.clear()
+        self.staged_chunks[number] = data
 
     async def load(self, model, version, sequence, abort_running):
         if sequence != self.sequence:
             return False
         self.sequence += 1
         self.loads.append(version)
-        expected = [piece(version, n) for n in range(PIECES)]
-        found = [self.staged_pieces.get(n) for n in range(PIECES)]
+        expected = [chunk(version, n) for n in range(CHUNKS)]
+        found = [self.staged_chunks.get(n) for n in range(CHUNKS)]
         self.loads_intact.append(expected == found)
         self.busy_until = asyncio.get_running_loop().time() + 0.3
         self.held = (types.HeldWeights(model, version, 4),)
@@ -111,26 +111,26 @@
         self.sent = 0
         self.asked = 0
         self.down = False
-        self.corrupt_pieces = 0
+        self.corrupt_chunks = 0
 
     async def manifest(self, model, version):
         self.asked += 1
         if self.down:
             raise exceptions.PlatformUnavailable("down")
-        digests = tuple(digest(piece(version, n)) for n in range(PIECES))
+        digests = tuple(digest(chunk(version, n)) for n in range(CHUNKS))
         return agent_interfaces.VersionManifest(
-            model, version, PIECE_BYTES, digests
+            model, version, CHUNK_BYTES, digests
         )
 
-    async def piece(self, model, version, number):
+    async def chunk(self, model, version, number):
         await asyncio.sleep(0.02)
         if self.down:
             raise exceptions.PlatformUnavailable("down")
         self.sent += 1
-        if self.corrupt_pieces:
-            self.corrupt_pieces -= 1
+        if self.corrupt_chunks:
+            self.corrupt_chunks -= 1
             return b"spoilt" * 100
-        return piece(version, number)
+        return chunk(version, number)
 
 
 def _items(numbers):
@@ -200,7 +200,7 @@
 
     async def __aenter__(self):
         engine = types.Engine(
-            (MODEL,), 16, 0.01, 0.0, 1e4, 6, 4, PIECES, PIECE_BYTES
+            (MODEL,), 16, 0.01, 0.0, 1e4, 6, 4, CHUNKS, CHUNK_BYTES
         )
         origin = types.Origin(shared_types.Address("127.0.0.1", 1), 8, 1e6)
         services = {
@@ -308,7 +308,7 @@
 
     took, sent, intact = run(scenario())
     assert took < 8.0
-    assert sent <= PIECES + 3
+    assert sent <= CHUNKS + 3
     assert all(all(loads) for loads in intact)
 
 
@@ -316,12 +316,12 @@
     """Guards against the second of two versions being late.
 
     Version 3 is declared while 2 is exchanged, which the origin has sent long
-    before. No piece of 3 was fetched until 2 was complete, and then one piece
+    before. No chunk of 3 was fetched until 2 was complete, and then one chunk
     after the other.
     """
 
     async def scenario():
-        # With three agents, a piece may be the last one to be replicated.
+        # With three agents, a chunk may be the last one to be replicated.
         async with Site(5, link_bytes_per_s=14_000.0) as site:
             await site.until_all_hold(1)
             site.origin.sent = 0
@@ -335,28 +335,28 @@
     assert run(scenario()) >= 1
 
 
-def test_a_corrupt_staged_piece_is_replaced_before_the_order():
+def test_a_corrupt_staged_chunk_is_replaced_before_the_order():
     """Guards against a server that generates tokens with a corrupt layer.
 
-    A staged piece becomes corrupt, and the server loads it unchecked. Pieces
+    A staged chunk becomes corrupt, and the server loads it unchecked. Chunks
     were only checked when they arrived at the agent.
     """
 
     async def scenario():
         async with Site(1) as site:
-            site.local_servers[0].corrupt_one_piece = True
+            site.local_servers[0].corrupt_one_chunk = True
             await site.until_all_hold(1)
             return site.local_servers[0].loads_intact
 
     assert run(scenario()) == [True]
 
 
-def test_a_server_that_restarts_during_staging_loads_every_piece():
-    """Guards against a load of a version with missing pieces.
+def test_a_server_that_restarts_during_staging_loads_every_chunk():
+    """Guards against a load of a version with missing chunks.
 
-    The server restarts and loses its staged pieces while the agent stages and
+    The server restarts and loses its staged chunks while the agent stages and
     compares one after the other. The order named a sequence of 0, which is also
-    that of the restarted server, so it was accepted with three pieces missing.
+    that of the restarted server, so it was accepted with three chunks missing.
     """
 
     async def scenario():
@@ -369,9 +369,9 @@
 
 
 def test_a_server_that_restarts_right_before_the_order_refuses_it():
-    """Guards against a load of a version without any staged piece.
+    """Guards against a load of a version without any staged chunk.
 
-    The server restarts between the last check of the staged pieces and the
+    The server restarts between the last check of the staged chunks and the
     order, which named the sequence of the restarted server.
     """
 
@@ -386,10 +386,10 @@
     assert run(scenario()) == [True, True]
 
 
-def test_corrupt_pieces_from_the_origin_are_never_staged():
+def test_corrupt_chunks_from_the_origin_are_never_staged():
     async def scenario():
         async with Site(1) as site:
-            site.origin.corrupt_pieces = 3
+            site.origin.corrupt_chunks = 3
             await site.until_all_hold(1, most_s=30.0)
             return site.local_servers[0].loads_intact
 
@@ -413,7 +413,7 @@
     assert run(scenario()) == [1]
 
 
-def test_a_restarted_agent_reuses_staged_pieces():
+def test_a_restarted_agent_reuses_staged_chunks():
     async def scenario():
         async with Site(1) as site:
             await site.until_all_hold(1)
@@ -460,7 +460,7 @@
     """Guards against an outage of all servers from the older due time on.
 
     Version 2 is being fetched when version 3 is declared, and then the origin
-    fails permanently. The agents dropped 2, whose pieces they held, for 3, of
+    fails permanently. The agents dropped 2, whose chunks they held, for 3, of
     which they had none.
     """
 
@@ -469,7 +469,7 @@
             await site.until_all_hold(1)
             site.origin.sent = 0
             site.declare(2)
-            while site.origin.sent < PIECES:
+            while site.origin.sent < CHUNKS:
                 await asyncio.sleep(0.05)
             site.declare(3)
             await asyncio.sleep(0.05)
@@ -500,7 +500,7 @@
             site.origin.down = True
             await site.agents.pop(0).stop()
             local_server = site.local_servers[0]
-            local_server.staged_pieces.clear()
+            local_server.staged_chunks.clear()
             local_server.held, local_server.sequence = (), 0
             await site.start(0, f"{NETWORK}.11")
             return await site.until_all_hold(2, most_s=6.0)
@@ -509,7 +509,7 @@
 
 
 def test_few_agents_of_a_large_fleet_ask_the_origin_for_a_manifest():
-    """Guards against connections that the origin resets, also for pieces.
+    """Guards against connections that the origin resets, also for chunks.
 
     A version is declared, and 102 agents request its manifest within 0.1 s from
     an origin that accepts 48 connections. Each agent asked the origin first and
@@ -530,7 +530,7 @@
 def test_a_manifest_from_another_agent_is_validated():
     """A manifest that is unreadable or of another version is ignored."""
     manifest = agent_interfaces.VersionManifest(
-        MODEL, 2, PIECE_BYTES, (digest(b"p"),)
+        MODEL, 2, CHUNK_BYTES, (digest(b"p"),)
     )
     body = manifest_cache.to_swarm_manifest(manifest).encode()
     found = manifest_cache.ManifestCache(
@@ -572,14 +572,14 @@
 ):
     """Guards against an outage between two due times.
 
-    Version 3 is declared, and the origin fails when it has sent a few pieces.
+    Version 3 is declared, and the origin fails when it has sent a few chunks.
     These keep arriving for a second, and the agents took one more second to
-    resume 2. Only the absence of all pieces counted as a stall.
+    resume 2. Only the absence of all chunks counted as a stall.
     """
 
     async def scenario():
         manifest = agent_interfaces.VersionManifest(
-            MODEL, version, PIECE_BYTES, (b"d",)
+            MODEL, version, CHUNK_BYTES, (b"d",)
         )
         declared = declarations.Declarations(
             8.0, 3.0, asyncio.get_running_loop().time
@@ -608,26 +608,26 @@
         # Waiting for the whole older version would make the newer one late.
         (0.5, 0.0, 0.5, False),
         (1.0, 0.0, 0.1, False),
-        # An origin that fails does not send the last pieces.
+        # An origin that fails does not send the last chunks.
         (0.1, 0.6, 0.5, False),
         # Nor does one that has not sent them in the time for a whole version.
         (0.1, 0.0, 7.0, False),
     ],
 )
-def test_a_version_is_fetched_until_its_last_pieces_are_out(
+def test_a_version_is_fetched_until_its_last_chunks_are_out(
     unspread, failing_s, since_s, waits
 ):
     """Guards against neither of two versions being completed.
 
     Version 3 is declared two seconds after 2 and 0.4 s before the origin fails.
-    Version 2 was abandoned at once, with four of 48 pieces still at the origin,
+    Version 2 was abandoned at once, with four of 48 chunks still at the origin,
     as version 3 was expected to meet both deadlines.
     """
 
     async def scenario():
         clock = asyncio.get_running_loop().time
         manifest = agent_interfaces.VersionManifest(
-            MODEL, 2, PIECE_BYTES, (b"d",)
+            MODEL, 2, CHUNK_BYTES, (b"d",)
         )
         instance = instance_of(link_bytes_per_s=1_000.0)
         engine = types.Engine((MODEL,), 16, 0.01, 0.0, 1e4, 6, 4, 5, 1_000)
@@ -651,7 +651,7 @@
     ("failing_s", "quiet_s", "known"),
     [(0.0, 0.0, True), (0.6, 0.0, False), (0.0, 1.5, False)],
 )
-def test_the_ready_time_is_unknown_while_no_piece_arrives(
+def test_the_ready_time_is_unknown_while_no_chunk_arrives(
     failing_s, quiet_s, known
 ):
     """Guards against callers that wait for 1.5 s before they are rejected.
@@ -664,7 +664,7 @@
     async def scenario():
         clock = asyncio.get_running_loop().time
         manifest = agent_interfaces.VersionManifest(
-            MODEL, 3, PIECE_BYTES, (b"d",)
+            MODEL, 3, CHUNK_BYTES, (b"d",)
         )
         weights = updater.WeightsUpdater(
             updater.Context(None),
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -96,7 +96,7 @@
 
     Version 3 was declared during the transfer of 2, and each agent decided by
     its own progress. Half of them dropped 2, and with them half of the sources
-    of its pieces, since they were a few pieces apart near the point of
+    of its chunks, since they were a few chunks apart near the point of
     decision.
     """
     slow = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=8.0)
@@ -138,7 +138,7 @@
     """Guards against serving nothing until an unreachable origin is back.
 
     Version 3 was declared when half of 2 was transferred. All agents started 3,
-    and its origin became unreachable. The pieces that agents had of 2 were
+    and its origin became unreachable. The chunks that agents had of 2 were
     given up.
     """
     both = [FIRST, plan.Declaration(3, 2.0)]
@@ -192,12 +192,12 @@
     assert changes <= 1
 
 
-def test_pieces_of_a_version_of_no_use_do_not_go_first():
+def test_chunks_of_a_version_of_no_use_do_not_go_first():
     """Guards against agents that have nothing of a version when it is due.
 
     Versions 2 and 3 were declared while the platform was unavailable and became
     known together. Some agents learned of 2 slightly earlier and transferred it
-    for the time of a whole version. Last pieces went first, though the older
+    for the time of a whole version. Last chunks went first, though the older
     version was due at the same time as the newest.
     """
     usual = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=13.4)
@@ -243,10 +243,10 @@
     assert all(turn.load_at - turn.yield_at == 1.0 for turn in found)
 
 
-def test_groups_overlap_if_pieces_arrive_late():
+def test_groups_overlap_if_chunks_arrive_late():
     """Guards against a second without servers before a version is due.
 
-    A slow link delayed the last pieces until 1.7 s before. All groups stopped
+    A slow link delayed the last chunks until 1.7 s before. All groups stopped
     accepting requests at the same time, each for a whole second.
     """
     names = [f"i-{number}" for number in range(9)]
@@ -299,7 +299,7 @@
     second after the others, and counted the time from then.
     """
     known = version_policy.VersionPolicy(8.0, lambda: 0.0)
-    known.record_declared(types.DeclaredVersion("m", 2), unread_s=1.0)
+    known.record_declared(types.DeclaredVersion("m", 2), lag_s=1.0)
     assert known.required("m", 8.0 - 1.2) == 2
 
 
@@ -310,7 +310,7 @@
     process read the declaration afterwards and considered it overdue.
     """
     known = version_policy.VersionPolicy(8.0, lambda: 0.0)
-    known.record_declared(types.DeclaredVersion("m", 2), unread_s=8.0)
+    known.record_declared(types.DeclaredVersion("m", 2), lag_s=8.0)
     assert known.required("m", 6.0) is None
 
 
@@ -518,10 +518,10 @@
     Every attempt of eight entries failed, and each entry retried as often as
     its budget allowed. Each one used the whole slack.
     """
-    terms = budget.Limits(ratio=0.2, slack=104.0, window_s=10.0)
+    limits = budget.Limits(ratio=0.2, slack=104.0, window_s=10.0)
     repeats, requests = 0, 0
     for _ in range(8):
-        one = budget.RetryBudget(terms)
+        one = budget.RetryBudget(limits)
         one.entries = 8
         for number in range(100):
             now = number * 0.1
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -27,8 +27,8 @@
     return declarations.Declarations(8.0, 3.0, lambda: now)
 
 
-def read(version, unread_s):
-    return lambda known: known.record("m", version, unread_s)
+def read(version, lag_s):
+    return lambda known: known.record("m", version, lag_s)
 
 
 def reported(version, age_s):
@@ -118,7 +118,7 @@
 def test_a_version_of_unknown_age_is_due_when_deadlines_apply():
     now = [100.0]
     known = version_policy.VersionPolicy(8.0, lambda: now[0], settled_s=3.0)
-    known.record_declared(types.DeclaredVersion("m", 2), unread_s=FIRST)
+    known.record_declared(types.DeclaredVersion("m", 2), lag_s=FIRST)
     assert known.required("m", 101.5) is None
     assert known.required("m", 103.0 - 0.5) == 2
 
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -338,7 +338,7 @@
 def test_an_order_is_not_given_to_another_start():
     """Guards against a load order sent to a start that it was not meant for.
 
-    The server crashed while its agent compared the staged pieces. Neither start
+    The server crashed while its agent compared the staged chunks. Neither start
     had accepted an order, so the number of orders did not distinguish them.
     """
 
