--- a/src/clementinegw/direct/admit.py
+++ b/src/clementinegw/direct/admit.py
@@ -56,8 +56,8 @@
     catalog = config_view.catalog
     if catalog is None:
         return unavailable(Reason.NO_CONFIGURATION, _RETRY_SOON_S)
-    # An unknown route or key may be new, so only a process that heard from the
-    # platform very recently may report that it does not exist.
+    # An unknown route or key may be new, so only a process that got an answer
+    # from the platform very recently may report that it does not exist.
     fresh = config_view.age_s() < config_view.max_rejection_age_s
     route = catalog.route(request.host, request.path)
     if route is None:
--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -44,8 +44,9 @@
 # balance by. The three loops wake up at the same moments: separate timers cost
 # a kernel poll each.
 _TICK_INTERVAL_S = 0.1
-# How often entries are told of requests that crash servers, in seconds. Every
-# entry must know of such a request before it has been repeated a few times.
+# How often entries get reports of requests that crash servers, in seconds.
+# Every entry must know of such a request before it has been repeated a few
+# times.
 _SUSPICIONS_INTERVAL_S = 0.5
 
 
--- a/src/clementinegw/direct/attempt.py
+++ b/src/clementinegw/direct/attempt.py
@@ -117,7 +117,7 @@
         self,
         job: Job,
         backend: backend_lib.Backend,
-        sending: types.ForwardMetadata,
+        forward_metadata: types.ForwardMetadata,
         has_alternative: Callable[[], bool],
         version_timeout: version_timeouts.VersionTimeout,
     ) -> outcomes.AttemptOutcome:
@@ -126,7 +126,7 @@
         Args:
           job: The request.
           backend: The server.
-          sending: What the entry adds to the request.
+          forward_metadata: What the entry adds to the request.
           has_alternative: Returns whether another server could take the request
             over now. While none can, a silent server is waited for.
           version_timeout: Withdraws the request before the server's weights
@@ -145,7 +145,9 @@
             async with asyncio.timeout(None) as timeout:
                 version_timeout.start(timeout)
                 try:
-                    return await self._run(job, receiver, sending, unread)
+                    return await self._run(
+                        job, receiver, forward_metadata, unread
+                    )
                 finally:
                     version_timeout.stop()
         except TimeoutError:
@@ -160,7 +162,7 @@
         self,
         job: Job,
         receiver: "_AnswerReceiver",
-        sending: types.ForwardMetadata,
+        forward_metadata: types.ForwardMetadata,
         unread: "_UnreadTokens",
     ) -> outcomes.AttemptOutcome:
         backend = receiver.backend
@@ -178,7 +180,7 @@
         complete = False
         try:
             outcome = await self._call(
-                job, receiver, sending, connection, unread
+                job, receiver, forward_metadata, connection, unread
             )
             complete = not isinstance(outcome, outcomes.Lost)
             return outcome
@@ -224,13 +226,15 @@
         self,
         job: Job,
         receiver: "_AnswerReceiver",
-        sending: types.ForwardMetadata,
+        forward_metadata: types.ForwardMetadata,
         connection: client.Connection,
         unread: "_UnreadTokens",
     ) -> outcomes.AttemptOutcome:
         backend = receiver.backend
         request = job.request
-        headers = self._codec.to_server_headers(request.headers, sending)
+        headers = self._codec.to_server_headers(
+            request.headers, forward_metadata
+        )
         job.sends += 1
         sent_at = self._clock()
         await connection.send(
@@ -356,7 +360,7 @@
 
 
 class _AnswerReceiver:
-    """Receives the answer of one server and detects when it falls silent."""
+    """Receives the answer of one server and detects when it stops sending."""
 
     def __init__(
         self,
--- a/src/clementinegw/direct/backend.py
+++ b/src/clementinegw/direct/backend.py
@@ -23,8 +23,8 @@
 # time, in seconds, and for this many of its usual report intervals, and if the
 # server has sent nothing since. Without this check each entry would lose some
 # requests before it notices. Lost datagrams come one or two in a row. After
-# _MAX_SILENCE_S only requests decide, as an agent may stay away for long while
-# its server is well.
+# _MAX_SILENCE_S only requests decide, as an agent may send nothing for long
+# while its server works.
 _MIN_SILENCE_S = 0.4
 _MIN_SILENCE_INTERVALS = 3.0
 _MAX_SILENCE_S = 6.0
@@ -135,7 +135,7 @@
         self.followed = followed
 
     def is_silent(self, now: float) -> bool:
-        """Returns whether both the server and its agent have gone silent."""
+        """Returns whether neither the server nor its agent sends anything."""
         if not self.followed:
             return False
         silence_s = max(
@@ -289,6 +289,6 @@
             return 0
         return self.version or self.server.version(layers)
 
-    def serves(self, least_version: int, layers: int) -> bool:
+    def serves(self, min_version: int, layers: int) -> bool:
         """Returns whether it holds all layers of at least a given version."""
-        return self.held_version(layers) >= least_version
+        return self.held_version(layers) >= min_version
--- a/src/clementinegw/direct/balance.py
+++ b/src/clementinegw/direct/balance.py
@@ -38,7 +38,7 @@
     Attributes:
       service: Name of the service.
       layers: Number of layers of its model; 0 for a plain service.
-      least_version: Minimum version of the weights.
+      min_version: Minimum version of the weights.
       preferred_version: Servers with at least this version are preferred.
       max_utilization: Only servers below this utilization are eligible.
       allow_cooldown: Whether a server in cooldown is eligible if all others
@@ -47,7 +47,7 @@
 
     service: str
     layers: int = 0
-    least_version: int = 0
+    min_version: int = 0
     preferred_version: int = 0
     max_utilization: float = 3.0
     allow_cooldown: bool = True
@@ -106,7 +106,7 @@
             and (
                 not requirements.layers
                 or backend.serves(
-                    max(1, requirements.least_version), requirements.layers
+                    max(1, requirements.min_version), requirements.layers
                 )
             )
         ]
--- a/src/clementinegw/direct/catalog.py
+++ b/src/clementinegw/direct/catalog.py
@@ -46,7 +46,7 @@
         return self.configuration.services
 
     def route(self, host: str, path: str) -> types.Route | None:
-        """Returns the route with the longest matching prefix; None without."""
+        """Returns the route with the longest matching prefix, if any."""
         prefixes = self._hosts.get(host)
         if prefixes is None:
             return None
--- a/src/clementinegw/direct/declarations.py
+++ b/src/clementinegw/direct/declarations.py
@@ -24,8 +24,8 @@
 # The maximum time by which a declaration is dated back, in seconds. New records
 # may have been unread since this process last had them all, if its connection
 # was stalled; this is how long a stalled connection takes to be noticed. After
-# an outage of the platform for all processes the time starts anew, as otherwise
-# all servers would load at once.
+# an outage of the platform for all processes the time starts again, as
+# otherwise all servers would load at once.
 MAX_LAG_S = 1.2
 # The time that a process takes to start, in seconds.
 _STARTUP_S = 0.5
@@ -136,7 +136,7 @@
         """
         known = {d.version: d.time_known for d in self.for_model(model)}
         if not math.isinf(lag_s) and not known.get(version, True):
-            # The store was read anew, for example after it lost its history.
+            # The store was read again, for example after it lost its history.
             # The version had been declared before the process started.
             return None
         if math.isinf(lag_s):
--- a/src/clementinegw/direct/entry.py
+++ b/src/clementinegw/direct/entry.py
@@ -44,7 +44,7 @@
 # Shares of the time within which a revoked key must be refused. A key is
 # accepted while the last read of the configuration is younger than the first
 # share. After the second one the process is not ready for new callers, since
-# other entries may have heard from the platform more recently.
+# other entries may have got a more recent answer from the platform.
 _MAX_KEY_PROOF_SHARE = 0.9
 _MAX_READY_SHARE = 0.55
 # While the platform's last answer is younger than this, an unknown route is
--- a/src/clementinegw/direct/fetcher.py
+++ b/src/clementinegw/direct/fetcher.py
@@ -324,10 +324,12 @@
         self, manifest: agent_interfaces.VersionManifest
     ) -> list[int]:
         """Returns the missing chunks that this agent fetches first of all."""
-        firsts = self.transfer.assigned_chunks(
+        assigned = self.transfer.assigned_chunks(
             manifest_cache.to_swarm_manifest(manifest)
         )
-        return [n for n in firsts if not self._store.holds(manifest.digests[n])]
+        return [
+            n for n in assigned if not self._store.holds(manifest.digests[n])
+        ]
 
     async def fetch_from_origin(
         self,
--- a/src/clementinegw/direct/finisher.py
+++ b/src/clementinegw/direct/finisher.py
@@ -48,7 +48,7 @@
 
         Args:
           codec: Translates the platform's headers.
-          config_view: Tells how old the process's configuration is.
+          config_view: Says how old the process's configuration is.
           clock: Returns monotonic seconds.
           log: Takes the log events.
           counters: Count refusals by reason and answers by outcome.
--- a/src/clementinegw/direct/fleet.py
+++ b/src/clementinegw/direct/fleet.py
@@ -240,8 +240,9 @@
 
     def _apply_unlisted(self, key: str, now: float, left_s: float) -> None:
         backend = self._backends[key]
-        # A listing that expired while the platform was away says nothing about
-        # the server. Without this case all servers would be dropped at once.
+        # A listing that expired during an outage of the platform says nothing
+        # about the server. Without this case all servers would be dropped at
+        # once.
         if left_s <= 0.0:
             self._drop(key)
         elif not backend.missing:
--- a/src/clementinegw/direct/forward.py
+++ b/src/clementinegw/direct/forward.py
@@ -197,7 +197,7 @@
         except TimeoutError:
             outcome = outcomes.Refusal(_GATEWAY_TIMEOUT, Reason.TIMEOUT)
         if isinstance(outcome, outcomes.Refusal) and failed is not None:
-            # The server's own error tells the caller more than a refusal.
+            # The server's own error is more informative than a refusal.
             return failed
         return outcome
 
@@ -226,7 +226,7 @@
         now = self._clock()
         model = self._placer.model(job)
         held = backend.held_version(self._placer.layers(job.service))
-        sending = types.ForwardMetadata(
+        forward_metadata = types.ForwardMetadata(
             backend.server.server_id,
             max(0.001, job.deadline - now - _ANSWER_TRANSIT_S),
             job.customer_name,
@@ -237,7 +237,7 @@
         outcome = await self._attempt_runner.run(
             job,
             backend,
-            sending,
+            forward_metadata,
             lambda: self._placer.has_alternative(job, backend),
             self._version_timeouts.create(
                 model, held, job.match.route.idempotent
@@ -266,7 +266,7 @@
         self.dispatch()
 
     def check_clock(self) -> None:
-        """Withdraws requests that became overdue while the machine slept."""
+        """Withdraws requests that became overdue during a suspension."""
         self._version_timeouts.check_clock()
 
     def suspicions(self) -> tuple[suspects_lib.Suspicion, ...]:
@@ -298,15 +298,15 @@
             if outcome.reason is outcomes.NotRunReason.SHED:
                 backend.full_until = now + _FULL_BACKOFF_S
             if outcome.reason is outcomes.NotRunReason.WRONG_SERVER:
-                # The server or its weights were started anew: the list is out
-                # of date and catches up within a heartbeat.
+                # The server was restarted or loaded other weights: the list is
+                # out of date and is updated within a heartbeat.
                 backend.cooldown_until = now + _WRONG_SERVER_BACKOFF_S
         else:
             job.tried.add(backend.server.start)
         if not isinstance(outcome, outcomes.NotRun):
             job.runs += 1
         if isinstance(outcome, outcomes.Lost):
-            # A server that was ordered to load weights drops what it runs.
+            # A server that was ordered to load weights aborts its requests.
             broken = outcome.reason is outcomes.LostReason.BROKEN
             if broken and not (backend.yielding or backend.loading):
                 self._suspects.record_crash(
--- a/src/clementinegw/direct/freshness.py
+++ b/src/clementinegw/direct/freshness.py
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Freshness:
-    """How fresh an answer is, as told by a source that several processes share.
+    """How fresh an answer is, as reported by a source that processes share.
 
     Attributes:
       current_at: The latest time at which the copy is known to have been
@@ -51,8 +51,8 @@
 
     A held answer brings records that were added just then. An immediate one may
     bring anything added since the last answer, which may be long ago if a
-    connection had gone silent in between. An answer that could not be held
-    counts as immediate, however long it took.
+    connection was stalled in between. An answer that could not be held counts
+    as immediate, however long it took.
 
     Args:
       asked_at: When the call was sent, in seconds.
--- a/src/clementinegw/direct/header_codec.py
+++ b/src/clementinegw/direct/header_codec.py
@@ -23,7 +23,7 @@
         """Returns the metadata in a server's headers without malformed ones."""
 
     def to_server_headers(
-        self, headers: RawHeaders, sending: types.ForwardMetadata
+        self, headers: RawHeaders, metadata: types.ForwardMetadata
     ) -> client.Headers:
         """Returns the headers to send to a server for a caller's request."""
 
--- a/src/clementinegw/direct/instance.py
+++ b/src/clementinegw/direct/instance.py
@@ -22,14 +22,14 @@
         milliseconds.
       drain_ms: A leaving server gets its last request within this time, in
         milliseconds.
-      listing_ms: The approximate interval at which a server renews its entry
-        on the platform's list, in milliseconds; the entry expires after some
-        intervals without renewal.
+      listing_ms: The approximate interval at which a server renews its
+        listing on the platform, in milliseconds; the listing expires after
+        some intervals without renewal.
       settled_ms: The bounds apply to a machine after it has run for this time
         without a fault, in milliseconds.
       grace_s: The time that a process has for its shutdown, in seconds.
-      repeat_ratio: The allowed resends per request, over all entries.
-      repeat_slack: The resends allowed in a window in addition.
+      repeat_ratio: The allowed retries per request, over all entries.
+      repeat_slack: The retries allowed in a window in addition.
       repeat_window_s: The length of the window, in seconds.
     """
 
--- a/src/clementinegw/direct/latency_estimator.py
+++ b/src/clementinegw/direct/latency_estimator.py
@@ -33,9 +33,9 @@
 
     @property
     def estimate_s(self) -> float:
-        """Time from sending to the first event, without the own prompt's read.
+        """Estimated time from sending to the first event, in seconds.
 
-        In seconds.
+        It excludes the time to read the request's own prompt.
         """
         return self._estimate_s
 
--- a/src/clementinegw/direct/outage.py
+++ b/src/clementinegw/direct/outage.py
@@ -12,8 +12,8 @@
 # is noticed late, the pause between two polls, and a slow connection setup.
 _RELIST_SHARE = 0.9
 # If at least this share of the list is missing after an outage, the listings
-# expired. Fewer missing servers have left: after only this machine had lost its
-# connection, they used to be sent requests for seconds.
+# expired. Fewer missing servers have left. Without this share, they were sent
+# requests for seconds after an outage of this machine's connection alone.
 _MASS_EXPIRY_SHARE = 0.5
 # A call that fails this long after the end of its wait had hung, in seconds. An
 # available platform answers within half of this even when it is slow.
@@ -44,7 +44,7 @@
 
 
 class ListingExpiry:
-    """Tells listings that expired in an outage from servers that left."""
+    """Distinguishes listings expired in an outage from servers that left."""
 
     def __init__(self, times: ListingTimes):
         self.times = times
--- a/src/clementinegw/direct/peer_queries.py
+++ b/src/clementinegw/direct/peer_queries.py
@@ -26,7 +26,7 @@
     Attributes:
       topic: The topic's name.
       offset: The first offset to return; None to get a snapshot.
-      freshness_id: The newest `freshness_id` that the receiver told before, so
+      freshness_id: The newest `freshness_id` that the receiver sent before, so
         that it also answers when its copy is fresher; None to get an answer
         without changes only at the end of the wait.
       wait_s: How long the receiver may hold the query, in seconds.
--- a/src/clementinegw/direct/plan.py
+++ b/src/clementinegw/direct/plan.py
@@ -71,7 +71,7 @@
     if not declared:
         return 0
     # The origin may become unreachable right after a newer version is declared,
-    # while the agents hold the chunks of the older one between them. Without
+    # while the agents together hold the chunks of the older one. Without
     # the older one no server could serve from its due time on. If all versions
     # stall, the newest is tried again.
     usable = _servable_before_next(
@@ -161,7 +161,7 @@
 def _expected_missing(
     older: Declaration, current: Progress, timing: RolloutTiming, now: float
 ) -> float:
-    """Returns the missing fraction, estimated alike by all agents.
+    """Returns the missing fraction as all agents estimate it.
 
     Agents whose progress differs by a few chunks must not decide differently:
     half of them would drop a version that the others finish, which then takes
--- a/src/clementinegw/direct/rate_limit.py
+++ b/src/clementinegw/direct/rate_limit.py
@@ -144,8 +144,8 @@
         now, per_s, position = self._wall_clock(), self._per_s, self._position()
         round_s = position.entries / per_s
         if self._used_at > now + round_s + _VALID_S:
-            # The time of day was set back. Slots used in the time that now lies
-            # ahead must not block the server until that time is reached again.
+            # The time of day was set back. Slots used at times that are now in
+            # the future must not block the server until they are reached.
             self._used_at = now
         valid_from = (now - _VALID_S) * per_s - _VALID_SLOTS
         unused_from = self._used_at * per_s + 0.5
--- a/src/clementinegw/direct/reader_selector.py
+++ b/src/clementinegw/direct/reader_selector.py
@@ -26,8 +26,8 @@
 # While no process reaches the store, this many of the first readers keep trying
 # it. The others query these and try the store themselves only at this interval,
 # in seconds. Otherwise all of them would read the changes over one link at the
-# same time when the store returns. The interval also lets a process that alone
-# had lost the store find out that it is back.
+# same time when the store returns. The interval also lets a process whose own
+# connection to the store had failed detect its recovery.
 _MAX_PROBERS = 2
 _PROBE_INTERVAL_S = 4.0
 
@@ -114,7 +114,7 @@
         """Returns the rank of this process among the reachable readers.
 
         Dead readers may be listed for as long as the store is unavailable. If
-        they counted, no process might be left to find out that it is back.
+        they counted, no process might be left to detect its recovery.
         """
         reachable = [r for r in self._candidates if r not in self._unreachable]
         if self.own_address is None or self.own_address not in reachable:
--- a/src/clementinegw/direct/relay.py
+++ b/src/clementinegw/direct/relay.py
@@ -318,7 +318,7 @@
             ):
                 until = max(until, loop.time() + timeout_s)
                 on_progress()
-                # Without it the sender hears nothing meanwhile and gives up.
+                # Without it the sender receives nothing meanwhile and gives up.
                 connection.notify(connections.Kind.PING)
             elif loop.time() >= until:
                 raise
--- a/src/clementinegw/direct/reports.py
+++ b/src/clementinegw/direct/reports.py
@@ -1,7 +1,7 @@
 """Sends the load and state of backend servers from agents to entries.
 
 The platform's list of servers is one heartbeat old, and reading the state of a
-server costs a call. The agent next to it reads the state anyway, so it sends
+server costs a call. The agent on its host reads the state anyway, so it sends
 reports in datagrams to every entry that has subscribed. A lost datagram is
 compensated by the next one.
 """
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """An agent's report about the server next to it.
+    """An agent's report about the server on its host.
 
     Attributes:
       server_id: The id of the server; empty if it is not known or if the report
@@ -378,7 +378,8 @@
     def send_due_ages(self) -> None:
         """Sends the ages to subscribers that have not had them for a while.
 
-        This also works while the server is silent and there are no reports.
+        This also works while the server does not answer and there are no
+        reports.
         """
         now = asyncio.get_running_loop().time()
         due = {
--- a/src/clementinegw/direct/run.py
+++ b/src/clementinegw/direct/run.py
@@ -1,4 +1,4 @@
-"""Runs a daemon of the direct path until it is told to stop."""
+"""Runs a daemon of the direct path until a signal stops it."""
 
 import asyncio
 from collections.abc import Callable
--- a/src/clementinegw/direct/server.py
+++ b/src/clementinegw/direct/server.py
@@ -300,7 +300,7 @@
             self.channel.abort()
             raise
         except BaseException:
-            # After a bug in a handler its caller must not wait for an answer.
+            # If a handler fails, its caller must not wait for an answer.
             self.channel.abort()
             raise
         finally:
--- a/src/clementinegw/direct/shared_topic.py
+++ b/src/clementinegw/direct/shared_topic.py
@@ -28,7 +28,7 @@
 # How long the store may hold a poll of a process that is queried for freshness,
 # in seconds. The copies of its peers get as old as its own, plus 5 %, and an
 # entry rejects unknown routes as final only while that is below 1.9 s. If the
-# store goes silent for the reader alone, this wait and the further 1.2 s after
+# store stops answering only the reader, this wait and the further 1.2 s after
 # which the poll fails end before 2.75 s, the age at which entries accept no new
 # callers.
 _SERVING_WAIT_S = 1.3
@@ -424,7 +424,7 @@
 
         Args:
           query: The query of a peer.
-          send_keep_alive: Tells the peer that its query is still held; called
+          send_keep_alive: Reports that the query is still held; called
             repeatedly after the end of the query's wait.
 
         Raises:
--- a/src/clementinegw/direct/subscriptions.py
+++ b/src/clementinegw/direct/subscriptions.py
@@ -46,7 +46,7 @@
 
         Args:
           instance: The entry's instance.
-          config_view: Tells which services run engines.
+          config_view: Says which services run engines.
           fleet: All servers; those to follow are set here.
           versions: The model versions that may serve.
           listener: Sends the subscriptions.
@@ -161,10 +161,10 @@
             if engine is None:
                 continue
             model = engine.models[0] if engine.models else ""
-            least = self._versions.preferred(model, self._versions.now)
+            preferred = self._versions.preferred(model, self._versions.now)
             for backend in self._fleet.of(service):
                 serving[backend.server.server_id] = (
-                    backend.serves(max(1, least), engine.layers)
+                    backend.serves(max(1, preferred), engine.layers)
                     and not backend.retired
                     and not backend.loading
                     and not backend.yielding
--- a/src/clementinegw/direct/subsetting.py
+++ b/src/clementinegw/direct/subsetting.py
@@ -14,9 +14,9 @@
 import dataclasses
 import hashlib
 
-# Maximum number of servers of the own region. A small fleet is followed whole.
-# An entry sends about ten requests per second, and 24 servers have one with
-# capacity as often as 60.
+# Maximum number of servers of the own region. In a small fleet all servers are
+# followed. An entry sends about ten requests per second, and 24 servers have
+# one with capacity as often as 60.
 _MAX_NEAR = 24
 # Minimum number of servers of other regions, which take the excess load of a
 # full region. With fewer, the entries that follow the same ones overload them.
--- a/src/clementinegw/direct/suspects.py
+++ b/src/clementinegw/direct/suspects.py
@@ -226,7 +226,7 @@
 
         Each entry reports to all agents, so each agent knows all observations.
         Requests with one crash are left out: they include every request that
-        merely ran beside a crashing one.
+        merely ran at the same time as a crashing one.
         """
         self._expire(now)
 
--- a/src/clementinegw/direct/topic_watch.py
+++ b/src/clementinegw/direct/topic_watch.py
@@ -197,7 +197,7 @@
 
     @property
     def outage_s(self) -> float:
-        """The length of the last outage in seconds, if the source tells it."""
+        """The length of the last outage in seconds, if it is reported."""
         return self._outage_s
 
     @mode.Service.task
@@ -247,8 +247,8 @@
         self._on_success(freshness)
         # An answer that was held and then had records only shows that the copy
         # was current when the poll was sent. An immediate second poll brings
-        # the age down; without it, the process would look cut off for a while
-        # after every change.
+        # the age down; without it, the process would seem disconnected for a
+        # while after every change.
         self._poll_at_once = bool(batch.records) and not self._timing.pause_s
         if is_snapshot or batch.records:
             self._on_batch(batch, is_snapshot)
--- a/src/clementinegw/direct/updater.py
+++ b/src/clementinegw/direct/updater.py
@@ -86,7 +86,7 @@
         """The current start of the local server; without an id if unlisted.
 
         A crashed start stays listed for seconds next to its successor, with the
-        same address. The server's own report is the first to tell them apart.
+        same address. The server's own report is the first to distinguish them.
         """
         same_address = [
             server
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -252,16 +252,16 @@
 
     def share_in_time(self, since, until):
         """Returns the fraction of serviceable callers that were in time."""
-        found = self.callers_between(since, until)
+        callers = self.callers_between(since, until)
         share = self.serviceable_share(since, until)
-        return sum(c.in_time for c in found) / len(found) / share
+        return sum(c.in_time for c in callers) / len(callers) / share
 
     def serviceable_share(self, since, until):
         """Returns the fraction of callers that engines can serve."""
-        found = self.callers_between(since, until)
-        engine_s = statistics.fmean(self._engine_s(c) for c in found)
+        callers = self.callers_between(since, until)
+        engine_s = statistics.fmean(self._engine_s(c) for c in callers)
         servable = len(self.engines) / engine_s * (until - since)
-        return min(1.0, servable / len(found))
+        return min(1.0, servable / len(callers))
 
     def _engine_s(self, caller):
         """Returns the time that a request takes of a full engine."""
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -40,7 +40,7 @@
 GUARDS = {
     "expected_instance": (
         "platform/adapter/headers.py",
-        "result.append((_EXPECT_INSTANCE, sending.server_id.encode()))",
+        "result.append((_EXPECT_INSTANCE, metadata.server_id.encode()))",
         "pass",
     ),
     "revoked_keys": (
--- a/tests/test_direct_agent.py
+++ b/tests/test_direct_agent.py
@@ -67,14 +67,14 @@
         )
 
     async def staged(self):
-        found = frozenset(self.staged_chunks)
+        staged = frozenset(self.staged_chunks)
         wanted = [chunk(self.restart_when_staged, n) for n in range(CHUNKS)]
         if wanted == [self.staged_chunks.get(n) for n in range(CHUNKS)]:
             self.restart_when_staged = 0
             self.staged_chunks.clear()
             self.sequence = 0
             self.held = ()
-        return found
+        return staged
 
     async def read_staged(self, number):
         return self.staged_chunks.get(number)
@@ -94,8 +94,8 @@
         self.sequence += 1
         self.loads.append(version)
         expected = [chunk(version, n) for n in range(CHUNKS)]
-        found = [self.staged_chunks.get(n) for n in range(CHUNKS)]
-        self.loads_intact.append(expected == found)
+        staged = [self.staged_chunks.get(n) for n in range(CHUNKS)]
+        self.loads_intact.append(expected == staged)
         self.busy_until = asyncio.get_running_loop().time() + 0.3
         self.held = (types.HeldWeights(model, version, 4),)
         if self.lose_answer:
@@ -153,8 +153,8 @@
             if asyncio.get_running_loop().time() >= until:
                 break
             await asyncio.sleep(0.05)
-        found = _items(range(offset, len(self.records)))
-        return raw.Batch(found, offset + len(found))
+        new_items = _items(range(offset, len(self.records)))
+        return raw.Batch(new_items, offset + len(new_items))
 
     def decoded(self, items):
         return tuple(self.records[int(item.value)] for item in items)
@@ -533,13 +533,13 @@
         MODEL, 2, CHUNK_BYTES, (digest(b"p"),)
     )
     body = manifest_cache.to_swarm_manifest(manifest).encode()
-    found = manifest_cache.ManifestCache(
+    cache = manifest_cache.ManifestCache(
         Endpoint(), random.Random(1), counters_lib.Counters()
     )
-    assert found.decode(body, MODEL, 2) == manifest
-    assert found.decode(body, MODEL, 3) is None
-    assert found.decode(b"{" + body, MODEL, 2) is None
-    assert found.decode(b"", MODEL, 2) is None
+    assert cache.decode(body, MODEL, 2) == manifest
+    assert cache.decode(body, MODEL, 3) is None
+    assert cache.decode(b"{" + body, MODEL, 2) is None
+    assert cache.decode(b"", MODEL, 2) is None
 
 
 class Endpoint:
@@ -677,8 +677,8 @@
         weights._progress_at = clock() - quiet_s
         return weights.ready_in_s(serves=True)
 
-    found = run(scenario())
-    assert (found > 0.0) == known
+    ready_in_s = run(scenario())
+    assert (ready_in_s > 0.0) == known
 
 
 def test_a_server_that_restarts_under_its_id_is_loaded_again():
--- a/tests/test_direct_costs.py
+++ b/tests/test_direct_costs.py
@@ -196,7 +196,7 @@
         )
         request_queue = queue.Queue("engine", balancer, POLICY, loop.time)
         report_load(backends, 16, loop.time())
-        newer = balance.Requirements("engine", layers=4, least_version=2)
+        newer = balance.Requirements("engine", layers=4, min_version=2)
         now = loop.time()
         demanding = asyncio.ensure_future(
             request_queue.reserve(
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -50,8 +50,8 @@
 
 
 def batch(*records):
-    found = tuple(topic_watch.Record(key, value) for key, value in records)
-    return topic_watch.Batch(found, len(found))
+    decoded = tuple(topic_watch.Record(key, value) for key, value in records)
+    return topic_watch.Batch(decoded, len(decoded))
 
 
 # Choice of the version to transfer.
@@ -235,12 +235,12 @@
 
 def test_all_agents_compute_the_same_turns_in_even_groups():
     names = [f"i-{number}" for number in range(10)]
-    found = turns_of(names, 5.0, 9.0)
-    loads = [round(turn.load_at, 6) for turn in found]
+    turns = turns_of(names, 5.0, 9.0)
+    loads = [round(turn.load_at, 6) for turn in turns]
     assert sorted(loads).count(5.0) in (3, 4)
     assert set(loads) == {5.0, 5.8, 6.6}
-    assert turns_of(names[::-1], 5.0, 9.0)[::-1] == found
-    assert all(turn.load_at - turn.yield_at == 1.0 for turn in found)
+    assert turns_of(names[::-1], 5.0, 9.0)[::-1] == turns
+    assert all(turn.load_at - turn.yield_at == 1.0 for turn in turns)
 
 
 def test_groups_overlap_if_chunks_arrive_late():
@@ -250,16 +250,16 @@
     accepting requests at the same time, each for a whole second.
     """
     names = [f"i-{number}" for number in range(9)]
-    found = turns_of(names, 6.3, 7.4)
+    turns = turns_of(names, 6.3, 7.4)
     for moment in (6.2, 6.5, 7.0, 7.3):
-        away = [t for t in found if t.yield_at <= moment < t.load_at + 0.3]
+        away = [t for t in turns if t.yield_at <= moment < t.load_at + 0.3]
         assert len(away) <= 6
-    assert max(turn.load_at for turn in found) == 7.4
+    assert max(turn.load_at for turn in turns) == 7.4
 
 
 def test_all_groups_load_at_once_if_the_time_is_over():
-    found = turns_of(["a", "b", "c"], 9.0, 7.4)
-    assert {turn.load_at for turn in found} == {7.4}
+    turns = turns_of(["a", "b", "c"], 9.0, 7.4)
+    assert {turn.load_at for turn in turns} == {7.4}
 
 
 def test_unlisted_agent_has_a_turn():
@@ -546,7 +546,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "found"),
+    ("path", "expected"),
     [
         ("/a/b/c", "long"),
         ("/a/x", "short"),
@@ -556,11 +556,11 @@
         ("", None),
     ],
 )
-def test_longest_prefix_matches(path, found):
+def test_longest_prefix_matches(path, expected):
     routes = (route("/a/", "short"), route("/a/b/", "long"))
     known = catalog.Catalog(types.Configuration(1, routes, {}, {}))
     match = known.route("h", path)
-    assert (match.name if match else None) == found
+    assert (match.name if match else None) == expected
     assert known.route("other", path) is None
 
 
@@ -571,9 +571,9 @@
     stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
     for cut in range(len(stream) + 1):
         splitter = sse.Splitter()
-        found = splitter.feed(stream[:cut]) + splitter.feed(stream[cut:])
-        assert b"".join(e.data for e in found) + splitter.remainder == stream
-        assert [e.event_id for e in found][:2] == ["1", "2"]
+        events = splitter.feed(stream[:cut]) + splitter.feed(stream[cut:])
+        assert b"".join(e.data for e in events) + splitter.remainder == stream
+        assert [e.event_id for e in events][:2] == ["1", "2"]
 
 
 def test_incomplete_event_is_held_back():
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -50,13 +50,13 @@
     Both get the same messages from several processes, some of them twice, in a
     different order. The last message counted, or each message had an effect.
     """
-    found = set()
+    results = set()
     for order in itertools.permutations(messages):
         known = new_declarations()
         for deliver in (*order, *order[::-1]):
             deliver(known)
-        found.add(known.for_model("m"))
-    assert len(found) == 1
+        results.add(known.for_model("m"))
+    assert len(results) == 1
 
 
 def test_the_earliest_estimate_wins():
@@ -136,9 +136,9 @@
         self.reports.append((addr, codec.decode(ttypes.BackendReport, data)))
 
     def ages(self):
-        found = [report.ages_ms for _, report in self.reports]
+        ages = [report.ages_ms for _, report in self.reports]
         self.reports.clear()
-        return found
+        return ages
 
 
 def subscription(name):
@@ -167,13 +167,13 @@
             reporter.send(report)
         regular = [ages for ages in sent.ages() if ages]
         reporter.send_ages_now()
-        news = sent.ages()
+        after_change = sent.ages()
         await asyncio.sleep(2.5)
         reporter.datagram_received(subscription("e1"), ("e1",))
-        return at_once, regular, news, sent.ages()
+        return at_once, regular, after_change, sent.ages()
 
-    at_once, regular, news, silent = clocks.run(scenario())
-    assert at_once == news == silent == [{2: 4000}]
+    at_once, regular, after_change, silent = clocks.run(scenario())
+    assert at_once == after_change == silent == [{2: 4000}]
     assert len(regular) in (2, 3)
 
 
@@ -273,9 +273,9 @@
             self._check()
             await asyncio.sleep(0.01)
         self._check()
-        found = tuple(self.records[offset:])
+        new_records = tuple(self.records[offset:])
         await asyncio.sleep(self.takes_s)
-        return topic_watch.Batch(found, offset + len(found))
+        return topic_watch.Batch(new_records, offset + len(new_records))
 
     def put(self, key):
         self.records.append(topic_watch.Record(key, key))
@@ -285,15 +285,15 @@
             raise exceptions.PlatformUnavailable("down")
 
 
-def unread_times(action):
+def observed_lags(action):
     async def scenario():
-        topic, found = Topic(), []
+        topic, lags = Topic(), []
         topic.put("first")
         watcher = topic_watch.TopicWatcher(
             "t",
             topic,
             topic_watch.PollTiming(6.0, 0.0),
-            lambda batch, is_snapshot: found.append(watcher.lag_s),
+            lambda batch, is_snapshot: lags.append(watcher.lag_s),
             logs.Log(),
             counters_lib.Counters(),
             asyncio.get_running_loop().time,
@@ -302,7 +302,7 @@
         await asyncio.sleep(0.5)
         await action(topic)
         await watcher.stop()
-        return found
+        return lags
 
     return clocks.run(scenario())
 
@@ -311,7 +311,7 @@
     async def nothing(topic):
         del topic
 
-    assert unread_times(nothing) == [FIRST]
+    assert observed_lags(nothing) == [FIRST]
 
 
 def test_a_slow_answer_after_a_failure_did_not_wait_for_records():
@@ -329,7 +329,7 @@
         topic.down = False
         await asyncio.sleep(2.0)
 
-    assert unread_times(outage)[-1] > 1.9
+    assert observed_lags(outage)[-1] > 1.9
 
 
 @pytest.mark.parametrize("after_s", [3.0, 5.49, 5.52])
@@ -347,7 +347,7 @@
         topic.put("one")
         await asyncio.sleep(1.0)
 
-    assert unread_times(add_records)[-1] < 0.1
+    assert observed_lags(add_records)[-1] < 0.1
 
 
 def test_a_record_right_after_another_change_was_not_unread():
@@ -366,9 +366,9 @@
         topic.put("two")
         await asyncio.sleep(1.0)
 
-    found = unread_times(add_records)
-    assert len(found) == 3
-    assert found[-1] < 0.2
+    lags = observed_lags(add_records)
+    assert len(lags) == 3
+    assert lags[-1] < 0.2
 
 
 def test_a_version_found_at_the_start_is_not_dated_anew_when_read_again():
@@ -382,10 +382,10 @@
     now = [100.0]
     known = declarations.Declarations(8.0, 3.0, lambda: now[0])
     known.record("m", 2, FIRST)
-    (found,) = known.for_model("m")
+    (declaration,) = known.for_model("m")
     now[0] = 110.0
     assert known.record("m", 2, 2.0) is None
-    assert known.for_model("m") == (found,)
+    assert known.for_model("m") == (declaration,)
     # A process that did not restart may still know the age.
     known.merge_ages("m", {2: 30.0}, AGENT)
     assert known.for_model("m")[0].declared_at == 80.0
--- a/tests/test_direct_due.py
+++ b/tests/test_direct_due.py
@@ -122,11 +122,11 @@
 
 
 async def learns_the_age_while_a_request_waits():
-    async def told(site, asking):
+    async def report_age(site, asking):
         if asking is not None:
             site.report_age(7.5)
 
-    return await _serves_waiting_request(told)
+    return await _serves_waiting_request(report_age)
 
 
 async def is_suspended_while_a_request_waits():
@@ -157,8 +157,10 @@
         learns_the_age_while_a_request_waits,
         is_suspended_while_a_request_waits,
     ]
-    found = {scenario.__name__: sites.run(scenario()) for scenario in scenarios}
-    assert found == dict.fromkeys(found, (True, False))
+    results = {
+        scenario.__name__: sites.run(scenario()) for scenario in scenarios
+    }
+    assert results == dict.fromkeys(results, (True, False))
 
 
 def test_a_request_without_a_model_requires_the_version_too():
@@ -199,9 +201,11 @@
     await agents_restart_and_no_process_knows_the_age(site)
     for agent in site.agents:
         age_ms = round(1e3 * (site.boot_time() - due_at + 8.0))
-        told = ttypes.Subscribe("entry", {agent_sites.MODEL: 2})
-        told.ages_ms = {agent_sites.MODEL: {2: age_ms}}
-        agent._reporter.datagram_received(codec.encode(told), ("127.0.0.1", 9))
+        subscription = ttypes.Subscribe("entry", {agent_sites.MODEL: 2})
+        subscription.ages_ms = {agent_sites.MODEL: {2: age_ms}}
+        agent._reporter.datagram_received(
+            codec.encode(subscription), ("127.0.0.1", 9)
+        )
     return due_at
 
 
@@ -239,5 +243,5 @@
         agents_restart_and_an_entry_reports_the_age,
         agents_are_suspended,
     ]
-    found = {p.__name__: agent_sites.run(scenario(p)) for p in scenarios}
-    assert found == dict.fromkeys(found, True)
+    results = {p.__name__: agent_sites.run(scenario(p)) for p in scenarios}
+    assert results == dict.fromkeys(results, True)
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -34,11 +34,11 @@
 
 def followers(servers, serving=lambda n: True, entries=ENTRIES):
     """Returns how many entries follow each server."""
-    found = collections.Counter({f"s{n}": 0 for n in range(servers)})
+    counts = collections.Counter({f"s{n}": 0 for n in range(servers)})
     for number, entry in enumerate(entries):
         near = servers_of(number % DOMAINS, servers, serving)
-        found.update(subsetting.select_followed(entry, near))
-    return found
+        counts.update(subsetting.select_followed(entry, near))
+    return counts
 
 
 def test_small_fleet_is_followed_completely():
@@ -52,13 +52,13 @@
 def test_servers_of_a_large_fleet_have_similar_numbers_of_followers(
     entries, servers
 ):
-    found = followers(servers, entries=ENTRIES[:entries])
+    counts = followers(servers, entries=ENTRIES[:entries])
     each = len(subsetting.select_followed("e", servers_of(0, servers)))
     assert each <= 32
-    mean = statistics.fmean(found.values())
+    mean = statistics.fmean(counts.values())
     # The random spread of a few dozen followers is about a fifth.
-    assert max(found.values()) <= 1.7 * mean
-    assert min(found.values()) >= 0.4 * mean
+    assert max(counts.values()) <= 1.7 * mean
+    assert min(counts.values()) >= 0.4 * mean
 
 
 def test_region_without_entries_has_followers():
@@ -67,12 +67,12 @@
     All entries of the region were lost, but not its servers. Entries might
     follow only the servers of their own region.
     """
-    found = collections.Counter()
+    counts = collections.Counter()
     for number, entry in enumerate(ENTRIES[:100]):
         if number % DOMAINS:
             near = servers_of(number % DOMAINS, 100)
-            found.update(subsetting.select_followed(entry, near))
-    assert min(found[f"s{n}"] for n in range(0, 100, DOMAINS)) >= 2
+            counts.update(subsetting.select_followed(entry, near))
+    assert min(counts[f"s{n}"] for n in range(0, 100, DOMAINS)) >= 2
 
 
 def test_all_entries_follow_few_servers_that_may_start_a_request():
@@ -81,8 +81,8 @@
     A version was due, and three of a hundred servers had it. Most entries did
     not follow any of these.
     """
-    found = followers(100, lambda n: n in {11, 52, 93})
-    assert all(found[f"s{n}"] == len(ENTRIES) for n in (11, 52, 93))
+    counts = followers(100, lambda n: n in {11, 52, 93})
+    assert all(counts[f"s{n}"] == len(ENTRIES) for n in (11, 52, 93))
 
 
 def test_removed_server_changes_one_followed_server():
@@ -162,9 +162,9 @@
         report = reports.Report("s1", 1, 0, 8, "m", 1, True)
         for _ in range(8):
             reporter.send(report)
-        calm = {name: len(told) for name, told in transport.sent.items()}
+        calm = {name: len(sent) for name, sent in transport.sent.items()}
         reporter.send(reports.Report("s1", 1, 0, 8, "m", 2, True))
-        newest = [told[-1].version for told in transport.sent.values()]
+        newest = [sent[-1].version for sent in transport.sent.values()]
         return calm, newest, (reporter.entries, reporter.followers)
 
     calm, newest, counted = clocks.run(run())
@@ -180,8 +180,8 @@
     async def run():
         site = overload_site.Simulation(engines=1, entries=1)
         backend = site.entries[0].fleet.find("s0")
-        told = reports.Report("s0", 0, 0, 8, entries=99, followers=4)
-        backend.apply_report(told, 1.0)
+        report = reports.Report("s0", 0, 0, 8, entries=99, followers=4)
+        backend.apply_report(report, 1.0)
         taken = 0
         while backend.has_share(1.0):
             backend.begin_request()
@@ -211,8 +211,8 @@
         shares.append(backend.has_share(2.1))
         # An agent that does not report must not keep its server unused.
         shares.append(backend.has_share(2.6))
-        told = reports.Report("s0", 0, 0, 8, entries=9, followers=2)
-        backend.apply_report(told, 2.7)
+        report = reports.Report("s0", 0, 0, 8, entries=9, followers=2)
+        backend.apply_report(report, 2.7)
         shares.append(backend.has_share(2.7))
         site.stop()
         return shares
@@ -307,7 +307,7 @@
 def ranks(transport):
     """Returns the ranks in the last report sent to each entry."""
     last = {
-        name: reports._report_from_wire(told[-1])
-        for name, told in transport.sent.items()
+        name: reports._report_from_wire(datagrams[-1])
+        for name, datagrams in transport.sent.items()
     }
     return {name: (r.rank, r.follower_rank) for name, r in last.items()}
--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -29,27 +29,29 @@
     def __init__(self):
         self.reporter = reports.Reporter(lambda declared: None)
         self.reporter.connection_made(self)
-        self.told = collections.defaultdict(list)
+        self.received = collections.defaultdict(list)
         self.listeners = {}
 
     def listener(self, name):
-        found = reports.Listener(
-            name, lambda host, report: self.told[name].append(report)
+        listener = reports.Listener(
+            name, lambda host, report: self.received[name].append(report)
         )
-        found.connection_made(AgentTransport(self, name))
-        self.listeners[name] = found
-        return found
+        listener.connection_made(AgentTransport(self, name))
+        self.listeners[name] = listener
+        return listener
 
     def sendto(self, data, name):
         self.listeners[name].datagram_received(data, ("10.0.0.1", 1))
 
-    def tell(self, start=START):
+    def send_report(self, start=START):
         """Returns the limit in the report sent to each entry."""
         report = reports.Report(
             start.server_id, 1, 0, 8, "m", 1, True, started_ms=start.started_ms
         )
         self.reporter.send(report)
-        return {name: told[-1].limit for name, told in self.told.items()}
+        return {
+            name: received[-1].limit for name, received in self.received.items()
+        }
 
 
 class AgentTransport:
@@ -89,18 +91,18 @@
         subscribe(two)
         subscribe(one, rate_limit.Observation(START, 2.0, loop.time()))
         await asyncio.sleep(0.5)
-        told = network.tell()
+        limits = network.send_report()
         subscribe(one, rate_limit.Observation(START, None, loop.time()))
-        ended = network.tell()
+        ended = network.send_report()
         await asyncio.sleep(11.0)
         subscribe(one)
         subscribe(two)
-        return told, ended, network.tell(), loop.time()
+        return limits, ended, network.send_report(), loop.time()
 
-    told, ended, later, now = clocks.run(play())
-    assert [limit.per_s for limit in told.values()] == [2.0, 2.0]
-    assert told["two"].start == START
-    assert told["two"].at == pytest.approx(now - 11.5, abs=0.01)
+    limits, ended, later, now = clocks.run(play())
+    assert [limit.per_s for limit in limits.values()] == [2.0, 2.0]
+    assert limits["two"].start == START
+    assert limits["two"].at == pytest.approx(now - 11.5, abs=0.01)
     assert [limit.per_s for limit in ended.values()] == [None, None]
     assert set(later.values()) == {None}
 
@@ -113,8 +115,8 @@
         now = loop.time()
         subscribe(one, rate_limit.Observation(START, 2.0, now))
         subscribe(one, rate_limit.Observation(START, None, now - 1.0))
-        kept = network.tell()["one"].per_s
-        return kept, network.tell(NEXT_START)["one"]
+        kept = network.send_report()["one"].per_s
+        return kept, network.send_report(NEXT_START)["one"]
 
     assert clocks.run(play()) == (2.0, None)
 
@@ -134,7 +136,7 @@
         subscribe(network.listener("one"))
         message = ttypes.Subscribe("one", {}, False, None, limit)
         network.reporter.datagram_received(codec.encode(message), "one")
-        return network.tell()["one"]
+        return network.send_report()["one"]
 
     assert clocks.run(play()) is None
 
@@ -168,7 +170,7 @@
     """Guards against a division by zero caused by an invalid report."""
     signals = new_signals()
     backend = backends.Backend(None, None, None, signals)
-    told = reports.Report("s1", 0, 0, 1, rank=3, follower_rank=0, entries=2)
+    outside = reports.Report("s1", 0, 0, 1, rank=3, follower_rank=0, entries=2)
     backend._update_share = lambda report, readable_prompts: None
-    backend.apply_report(told, 1.0)
+    backend.apply_report(outside, 1.0)
     assert (signals.position, signals.entry_position) == (None, None)
--- a/tests/test_direct_overload.py
+++ b/tests/test_direct_overload.py
@@ -90,11 +90,11 @@
 def test_large_requests_are_served_like_others_under_overload():
     """The size of a request must not decide whether it is served."""
     site = play(None, 1)
-    found = site.callers_between(BURST[0], AFTER_BURST[1])
-    large = [c for c in found if c.kind is overload_site.KINDS[0]]
+    callers = site.callers_between(BURST[0], AFTER_BURST[1])
+    large = [c for c in callers if c.kind is overload_site.KINDS[0]]
     large.sort(key=lambda c: c.prompt)
     largest = large[-len(large) // 10 :]
-    served = sum(c.served for c in found) / len(found)
+    served = sum(c.served for c in callers) / len(callers)
     assert sum(c.served for c in largest) / len(largest) >= 0.75 * served
 
 
@@ -114,8 +114,8 @@
         site.stop()
         return site
 
-    found = clocks.run(run()).callers_between(0.0, 16.0)
-    assert sum(c.served for c in found) / len(found) >= 0.97
+    callers = clocks.run(run()).callers_between(0.0, 16.0)
+    assert sum(c.served for c in callers) / len(callers) >= 0.97
 
 
 LASTING = (4.0, 20.0)
@@ -157,11 +157,11 @@
     site = play_lasting(figures, kinds, 10, per_s)
     assert site.serviceable_share(SETTLED, LASTING[1]) < 0.65
     assert site.share_in_time(SETTLED, LASTING[1]) >= 0.85
-    found = site.callers_between(SETTLED, LASTING[1])
-    served = sum(c.served for c in found) / len(found)
-    groups = [[c for c in found if c.kind is kind] for kind in kinds]
-    found.sort(key=lambda c: c.prompt)
-    groups.append(found[-len(found) // 10 :])
+    callers = site.callers_between(SETTLED, LASTING[1])
+    served = sum(c.served for c in callers) / len(callers)
+    groups = [[c for c in callers if c.kind is kind] for kind in kinds]
+    callers.sort(key=lambda c: c.prompt)
+    groups.append(callers[-len(callers) // 10 :])
     for group in groups:
         assert sum(c.served for c in group) / len(group) >= served / 2
 
--- a/tests/test_direct_readers.py
+++ b/tests/test_direct_readers.py
@@ -24,8 +24,8 @@
     for number in range(1, 50):
         compacted.add(batch(number, ("c", b"%d" % number)), 1.0)
     compacted.add(batch(50, ("a", b"")), 2.0)
-    found = [(i.key, i.value, i.offset) for i in compacted.since(1)]
-    assert found == [("c", b"49", 49), ("a", b"", 50)]
+    items = [(i.key, i.value, i.offset) for i in compacted.since(1)]
+    assert items == [("c", b"49", 49), ("a", b"", 50)]
     assert compacted.since(51) == ()
     assert [i.key for i in compacted.all()] == ["c"]
     assert (compacted.added_after(1), compacted.added_after(50)) == (1.0, 2.0)
@@ -94,5 +94,5 @@
 
 def test_only_the_first_readers_keep_trying_an_unavailable_store():
     peers = [address(0), address(1)]
-    found = orders_during_an_outage(unreachable=False)
-    assert found == ([None, *peers], peers)
+    orders = orders_during_an_outage(unreachable=False)
+    assert orders == ([None, *peers], peers)
--- a/tests/test_direct_silence.py
+++ b/tests/test_direct_silence.py
@@ -52,8 +52,8 @@
     chooser = balance.Balancer(
         backends, place, {}, random.Random(1), lambda: now
     )
-    found = {chooser.choose(REQUIREMENTS) for _ in range(50)}
-    return {backend.server.server_id for backend in found}
+    chosen = {chooser.choose(REQUIREMENTS) for _ in range(50)}
+    return {backend.server.server_id for backend in chosen}
 
 
 def test_a_server_silent_with_its_agent_is_skipped():
@@ -147,12 +147,14 @@
         lambda: now[0],
     )
     assert chooser.choose(REQUIREMENTS) is backends.find("healthy")
-    found = chooser.choose(REQUIREMENTS, {types.ServerStart("healthy")})
-    assert found is backends.find("cooling")
-    chooser.record_sent(found)
+    chosen = chooser.choose(REQUIREMENTS, {types.ServerStart("healthy")})
+    assert chosen is backends.find("cooling")
+    chooser.record_sent(chosen)
     assert chooser.choose(REQUIREMENTS, {types.ServerStart("healthy")}) is None
     now[0] = 10.3
-    assert chooser.choose(REQUIREMENTS, {types.ServerStart("healthy")}) is found
+    assert (
+        chooser.choose(REQUIREMENTS, {types.ServerStart("healthy")}) is chosen
+    )
     without_cooling = dataclasses.replace(REQUIREMENTS, allow_cooldown=False)
     assert (
         chooser.choose(without_cooling, {types.ServerStart("healthy")}) is None
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -60,7 +60,7 @@
 
 def observe_everything(backend):
     """Applies everything that can be observed of a start."""
-    told = report(
+    agent_report = report(
         version=2,
         whole=True,
         loading=True,
@@ -72,7 +72,7 @@
         rank=1,
         follower_rank=1,
     )
-    backend.apply_report(told, 10.0)
+    backend.apply_report(agent_report, 10.0)
     metadata = types.AnswerMetadata(
         "a", True, False, limit_per_s=2.0, leaving=True, backoff_s=9.0
     )
@@ -90,25 +90,27 @@
 
 def observed_state(backend):
     excluded = ("server", "pool", "_rng", "signals")
-    found = {k: v for k, v in vars(backend).items() if k not in excluded}
+    state = {k: v for k, v in vars(backend).items() if k not in excluded}
     excluded = ("start", "limiter", "_log", "_counters")
     reported = vars(backend.signals).items()
-    found |= {k: v for k, v in reported if k not in excluded}
-    return found | {"limit": backend.signals.limiter.per_s}
+    state |= {k: v for k, v in reported if k not in excluded}
+    return state | {"limit": backend.signals.limiter.per_s}
 
 
 @pytest.mark.parametrize(
-    ("asked_at", "told", "found"),
+    ("asked_at", "predicted_s", "expected_s"),
     [(10.0, 2.0, 2.0), (12.4, 2.0, 0.0), (13.0, 2.0, math.inf)],
 )
-def test_overdue_server_is_not_waited_for(asked_at, told, found):
+def test_overdue_server_is_not_waited_for(asked_at, predicted_s, expected_s):
     """Guards against callers that wait for a server that never becomes ready.
 
     An agent predicted when its server would be ready, and froze. A predicted
     time in the past counted as now.
     """
     backends = new_fleet()
-    listed(backends, server(1)).apply_report(report(ready_in_s=told), 10.0)
+    listed(backends, server(1)).apply_report(
+        report(ready_in_s=predicted_s), 10.0
+    )
     balancer = balance.Balancer(
         backends,
         shared_types.Place("r1", "d1"),
@@ -116,7 +118,7 @@
         random.Random(1),
         lambda: asked_at,
     )
-    assert balancer.ready_in_s("engine") == pytest.approx(found)
+    assert balancer.ready_in_s("engine") == pytest.approx(expected_s)
 
 
 def test_observations_of_one_start_do_not_apply_to_the_next():
@@ -148,9 +150,9 @@
     """
     backends = new_fleet()
     backend = listed(backends, server(2))
-    told = report(started_ms=started_ms, version=2, whole=True)
-    assert backends.match_report(told, "127.0.0.2") is None
-    assert (backends.match_report(told, HOST) is backend) == taken
+    agent_report = report(started_ms=started_ms, version=2, whole=True)
+    assert backends.match_report(agent_report, "127.0.0.2") is None
+    assert (backends.match_report(agent_report, HOST) is backend) == taken
     assert backend.retired == over
     if over:
         assert not listed(backends, server(3)).retired
@@ -158,7 +160,9 @@
 
 def test_report_carries_its_start():
     received = []
-    listener = reports.Listener("e", lambda host, told: received.append(told))
+    listener = reports.Listener(
+        "e", lambda host, received_report: received.append(received_report)
+    )
 
     class Transport:
         def sendto(self, data, addr):
@@ -173,8 +177,12 @@
             reporter.send(report(started_ms=started_ms))
 
     clocks.run(play())
-    assert [told.server_id for told in received] == ["a", "a", "a"]
-    assert [told.started_ms for told in received] == [
+    assert [received_report.server_id for received_report in received] == [
+        "a",
+        "a",
+        "a",
+    ]
+    assert [received_report.started_ms for received_report in received] == [
         0,
         1_780_000_000_123,
         1_780_000_000_124,
@@ -288,8 +296,8 @@
         bounds=instances.Bounds(),
     )
     state = agent_interfaces.ServerState((), False, 0, 0, 0, 1.0, started_ms)
-    found = {s.server_id: s for s in servers}
-    return updater.Context(instance, servers=found, state=state)
+    servers_by_id = {s.server_id: s for s in servers}
+    return updater.Context(instance, servers=servers_by_id, state=state)
 
 
 def new_server(server_id, started_ms):
@@ -299,7 +307,7 @@
 
 
 @pytest.mark.parametrize(
-    ("found", "start"),
+    ("context", "start"),
     [
         (new_context(), types.ServerStart("")),
         (new_context(started_ms=4), types.ServerStart("", 0)),
@@ -326,13 +334,13 @@
         ),
     ],
 )
-def test_agent_determines_the_current_start_of_its_server(found, start):
+def test_agent_determines_the_current_start_of_its_server(context, start):
     """Guards against seconds without reports after a server has crashed.
 
     The previous start stays listed at the same address until its listing
     expires, and the agent continued to report under its id.
     """
-    assert found.start == start
+    assert context.start == start
 
 
 def test_an_order_is_not_given_to_another_start():
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -26,12 +26,12 @@
 
 
 def test_no_name_of_the_platform_is_used_outside_the_adapter():
-    found = [
+    paths = [
         str(path)
         for path in (ROOT / "src").rglob("*")
         if path.suffix in (".py", ".thrift") and NAMES.search(path.read_bytes())
     ]
-    assert found == []
+    assert paths == []
 
 
 def test_the_folder_does_not_hide_the_standard_module():
@@ -83,7 +83,7 @@
 
 
 def test_a_request_is_decoded():
-    found = headers.Headers().request_metadata(
+    metadata = headers.Headers().request_metadata(
         [
             (b"X-Clementinegw-Attempt-Id", b"abc"),
             (b"X-Clementinegw-Deadline-Ms", b"1500"),
@@ -93,7 +93,7 @@
             (b"Last-Event-Id", b"12"),
         ]
     )
-    assert found == types.RequestMetadata(
+    assert metadata == types.RequestMetadata(
         "abc", 1.5, "secret", "", 1460, 80, "e4", "12"
     )
 
@@ -159,9 +159,9 @@
         {"service": "b", "weight": 10},
     ]
     body = config(routes=[{**ROUTE, "backends": split, "unknown": 1}])
-    found = records.decode_configuration(body).routes[0]
-    assert found.targets == (types.Target("a", 90), types.Target("b", 10))
-    assert (found.host, found.timeout_s) == ("h.example", 6.0)
+    decoded = records.decode_configuration(body).routes[0]
+    assert decoded.targets == (types.Target("a", 90), types.Target("b", 10))
+    assert (decoded.host, decoded.timeout_s) == ("h.example", 6.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_configurations.py
+++ b/tests/test_platform_configurations.py
@@ -34,10 +34,10 @@
     routes = some_routes(50)
     previous = decoder.decode_configuration(config(1, routes)).routes
     routes[7]["timeout_ms"] = 1_000
-    found = decoder.decode_configuration(config(2, routes)).routes
-    redecoded = [n for n in range(50) if found[n] is not previous[n]]
+    decoded = decoder.decode_configuration(config(2, routes)).routes
+    redecoded = [n for n in range(50) if decoded[n] is not previous[n]]
     assert redecoded == [7]
-    assert found[7].timeout_s == 1.0
+    assert decoded[7].timeout_s == 1.0
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -50,8 +50,8 @@
         routes[0]["timeout_ms"] = rng.choice([500, 1_000])
         routes[1]["service"] = rng.choice(["a", "b"])
         body = config(version, routes[: rng.randrange(21)])
-        found = decoder.decode_record("config", body)
-        assert found == records.decode_configuration(body)
+        decoded = decoder.decode_record("config", body)
+        assert decoded == records.decode_configuration(body)
         assert len(decoder._routes) <= 20
 
 
@@ -63,13 +63,13 @@
         decoder.decode_configuration(config(2, [{**routes[0], "kind": "odd"}]))
     with pytest.raises(ValueError, match="truncated"):
         decoder.decode_configuration(config(2, routes)[:-9])
-    found = decoder.decode_configuration(config(3, routes)).routes
-    assert all(a is b for a, b in zip(previous, found, strict=True))
+    decoded = decoder.decode_configuration(config(3, routes)).routes
+    assert all(a is b for a, b in zip(previous, decoded, strict=True))
 
 
 def test_other_records_are_decoded_as_without_reuse():
     decoder = configurations.Decoder()
     body = b'{"model":"m","version":3}'
-    found = decoder.decode_record("version/m", body)
-    assert found == records.decode_operator_record("version/m", body)
+    decoded = decoder.decode_record("version/m", body)
+    assert decoded == records.decode_operator_record("version/m", body)
     assert decoder.decode_record("other", b"{}") is None
--- a/tests/test_platform_foreign.py
+++ b/tests/test_platform_foreign.py
@@ -87,10 +87,10 @@
 
 
 def test_unknown_fields_of_a_server_record_are_ignored():
-    found = records.decode_server_record(
+    decoded = records.decode_server_record(
         "i-1", changed(born=178, odd={"x": [1]})
     )
-    assert (found.service, found.started_ms, found.sequence) == (
+    assert (decoded.service, decoded.started_ms, decoded.sequence) == (
         "plain",
         178,
         1,
@@ -131,8 +131,8 @@
             for _ in range(20):
                 assert (await site.ask()).status == 200
             assert len(malformed.calls) == before
-            found = {b.server.server_id for b in site.entry._fleet.all()}
-            assert found == {"b"}
+            server_ids = {b.server.server_id for b in site.entry._fleet.all()}
+            assert server_ids == {"b"}
             # The newest records are read again, page by page.
             site.store.forget(TOPIC)
             site.store.malformed_items = [
@@ -145,13 +145,13 @@
             site.store.cut()
             await asyncio.sleep(3.0)
             assert (await site.ask()).status == 200
-            found = {b.server.server_id for b in site.entry._fleet.all()}
-            assert found == {"b"}
+            server_ids = {b.server.server_id for b in site.entry._fleet.all()}
+            assert server_ids == {"b"}
             assert not site.entry.crashed
             site.store.put(TOPIC, malformed.name, malformed.record(sequence=3))
             await asyncio.sleep(3.0)
-            found = {b.server.server_id for b in site.entry._fleet.all()}
-            assert found == {"a", "b"}
+            server_ids = {b.server.server_id for b in site.entry._fleet.all()}
+            assert server_ids == {"a", "b"}
 
     platform_site.run(play())
 
@@ -200,10 +200,10 @@
                 offset = batch.next_offset
         for _ in range(3):
             store.put_raw(TOPIC, b"i-2", b"7")
-            found = topic.decoded((await topic.snapshot()).items)
+            decoded = topic.decoded((await topic.snapshot()).items)
         await store.stop()
-        assert [record.key for record in found] == ["i-2"]
-        assert isinstance(found[0].value, types.Unreadable)
+        assert [record.key for record in decoded] == ["i-2"]
+        assert isinstance(decoded[0].value, types.Unreadable)
         return log.lines, counters.value("platform.records.unreadable")
 
     lines, counted = platform_site.run(play())
--- a/tests/test_platform_frozen.py
+++ b/tests/test_platform_frozen.py
@@ -93,8 +93,8 @@
             await asyncio.sleep(0.01)
             if set(domain.versions()) == {2}:
                 durations_s.setdefault("change", clock() - started)
-            found = [e._fleet.find("i-1") for e in domain.entries]
-            if all(backend.retired for backend in found):
+            backends = [e._fleet.find("i-1") for e in domain.entries]
+            if all(backend.retired for backend in backends):
                 durations_s.setdefault("leaving", clock() - started)
         domain.entries.append(reader)
         await server.stop()
--- a/tests/test_platform_pages.py
+++ b/tests/test_platform_pages.py
@@ -7,14 +7,14 @@
 
 def config(version, keys):
     """Returns a configuration of some 600 KB."""
-    found = sites.config(version)
-    route = found["routes"][0]
-    found["routes"] += [
+    config = sites.config(version)
+    route = config["routes"][0]
+    config["routes"] += [
         {**route, "name": f"r{i}", "path_prefix": f"/more/{i}/{'x' * 150}/"}
         for i in range(1_800)
     ]
-    found["tenants"] = [{"name": "one", "api_keys": keys}]
-    return found
+    config["tenants"] = [{"name": "one", "api_keys": keys}]
+    return config
 
 
 def test_an_incomplete_answer_does_not_prove_a_key_valid():
