--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -184,9 +184,11 @@
     version, changes = 2, 0
     for step in range(40):
         current = plan.Progress(version, remaining[version])
-        former = {v: left for v, left in remaining.items() if v != version}
+        abandoned_missing = {
+            v: left for v, left in remaining.items() if v != version
+        }
         now = 7.0 + step / 10
-        chosen = plan.choose(both, current, usual, now, {3}, former)
+        chosen = plan.choose(both, current, usual, now, {3}, abandoned_missing)
         changes += chosen != version
         version = chosen
     assert changes <= 1
@@ -226,9 +228,9 @@
 )
 
 
-def turns_of(names, here_at, last_at):
+def turns_of(names, complete_at, latest_at):
     return [
-        swap_schedule.swap_times(name, names, 7, here_at, last_at, SWAP)
+        swap_schedule.swap_times(name, names, 7, complete_at, latest_at, SWAP)
         for name in names
     ]
 
--- a/tests/test_direct_declarations.py
+++ b/tests/test_direct_declarations.py
@@ -376,7 +376,7 @@
 
     After a power failure of all processes none knew the time of a declaration,
     and each required the version as soon as deadlines applied to it. Then the
-    store dropped its history and everything was read anew, so that the same
+    store dropped its history and everything was read again, so that the same
     version seemed to be declared just now.
     """
     now = [100.0]
--- a/tests/test_direct_due.py
+++ b/tests/test_direct_due.py
@@ -114,24 +114,26 @@
 
     async with Site("i-1", on_call=slow) as site:
         await change(site, None)
-        asking = asyncio.ensure_future(site.ask("/stream/1", headers=MODEL))
+        request_task = asyncio.ensure_future(
+            site.ask("/stream/1", headers=MODEL)
+        )
         await asyncio.sleep(0.2)
-        await change(site, asking)
-        answer = await asking
+        await change(site, request_task)
+        answer = await request_task
         return len(site.servers[0].calls) == 1, answer.status == 200
 
 
 async def learns_the_age_while_a_request_waits():
-    async def report_age(site, asking):
-        if asking is not None:
+    async def report_age(site, request_task):
+        if request_task is not None:
             site.report_age(7.5)
 
     return await _serves_waiting_request(report_age)
 
 
 async def is_suspended_while_a_request_waits():
-    async def suspend(site, asking):
-        if asking is None:
+    async def suspend(site, request_task):
+        if request_task is None:
             site.name()
             await asyncio.sleep(4.0)
         else:
--- a/tests/test_direct_following.py
+++ b/tests/test_direct_following.py
@@ -157,8 +157,8 @@
         reporter = reports.Reporter(lambda declared: None)
         reporter.connection_made(transport)
         for name, changes_only in (("follows", False), ("other", True)):
-            asks = ttypes.Subscribe(name, {}, False, changes_only)
-            reporter.datagram_received(codec.encode(asks), name)
+            subscription = ttypes.Subscribe(name, {}, False, changes_only)
+            reporter.datagram_received(codec.encode(subscription), name)
         report = reports.Report("s1", 1, 0, 8, "m", 1, True)
         for _ in range(8):
             reporter.send(report)
@@ -277,7 +277,9 @@
 
     before, after, rounds = clocks.run(run())
     assert (before, after) == (False, True)
-    assert [asking.changes_only for asking in rounds[-1].values()] == [False]
+    assert [
+        subscription.changes_only for subscription in rounds[-1].values()
+    ] == [False]
 
 
 def test_each_entry_gets_its_rank_among_all_and_among_followers():
@@ -291,8 +293,8 @@
         transport = RecordingTransport()
         reporter.connection_made(transport)
         for name, changes_only in (("b", False), ("a", True), ("c", False)):
-            asks = ttypes.Subscribe(name, {}, False, changes_only)
-            reporter.datagram_received(codec.encode(asks), name)
+            subscription = ttypes.Subscribe(name, {}, False, changes_only)
+            reporter.datagram_received(codec.encode(subscription), name)
         reporter.send(reports.Report("s1", 1, 0, 8, "m", 1, True))
         early = ranks(transport)
         await asyncio.sleep(2.5)
--- a/tests/test_direct_limit_relay.py
+++ b/tests/test_direct_limit_relay.py
@@ -66,9 +66,9 @@
 
 
 def subscribe(listener, limit=None):
-    asking = reports.Subscription(False, False, limit)
+    subscription = reports.Subscription(False, False, limit)
     listener.subscribe(
-        {shared_types.Address("10.0.0.1", 1): asking},
+        {shared_types.Address("10.0.0.1", 1): subscription},
         reports.DeclaredVersions({}, {}),
     )
 
--- a/tests/test_direct_reach.py
+++ b/tests/test_direct_reach.py
@@ -16,12 +16,12 @@
     def __init__(self, monkeypatch, refuse_s=0.002):
         self._connect = client.connect
         self._refuse_s = refuse_s
-        self.away = False
+        self.active = False
         self.tries = []
         monkeypatch.setattr(client, "connect", self._try)
 
     async def _try(self, address, timeout_s):
-        if not self.away:
+        if not self.active:
             return await self._connect(address, timeout_s)
         self.tries.append(asyncio.get_running_loop().time())
         await asyncio.sleep(min(self._refuse_s, timeout_s))
@@ -29,16 +29,16 @@
 
     def cut(self, site):
         """Makes all servers unreachable and closes their connections."""
-        self.away = True
+        self.active = True
         for backend in site.entry._fleet.all():
             backend.pool.close()
 
 
-async def timed(asking):
+async def timed(request_task):
     """Returns an answer and the time it took, in seconds."""
     clock = asyncio.get_running_loop().time
     began = clock()
-    answer = await asking
+    answer = await request_task
     return answer, clock() - began
 
 
@@ -48,7 +48,7 @@
     """Guards against 504 at the end of callers' time if no server is reachable.
 
     A failure domain was cut off, and its servers' connections were refused.
-    Nothing had been sent, but 504 does not tell that a request was not run.
+    Nothing had been sent, but 504 does not say that a request was not run.
     Callers also stayed connected to a process that reached no server.
     """
 
@@ -94,10 +94,10 @@
         async with sites.Site("i-1") as site:
             unreachable = UnreachableServers(monkeypatch)
             unreachable.cut(site)
-            asking = asyncio.ensure_future(site.ask("/once/1"))
+            request_task = asyncio.ensure_future(site.ask("/once/1"))
             await asyncio.sleep(0.1)
-            unreachable.away = False
-            return await asking
+            unreachable.active = False
+            return await request_task
 
     assert sites.run(play()).status == 200
 
@@ -122,8 +122,8 @@
                 for number in range(10)
             ]
             await asyncio.sleep(0.1)
-            unreachable.away = False
-            return [(await asking).status for asking in asked]
+            unreachable.active = False
+            return [(await request_task).status for request_task in asked]
 
     assert sites.run(play()) == [200] * 10
 
@@ -142,7 +142,7 @@
             for number in range(200):
                 await site.ask("/once/1", attempt_id=f"b{number}")
                 await asyncio.sleep(0.05)
-            unreachable.away = False
+            unreachable.active = False
             await asyncio.sleep(0.25)
             return (await site.ask("/once/1")).status, len(unreachable.tries)
 
@@ -160,7 +160,7 @@
             for number in range(40):
                 await site.ask("/once/1", attempt_id=f"b{number}")
                 await asyncio.sleep(0.05)
-            unreachable.away = False
+            unreachable.active = False
             await asyncio.sleep(0.25)
             first = await site.ask("/once/1")
             rest = [await site.ask("/once/1") for _ in range(10)]
--- a/tests/test_direct_server_limit.py
+++ b/tests/test_direct_server_limit.py
@@ -44,11 +44,11 @@
 
 async def keep_asking(site, count, pause_s):
     """Sends requests at an even pace and returns the statuses."""
-    asking = []
+    request_tasks = []
     for number in range(count):
-        asking.append(asyncio.ensure_future(site.ask(f"/safe/{number}")))
+        request_tasks.append(asyncio.ensure_future(site.ask(f"/safe/{number}")))
         await asyncio.sleep(pause_s)
-    return [answer.status for answer in await asyncio.gather(*asking)]
+    return [answer.status for answer in await asyncio.gather(*request_tasks)]
 
 
 def test_server_gets_no_more_requests_than_its_limit():
@@ -79,11 +79,11 @@
             use_only_entry(site)
             site.servers[0].on_call = limited(2.0)
             await site.ask()
-            asking, clock = [], asyncio.get_running_loop().time
+            request_tasks, clock = [], asyncio.get_running_loop().time
             for number in range(100):
-                asking.append(asyncio.ensure_future(timed(site, number)))
+                request_tasks.append(asyncio.ensure_future(timed(site, number)))
                 await asyncio.sleep(0.05)
-            answers = await asyncio.gather(*asking)
+            answers = await asyncio.gather(*request_tasks)
             return answers, most_in_span(arrivals(site.servers[0], clock() - 5))
 
     answers, most = sites.run(play())
@@ -116,10 +116,10 @@
             await site.ask()
             site.servers[0].on_call = limited(0.5)
             sites.slow_connections(monkeypatch, by_s=0.2)
-            asking = [
+            request_tasks = [
                 asyncio.ensure_future(site.ask(f"/safe/{n}")) for n in range(8)
             ]
-            await asyncio.gather(*asking)
+            await asyncio.gather(*request_tasks)
             return len(site.servers[0].calls)
 
     # The first request, one that gets the report, and a few valid slots.
--- a/tests/test_direct_starts.py
+++ b/tests/test_direct_starts.py
@@ -171,8 +171,8 @@
     async def play():
         reporter = reports.Reporter(lambda declared: None)
         reporter.connection_made(Transport())
-        asks = codec.encode(ttypes.Subscribe("e", {}, False))
-        reporter.datagram_received(asks, (HOST, 1))
+        subscription = codec.encode(ttypes.Subscribe("e", {}, False))
+        reporter.datagram_received(subscription, (HOST, 1))
         for started_ms in (0, 1_780_000_000_123, 1_780_000_000_124):
             reporter.send(report(started_ms=started_ms))
 
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -154,7 +154,7 @@
     """An answer takes eight seconds, stalls, or arrives a few bytes at a time.
 
     The first one must be received completely. The others must be given up soon:
-    a reader makes one call at a time and gets no news during a stalled one.
+    a reader makes one call at a time and gets no changes during a stalled one.
     """
 
     async def play():
