--- a/src/clementinegw/direct/subsetting.py
+++ b/src/clementinegw/direct/subsetting.py
@@ -14,9 +14,9 @@
 import dataclasses
 import hashlib
 
-# Maximum number of servers of the own region. A small fleet is followed whole.
-# An entry sends about ten requests per second, and 24 servers have one with
-# capacity as often as 60.
+# Maximum number of servers of the own region. In a small fleet all servers are
+# followed. An entry sends about ten requests per second, and 24 servers have
+# one with capacity as often as 60.
 _MAX_NEAR = 24
 # Minimum number of servers of other regions, which take the excess load of a
 # full region. With fewer, the entries that follow the same ones overload them.
@@ -53,9 +53,9 @@
     ranked = sorted(candidates, key=lambda c: _hash(entry, c.server_id))
     near = [c for c in ranked if c.near][:_MAX_NEAR]
     far = [c for c in ranked if not c.near]
-    found = near + far[: max(_MIN_FAR, _MAX_NEAR - len(near))]
-    chosen = {c.server_id for c in found}
-    missing = _MIN_SERVING - sum(c.serves for c in found)
+    followed = near + far[: max(_MIN_FAR, _MAX_NEAR - len(near))]
+    chosen = {c.server_id for c in followed}
+    missing = _MIN_SERVING - sum(c.serves for c in followed)
     extra = [c for c in ranked if c.serves and c.server_id not in chosen]
     chosen.update(c.server_id for c in extra[: max(0, missing)])
     return frozenset(chosen)
--- a/tests/test_direct_decisions.py
+++ b/tests/test_direct_decisions.py
@@ -50,8 +50,8 @@
 
 
 def batch(*records):
-    found = tuple(topic_watch.Record(key, value) for key, value in records)
-    return topic_watch.Batch(found, len(found))
+    decoded = tuple(topic_watch.Record(key, value) for key, value in records)
+    return topic_watch.Batch(decoded, len(decoded))
 
 
 # Choice of the version to transfer.
@@ -96,7 +96,7 @@
 
     Version 3 was declared during the transfer of 2, and each agent decided by
     its own progress. Half of them dropped 2, and with them half of the sources
-    of its pieces, since they were a few pieces apart near the point of
+    of its chunks, since they were a few chunks apart near the point of
     decision.
     """
     slow = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=8.0)
@@ -138,7 +138,7 @@
     """Guards against serving nothing until an unreachable origin is back.
 
     Version 3 was declared when half of 2 was transferred. All agents started 3,
-    and its origin became unreachable. The pieces that agents had of 2 were
+    and its origin became unreachable. The chunks that agents had of 2 were
     given up.
     """
     both = [FIRST, plan.Declaration(3, 2.0)]
@@ -184,20 +184,22 @@
     version, changes = 2, 0
     for step in range(40):
         current = plan.Progress(version, remaining[version])
-        former = {v: left for v, left in remaining.items() if v != version}
+        abandoned_missing = {
+            v: left for v, left in remaining.items() if v != version
+        }
         now = 7.0 + step / 10
-        chosen = plan.choose(both, current, usual, now, {3}, former)
+        chosen = plan.choose(both, current, usual, now, {3}, abandoned_missing)
         changes += chosen != version
         version = chosen
     assert changes <= 1
 
 
-def test_pieces_of_a_version_of_no_use_do_not_go_first():
+def test_chunks_of_a_version_of_no_use_do_not_go_first():
     """Guards against agents that have nothing of a version when it is due.
 
     Versions 2 and 3 were declared while the platform was unavailable and became
     known together. Some agents learned of 2 slightly earlier and transferred it
-    for the time of a whole version. Last pieces went first, though the older
+    for the time of a whole version. Last chunks went first, though the older
     version was due at the same time as the newest.
     """
     usual = plan.RolloutTiming(fetch_s=6.3, swap_s=0.9, due_s=13.4)
@@ -226,40 +228,40 @@
 )
 
 
-def turns_of(names, here_at, last_at):
+def turns_of(names, complete_at, latest_at):
     return [
-        swap_schedule.swap_times(name, names, 7, here_at, last_at, SWAP)
+        swap_schedule.swap_times(name, names, 7, complete_at, latest_at, SWAP)
         for name in names
     ]
 
 
 def test_all_agents_compute_the_same_turns_in_even_groups():
     names = [f"i-{number}" for number in range(10)]
-    found = turns_of(names, 5.0, 9.0)
-    loads = [round(turn.load_at, 6) for turn in found]
+    turns = turns_of(names, 5.0, 9.0)
+    loads = [round(turn.load_at, 6) for turn in turns]
     assert sorted(loads).count(5.0) in (3, 4)
     assert set(loads) == {5.0, 5.8, 6.6}
-    assert turns_of(names[::-1], 5.0, 9.0)[::-1] == found
-    assert all(turn.load_at - turn.yield_at == 1.0 for turn in found)
+    assert turns_of(names[::-1], 5.0, 9.0)[::-1] == turns
+    assert all(turn.load_at - turn.yield_at == 1.0 for turn in turns)
 
 
-def test_groups_overlap_if_pieces_arrive_late():
+def test_groups_overlap_if_chunks_arrive_late():
     """Guards against a second without servers before a version is due.
 
-    A slow link delayed the last pieces until 1.7 s before. All groups stopped
+    A slow link delayed the last chunks until 1.7 s before. All groups stopped
     accepting requests at the same time, each for a whole second.
     """
     names = [f"i-{number}" for number in range(9)]
-    found = turns_of(names, 6.3, 7.4)
+    turns = turns_of(names, 6.3, 7.4)
     for moment in (6.2, 6.5, 7.0, 7.3):
-        away = [t for t in found if t.yield_at <= moment < t.load_at + 0.3]
+        away = [t for t in turns if t.yield_at <= moment < t.load_at + 0.3]
         assert len(away) <= 6
-    assert max(turn.load_at for turn in found) == 7.4
+    assert max(turn.load_at for turn in turns) == 7.4
 
 
 def test_all_groups_load_at_once_if_the_time_is_over():
-    found = turns_of(["a", "b", "c"], 9.0, 7.4)
-    assert {turn.load_at for turn in found} == {7.4}
+    turns = turns_of(["a", "b", "c"], 9.0, 7.4)
+    assert {turn.load_at for turn in turns} == {7.4}
 
 
 def test_unlisted_agent_has_a_turn():
@@ -299,7 +301,7 @@
     second after the others, and counted the time from then.
     """
     known = version_policy.VersionPolicy(8.0, lambda: 0.0)
-    known.record_declared(types.DeclaredVersion("m", 2), unread_s=1.0)
+    known.record_declared(types.DeclaredVersion("m", 2), lag_s=1.0)
     assert known.required("m", 8.0 - 1.2) == 2
 
 
@@ -310,7 +312,7 @@
     process read the declaration afterwards and considered it overdue.
     """
     known = version_policy.VersionPolicy(8.0, lambda: 0.0)
-    known.record_declared(types.DeclaredVersion("m", 2), unread_s=8.0)
+    known.record_declared(types.DeclaredVersion("m", 2), lag_s=8.0)
     assert known.required("m", 6.0) is None
 
 
@@ -518,10 +520,10 @@
     Every attempt of eight entries failed, and each entry retried as often as
     its budget allowed. Each one used the whole slack.
     """
-    terms = budget.Limits(ratio=0.2, slack=104.0, window_s=10.0)
+    limits = budget.Limits(ratio=0.2, slack=104.0, window_s=10.0)
     repeats, requests = 0, 0
     for _ in range(8):
-        one = budget.RetryBudget(terms)
+        one = budget.RetryBudget(limits)
         one.entries = 8
         for number in range(100):
             now = number * 0.1
@@ -546,7 +548,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "found"),
+    ("path", "expected"),
     [
         ("/a/b/c", "long"),
         ("/a/x", "short"),
@@ -556,11 +558,11 @@
         ("", None),
     ],
 )
-def test_longest_prefix_matches(path, found):
+def test_longest_prefix_matches(path, expected):
     routes = (route("/a/", "short"), route("/a/b/", "long"))
     known = catalog.Catalog(types.Configuration(1, routes, {}, {}))
     match = known.route("h", path)
-    assert (match.name if match else None) == found
+    assert (match.name if match else None) == expected
     assert known.route("other", path) is None
 
 
@@ -571,9 +573,9 @@
     stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
     for cut in range(len(stream) + 1):
         splitter = sse.Splitter()
-        found = splitter.feed(stream[:cut]) + splitter.feed(stream[cut:])
-        assert b"".join(e.data for e in found) + splitter.remainder == stream
-        assert [e.event_id for e in found][:2] == ["1", "2"]
+        events = splitter.feed(stream[:cut]) + splitter.feed(stream[cut:])
+        assert b"".join(e.data for e in events) + splitter.remainder == stream
+        assert [e.event_id for e in events][:2] == ["1", "2"]
 
 
 def test_incomplete_event_is_held_back():
