--- a/src/clementinegw/bench/_requests_virtual.py
+++ b/src/clementinegw/bench/_requests_virtual.py
@@ -160,8 +160,8 @@
 
 def _use_oracle(world: _requests_world.World) -> None:
     for entry in world.entries:
-        for lane in entry.service.fleet.lanes().values():
-            lane.use_policy(
+        for dispatcher in entry.service.fleet.dispatchers().values():
+            dispatcher.set_policy(
                 route.CacheAware(random.Random(0), _OracleIndex(world.agents))
             )
 
--- a/src/clementinegw/daemons/entry.py
+++ b/src/clementinegw/daemons/entry.py
@@ -199,7 +199,7 @@
 
     def _status_report(self) -> Mapping[str, Any]:
         core = self._core
-        lanes = self._requests.fleet.lanes()
+        dispatchers = self._requests.fleet.dispatchers()
         return {
             "instance_id": self._file.instance_id,
             "role": self._file.role.value,
@@ -207,6 +207,9 @@
             "members": len(core.membership.members()),
             "leaving": core.leaving,
             "running": self._requests.pipeline.running,
-            "waiting": {name: lane.waiting for name, lane in lanes.items()},
+            "waiting": {
+                name: dispatcher.waiting
+                for name, dispatcher in dispatchers.items()
+            },
             "counters": core.counters.snapshot(),
         }
--- a/src/clementinegw/matrix/request_guards.py
+++ b/src/clementinegw/matrix/request_guards.py
@@ -28,10 +28,10 @@
     return False
 
 
-def _retry_all(obstacle: Callable) -> Callable:
-    def _weaker(*args: Any) -> retry.Stop | None:
-        stop = obstacle(*args)
-        return None if stop is retry.Stop.NOT_IDEMPOTENT else stop
+def _retry_all(stop_reason: Callable) -> Callable:
+    def _weaker(*args: Any) -> retry.StopReason | None:
+        stop = stop_reason(*args)
+        return None if stop is retry.StopReason.NOT_IDEMPOTENT else stop
 
     return _weaker
 
@@ -69,11 +69,11 @@
     return request_types.Clear()
 
 
-async def _same_process(self, target, peer, run, timeout) -> bool:
+async def _same_process(self, target, peer, call, timeout) -> bool:
     """Believes whoever answers at the agent's address."""
     connection = await self._connector.connect(target.address)
     frame = await send.connection_lib.call(
-        connection, send.Kind.TOMBSTONE, run.naming(), timeout
+        connection, send.Kind.TOMBSTONE, call.encoded_id(), timeout
     )
     answer = send.codec.decode(send.ttypes.Tombstoned, frame.body)
     return bool(answer.proved)
@@ -92,7 +92,7 @@
         "doubled",
         (
             guards.Patch(_admission.Admission, "is_for_this", _ours),
-            guards.Patch(send.Sender, "_tombstone", _same_process),
+            guards.Patch(send.Sender, "_request_tombstone", _same_process),
         ),
         _ALL,
         ("agent_dies@handed_over",),
@@ -100,7 +100,7 @@
     guards.Guard(
         "retry_of_all",
         "doubled",
-        (guards.around(retry, "_obstacle", _retry_all),),
+        (guards.around(retry, "_stop_reason", _retry_all),),
         ("booking", "keyed_request"),
         ("agent_dies@handed_over",),
     ),
@@ -114,14 +114,14 @@
     guards.Guard(
         "no_explicit_end",
         "crossed",
-        (guards.around(_attempt.Run, "collect", _take_what_came),),
+        (guards.around(_attempt.AttemptCall, "collect", _take_what_came),),
         _ALL,
         ("answer_cut@handed_over",),
     ),
     guards.Guard(
         "no_frame_names",
         "doubled",
-        (guards.Patch(_attempt.Run, "_is_ours", _ours),),
+        (guards.Patch(_attempt.AttemptCall, "_names_this_attempt", _ours),),
         _ALL,
         ("refusal_crossed@submit_sent",),
     ),
--- a/src/clementinegw/requests/_absent.py
+++ b/src/clementinegw/requests/_absent.py
@@ -29,13 +29,13 @@
         """Returns Clear."""
         return request_types.Clear()
 
-    async def turn(
+    async def acquire_lease(
         self, request: Request, wait_s: float
-    ) -> request_types.Turn | types.NotRun | None:
+    ) -> request_types.Lease | types.NotRun | None:
         """Returns None: nobody waits."""
         return None
 
-    def end_turn(self, turn: request_types.Turn) -> None:
+    def release_lease(self, lease: request_types.Lease) -> None:
         """Does nothing."""
 
     def completed(self, request: Request) -> None:
--- a/src/clementinegw/requests/_attempt.py
+++ b/src/clementinegw/requests/_attempt.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
+class AttemptOptions:
     """How one attempt is to run.
 
     Attributes:
@@ -25,17 +25,17 @@
       revision: The settings revision it was decided by.
       claim_offset: The fencing number of its claim; 0 without one.
       alone: Whether nothing may run beside it.
-      silence_s: The longest silence within a streamed answer.
+      max_silence_s: The longest silence within a streamed answer.
     """
 
     attempt: int
     revision: int = 0
     claim_offset: int = 0
     alone: bool = False
-    silence_s: float = math.inf
+    max_silence_s: float = math.inf
 
 
-class Run:
+class AttemptCall:
     """The frames of one attempt."""
 
     def __init__(
@@ -43,15 +43,15 @@
         clock: clock_lib.Clock,
         counters: counters_lib.Counters,
         request: request_types.Request,
-        order: Order,
-        answer: stream_lib.Answer,
+        options: AttemptOptions,
+        answer: stream_lib.AnswerCollector,
         incarnation: int,
     ):
         self.request = request
-        self.order = order
+        self.options = options
         self.version = ""
         self.tokens = 0
-        self.reported: int | None = None
+        self.reported_load: int | None = None
         self.detail = ""
         self._clock = clock
         self._counters = counters
@@ -65,25 +65,25 @@
         """Whether any part of an answer has come."""
         return self._started
 
-    def naming(self) -> bytes:
+    def encoded_id(self) -> bytes:
         """Returns the encoded name of this attempt."""
         age_s = self._clock.now() - self._sent_at
         return codec.encode(
             ttypes.Tombstone(
                 request_id=self.request.request_id,
-                attempt=self.order.attempt,
+                attempt=self.options.attempt,
                 incarnation=self._incarnation,
                 age_ms=math.ceil(age_s * 1000),
             )
         )
 
-    def why(self, now: float) -> types.UnknownReason:
+    def unknown_reason(self, now: float) -> types.UnknownReason:
         """Returns why the outcome is unknown when it cannot be settled."""
         if now >= self.request.deadline:
             return types.UnknownReason.DEADLINE
         return types.UnknownReason.CONNECTION_LOST
 
-    def proved(self, now: float) -> types.NotRun:
+    def not_run_outcome(self, now: float) -> types.NotRun:
         """Returns the outcome when the agent has proved it."""
         if now >= self.request.deadline:
             return types.NotRun(types.NotRunReason.DEADLINE, 1.0)
@@ -93,19 +93,19 @@
         """Submits and takes frames until one of them ends the attempt."""
         await exchange.send(Kind.SUBMIT, codec.encode(self._submit()))
         while True:
-            frame = await self._next(exchange)
+            frame = await self._next_frame(exchange)
             if frame is None:
                 self._counters.add("requests.streams_silent")
                 return types.Unknown(types.UnknownReason.BACKEND_STALLED)
-            step = _STEPS.get(frame.kind)
-            if step is None:
+            handler = _FRAME_HANDLERS.get(frame.kind)
+            if handler is None:
                 self._counters.add("requests.frames_unexpected")
                 continue
-            outcome = await step(self, frame.body)
+            outcome = await handler(self, frame.body)
             if outcome is not None:
                 return outcome
 
-    async def _next(
+    async def _next_frame(
         self, exchange: connection_lib.Exchange
     ) -> connection_lib.Frame | None:
         """Returns the next frame; None when a stream has fallen silent.
@@ -114,23 +114,23 @@
         the deadline, the caller would see a stream that stands still although
         another engine could go on with it.
         """
-        left = max(0.0, self.request.deadline - self._clock.now())
-        wait = left
+        remaining_s = max(0.0, self.request.deadline - self._clock.now())
+        timeout_s = remaining_s
         if self._started and self.request.stream:
-            wait = min(left, self.order.silence_s)
+            timeout_s = min(remaining_s, self.options.max_silence_s)
         try:
-            return await exchange.receive(wait)
+            return await exchange.receive(timeout_s)
         except TimeoutError:
-            if wait < left:
+            if timeout_s < remaining_s:
                 return None
             raise
 
     def _submit(self) -> ttypes.Submit:
         request = self.request
-        left_s = request.deadline - self._clock.now()
+        remaining_s = request.deadline - self._clock.now()
         return ttypes.Submit(
             request_id=request.request_id,
-            attempt=self.order.attempt,
+            attempt=self.options.attempt,
             customer=request.caller or request.customer,
             method=request.method,
             path=request.path,
@@ -138,38 +138,38 @@
                 ttypes.Header(name=n, value=v) for n, v in request.headers
             ],
             body=request.body,
-            deadline_ms=max(1, int(left_s * 1000)),
+            deadline_ms=max(1, int(remaining_s * 1000)),
             priority=int(request.priority),
             idempotent=request.idempotent,
             stream=request.stream,
             fingerprint=request.fingerprint,
-            revision=self.order.revision,
-            claim_offset=self.order.claim_offset,
+            revision=self.options.revision,
+            claim_offset=self.options.claim_offset,
             idempotency_key=request.key,
             resume_tokens=self._answer.tokens,
             version=self._answer.version,
-            alone=self.order.alone,
+            alone=self.options.alone,
             incarnation=self._incarnation,
             sent_ms=int(self._sent_at * 1000),
         )
 
-    def _is_ours(self, message) -> bool:
+    def _names_this_attempt(self, message) -> bool:
         """Whether a frame names this attempt.
 
         The call number already says so. Were it reused by mistake, an answer
         would reach a foreign caller; the names in the frame rule that out.
         """
-        ours = (
+        matches = (
             message.request_id == self.request.request_id
-            and message.attempt == self.order.attempt
+            and message.attempt == self.options.attempt
         )
-        if not ours:
+        if not matches:
             self._counters.add("requests.frames_crossed")
-        return ours
+        return matches
 
     async def _on_head(self, body: bytes) -> types.Outcome | None:
         head = codec.decode(ttypes.AnswerHead, body)
-        if not self._is_ours(head):
+        if not self._names_this_attempt(head):
             return None
         self.version = head.version
         headers = tuple((h.name, h.value) for h in head.headers)
@@ -192,23 +192,23 @@
 
     async def _on_end(self, body: bytes) -> types.Outcome | None:
         end = codec.decode(ttypes.AnswerEnd, body)
-        if not self._is_ours(end):
+        if not self._names_this_attempt(end):
             return None
         if not self._started or end.body_bytes != self._answer.attempt_bytes:
             self._counters.add("requests.answers_truncated")
-            self._answer.damage()
+            self._answer.mark_damaged()
             return types.Unknown(types.UnknownReason.ANSWER_TRUNCATED)
         self.tokens = end.tokens
         if end.in_flight >= 0:
-            self.reported = end.in_flight + max(0, end.queued)
+            self.reported_load = end.in_flight + max(0, end.queued)
         return await self._answer.finish()
 
     async def _on_refused(self, body: bytes) -> types.Outcome | None:
         refused = codec.decode(ttypes.Refused, body)
-        if not self._is_ours(refused):
+        if not self._names_this_attempt(refused):
             return None
         self.detail = refused.reason
-        reason = _REFUSALS.get(
+        reason = _NOT_RUN_REASONS.get(
             refused.reason, types.NotRunReason.REFUSED_BY_AGENT
         )
         retry_after_s = refused.retry_after_ms / 1000.0
@@ -216,25 +216,27 @@
 
     async def _on_failed(self, body: bytes) -> types.Outcome | None:
         failed = codec.decode(ttypes.Failed, body)
-        if not self._is_ours(failed):
+        if not self._names_this_attempt(failed):
             return None
         self.detail = failed.reason
-        reason = _FAILURES.get(
+        reason = _UNKNOWN_REASONS.get(
             failed.reason, types.UnknownReason.BACKEND_CRASHED
         )
         return types.Unknown(reason, failed.reason)
 
 
-_STEPS: dict[int, Callable[[Run, bytes], Awaitable[types.Outcome | None]]] = {
-    Kind.ANSWER_HEAD: Run._on_head,
-    Kind.ANSWER_DATA: Run._on_data,
-    Kind.ANSWER_END: Run._on_end,
-    Kind.REFUSED: Run._on_refused,
-    Kind.FAILED: Run._on_failed,
+_FRAME_HANDLERS: dict[
+    int, Callable[[AttemptCall, bytes], Awaitable[types.Outcome | None]]
+] = {
+    Kind.ANSWER_HEAD: AttemptCall._on_head,
+    Kind.ANSWER_DATA: AttemptCall._on_data,
+    Kind.ANSWER_END: AttemptCall._on_end,
+    Kind.REFUSED: AttemptCall._on_refused,
+    Kind.FAILED: AttemptCall._on_failed,
 }
 
 # What callers are told for the agent's word; any other is REFUSED_BY_AGENT.
-_REFUSALS = {reason.value: reason for reason in types.NotRunReason} | {
+_NOT_RUN_REASONS = {reason.value: reason for reason in types.NotRunReason} | {
     "loading": types.NotRunReason.NO_BACKEND,
     "not_ready": types.NotRunReason.NO_BACKEND,
     "unreachable": types.NotRunReason.NO_BACKEND,
@@ -242,4 +244,4 @@
     "fenced": types.NotRunReason.CLAIM_LOST,
     "cancelled": types.NotRunReason.TOMBSTONED,
 }
-_FAILURES = {reason.value: reason for reason in types.UnknownReason}
+_UNKNOWN_REASONS = {reason.value: reason for reason in types.UnknownReason}
--- a/src/clementinegw/requests/_claim_holders.py
+++ b/src/clementinegw/requests/_claim_holders.py
@@ -64,7 +64,7 @@
             return outcomes.key_reused()
         await _wait(held, request.deadline - self._clock.now())
         if held.answer is not None:
-            return request_types.Kept(held.answer)
+            return request_types.StoredAnswer(held.answer)
         return outcomes.JOINED[held.state]()
 
     async def follow(
@@ -91,7 +91,7 @@
                 verdict = Verdict.UNKNOWN
             return outcomes.HELD_ELSEWHERE[verdict]()
         if kept.answer is not None:
-            return request_types.Kept(outcomes.answer(kept.answer))
+            return request_types.StoredAnswer(outcomes.answer(kept.answer))
         if kept.verdict == Verdict.NOT_KEPT:
             # The holder lives and has no such claim: its word on how it
             # ended is on its way through the log.
--- a/src/clementinegw/requests/_http_parse.py
+++ b/src/clementinegw/requests/_http_parse.py
@@ -29,13 +29,13 @@
         "accept-encoding",
     }
 )
-_OWN_PREFIX = "clementine-"
+_PROJECT_HEADER_PREFIX = "clementine-"
 _KEY_HEADER = "idempotency-key"
 _MAX_KEY_CHARS = 255
 _DOT_SEGMENTS = frozenset({".", ".."})
 _MAX_NAME_CHARS = 64
 _MAX_TOKENS = 1 << 20
-_MAX_BLOCKS = 64
+_MAX_PREFIX_BLOCKS = 64
 _BAD_REQUEST = 400
 _NOT_FOUND = 404
 _TOO_LARGE = 413
@@ -69,7 +69,7 @@
     return b"".join(chunks)
 
 
-def completion(
+def parse_completion(
     http: web.Request,
     body: bytes,
     request_id: str,
@@ -77,8 +77,8 @@
     now: float,
 ) -> request_types.Request:
     """Returns the request of a completion call; raises BadRequest."""
-    data = _json(body)
-    service = _text(data, "model")
+    data = _parse_json(body)
+    service = _text_field(data, "model")
     rules = _rules(source, service, http, types.ServiceKind.MODEL_ENGINE)
     if len(body) > rules.max_body_bytes:
         raise _too_large(rules.max_body_bytes)
@@ -86,14 +86,16 @@
         prompt = prefixes.prompt_text(data)
     except ValueError as error:
         raise BadRequest(str(error)) from None
-    request = _common(http, request_id, service, http.path, body, source, now)
-    request.stream = _flag(data, "stream")
-    request.tokens = _count(data, "max_tokens", rules.max_tokens)
-    request.prefixes = prefixes.block_hashes(prompt, _MAX_BLOCKS)
+    request = _build_request(
+        http, request_id, service, http.path, body, source, now
+    )
+    request.stream = _bool_field(data, "stream")
+    request.tokens = _count_field(data, "max_tokens", rules.max_tokens)
+    request.prefixes = prefixes.block_hashes(prompt, _MAX_PREFIX_BLOCKS)
     return request
 
 
-async def plain(
+async def parse_plain_call(
     http: web.Request,
     request_id: str,
     source: rules_lib.RulesSource,
@@ -106,24 +108,24 @@
     path = http.rel_url.raw_path_qs.removeprefix(f"/services/{service}") or "/"
     if path.startswith("?"):
         path = "/" + path
-    _refuse_dot_segments(path)
+    _reject_dot_segments(path)
     body = await read_body(http, min(max_body_bytes, rules.max_body_bytes))
-    return _common(http, request_id, service, path, body, source, now)
+    return _build_request(http, request_id, service, path, body, source, now)
 
 
-def _refuse_dot_segments(path: str) -> None:
+def _reject_dot_segments(path: str) -> None:
     """Refuses a path whose meaning the backend server decides.
 
     `/search/../bookings` matches an operation that is declared idempotent, and
     may be repeated, while the backend server takes a booking: it would show up
     as two bookings for one request.
     """
-    bare = urllib.parse.unquote(path.partition("?")[0])
-    if _DOT_SEGMENTS.intersection(bare.replace("\\", "/").split("/")):
+    decoded_path = urllib.parse.unquote(path.partition("?")[0])
+    if _DOT_SEGMENTS.intersection(decoded_path.replace("\\", "/").split("/")):
         raise BadRequest("path: expected no `.` or `..` segments")
 
 
-def _common(
+def _build_request(
     http: web.Request,
     request_id: str,
     service: str,
@@ -181,8 +183,8 @@
 
 
 def _end_to_end(http: web.Request) -> tuple[tuple[str, str], ...]:
-    named = http.headers.get("Connection", "").lower()
-    dropped = {part.strip() for part in named.split(",")} | _HOP_BY_HOP
+    listed = http.headers.get("Connection", "").lower()
+    dropped = {part.strip() for part in listed.split(",")} | _HOP_BY_HOP
     return tuple(
         (name.lower(), value)
         for name, value in http.headers.items()
@@ -190,7 +192,7 @@
         and name.lower() != _KEY_HEADER
         and (
             name.lower() == claim.KEY_TIME_HEADER
-            or not name.lower().startswith(_OWN_PREFIX)
+            or not name.lower().startswith(_PROJECT_HEADER_PREFIX)
         )
     )
 
@@ -211,7 +213,7 @@
     return min(int(text) / 1000.0, rules.max_deadline_s)
 
 
-def _json(body: bytes) -> dict[str, Any]:
+def _parse_json(body: bytes) -> dict[str, Any]:
     try:
         data = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -221,14 +223,14 @@
     return data
 
 
-def _text(data: dict[str, Any], name: str) -> str:
+def _text_field(data: dict[str, Any], name: str) -> str:
     value = data.get(name)
     if not isinstance(value, str) or not value:
         raise BadRequest(f"body.{name}: expected text")
     return value
 
 
-def _flag(data: dict[str, Any], name: str) -> bool:
+def _bool_field(data: dict[str, Any], name: str) -> bool:
     value = data.get(name, False)
     if value is None:
         return False
@@ -237,12 +239,12 @@
     return value
 
 
-def _count(data: dict[str, Any], name: str, default: int) -> int:
+def _count_field(data: dict[str, Any], name: str, default: int) -> int:
     value = data.get(name)
     if value is None:
         return default
-    whole = isinstance(value, int) and not isinstance(value, bool)
-    if not whole or not 0 < value <= _MAX_TOKENS:
+    is_integer = isinstance(value, int) and not isinstance(value, bool)
+    if not is_integer or not 0 < value <= _MAX_TOKENS:
         raise BadRequest(f"body.{name}: expected a whole number above 0")
     return value
 
--- a/src/clementinegw/requests/_http_reply.py
+++ b/src/clementinegw/requests/_http_reply.py
@@ -9,11 +9,11 @@
 from clementinegw.requests import types as request_types
 
 # Not sent to anybody; marks a handler whose caller has gone away.
-CALLER_GONE = 499
+CALLER_DISCONNECTED_STATUS = 499
 
-_NOT_RUN = 503
-_UNKNOWN = 502
-_REASONS: dict[str, int] = {
+_NOT_RUN_STATUS = 503
+_UNKNOWN_STATUS = 502
+_STATUS_BY_REASON: dict[str, int] = {
     types.NotRunReason.RATE_LIMITED: 429,
     types.NotRunReason.TOKEN_LIMITED: 429,
     types.NotRunReason.CLAIM_LOST: 409,
@@ -24,8 +24,8 @@
     types.NotRunReason.BAD_REQUEST: 400,
     types.NotRunReason.TOO_LARGE: 413,
 }
-_DEADLINE_UNKNOWN = 504
-_DROPPED = frozenset(
+_UNKNOWN_DEADLINE_STATUS = 504
+_DROPPED_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -37,7 +37,7 @@
 )
 
 
-def response(
+def to_response(
     request_id: str, outcome: types.Outcome, status: int | None = None
 ) -> web.Response:
     """Returns the whole response for an outcome.
@@ -51,7 +51,7 @@
     if isinstance(outcome, types.Answered):
         headers["Clementine-Outcome"] = "answered"
         result = web.Response(status=outcome.status, body=outcome.body)
-        _copy(outcome.headers, result)
+        _copy_headers(outcome.headers, result)
         result.headers.update(headers)
         return result
     headers["Clementine-Reason"] = outcome.reason.value
@@ -59,17 +59,17 @@
         headers["Clementine-Outcome"] = "not-run"
         if outcome.retry_after_s is not None:
             headers["Retry-After"] = str(math.ceil(outcome.retry_after_s))
-        default = _REASONS.get(outcome.reason, _NOT_RUN)
+        default = _STATUS_BY_REASON.get(outcome.reason, _NOT_RUN_STATUS)
     else:
         headers["Clementine-Outcome"] = "unknown"
-        late = outcome.reason is types.UnknownReason.DEADLINE
-        default = _DEADLINE_UNKNOWN if late else _UNKNOWN
+        past_deadline = outcome.reason is types.UnknownReason.DEADLINE
+        default = _UNKNOWN_DEADLINE_STATUS if past_deadline else _UNKNOWN_STATUS
     return web.json_response(
-        error(outcome), status=status or default, headers=headers
+        error_document(outcome), status=status or default, headers=headers
     )
 
 
-def error(outcome: types.Outcome) -> dict:
+def error_document(outcome: types.Outcome) -> dict:
     """Returns the JSON that tells an outcome other than an answer."""
     if isinstance(outcome, types.Answered):
         return {}
@@ -97,7 +97,7 @@
         self._http = http
         self._request = request
         self._response: web.StreamResponse | None = None
-        self._gone = False
+        self._disconnected = False
 
     @property
     def begun(self) -> bool:
@@ -107,7 +107,7 @@
     async def head(self, head: request_types.Head) -> None:
         """Sends the response's head."""
         result = web.StreamResponse(status=head.status)
-        _copy(head.headers, result)
+        _copy_headers(head.headers, result)
         result.headers["Clementine-Request-Id"] = self._request.request_id
         if head.version:
             result.headers["Clementine-Version"] = head.version
@@ -115,17 +115,17 @@
         try:
             await result.prepare(self._http)
         except ConnectionError:
-            self._leave()
+            self._on_disconnect()
 
     async def data(self, data: bytes) -> None:
         """Sends bytes of the body."""
         assert self._response is not None
-        if self._gone:
+        if self._disconnected:
             return
         try:
             await self._response.write(data)
         except ConnectionError:
-            self._leave()
+            self._on_disconnect()
 
     async def end(self, outcome: types.Outcome) -> web.StreamResponse:
         """Ends the response: cleanly after a whole answer, else by a break.
@@ -135,9 +135,9 @@
         chunk, so that any client notices one or the other.
         """
         assert self._response is not None
-        if isinstance(outcome, types.Answered) or self._gone:
+        if isinstance(outcome, types.Answered) or self._disconnected:
             return self._response
-        event = f"event: error\ndata: {json.dumps(error(outcome))}\n\n"
+        event = f"event: error\ndata: {json.dumps(error_document(outcome))}\n\n"
         try:
             await self._response.write(event.encode())
         except ConnectionError:
@@ -146,15 +146,15 @@
             self._http.transport.close()
         return self._response
 
-    def _leave(self) -> None:
-        self._gone = True
+    def _on_disconnect(self) -> None:
+        self._disconnected = True
         if self._request.idempotent:
-            raise request_types.CallerGone
+            raise request_types.CallerDisconnected
 
 
-def _copy(
+def _copy_headers(
     headers: tuple[tuple[str, str], ...], result: web.StreamResponse
 ) -> None:
     for name, value in headers:
-        if name not in _DROPPED:
+        if name not in _DROPPED_HEADERS:
             result.headers.add(name, value)
--- a/src/clementinegw/requests/_run.py
+++ b/src/clementinegw/requests/_request_state.py
@@ -3,8 +3,8 @@
 import dataclasses
 
 from clementinegw import types
+from clementinegw.requests import dispatcher as dispatcher_lib
 from clementinegw.requests import fair
-from clementinegw.requests import lane as lane_lib
 from clementinegw.requests import route
 from clementinegw.requests import rules as rules_lib
 from clementinegw.requests import send
@@ -14,20 +14,20 @@
 Request = request_types.Request
 
 
-class Run:
+class RequestState:
     """One request on its way through the filters."""
 
     def __init__(
         self,
         request: Request,
         rules: rules_lib.Rules,
-        lane: lane_lib.Lane,
+        dispatcher: dispatcher_lib.Dispatcher,
         ticket: fair.Ticket,
-        answer: stream.Answer,
+        answer: stream.AnswerCollector,
     ):
         self.request = request
         self.rules = rules
-        self.lane = lane
+        self.dispatcher = dispatcher
         self.answer = answer
         self.attempt = 0
         self.alone = False
@@ -35,10 +35,10 @@
         self.tokens = 0
         self.avoid: set[str] = set()
         self._ticket = ticket
-        self._unknown: types.Unknown | None = None
+        self._unknown_outcome: types.Unknown | None = None
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether it may run more than once from here on.
 
         A stream that the caller has the beginning of can only go on where the
@@ -59,50 +59,53 @@
             and self.attempt == 0
         )
 
-    def job(self) -> lane_lib.Job:
+    def make_job(self) -> dispatcher_lib.Job:
         """Returns the job for the next attempt."""
-        return lane_lib.Job(
+        return dispatcher_lib.Job(
             self.request.request_id, self._ticket, self._query()
         )
 
-    def hedge_job(self, busy: str) -> lane_lib.Job:
+    def make_hedge_job(self, first_worker: str) -> dispatcher_lib.Job:
         """Returns the job for a second attempt beside one that is late.
 
         Args:
-          busy: The worker of the first.
+          first_worker: The worker of the first.
         """
         query = self._query()
-        query.avoid |= {busy}
+        query.avoid |= {first_worker}
         ticket = dataclasses.replace(self._ticket, waiting=False, skipped=0)
-        return lane_lib.Job(f"{self.request.request_id}#", ticket, query)
+        return dispatcher_lib.Job(f"{self.request.request_id}#", ticket, query)
 
-    def order(self) -> send.Order:
+    def attempt_options(self) -> send.AttemptOptions:
         """Returns how the present attempt is to run."""
-        return send.Order(
+        return send.AttemptOptions(
             attempt=self.attempt,
             revision=self.rules.revision,
             claim_offset=self.claim_offset,
             alone=self.alone,
-            silence_s=self.rules.attempt_timeout_s,
+            max_silence_s=self.rules.attempt_timeout_s,
         )
 
-    def note(self, outcome: types.Outcome) -> None:
+    def record_outcome(self, outcome: types.Outcome) -> None:
         """Keeps an outcome that a later one must not hide."""
         if isinstance(outcome, types.Unknown):
-            self._unknown = outcome
+            self._unknown_outcome = outcome
 
-    def worst(self, outcome: types.Outcome) -> types.Outcome:
+    def combined_outcome(self, outcome: types.Outcome) -> types.Outcome:
         """Returns the outcome of all attempts together.
 
         The last attempt may be proved not to have run while an earlier one may
         have: told "not run", the caller would be told something untrue.
         """
-        if isinstance(outcome, types.NotRun) and self._unknown is not None:
-            return self._unknown
+        if (
+            isinstance(outcome, types.NotRun)
+            and self._unknown_outcome is not None
+        ):
+            return self._unknown_outcome
         return outcome
 
-    def _query(self) -> route.Query:
-        return route.Query(
+    def _query(self) -> route.RoutingQuery:
+        return route.RoutingQuery(
             prefixes=self.request.prefixes,
             version=self.answer.version,
             avoid=frozenset(self.avoid),
--- a/src/clementinegw/requests/admit.py
+++ b/src/clementinegw/requests/admit.py
@@ -12,20 +12,20 @@
 from clementinegw.requests import fair
 
 # Allowed queueing delay by priority, in multiples of the target.
-_ALLOWANCE = {
+_MAX_DELAY_RATIOS = {
     types.Priority.LOW: 2.0,
     types.Priority.NORMAL: 4.0,
     types.Priority.HIGH: 20.0,
 }
 # Where requests run long, a wait is short in proportion to them.
-_RUN_SHARE = 0.1
-_SMOOTHING = 0.05
+_RUN_TIME_RATIO = 0.1
+_SMOOTHING_FACTOR = 0.05
 _MIN_RETRY_S = 0.5
 _MAX_RETRY_S = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shed:
+class Rejection:
     """The request is refused now.
 
     Attributes:
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Bounds:
+class AdmissionLimits:
     """What the settings allow.
 
     Attributes:
@@ -64,81 +64,85 @@
         """
         self._queue = queue
         self._rng = rng
-        self._run_s = 0.0
+        self._mean_run_s = 0.0
         self._running = 0.0
-        self._late_since: dict[tuple[str, types.Priority], float] = {}
+        self._delayed_since: dict[tuple[str, types.Priority], float] = {}
 
     @property
-    def run_s(self) -> float:
+    def mean_run_s(self) -> float:
         """The smoothed time that a mean request takes once it is sent."""
-        return self._run_s
+        return self._mean_run_s
 
-    def refusal(
-        self, ticket: fair.Ticket, bounds: Bounds, now: float
-    ) -> Shed | None:
+    def check_arrival(
+        self, ticket: fair.Ticket, limits: AdmissionLimits, now: float
+    ) -> Rejection | None:
         """Decides on a request that has just come.
 
         Returns:
           None when it may join the queue.
         """
-        slack_s = ticket.deadline - now - self._run_s * ticket.cost
+        slack_s = ticket.deadline - now - self._mean_run_s * ticket.cost
         if ticket.deadline <= now:
-            return Shed(types.NotRunReason.DEADLINE, _MIN_RETRY_S)
+            return Rejection(types.NotRunReason.DEADLINE, _MIN_RETRY_S)
         if not len(self._queue):
-            self._late_since.clear()
+            self._delayed_since.clear()
             return None
-        wait_s = max(self.predict(ticket), self._queue.age(ticket, now))
+        wait_s = max(
+            self.predicted_wait_s(ticket), self._queue.head_wait_s(ticket, now)
+        )
         if wait_s > max(0.0, slack_s):
-            return self._shed(types.NotRunReason.DEADLINE, wait_s)
-        allowed_s = self.allowance(ticket.priority, bounds)
+            return self._reject(types.NotRunReason.DEADLINE, wait_s)
+        max_delay_s = self.max_delay_s(ticket.priority, limits)
         key = (ticket.customer, ticket.priority)
-        if wait_s <= allowed_s:
-            self._late_since.pop(key, None)
+        if wait_s <= max_delay_s:
+            self._delayed_since.pop(key, None)
             return None
-        since = self._late_since.setdefault(key, now)
-        if now - since < bounds.interval_s:
+        since = self._delayed_since.setdefault(key, now)
+        if now - since < limits.interval_s:
             return None
-        return self._shed(types.NotRunReason.OVERLOADED, wait_s - allowed_s)
+        return self._reject(types.NotRunReason.OVERLOADED, wait_s - max_delay_s)
 
-    def overdue(
-        self, ticket: fair.Ticket, bounds: Bounds, now: float
-    ) -> Shed | None:
+    def check_waiting(
+        self, ticket: fair.Ticket, limits: AdmissionLimits, now: float
+    ) -> Rejection | None:
         """Decides on a request that waits.
 
         One that turns out to wait far longer than was foreseen is told so now:
         to hold it until its deadline would only hide the refusal.
         """
-        if now + self._run_s * ticket.cost * 0.5 >= ticket.deadline:
-            return self._shed(types.NotRunReason.DEADLINE, self._run_s)
+        if now + self._mean_run_s * ticket.cost * 0.5 >= ticket.deadline:
+            return self._reject(types.NotRunReason.DEADLINE, self._mean_run_s)
         waited_s = now - ticket.queued_at
-        allowed_s = self.allowance(ticket.priority, bounds)
-        if waited_s <= allowed_s + bounds.interval_s:
+        max_delay_s = self.max_delay_s(ticket.priority, limits)
+        if waited_s <= max_delay_s + limits.interval_s:
             return None
-        return self._shed(types.NotRunReason.OVERLOADED, waited_s)
+        return self._reject(types.NotRunReason.OVERLOADED, waited_s)
 
-    def displaced(self) -> Shed:
+    def queue_full_rejection(self) -> Rejection:
         """Returns the refusal of a request that a full queue gives up."""
-        wait_s = len(self._queue) * self._run_s / max(1.0, self._running)
-        return self._shed(types.NotRunReason.OVERLOADED, wait_s)
+        wait_s = len(self._queue) * self._mean_run_s / max(1.0, self._running)
+        return self._reject(types.NotRunReason.OVERLOADED, wait_s)
 
-    def allowance(self, priority: types.Priority, bounds: Bounds) -> float:
+    def max_delay_s(
+        self, priority: types.Priority, limits: AdmissionLimits
+    ) -> float:
         """Returns the queueing delay that a priority may meet, in seconds."""
-        unit_s = max(bounds.target_s, _RUN_SHARE * self._run_s)
-        return _ALLOWANCE[priority] * unit_s
+        unit_s = max(limits.target_s, _RUN_TIME_RATIO * self._mean_run_s)
+        return _MAX_DELAY_RATIOS[priority] * unit_s
 
-    def predict(self, ticket: fair.Ticket) -> float:
+    def predicted_wait_s(self, ticket: fair.Ticket) -> float:
         """Returns how long a new request would wait, in seconds.
 
         Little's law: work leaves at the rate of what runs over its time.
         """
-        ahead = self._queue.ahead(ticket)
-        return ahead * self._run_s / max(1.0, self._running)
+        cost_ahead = self._queue.cost_ahead(ticket)
+        return cost_ahead * self._mean_run_s / max(1.0, self._running)
 
-    def started(self, ticket: fair.Ticket) -> None:
+    def record_started(self, ticket: fair.Ticket) -> None:
         """Notes that a request was sent to a worker."""
         self._running += ticket.cost
 
-    def ended(self, ticket: fair.Ticket, run_s: float | None) -> None:
+    def record_ended(self, ticket: fair.Ticket, run_s: float | None) -> None:
         """Notes that a request left its worker.
 
         Args:
@@ -148,10 +152,10 @@
         self._running = max(0.0, self._running - ticket.cost)
         if run_s is None:
             return
-        weight = _SMOOTHING if self._run_s else 1.0
-        self._run_s += weight * (run_s / ticket.cost - self._run_s)
+        weight = _SMOOTHING_FACTOR if self._mean_run_s else 1.0
+        self._mean_run_s += weight * (run_s / ticket.cost - self._mean_run_s)
 
-    def _shed(self, reason: types.NotRunReason, excess_s: float) -> Shed:
+    def _reject(self, reason: types.NotRunReason, excess_s: float) -> Rejection:
         spread = 1.0 + self._rng.random()
         after_s = min(_MAX_RETRY_S, max(_MIN_RETRY_S, excess_s))
-        return Shed(reason, after_s * spread)
+        return Rejection(reason, after_s * spread)
--- a/src/clementinegw/requests/agents.py
+++ b/src/clementinegw/requests/agent_connections.py
@@ -13,8 +13,8 @@
 from clementinegw.telemetry import logs
 from clementinegw.wire import connection as connection_lib
 
-_FIRST_PAUSE_S = 0.1
-_MAX_PAUSE_S = 5.0
+_MIN_RECONNECT_DELAY_S = 0.1
+_MAX_RECONNECT_DELAY_S = 5.0
 
 
 class Connector(Protocol):
@@ -33,7 +33,7 @@
     connection: connection_lib.Connection | None = None
 
 
-class Agents:
+class AgentConnections:
     """One connection to each chosen agent, opened again when it breaks."""
 
     def __init__(
@@ -60,7 +60,7 @@
         self._rng = rng
         self._links: dict[str, _Link] = {}
 
-    def choose(self, chosen: Iterable[types.Instance]) -> None:
+    def set_chosen(self, chosen: Iterable[types.Instance]) -> None:
         """Sets which agents to be connected to."""
         wanted = {i.instance_id: i for i in chosen}
         for name in [n for n in self._links if n not in wanted]:
@@ -71,10 +71,10 @@
                 continue
             if link is not None:
                 link.task.cancel()
-            task = asyncio.ensure_future(self._keep(instance))
+            task = asyncio.ensure_future(self._connect(instance))
             self._links[name] = _Link(instance, task)
 
-    def disconnected(self, connection: connection_lib.Connection) -> None:
+    def on_disconnected(self, connection: connection_lib.Connection) -> None:
         """Takes note that a connection ended; it is opened again."""
         link = self._links.get(connection.peer.instance_id)
         if link is None or link.connection is not connection:
@@ -85,7 +85,7 @@
         )
         self._counters.add("requests.agent_disconnected")
         self._on_change(link.instance, False)
-        link.task = asyncio.ensure_future(self._keep(link.instance))
+        link.task = asyncio.ensure_future(self._connect(link.instance))
 
     def close(self) -> None:
         """Stops opening connections."""
@@ -93,14 +93,14 @@
             link.task.cancel()
         self._links.clear()
 
-    async def _keep(self, instance: types.Instance) -> None:
-        pause_s = _FIRST_PAUSE_S
+    async def _connect(self, instance: types.Instance) -> None:
+        delay_s = _MIN_RECONNECT_DELAY_S
         while True:
             try:
                 connection = await self._connector.connect(instance.address)
             except exceptions.ConnectionLost:
-                await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.5))
-                pause_s = min(_MAX_PAUSE_S, pause_s * 2)
+                await asyncio.sleep(delay_s * self._rng.uniform(0.5, 1.5))
+                delay_s = min(_MAX_RECONNECT_DELAY_S, delay_s * 2)
                 continue
             break
         link = self._links.get(instance.instance_id)
--- a/src/clementinegw/requests/baselines.py
+++ b/src/clementinegw/requests/baselines.py
@@ -7,12 +7,12 @@
 from clementinegw.requests import workers as workers_lib
 
 Choice = choices.Choice
-Query = choices.Query
-Situation = choices.Situation
+RoutingQuery = choices.RoutingQuery
+RoutingContext = choices.RoutingContext
 Worker = workers_lib.Worker
 
 
-class _First:
+class _FirstInQueue:
     """A policy that serves in order and looks at one request only."""
 
     def __init__(self, rng: random.Random):
@@ -21,20 +21,20 @@
     def choose(
         self,
         workers: workers_lib.Workers,
-        queries: Sequence[Query],
-        situation: Situation,
+        queries: Sequence[RoutingQuery],
+        context: RoutingContext,
         now: float,
     ) -> Choice | None:
         """Returns the first request and a worker for it."""
-        del situation
-        able = _able(workers, queries[0], now)
-        return Choice(0, self._pick(able)) if able else None
+        del context
+        eligible = _eligible(workers, queries[0], now)
+        return Choice(0, self._pick(eligible)) if eligible else None
 
-    def _pick(self, able: list[Worker]) -> Worker:
+    def _pick(self, eligible: list[Worker]) -> Worker:
         raise NotImplementedError
 
 
-class RoundRobin(_First):
+class RoundRobin(_FirstInQueue):
     """Each usable worker in turn."""
 
     def __init__(self, rng: random.Random):
@@ -42,44 +42,44 @@
         super().__init__(rng)
         self._next = rng.randrange(1 << 16)
 
-    def _pick(self, able: list[Worker]) -> Worker:
+    def _pick(self, eligible: list[Worker]) -> Worker:
         self._next += 1
-        return able[self._next % len(able)]
+        return eligible[self._next % len(eligible)]
 
 
-class Random(_First):
+class Random(_FirstInQueue):
     """Any usable worker."""
 
-    def _pick(self, able: list[Worker]) -> Worker:
-        return self._rng.choice(able)
+    def _pick(self, eligible: list[Worker]) -> Worker:
+        return self._rng.choice(eligible)
 
 
-class LeastInFlight(_First):
+class LeastInFlight(_FirstInQueue):
     """The worker with the fewest requests of this entry."""
 
-    def _pick(self, able: list[Worker]) -> Worker:
-        return min(able, key=lambda w: (w.own, self._rng.random()))
+    def _pick(self, eligible: list[Worker]) -> Worker:
+        return min(eligible, key=lambda w: (w.own_requests, self._rng.random()))
 
 
-class PowerOfTwo(_First):
+class PowerOfTwo(_FirstInQueue):
     """The less loaded of two random workers."""
 
-    def _pick(self, able: list[Worker]) -> Worker:
-        pair = self._rng.sample(able, min(2, len(able)))
+    def _pick(self, eligible: list[Worker]) -> Worker:
+        pair = self._rng.sample(eligible, min(2, len(eligible)))
         return min(pair, key=lambda w: w.load)
 
 
-def _able(
-    workers: workers_lib.Workers, query: Query, now: float
+def _eligible(
+    workers: workers_lib.Workers, query: RoutingQuery, now: float
 ) -> list[Worker]:
     """Returns the workers that may run the request at all.
 
     Workers that failed it before come back when there is no other.
     """
-    able = [
+    eligible = [
         w
         for w in workers
         if w.usable(now) and (not query.version or w.version == query.version)
     ]
-    fresh = [w for w in able if w.name not in query.avoid]
-    return fresh or able
+    untried = [w for w in eligible if w.name not in query.avoid]
+    return untried or eligible
--- a/src/clementinegw/requests/choices.py
+++ b/src/clementinegw/requests/choices.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Query:
+class RoutingQuery:
     """What a choice depends on.
 
     Attributes:
@@ -20,7 +20,7 @@
       idempotent: Whether it may be tried on a worker of doubtful health.
       urgent: Whether it goes out even when no worker has room: a stream that
         its caller has the beginning of.
-      light: Whether its customer is within its share.
+      within_share: Whether its customer is within its share.
     """
 
     prefixes: tuple[int, ...] = ()
@@ -28,11 +28,11 @@
     avoid: frozenset[str] = frozenset()
     idempotent: bool = True
     urgent: bool = False
-    light: bool = False
+    within_share: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Situation:
+class RoutingContext:
     """What holds for all requests of a service at this entry.
 
     Attributes:
@@ -41,15 +41,15 @@
       fair_share: Requests this entry may run in all, whatever others do.
       headroom: Requests above its capacity that a worker may be sent, as a
         share of the capacity; covers the way there and back.
-      reserve: What customers above their share leave free at each worker for
-        the others, as a share of the capacity.
+      reserved_share: What customers above their share leave free at each
+        worker for the others, as a share of the capacity.
     """
 
     slow_start_s: float = 10.0
     spill_load: float = 0.8
     fair_share: float = 0.0
     headroom: float = 0.0
-    reserve: float = 0.0
+    reserved_share: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -71,8 +71,8 @@
     def choose(
         self,
         workers: workers_lib.Workers,
-        queries: Sequence[Query],
-        situation: Situation,
+        queries: Sequence[RoutingQuery],
+        context: RoutingContext,
         now: float,
     ) -> Choice | None:
         """Chooses for one of the requests that are next.
@@ -80,7 +80,7 @@
         Args:
           workers: The workers of the service.
           queries: The next requests of different customers, in their order.
-          situation: What holds for all of them.
+          context: What holds for all of them.
           now: Monotonic seconds.
 
         Returns:
--- a/src/clementinegw/requests/claims_service.py
+++ b/src/clementinegw/requests/claims_service.py
@@ -198,7 +198,7 @@
 
     async def turn(
         self, name: bytes, use_s: float
-    ) -> request_types.Turn | None:
+    ) -> request_types.Lease | None:
         """Takes the only turn in the fleet for something, for a while.
 
         Args:
@@ -221,12 +221,12 @@
         until = self._clock.now() + use_s
         reply = await self._ask_owner(claim, until)
         if reply.verdict == Verdict.WON and self._clock.now() < until:
-            return request_types.Turn(key, claim.claim_id, until)
+            return request_types.Lease(key, claim.claim_id, until)
         if reply.verdict not in _DECIDED:
             self._ends.release(claim)
         return None
 
-    def end_turn(self, turn: request_types.Turn) -> None:
+    def end_turn(self, turn: request_types.Lease) -> None:
         """Gives a turn back."""
         self._ends.add(turn.key, turn.claim_id, ttypes.ClaimEndKind.RELEASED)
 
--- a/src/clementinegw/requests/lane.py
+++ b/src/clementinegw/requests/dispatcher.py
@@ -18,19 +18,19 @@
 
 # How often waiting requests are looked at when nothing else happens: workers
 # warm up, pauses end, deadlines pass.
-TICK_S = 0.05
+RECHECK_INTERVAL_S = 0.05
 # Requests of different customers that a free worker may choose from. Taking
 # the one whose prompt it has cached moves none by more than one turn.
 LOOK_AHEAD = 8
 # The way to a worker and back, during which a freed slot would stay empty.
 _ROUND_TRIP_S = 0.002
 _NO_BACKEND_RETRY_S = 1.0
-_MEAN_SMOOTHING = 0.02
+_MEAN_TOKENS_SMOOTHING = 0.02
 _MIN_COST = 0.1
 _MIN_RUN_S = 1e-3
 # Customers above their share take the speed of full workers from the others as
 # well as their turns. What is left free costs them, and nobody else, this part.
-_RESERVE = 0.25
+_RESERVED_SHARE = 0.25
 _MIN_RUN_TIMES = 50
 _MAX_RUN_TIMES = 200
 _MAX_COST = 10.0
@@ -45,26 +45,26 @@
       ticket: Its place in the queue.
       query: What the choice depends on.
       worker: The worker it was given.
-      shed: Why it was given none.
+      rejection: Why it was given none.
       waiter: Wakes it; None while it has not had to wait.
       queued: Whether its worker was full when it was sent there.
     """
 
     name: str
     ticket: fair.Ticket
-    query: route.Query
+    query: route.RoutingQuery
     worker: workers_lib.Worker | None = None
-    shed: admit.Shed | None = None
+    rejection: admit.Rejection | None = None
     waiter: asyncio.Future[None] | None = None
-    queued: bool = False
+    queued_at_worker: bool = False
 
     @property
-    def settled(self) -> bool:
+    def resolved(self) -> bool:
         """Whether it has a worker or was refused."""
-        return self.worker is not None or self.shed is not None
+        return self.worker is not None or self.rejection is not None
 
 
-class Lane:
+class Dispatcher:
     """Hands the waiting requests of one service to its workers."""
 
     def __init__(
@@ -88,17 +88,17 @@
         self._policy = route.make_policy(rules.policy, rng)
         self._queue = fair.FairQueue()
         self._admission = admit.Admission(self._queue, rng)
-        self._demand = demand.Demand()
+        self._demand = demand.DemandTracker()
         self._run_times: collections.deque[float] = collections.deque(
             maxlen=_MAX_RUN_TIMES
         )
         self._jobs: dict[fair.Ticket, Job] = {}
-        self._ticker: asyncio.TimerHandle | None = None
+        self._recheck_timer: asyncio.TimerHandle | None = None
         self._mean_tokens = 0.0
-        self._coverage = 1.0
-        self._situation = route.Situation()
+        self._entries_per_worker = 1.0
+        self._context = route.RoutingContext()
         self.workers = workers_lib.Workers(place)
-        self.budget = retry.Budget()
+        self.retry_budget = retry.RetryBudget()
         self.configure(rules)
 
     @property
@@ -118,7 +118,7 @@
         """Whether any worker serves."""
         return any(w.ready and not w.leaving for w in self.workers)
 
-    def use_policy(self, policy: route.Policy) -> None:
+    def set_policy(self, policy: route.Policy) -> None:
         """Routes by a policy of the caller's making."""
         self._policy = policy
 
@@ -127,15 +127,15 @@
         if rules.policy != self._rules.policy:
             self._policy = route.make_policy(rules.policy, self._rng)
         self._rules = rules
-        self._bounds = admit.Bounds(
+        self._limits = admit.AdmissionLimits(
             rules.max_queue, rules.target_s, rules.interval_s
         )
-        self._update_situation()
+        self._update_context()
 
-    def set_coverage(self, coverage: float) -> None:
+    def set_entries_per_worker(self, entries_per_worker: float) -> None:
         """Sets how many entries share each worker."""
-        self._coverage = max(1.0, coverage)
-        self._update_situation()
+        self._entries_per_worker = max(1.0, entries_per_worker)
+        self._update_context()
 
     def cost(self, tokens: int) -> float:
         """Returns a request's cost in units of one mean request."""
@@ -155,44 +155,46 @@
     ) -> fair.Ticket:
         """Returns a ticket for a request that has come."""
         if tokens > 0:
-            step = _MEAN_SMOOTHING if self._mean_tokens else 1.0
-            self._mean_tokens += step * (tokens - self._mean_tokens)
+            smoothing = _MEAN_TOKENS_SMOOTHING if self._mean_tokens else 1.0
+            self._mean_tokens += smoothing * (tokens - self._mean_tokens)
         cost = self.cost(tokens)
         now = self._clock.now()
         if self._demand.is_due(now):
             # By the share of the slots, not by those that are in use: an entry
             # that holds more would take its heavy customers for light ones and
             # come to hold more still.
-            run_s = max(_MIN_RUN_S, self._admission.run_s)
-            self._demand.end_period(self._situation.fair_share / run_s, now)
-        self._demand.seen(customer, weight, cost, now)
+            run_s = max(_MIN_RUN_S, self._admission.mean_run_s)
+            self._demand.end_period(self._context.fair_share / run_s, now)
+        self._demand.record_request(customer, weight, cost, now)
         return fair.Ticket(customer, weight, priority, cost, deadline)
 
-    def refusal(self, ticket: fair.Ticket) -> admit.Shed | None:
+    def check_arrival(self, ticket: fair.Ticket) -> admit.Rejection | None:
         """Returns why a request that has come is not taken in, if so."""
-        return self._admission.refusal(ticket, self._bounds, self._clock.now())
+        return self._admission.check_arrival(
+            ticket, self._limits, self._clock.now()
+        )
 
-    async def acquire(self, job: Job, again: bool = False) -> None:
+    async def acquire(self, job: Job, requeued: bool = False) -> None:
         """Waits until the job has a worker or is refused.
 
         Args:
           job: The request.
-          again: Whether it has been sent before, and keeps its place.
+          requeued: Whether it has been sent before, and keeps its place.
         """
         if not self.ready:
-            job.shed = _no_backend()
+            job.rejection = _no_backend()
             return
         job.ticket.queued_at = self._clock.now()
-        self._queue.push(job.ticket, first=again)
+        self._queue.push(job.ticket, requeued=requeued)
         self._jobs[job.ticket] = job
-        self.pump()
-        if job.settled:
+        self.dispatch()
+        if job.resolved:
             return
-        self._trim()
+        self._enforce_queue_limit()
         job.waiter = asyncio.get_running_loop().create_future()
-        self._tick_later()
+        self._schedule_recheck()
         try:
-            if not job.settled:
+            if not job.resolved:
                 await job.waiter
         except asyncio.CancelledError:
             if job.worker is not None:
@@ -206,34 +208,38 @@
     def release(
         self,
         job: Job,
-        ok: bool,
+        answered: bool,
         tokens: int = 0,
-        reported: int | None = None,
+        reported_load: int | None = None,
     ) -> None:
         """Notes that a job has left its worker, and serves the next.
 
         Args:
           job: The job.
-          ok: Whether it was answered.
+          answered: Whether it was answered.
           tokens: What the answer took; 0 when that is not known.
-          reported: The agent's load as told with the answer.
+          reported_load: The agent's load as told with the answer.
         """
         worker = job.worker
         assert worker is not None
         now = self._clock.now()
-        began, _ = worker.started.get(job.name, (now, 0.0))
+        started_at, _ = worker.running.get(job.name, (now, 0.0))
         cost = self.cost(tokens) if tokens else None
-        self.workers.ended(worker, job.name, now, ok, cost, reported)
+        self.workers.record_ended(
+            worker, job.name, now, answered, cost, reported_load
+        )
         # Time in a worker's queue is none that the request runs; taken for it,
         # the capacity would seem smaller the busier the workers are.
-        timed = ok and not job.queued
-        if ok:
-            self._run_times.append(now - began)
-        self._admission.ended(job.ticket, now - began if timed else None)
+        has_run_time = answered and not job.queued_at_worker
+        if answered:
+            self._run_times.append(now - started_at)
+        self._admission.record_ended(
+            job.ticket, now - started_at if has_run_time else None
+        )
         job.worker = None
-        self.pump()
+        self.dispatch()
 
-    def late_after(self, quantile: float) -> float | None:
+    def late_after_s(self, quantile: float) -> float | None:
         """Returns the time after which an attempt is late, in seconds.
 
         Args:
@@ -247,103 +253,108 @@
         ordered = sorted(self._run_times)
         return ordered[min(len(ordered) - 1, int(len(ordered) * quantile))]
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Gives waiting requests to workers that have room."""
-        while self._pump_one():
+        while self._dispatch_next():
             pass
 
     def workers_changed(self) -> None:
         """Notes that workers came, went or reported."""
-        self._update_situation()
+        self._update_context()
         if self._jobs:
-            self.pump()
+            self.dispatch()
 
-    def _pump_one(self) -> bool:
+    def _dispatch_next(self) -> bool:
         if not len(self._queue):
             return False
-        heads = self._queue.heads(LOOK_AHEAD)
-        if self._serve(heads):
+        candidates = self._queue.candidates(LOOK_AHEAD)
+        if self._dispatch_one(candidates):
             return True
-        if all(self._demand.is_light(ticket.customer) for ticket in heads):
+        if all(
+            self._demand.is_within_share(ticket.customer)
+            for ticket in candidates
+        ):
             return False
         # No room for those that are next. A customer within its share may use
         # room that others may not, and does not wait behind them.
-        return self._serve(self._queue.heads(LOOK_AHEAD, self._demand.is_light))
+        return self._dispatch_one(
+            self._queue.candidates(LOOK_AHEAD, self._demand.is_within_share)
+        )
 
-    def _serve(self, heads: list[fair.Ticket]) -> bool:
+    def _dispatch_one(self, candidates: list[fair.Ticket]) -> bool:
         """Gives one of the tickets to a worker, if any has room."""
-        if not heads:
+        if not candidates:
             return False
         now = self._clock.now()
-        queries = [self._jobs[ticket].query for ticket in heads]
-        for ticket, query in zip(heads, queries, strict=True):
-            query.light = self._demand.is_light(ticket.customer)
-        choice = self._policy.choose(
-            self.workers, queries, self._situation, now
-        )
+        queries = [self._jobs[ticket].query for ticket in candidates]
+        for ticket, query in zip(candidates, queries, strict=True):
+            query.within_share = self._demand.is_within_share(ticket.customer)
+        choice = self._policy.choose(self.workers, queries, self._context, now)
         if choice is None:
             return False
-        ticket = heads[choice.index]
+        ticket = candidates[choice.index]
         job = self._jobs[ticket]
-        self._queue.serve(ticket, heads[: choice.index])
-        self._admission.started(ticket)
-        self.workers.started(choice.worker, job.name, ticket.cost, now)
-        job.queued = choice.worker.load > choice.worker.capacity
-        self._settle(job, worker=choice.worker)
+        self._queue.serve(ticket, candidates[: choice.index])
+        self._admission.record_started(ticket)
+        self.workers.record_started(choice.worker, job.name, ticket.cost, now)
+        job.queued_at_worker = choice.worker.load > choice.worker.capacity
+        self._resolve(job, worker=choice.worker)
         return True
 
-    def _settle(
+    def _resolve(
         self,
         job: Job,
         worker: workers_lib.Worker | None = None,
-        shed: admit.Shed | None = None,
+        rejection: admit.Rejection | None = None,
     ) -> None:
         job.worker = worker
-        job.shed = shed
+        job.rejection = rejection
         self._jobs.pop(job.ticket, None)
         if job.waiter is not None and not job.waiter.done():
             job.waiter.set_result(None)
 
-    def _trim(self) -> None:
+    def _enforce_queue_limit(self) -> None:
         """Refuses the least urgent requests beyond the queue's bound."""
-        while len(self._jobs) > self._bounds.max_queue:
+        while len(self._jobs) > self._limits.max_queue:
             ticket = max(self._jobs, key=lambda t: (-t.priority, t.queued_at))
-            self._give_up(ticket, self._admission.displaced())
+            self._reject(ticket, self._admission.queue_full_rejection())
 
-    def _give_up(self, ticket: fair.Ticket, shed: admit.Shed) -> None:
+    def _reject(self, ticket: fair.Ticket, rejection: admit.Rejection) -> None:
         self._queue.remove(ticket)
-        self._settle(self._jobs[ticket], shed=shed)
+        self._resolve(self._jobs[ticket], rejection=rejection)
 
-    def _tick_later(self) -> None:
-        if self._ticker is None:
+    def _schedule_recheck(self) -> None:
+        if self._recheck_timer is None:
             loop = asyncio.get_running_loop()
-            self._ticker = loop.call_later(TICK_S, self._tick)
+            self._recheck_timer = loop.call_later(
+                RECHECK_INTERVAL_S, self._recheck
+            )
 
-    def _tick(self) -> None:
-        self._ticker = None
+    def _recheck(self) -> None:
+        self._recheck_timer = None
         now = self._clock.now()
         for ticket in list(self._jobs):
-            shed = self._admission.overdue(ticket, self._bounds, now)
+            rejection = self._admission.check_waiting(ticket, self._limits, now)
             if not self.ready:
-                shed = _no_backend()
-            if shed is not None:
-                self._give_up(ticket, shed)
-        self.pump()
+                rejection = _no_backend()
+            if rejection is not None:
+                self._reject(ticket, rejection)
+        self.dispatch()
         if self._jobs:
-            self._tick_later()
+            self._schedule_recheck()
 
-    def _update_situation(self) -> None:
+    def _update_context(self) -> None:
         capacity = sum(w.capacity for w in self.workers if w.ready)
-        self._situation = route.Situation(
+        self._context = route.RoutingContext(
             slow_start_s=self._rules.slow_start_s,
             spill_load=self._rules.spill_load,
-            fair_share=max(1.0, capacity / self._coverage),
-            reserve=_RESERVE if self._demand.mixed else 0.0,
+            fair_share=max(1.0, capacity / self._entries_per_worker),
+            reserved_share=_RESERVED_SHARE if self._demand.mixed else 0.0,
             headroom=min(
-                1.0, _ROUND_TRIP_S / max(_MIN_RUN_S, self._admission.run_s)
+                1.0, _ROUND_TRIP_S / max(_MIN_RUN_S, self._admission.mean_run_s)
             ),
         )
 
 
-def _no_backend() -> admit.Shed:
-    return admit.Shed(types.NotRunReason.NO_BACKEND, _NO_BACKEND_RETRY_S)
+def _no_backend() -> admit.Rejection:
+    return admit.Rejection(types.NotRunReason.NO_BACKEND, _NO_BACKEND_RETRY_S)
--- a/src/clementinegw/requests/fair.py
+++ b/src/clementinegw/requests/fair.py
@@ -5,8 +5,9 @@
 One that sends ten times its share waits behind itself and behind nobody else.
 
 Priorities work inside that order. A flow serves its most urgent request first,
-and a flow that has a high one is put ahead by `CREDIT` units of virtual time:
-urgent work passes the others' until its customer is so far ahead of its share.
+and a flow that has a high one is put ahead by `HIGH_PRIORITY_CREDIT`
+units of virtual time: urgent work passes the others' until its customer is so
+far ahead of its share.
 With strict classes above the customers, one customer that calls everything
 urgent would starve the rest.
 """
@@ -19,16 +20,16 @@
 from clementinegw import types
 
 # Virtual time: one unit serves one mean request for each unit of weight.
-CREDIT = 4.0
-_OFFSETS = {
+HIGH_PRIORITY_CREDIT = 4.0
+_PRIORITY_OFFSETS = {
     types.Priority.LOW: 0.0,
     types.Priority.NORMAL: 0.0,
-    types.Priority.HIGH: -CREDIT,
+    types.Priority.HIGH: -HIGH_PRIORITY_CREDIT,
 }
 _DESCENDING = tuple(sorted(types.Priority, reverse=True))
-_MAX_IDLE = 1_000
+_MAX_IDLE_FLOWS = 1_000
 MAX_SKIPS = 16
-_OWN_LOOK_AHEAD = 4
+_CUSTOMER_LOOK_AHEAD = 4
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -59,10 +60,10 @@
 class _Flow:
     """The waiting requests of one customer."""
 
-    __slots__ = ("backlog", "queues", "start", "weight")
+    __slots__ = ("backlog", "queues", "start_tag", "weight")
 
-    def __init__(self, start: float, weight: float):
-        self.start = start
+    def __init__(self, start_tag: float, weight: float):
+        self.start_tag = start_tag
         self.weight = weight
         self.backlog = 0.0
         self.queues: dict[types.Priority, collections.deque[Ticket]] = {
@@ -93,27 +94,32 @@
 
     def __init__(self) -> None:
         """Starts empty, at virtual time zero."""
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._flows: dict[str, _Flow] = {}
-        self._idle: dict[str, float] = {}
+        self._idle_start_tags: dict[str, float] = {}
         self._count = 0
 
     def __len__(self) -> int:
         """Returns how many tickets wait."""
         return self._count
 
-    def push(self, ticket: Ticket, first: bool = False) -> None:
-        """Adds a ticket; `first` puts one that was served before its equals."""
+    def push(self, ticket: Ticket, requeued: bool = False) -> None:
+        """Adds a ticket; `requeued` puts it before its equals."""
         flow = self._flows.get(ticket.customer)
         if flow is None:
-            start = max(self._virtual, self._idle.pop(ticket.customer, 0.0))
-            flow = self._flows[ticket.customer] = _Flow(start, ticket.weight)
+            start_tag = max(
+                self._virtual_time,
+                self._idle_start_tags.pop(ticket.customer, 0.0),
+            )
+            flow = self._flows[ticket.customer] = _Flow(
+                start_tag, ticket.weight
+            )
         flow.weight = ticket.weight
         queue = flow.queues[ticket.priority]
-        if first:
+        if requeued:
             queue.appendleft(ticket)
             # What it was charged when it was served is given back.
-            flow.start -= ticket.cost / ticket.weight
+            flow.start_tag -= ticket.cost / ticket.weight
         else:
             queue.append(ticket)
         flow.backlog += ticket.cost
@@ -126,10 +132,10 @@
             return
         flow = self._flows[ticket.customer]
         flow.queues[ticket.priority].remove(ticket)
-        self._leave(ticket, flow)
+        self._detach(ticket, flow)
 
-    def heads(
-        self, count: int, of: Callable[[str], bool] | None = None
+    def candidates(
+        self, count: int, customer_filter: Callable[[str], bool] | None = None
     ) -> list[Ticket]:
         """Returns the tickets that may be served next, in their order.
 
@@ -139,32 +145,32 @@
 
         Args:
           count: How many at most.
-          of: Tells which customers' to return; None for all.
+          customer_filter: Tells which customers' to return; None for all.
         """
-        keyed = []
+        ordered = []
         for customer, flow in self._flows.items():
-            if of is not None and not of(customer):
+            if customer_filter is not None and not customer_filter(customer):
                 continue
             queue = flow.most_urgent()
-            key = flow.start + _OFFSETS[queue[0].priority]
-            keyed.append((key, flow.weight, queue))
-        if not keyed:
+            key = flow.start_tag + _PRIORITY_OFFSETS[queue[0].priority]
+            ordered.append((key, flow.weight, queue))
+        if not ordered:
             return []
-        keyed.sort(key=_first)
-        limit = keyed[0][0] + 1.0
-        found: list[Ticket] = []
-        for key, weight, queue in keyed:
-            if key > limit or len(found) >= count:
+        ordered.sort(key=_sort_key)
+        limit = ordered[0][0] + 1.0
+        result: list[Ticket] = []
+        for key, weight, queue in ordered:
+            if key > limit or len(result) >= count:
                 break
             # Inside one customer's queue nobody else is passed over.
-            behind = max(_OWN_LOOK_AHEAD, int((limit - key) * weight) + 1)
-            found += itertools.islice(queue, min(behind, count - len(found)))
-        if found[0].skipped >= MAX_SKIPS:
-            return found[:1]
-        return found
+            depth = max(_CUSTOMER_LOOK_AHEAD, int((limit - key) * weight) + 1)
+            result += itertools.islice(queue, min(depth, count - len(result)))
+        if result[0].skipped >= MAX_SKIPS:
+            return result[:1]
+        return result
 
     def serve(self, ticket: Ticket, passed: Iterable[Ticket] = ()) -> None:
-        """Takes out a ticket that `heads` has returned, and charges it.
+        """Takes out a ticket that `candidates` has returned, and charges it.
 
         Args:
           ticket: The ticket.
@@ -176,53 +182,55 @@
         # Virtual time follows the flow that is behind all others. Following
         # the one that is served, an urgent request would carry it ahead and
         # customers that come next would start behind those that wait.
-        least = min(other.start for other in self._flows.values())
-        self._virtual = max(self._virtual, least)
-        flow.start += ticket.cost / ticket.weight
+        least = min(other.start_tag for other in self._flows.values())
+        self._virtual_time = max(self._virtual_time, least)
+        flow.start_tag += ticket.cost / ticket.weight
         self.remove(ticket)
 
-    def ahead(self, ticket: Ticket) -> float:
+    def cost_ahead(self, ticket: Ticket) -> float:
         """Returns the cost that would be served before a new ticket."""
         flow = self._flows.get(ticket.customer)
-        start = self._idle.get(ticket.customer, 0.0)
-        own = 0.0
+        start_tag = self._idle_start_tags.get(ticket.customer, 0.0)
+        own_cost = 0.0
         if flow is not None:
-            start = flow.start
-            own = flow.cost_before(ticket.priority)
-        lead = max(0.0, start - self._virtual)
-        turns = lead + (own + ticket.cost) / ticket.weight
-        turns += _OFFSETS[ticket.priority]
-        total = own
+            start_tag = flow.start_tag
+            own_cost = flow.cost_before(ticket.priority)
+        ahead_of_virtual_time = max(0.0, start_tag - self._virtual_time)
+        turns = ahead_of_virtual_time + (own_cost + ticket.cost) / ticket.weight
+        turns += _PRIORITY_OFFSETS[ticket.priority]
+        total = own_cost
         for customer, other in self._flows.items():
             if customer != ticket.customer:
                 total += _served_before(other, ticket.priority, turns)
         return total
 
-    def age(self, ticket: Ticket, now: float) -> float:
+    def head_wait_s(self, ticket: Ticket, now: float) -> float:
         """Returns how long the next equal of a ticket has been waiting."""
         flow = self._flows.get(ticket.customer)
         queue = flow.queues[ticket.priority] if flow is not None else None
         return now - queue[0].queued_at if queue else 0.0
 
-    def _leave(self, ticket: Ticket, flow: _Flow) -> None:
+    def _detach(self, ticket: Ticket, flow: _Flow) -> None:
         ticket.waiting = False
         self._count -= 1
         flow.backlog -= ticket.cost
         if flow.most_urgent():
             return
         del self._flows[ticket.customer]
-        if flow.start > self._virtual:
-            self._idle[ticket.customer] = flow.start
-        if len(self._idle) > _MAX_IDLE:
-            self._forget_idle()
+        if flow.start_tag > self._virtual_time:
+            self._idle_start_tags[ticket.customer] = flow.start_tag
+        if len(self._idle_start_tags) > _MAX_IDLE_FLOWS:
+            self._prune_idle()
 
-    def _forget_idle(self) -> None:
+    def _prune_idle(self) -> None:
         """Drops tags that no longer matter, or the smallest of too many."""
-        ordered = sorted(self._idle.items(), key=lambda item: -item[1])
-        self._idle = {
-            customer: start
-            for customer, start in ordered[: _MAX_IDLE // 2]
-            if start > self._virtual
+        ordered = sorted(
+            self._idle_start_tags.items(), key=lambda item: -item[1]
+        )
+        self._idle_start_tags = {
+            customer: start_tag
+            for customer, start_tag in ordered[: _MAX_IDLE_FLOWS // 2]
+            if start_tag > self._virtual_time
         }
 
 
@@ -237,5 +245,5 @@
     return max(urgent, fair)
 
 
-def _first(keyed: tuple[float, float, collections.deque[Ticket]]) -> float:
-    return keyed[0]
+def _sort_key(ordered: tuple[float, float, collections.deque[Ticket]]) -> float:
+    return ordered[0]
--- a/src/clementinegw/requests/fleet.py
+++ b/src/clementinegw/requests/fleet.py
@@ -7,8 +7,8 @@
 from clementinegw import clock as clock_lib
 from clementinegw import types
 from clementinegw.requests import _events
-from clementinegw.requests import agents as agents_lib
-from clementinegw.requests import lane as lane_lib
+from clementinegw.requests import agent_connections as connections_lib
+from clementinegw.requests import dispatcher as dispatcher_lib
 from clementinegw.requests import rules as rules_lib
 from clementinegw.requests import subset
 from clementinegw.requests import workers as workers_lib
@@ -22,7 +22,7 @@
 
 # Of the workers in another failure domain an entry keeps this part of a subset:
 # enough to spill to, few enough not to connect everybody with everybody.
-_FAR_PART = 4
+_REMOTE_SUBSET_DIVISOR = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -67,31 +67,33 @@
         self._clock = clock
         self._log = log
         self._rng = rng
-        self._lanes: dict[str, lane_lib.Lane] = {}
+        self._dispatchers: dict[str, dispatcher_lib.Dispatcher] = {}
         self._revisions: dict[str, int] = {}
-        self._agents = agents_lib.Agents(
+        self._connections = connections_lib.AgentConnections(
             endpoint, self._on_connection, log, counters, rng
         )
         endpoint.on_notice(Kind.AGENT_STATUS, self._on_status)
         endpoint.on_notice(Kind.AGENT_LOAD, self._on_load)
-        endpoint.on_disconnected(self._agents.disconnected)
+        endpoint.on_disconnected(self._connections.on_disconnected)
 
-    def lanes(self) -> dict[str, lane_lib.Lane]:
+    def dispatchers(self) -> dict[str, dispatcher_lib.Dispatcher]:
         """Returns the lanes by service."""
-        return dict(self._lanes)
+        return dict(self._dispatchers)
 
-    def lane(self, rules: rules_lib.Rules) -> lane_lib.Lane:
+    def dispatcher(self, rules: rules_lib.Rules) -> dispatcher_lib.Dispatcher:
         """Returns the lane of a service, by the settings of a request."""
-        lane = self._lanes.get(rules.service)
-        if lane is None:
-            lane = self._lanes[rules.service] = lane_lib.Lane(
-                self._me.place, rules, self._clock, self._rng
+        dispatcher = self._dispatchers.get(rules.service)
+        if dispatcher is None:
+            dispatcher = self._dispatchers[rules.service] = (
+                dispatcher_lib.Dispatcher(
+                    self._me.place, rules, self._clock, self._rng
+                )
             )
             self._revisions[rules.service] = rules.revision
         elif self._revisions[rules.service] != rules.revision:
-            lane.configure(rules)
+            dispatcher.configure(rules)
             self._revisions[rules.service] = rules.revision
-        return lane
+        return dispatcher
 
     def set_members(self, members: Iterable[Member]) -> None:
         """Takes the live members; chooses whom to connect to."""
@@ -106,13 +108,13 @@
             elif instance.role is types.Role.AGENT:
                 agents.setdefault(instance.service, []).append(member)
         chosen: list[types.Instance] = []
-        for service in sorted({*agents, *self._lanes}):
+        for service in sorted({*agents, *self._dispatchers}):
             chosen += self._choose(service, agents.get(service, []), entries)
-        self._agents.choose(chosen)
+        self._connections.set_chosen(chosen)
 
     def close(self) -> None:
         """Stops opening connections."""
-        self._agents.close()
+        self._connections.close()
 
     def _choose(
         self,
@@ -123,57 +125,61 @@
         rules = self._rules.rules(service, "")
         if rules is None:
             return []
-        lane = self.lane(rules)
+        dispatcher = self.dispatcher(rules)
         domains: dict[str, dict[str, Member]] = {}
         for member in members:
             domain = member.instance.place.failure_domain
-            named = domains.setdefault(domain, {})
-            named[member.instance.instance_id] = member
+            by_id = domains.setdefault(domain, {})
+            by_id[member.instance.instance_id] = member
         chosen: list[Member] = []
-        for domain, named in sorted(domains.items()):
-            chosen += self._choose_in(domain, named, rules, entries)
+        for domain, by_id in sorted(domains.items()):
+            chosen += self._choose_in_domain(domain, by_id, rules, entries)
         local = domains.get(self._me.place.failure_domain, {})
-        lane.workers.keep(m.instance for m in chosen)
+        dispatcher.workers.set_subset(m.instance for m in chosen)
         for member in chosen:
             if member.leaving:
-                lane.workers.leaving(member.instance.instance_id)
-        lane.set_coverage(
-            _coverage(len(chosen), len(local), len(members), entries)
+                dispatcher.workers.mark_leaving(member.instance.instance_id)
+        dispatcher.set_entries_per_worker(
+            _entries_per_worker(len(chosen), len(local), len(members), entries)
         )
-        lane.workers_changed()
+        dispatcher.workers_changed()
         return [m.instance for m in chosen]
 
-    def _choose_in(
+    def _choose_in_domain(
         self,
         domain: str,
-        named: dict[str, Member],
+        by_id: dict[str, Member],
         rules: rules_lib.Rules,
         entries: dict[str, list[str]],
     ) -> list[Member]:
         size = rules.subset_size
-        here = entries.get(self._me.place.failure_domain, [])
+        sharing_entries = entries.get(self._me.place.failure_domain, [])
         if domain != self._me.place.failure_domain:
-            size = max(1, size // _FAR_PART)
-            here = [name for names in entries.values() for name in names]
-        names = subset.choose(self._me.instance_id, here, list(named), size)
-        return [named[name] for name in names]
+            size = max(1, size // _REMOTE_SUBSET_DIVISOR)
+            sharing_entries = [
+                name for names in entries.values() for name in names
+            ]
+        names = subset.choose(
+            self._me.instance_id, sharing_entries, list(by_id), size
+        )
+        return [by_id[name] for name in names]
 
-    def _on_connection(self, instance: types.Instance, up: bool) -> None:
-        lane = self._lanes.get(instance.service)
-        if lane is not None:
-            lane.workers.connected(instance.instance_id, up)
-            lane.workers_changed()
+    def _on_connection(self, instance: types.Instance, connected: bool) -> None:
+        dispatcher = self._dispatchers.get(instance.service)
+        if dispatcher is not None:
+            dispatcher.workers.set_connected(instance.instance_id, connected)
+            dispatcher.workers_changed()
 
     def _on_status(
         self, connection: connection_lib.Connection, body: bytes
     ) -> None:
         status = codec.decode(ttypes.AgentStatus, body)
-        lane = self._lanes.get(status.service_name)
+        dispatcher = self._dispatchers.get(status.service_name)
         name = connection.peer.instance_id
-        if lane is None or status.instance_id != name:
+        if dispatcher is None or status.instance_id != name:
             return
         now = self._clock.now()
-        worker = lane.workers.get(name)
+        worker = dispatcher.workers.get(name)
         if worker is not None and status.leaving and not worker.leaving:
             self._log.write(_events.AGENT_LEAVING, agent=name)
         report = workers_lib.Report(
@@ -185,16 +191,18 @@
             serving_s=status.serving_s,
             incarnation=status.incarnation,
         )
-        changed = lane.workers.report(name, report, now)
-        if lane.index is not None:
+        changed = dispatcher.workers.apply_report(name, report, now)
+        if dispatcher.index is not None:
             if changed:
-                lane.index.forget(name)
+                dispatcher.index.forget(name)
             if status.prefixes_changed:
-                gone = status.prefixes_gone or ()
-                lane.index.changed(name, status.prefixes, gone, now)
+                removed = status.prefixes_gone or ()
+                dispatcher.index.apply_changes(
+                    name, status.prefixes, removed, now
+                )
             else:
-                lane.index.reported(name, status.prefixes, now)
-        lane.workers_changed()
+                dispatcher.index.apply_report(name, status.prefixes, now)
+        dispatcher.workers_changed()
 
     def _on_load(
         self, connection: connection_lib.Connection, body: bytes
@@ -202,16 +210,20 @@
         notice = codec.decode(ttypes.AgentLoad, body)
         name = connection.peer.instance_id
         load = notice.in_flight + notice.queued
-        for lane in self._lanes.values():
-            if not lane.workers.told_load(name, notice.incarnation, load):
+        for dispatcher in self._dispatchers.values():
+            if not dispatcher.workers.apply_load(
+                name, notice.incarnation, load
+            ):
                 continue
-            new, gone = notice.prefixes or (), notice.prefixes_gone or ()
-            if lane.index is not None and (new or gone):
-                lane.index.changed(name, new, gone, self._clock.now())
-            lane.workers_changed()
+            added, removed = notice.prefixes or (), notice.prefixes_gone or ()
+            if dispatcher.index is not None and (added or removed):
+                dispatcher.index.apply_changes(
+                    name, added, removed, self._clock.now()
+                )
+            dispatcher.workers_changed()
 
 
-def _coverage(
+def _entries_per_worker(
     chosen: int, local: int, workers: int, entries: dict[str, list[str]]
 ) -> float:
     """Returns how many entries share each chosen worker, on average."""
--- a/src/clementinegw/requests/http.py
+++ b/src/clementinegw/requests/http.py
@@ -63,17 +63,17 @@
         request_id = self._next_id()
         try:
             body = await _http_parse.read_body(http, MAX_COMPLETION_BYTES)
-            request = _http_parse.completion(
+            request = _http_parse.parse_completion(
                 http, body, request_id, self._pipeline.rules, self._clock.now()
             )
         except _http_parse.BadRequest as error:
-            return self._bad(request_id, error)
-        return await self._answer(http, request)
+            return self._reject(request_id, error)
+        return await self._respond(http, request)
 
     async def _plain(self, http: web.Request) -> web.StreamResponse:
         request_id = self._next_id()
         try:
-            request = await _http_parse.plain(
+            request = await _http_parse.parse_plain_call(
                 http,
                 request_id,
                 self._pipeline.rules,
@@ -81,18 +81,18 @@
                 MAX_BODY_BYTES,
             )
         except _http_parse.BadRequest as error:
-            return self._bad(request_id, error)
-        return await self._answer(http, request)
+            return self._reject(request_id, error)
+        return await self._respond(http, request)
 
-    async def _answer(
+    async def _respond(
         self, http: web.Request, request: request_types.Request
     ) -> web.StreamResponse:
         sink = _http_reply.HttpSink(http, request) if request.stream else None
         try:
             outcome = await self._run(request, sink)
-        except request_types.CallerGone:
+        except request_types.CallerDisconnected:
             # Nobody reads the response; it only ends the handler.
-            return web.Response(status=_http_reply.CALLER_GONE)
+            return web.Response(status=_http_reply.CALLER_DISCONNECTED_STATUS)
         except Exception as error:
             # One request's defect must not show as a bare 500 that says
             # neither what ran nor whom to ask.
@@ -105,7 +105,7 @@
             outcome = types.Unknown(types.UnknownReason.HOLDER_LOST)
         if sink is not None and sink.begun:
             return await sink.end(outcome)
-        return _http_reply.response(request.request_id, outcome)
+        return _http_reply.to_response(request.request_id, outcome)
 
     async def _run(
         self,
@@ -123,12 +123,12 @@
     def _next_id(self) -> str:
         return f"{self._id_prefix}-{next(self._ids)}"
 
-    def _bad(
+    def _reject(
         self, request_id: str, error: _http_parse.BadRequest
     ) -> web.Response:
         outcome = types.NotRun(error.reason, None, str(error))
         self._counters.add(f"requests.not_run.{error.reason.value}")
-        return _http_reply.response(request_id, outcome, error.status)
+        return _http_reply.to_response(request_id, outcome, error.status)
 
 
 def make_app(handlers: Handlers) -> web.Application:
@@ -147,4 +147,4 @@
 
 def error_body(outcome: types.Outcome) -> bytes:
     """Returns the JSON body that tells an outcome other than an answer."""
-    return json.dumps(_http_reply.error(outcome)).encode()
+    return json.dumps(_http_reply.error_document(outcome)).encode()
--- a/src/clementinegw/requests/limit.py
+++ b/src/clementinegw/requests/limit.py
@@ -18,26 +18,26 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """A token bucket.
 
     Attributes:
       level: What may be taken now; negative after an underestimate.
-      filled_at: When the level was last brought up to date.
+      refilled_at: When the level was last brought up to date.
     """
 
     level: float
-    filled_at: float
+    refilled_at: float
 
-    def fill(self, rate: float, burst: float, now: float) -> None:
+    def refill(self, rate: float, burst: float, now: float) -> None:
         """Adds what has come in since the last time."""
-        passed_s = max(0.0, now - self.filled_at)
-        self.level = min(burst, self.level + rate * passed_s)
-        self.filled_at = now
+        elapsed_s = max(0.0, now - self.refilled_at)
+        self.level = min(burst, self.level + rate * elapsed_s)
+        self.refilled_at = now
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Limited:
+class LimitExceeded:
     """The request exceeds a limit.
 
     Attributes:
@@ -51,8 +51,8 @@
 
 @dataclasses.dataclass(slots=True)
 class _Usage:
-    requests: Bucket
-    tokens: Bucket
+    requests: TokenBucket
+    tokens: TokenBucket
     running: int = 0
 
 
@@ -68,9 +68,9 @@
         self._shares = shares
         self._usage: dict[tuple[str, str], _Usage] = {}
 
-    def take(
+    def try_acquire(
         self, rules: rules_lib.Rules, customer: str, tokens: int, now: float
-    ) -> Limited | None:
+    ) -> LimitExceeded | None:
         """Charges a request to its customer.
 
         Args:
@@ -80,14 +80,14 @@
           now: Monotonic seconds.
 
         Returns:
-          None when it is within the limits; `done` must follow then.
+          None when it is within the limits; `release` must follow then.
         """
         key = (rules.service, customer)
-        self._shares.seen(key, tokens, now)
+        self._shares.record_request(key, tokens, now)
         share = self._shares.share(key, now)
         usage = self._usage_of(key, rules, share, now)
         if usage.running >= rules.max_concurrent:
-            return Limited(types.NotRunReason.RATE_LIMITED, 1.0)
+            return LimitExceeded(types.NotRunReason.RATE_LIMITED, 1.0)
         for bucket, rate, reason in (
             (
                 usage.requests,
@@ -100,15 +100,17 @@
                 types.NotRunReason.TOKEN_LIMITED,
             ),
         ):
-            limited = _check(bucket, rate * share, rules.burst_s, reason, now)
-            if limited is not None:
-                return limited
+            exceeded = _check_bucket(
+                bucket, rate * share, rules.burst_s, reason, now
+            )
+            if exceeded is not None:
+                return exceeded
         usage.requests.level -= 1
         usage.tokens.level -= tokens
         usage.running += 1
         return None
 
-    def done(
+    def release(
         self,
         rules: rules_lib.Rules,
         customer: str,
@@ -121,7 +123,7 @@
         Args:
           rules: The customer's limits.
           customer: The customer.
-          charged: Tokens that `take` was told.
+          charged: Tokens that `try_acquire` was told.
           used: Tokens that it took in the end.
           ran: Whether it may have run; one that did not is free.
         """
@@ -143,29 +145,33 @@
         usage = self._usage.get(key)
         if usage is None:
             if len(self._usage) >= _MAX_BUCKETS:
-                self._forget_idle()
+                self._drop_idle()
             usage = _Usage(
-                Bucket(_burst(rules.requests_per_s * share, rules), now),
-                Bucket(_burst(rules.tokens_per_s * share, rules), now),
+                TokenBucket(
+                    _burst_size(rules.requests_per_s * share, rules), now
+                ),
+                TokenBucket(
+                    _burst_size(rules.tokens_per_s * share, rules), now
+                ),
             )
             self._usage[key] = usage
         return usage
 
-    def _forget_idle(self) -> None:
+    def _drop_idle(self) -> None:
         self._usage = {k: u for k, u in self._usage.items() if u.running}
 
 
-def _burst(rate: float, rules: rules_lib.Rules) -> float:
+def _burst_size(rate: float, rules: rules_lib.Rules) -> float:
     return max(1.0, rate * rules.burst_s)
 
 
-def _check(
-    bucket: Bucket,
+def _check_bucket(
+    bucket: TokenBucket,
     rate: float,
     burst_s: float,
     reason: types.NotRunReason,
     now: float,
-) -> Limited | None:
+) -> LimitExceeded | None:
     """Lets a request pass while the level is above zero.
 
     The level may then fall below zero: a request that takes more tokens than
@@ -174,10 +180,10 @@
     if math.isinf(rate):
         bucket.level = math.inf
         return None
-    bucket.fill(rate, max(1.0, rate * burst_s), now)
+    bucket.refill(rate, max(1.0, rate * burst_s), now)
     needed = 1.0 if reason is types.NotRunReason.RATE_LIMITED else 0.0
     if bucket.level >= needed and rate > 0:
         return None
     missing = needed - bucket.level
     after_s = missing / rate if rate > 0 else _MAX_RETRY_S
-    return Limited(reason, min(_MAX_RETRY_S, max(0.05, after_s)))
+    return LimitExceeded(reason, min(_MAX_RETRY_S, max(0.05, after_s)))
--- a/src/clementinegw/requests/pipeline.py
+++ b/src/clementinegw/requests/pipeline.py
@@ -11,9 +11,9 @@
 from clementinegw import types
 from clementinegw.requests import _absent
 from clementinegw.requests import _events
-from clementinegw.requests import _run as run_lib
+from clementinegw.requests import _request_state as request_state
+from clementinegw.requests import dispatcher as dispatcher_lib
 from clementinegw.requests import fleet as fleet_lib
-from clementinegw.requests import lane as lane_lib
 from clementinegw.requests import limit
 from clementinegw.requests import retry
 from clementinegw.requests import rules as rules_lib
@@ -27,7 +27,7 @@
 NoClaims = _absent.NoClaims
 NoSuspects = _absent.NoSuspects
 
-_BYTES_A_TOKEN = 4
+_BYTES_PER_TOKEN = 4
 _RETRY_S = 1.0
 
 
@@ -129,138 +129,152 @@
     ) -> types.Outcome:
         rules = self._rules.rules(request.service, request.customer)
         if rules is None:
-            return self._unresolved()
+            return self._reject_unresolved()
         if self._draining:
             return types.NotRun(types.NotRunReason.LEAVING, _RETRY_S)
-        lane = self._fleet.lane(rules)
-        ticket = lane.ticket(
+        dispatcher = self._fleet.dispatcher(rules)
+        ticket = dispatcher.ticket(
             request.customer,
             rules.weight,
             request.priority,
             request.tokens,
             request.deadline,
         )
-        shed = lane.refusal(ticket)
-        if shed is not None:
-            return types.NotRun(shed.reason, shed.retry_after_s)
-        tokens = _tokens(request)
-        limited = self._limiter.take(
+        rejection = dispatcher.check_arrival(ticket)
+        if rejection is not None:
+            return types.NotRun(rejection.reason, rejection.retry_after_s)
+        tokens = _estimate_tokens(request)
+        exceeded = self._limiter.try_acquire(
             rules, request.customer, tokens, self._clock.now()
         )
-        if limited is not None:
-            return types.NotRun(limited.reason, limited.retry_after_s)
-        run = run_lib.Run(request, rules, lane, ticket, stream.Answer(sink))
+        if exceeded is not None:
+            return types.NotRun(exceeded.reason, exceeded.retry_after_s)
+        state = request_state.RequestState(
+            request, rules, dispatcher, ticket, stream.AnswerCollector(sink)
+        )
         outcome: types.Outcome | None = None
         try:
-            outcome = await self._checked(run)
+            outcome = await self._run_checked(state)
             return outcome
         finally:
-            used = run.tokens + tokens - request.tokens
+            used = state.tokens + tokens - request.tokens
             ran = outcome is None or not isinstance(outcome, types.NotRun)
-            self._limiter.done(rules, request.customer, tokens, used, ran)
+            self._limiter.release(rules, request.customer, tokens, used, ran)
 
-    def _unresolved(self) -> types.NotRun:
+    def _reject_unresolved(self) -> types.NotRun:
         if not self._rules.ready():
             return types.NotRun(types.NotRunReason.NO_SETTINGS, _RETRY_S)
         return types.NotRun(types.NotRunReason.UNKNOWN_SERVICE)
 
-    async def _checked(self, run: run_lib.Run) -> types.Outcome:
+    async def _run_checked(
+        self, state: request_state.RequestState
+    ) -> types.Outcome:
         """The suspect check."""
-        verdict = self._suspects.check(run.request, self._clock.now())
+        verdict = self._suspects.check(state.request, self._clock.now())
         if isinstance(verdict, request_types.Refuse):
             return types.NotRun(types.NotRunReason.SUSPECT)
-        return await self._claimed(run)
+        return await self._run_claimed(state)
 
-    async def _claimed(self, run: run_lib.Run) -> types.Outcome:
+    async def _run_claimed(
+        self, state: request_state.RequestState
+    ) -> types.Outcome:
         """The claim, for a keyed request that must not run twice."""
-        request = run.request
+        request = state.request
         if request.idempotent or not request.key:
-            return await self._attempts(run)
+            return await self._run_attempts(state)
         result = await self._claims.claim(request)
-        if isinstance(result, request_types.Kept):
+        if isinstance(result, request_types.StoredAnswer):
             self._counters.add("requests.kept_answers")
             return result.outcome
         if isinstance(result, request_types.ClaimRefused):
             return result.outcome
-        run.claim_offset = result.offset
+        state.claim_offset = result.offset
         outcome: types.Outcome = types.Unknown(types.UnknownReason.HOLDER_LOST)
         try:
-            outcome = await self._attempts(run)
+            outcome = await self._run_attempts(state)
             return outcome
         finally:
             # Also when the caller goes away: a claim that nobody settles holds
             # its key until it expires.
             self._claims.settle(request, outcome)
 
-    async def _attempts(self, run: run_lib.Run) -> types.Outcome:
+    async def _run_attempts(
+        self, state: request_state.RequestState
+    ) -> types.Outcome:
         """Sends the request until it is answered or given up."""
-        run.lane.budget.earn(run.rules.budget_ratio)
+        state.dispatcher.retry_budget.record_request(state.rules.budget_ratio)
         while True:
-            outcome, detail = await self._attempt_in_turn(run)
+            outcome, detail = await self._run_attempt(state)
             if isinstance(outcome, types.Answered):
-                self._suspects.completed(run.request)
+                self._suspects.completed(state.request)
                 return outcome
             decision = retry.decide(
                 outcome,
                 detail,
-                run.repeatable,
-                run.attempt,
-                run.request.deadline - self._clock.now(),
-                run.rules,
-                run.lane.budget,
+                state.retryable,
+                state.attempt,
+                state.request.deadline - self._clock.now(),
+                state.rules,
+                state.dispatcher.retry_budget,
                 self._rng,
             )
             if isinstance(decision, retry.GiveUp):
-                self._counters.add(f"requests.no_retry.{decision.stop.value}")
-                return run.worst(outcome)
-            run.note(outcome)
+                self._counters.add(f"requests.no_retry.{decision.reason.value}")
+                return state.combined_outcome(outcome)
+            state.record_outcome(outcome)
             self._counters.add(f"requests.retry.{decision.reason}")
             if decision.after_s > 0:
                 await asyncio.sleep(decision.after_s)
 
-    async def _attempt_in_turn(
-        self, run: run_lib.Run
+    async def _run_attempt(
+        self, state: request_state.RequestState
     ) -> tuple[types.Outcome, str]:
         """Sends one attempt; a suspect waits for its turn in the fleet.
 
         Checked before each attempt: the one before may have crashed a server.
         """
-        verdict = self._suspects.check(run.request, self._clock.now())
+        verdict = self._suspects.check(state.request, self._clock.now())
         if isinstance(verdict, request_types.Clear):
-            run.alone = False
-            return await self._attempt(run)
-        turn = await self._suspects.turn(run.request, run.rules.alone_timeout_s)
-        if isinstance(turn, types.NotRun):
-            return turn, "suspect"
-        run.alone = turn is not None
-        outcome, detail = await self._attempt(run)
+            state.alone = False
+            return await self._send_attempt(state)
+        lease = await self._suspects.acquire_lease(
+            state.request, state.rules.alone_timeout_s
+        )
+        if isinstance(lease, types.NotRun):
+            return lease, "suspect"
+        state.alone = lease is not None
+        outcome, detail = await self._send_attempt(state)
         # After a crash the turn is left to lapse: given back, another entry
         # might take it before it has heard of the crash.
-        if turn is not None and not isinstance(outcome, types.Unknown):
-            self._suspects.end_turn(turn)
+        if lease is not None and not isinstance(outcome, types.Unknown):
+            self._suspects.release_lease(lease)
         return outcome, detail
 
-    async def _attempt(self, run: run_lib.Run) -> tuple[types.Outcome, str]:
+    async def _send_attempt(
+        self, state: request_state.RequestState
+    ) -> tuple[types.Outcome, str]:
         """Sends one attempt, or two when the first is late and may be."""
-        job = run.job()
+        job = state.make_job()
         late_s = None
-        if run.may_hedge:
-            late_s = run.lane.late_after(run.rules.hedge_quantile)
+        if state.may_hedge:
+            late_s = state.dispatcher.late_after_s(state.rules.hedge_quantile)
         if late_s is None:
-            return await self._attempt_with(run, job, run.answer)
+            return await self._send_to_worker(state, job, state.answer)
         first = asyncio.ensure_future(
-            self._attempt_with(run, job, stream.Answer(None))
+            self._send_to_worker(state, job, stream.AnswerCollector(None))
         )
         tasks = {first}
         try:
             await asyncio.wait(tasks, timeout=late_s)
-            if not first.done() and self._may_repeat(run, job):
+            if not first.done() and self._may_send_hedge(state, job):
                 assert job.worker is not None
                 self._counters.add("requests.hedges")
-                second = run.hedge_job(job.worker.name)
+                second = state.make_hedge_job(job.worker.name)
                 tasks.add(
                     asyncio.ensure_future(
-                        self._attempt_with(run, second, stream.Answer(None))
+                        self._send_to_worker(
+                            state, second, stream.AnswerCollector(None)
+                        )
                     )
                 )
             return await _first_answered(tasks)
@@ -269,60 +283,70 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _may_repeat(self, run: run_lib.Run, job: lane_lib.Job) -> bool:
+    def _may_send_hedge(
+        self, state: request_state.RequestState, job: dispatcher_lib.Job
+    ) -> bool:
         """Whether a late attempt is at a worker and the budget allows two."""
-        return job.worker is not None and run.lane.budget.spend()
+        return (
+            job.worker is not None
+            and state.dispatcher.retry_budget.try_acquire()
+        )
 
-    async def _attempt_with(
-        self, run: run_lib.Run, job: lane_lib.Job, answer: stream.Answer
+    async def _send_to_worker(
+        self,
+        state: request_state.RequestState,
+        job: dispatcher_lib.Job,
+        answer: stream.AnswerCollector,
     ) -> tuple[types.Outcome, str]:
         """Waits for a worker and sends one attempt to it."""
-        await run.lane.acquire(job, again=run.attempt > 0)
+        await state.dispatcher.acquire(job, requeued=state.attempt > 0)
         if job.worker is None:
-            assert job.shed is not None
-            shed = job.shed
+            assert job.rejection is not None
+            rejection = job.rejection
             return types.NotRun(
-                shed.reason, shed.retry_after_s
+                rejection.reason, rejection.retry_after_s
             ), retry.NO_WORKER
         worker = job.worker
-        run.attempt += 1
+        state.attempt += 1
         resumed = answer.begun
-        attempt = None
+        result = None
         try:
-            attempt = await self._sender.send(
+            result = await self._sender.send(
                 send.Target(worker.name, worker.instance.address),
-                run.request,
-                run.order(),
+                state.request,
+                state.attempt_options(),
                 answer,
             )
         finally:
-            ok = attempt is not None and isinstance(
-                attempt.outcome, types.Answered
+            answered = result is not None and isinstance(
+                result.outcome, types.Answered
             )
-            run.lane.release(
+            state.dispatcher.release(
                 job,
-                ok,
-                attempt.tokens if attempt else 0,
-                attempt.reported if attempt else None,
+                answered,
+                result.tokens if result else 0,
+                result.reported_load if result else None,
             )
-        self._judge(run, worker, attempt, resumed)
-        run.tokens = max(run.tokens, attempt.tokens)
-        return attempt.outcome, attempt.detail
+        self._update_worker(state, worker, result, resumed)
+        state.tokens = max(state.tokens, result.tokens)
+        return result.outcome, result.detail
 
-    def _judge(self, run: run_lib.Run, worker, attempt, resumed: bool) -> None:
+    def _update_worker(
+        self, state: request_state.RequestState, worker, result, resumed: bool
+    ) -> None:
         """Draws conclusions about the worker from an attempt."""
-        if isinstance(attempt.outcome, types.Answered):
+        if isinstance(result.outcome, types.Answered):
             if resumed:
                 self._counters.add("requests.streams_resumed")
                 self._log.write(_events.STREAM_RESUMED, agent=worker.name)
             return
-        run.avoid.add(worker.name)
-        if attempt.detail == "leaving":
+        state.avoid.add(worker.name)
+        if result.detail == "leaving":
             worker.leaving = True
-        elif attempt.detail in _NOT_READY:
+        elif result.detail in _NOT_READY:
             worker.ready = False
-        elif isinstance(attempt.outcome, types.Unknown):
-            run.lane.workers.failed(worker, self._clock.now())
+        elif isinstance(result.outcome, types.Unknown):
+            state.dispatcher.workers.record_failure(worker, self._clock.now())
 
     def _count(self, request: Request, outcome: types.Outcome) -> None:
         if isinstance(outcome, types.Answered):
@@ -362,7 +386,7 @@
     return worst
 
 
-def _tokens(request: Request) -> int:
+def _estimate_tokens(request: Request) -> int:
     if request.tokens <= 0:
         return 0
-    return request.tokens + len(request.body) // _BYTES_A_TOKEN
+    return request.tokens + len(request.body) // _BYTES_PER_TOKEN
--- a/src/clementinegw/requests/prefix.py
+++ b/src/clementinegw/requests/prefix.py
@@ -34,11 +34,13 @@
         """Returns how many hashes are remembered."""
         return len(self._holders)
 
-    def routed(self, worker: str, prefixes: Sequence[int], now: float) -> None:
+    def record_routed(
+        self, worker: str, prefixes: Sequence[int], now: float
+    ) -> None:
         """Notes that a prompt went to a worker, which will cache it."""
-        self._note(worker, prefixes, now + ROUTED_TTL_S)
+        self._record(worker, prefixes, now + ROUTED_TTL_S)
 
-    def reported(
+    def apply_report(
         self, worker: str, prefixes: Iterable[int], now: float
     ) -> None:
         """Takes a worker's report of its cache, perhaps old or incomplete.
@@ -49,15 +51,15 @@
         """
         held = frozenset(prefixes)
         for prefix in self._reported.get(worker, frozenset()) - held:
-            self._drop(worker, prefix)
+            self._remove(worker, prefix)
         self._reported[worker] = held
-        self._note(worker, held, now + REPORTED_TTL_S)
+        self._record(worker, held, now + REPORTED_TTL_S)
 
-    def changed(
+    def apply_changes(
         self,
         worker: str,
         added: Iterable[int],
-        gone: Iterable[int],
+        removed: Iterable[int],
         now: float,
     ) -> None:
         """Takes what has changed in a worker's cache since its last report.
@@ -65,21 +67,21 @@
         Args:
           worker: The worker.
           added: Hashes that its cache holds since then.
-          gone: Hashes that it holds no longer.
+          removed: Hashes that it holds no longer.
           now: Monotonic seconds.
         """
-        new, old = frozenset(added), frozenset(gone)
+        added_set, removed_set = frozenset(added), frozenset(removed)
         held = self._reported.get(worker, frozenset())
-        for prefix in held & old:
-            self._drop(worker, prefix)
-        self._reported[worker] = (held - old) | new
-        self._note(worker, new, now + REPORTED_TTL_S)
+        for prefix in held & removed_set:
+            self._remove(worker, prefix)
+        self._reported[worker] = (held - removed_set) | added_set
+        self._record(worker, added_set, now + REPORTED_TTL_S)
 
     def forget(self, worker: str) -> None:
         """Drops what is known of a worker that died or loaded a version."""
         self._reported.pop(worker, None)
         for prefix in [p for p, h in self._holders.items() if worker in h]:
-            self._drop(worker, prefix)
+            self._remove(worker, prefix)
 
     def matches(self, prefixes: Sequence[int], now: float) -> dict[str, int]:
         """Returns how many blocks of a prompt each worker probably holds.
@@ -101,7 +103,7 @@
                     found[worker] = index + 1
         return found
 
-    def _note(
+    def _record(
         self, worker: str, prefixes: Iterable[int], expiry: float
     ) -> None:
         for prefix in prefixes:
@@ -115,7 +117,7 @@
         while len(self._holders) > self._max_prefixes:
             del self._holders[next(iter(self._holders))]
 
-    def _drop(self, worker: str, prefix: int) -> None:
+    def _remove(self, worker: str, prefix: int) -> None:
         holders = self._holders.get(prefix)
         if holders is None:
             return
--- a/src/clementinegw/requests/retry.py
+++ b/src/clementinegw/requests/retry.py
@@ -12,10 +12,10 @@
 from clementinegw.requests import rules as rules_lib
 
 # Repetitions allowed before any traffic has earned some.
-_BUDGET_FLOOR = 10.0
+_DEFAULT_MAX_RETRIES = 10.0
 # A worker that is merely full or leaving has done nothing wrong; the entry
 # looks for another at once.
-_AT_ONCE = frozenset(
+_IMMEDIATE_RETRY_DETAILS = frozenset(
     {"leaving", "not_connected", "not_ready", "loading", "wrong_version"}
 )
 # Stands for the agent's word when no agent was asked.
@@ -36,7 +36,7 @@
 _FINAL_UNKNOWN = frozenset({types.UnknownReason.DEADLINE})
 
 
-class Stop(enum.StrEnum):
+class StopReason(enum.StrEnum):
     """Why a request is not sent again. Counters `requests.no_retry.REASON`."""
 
     FINAL = "final"
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Again:
+class Retry:
     """Send it again.
 
     Attributes:
@@ -67,13 +67,13 @@
       stop: Why it is not sent again.
     """
 
-    stop: Stop
+    reason: StopReason
 
 
-Decision = Again | GiveUp
+Decision = Retry | GiveUp
 
 
-class Budget:
+class RetryBudget:
     """Allows repetitions as a share of first attempts.
 
     When a service fails as a whole, repetitions would multiply its load by the
@@ -81,24 +81,24 @@
     overload that outlives its cause.
     """
 
-    def __init__(self, floor: float = _BUDGET_FLOOR):
+    def __init__(self, max_retries: float = _DEFAULT_MAX_RETRIES):
         """Starts full.
 
         Args:
-          floor: Repetitions that may come at once.
+          max_retries: Repetitions that may come at once.
         """
-        self._most = floor
-        self._left = floor
+        self._max_retries = max_retries
+        self._available = max_retries
 
-    def earn(self, ratio: float) -> None:
+    def record_request(self, ratio: float) -> None:
         """Notes a first attempt."""
-        self._left = min(self._most, self._left + ratio)
+        self._available = min(self._max_retries, self._available + ratio)
 
-    def spend(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes one repetition; False when none is left."""
-        if self._left < 1.0:
+        if self._available < 1.0:
             return False
-        self._left -= 1.0
+        self._available -= 1.0
         return True
 
 
@@ -107,9 +107,9 @@
     detail: str,
     idempotent: bool,
     attempt: int,
-    left_s: float,
+    remaining_s: float,
     rules: rules_lib.Rules,
-    budget: Budget,
+    budget: RetryBudget,
     rng: random.Random,
 ) -> Decision:
     """Decides after an attempt that was not answered.
@@ -119,7 +119,7 @@
       detail: The agent's own word for why.
       idempotent: Whether the request may run more than once.
       attempt: The number of the attempt, from 1.
-      left_s: Seconds until the deadline.
+      remaining_s: Seconds until the deadline.
       rules: The settings.
       budget: Repetitions that are left.
       rng: Spreads the waits.
@@ -127,40 +127,40 @@
     Returns:
       Whether and when to send it again.
     """
-    stop = _obstacle(outcome, detail, idempotent, attempt, rules)
+    stop = _stop_reason(outcome, detail, idempotent, attempt, rules)
     if stop is not None:
         return GiveUp(stop)
     after_s = 0.0
-    if detail not in _AT_ONCE:
-        longest_s = min(rules.max_s, rules.base_s * 2 ** (attempt - 1))
-        after_s = rng.uniform(0.0, longest_s)
-    if after_s >= left_s:
-        return GiveUp(Stop.DEADLINE)
+    if detail not in _IMMEDIATE_RETRY_DETAILS:
+        max_backoff_s = min(rules.max_s, rules.base_s * 2 ** (attempt - 1))
+        after_s = rng.uniform(0.0, max_backoff_s)
+    if after_s >= remaining_s:
+        return GiveUp(StopReason.DEADLINE)
     # A worker that could not take it has not been burdened either.
-    if detail not in _AT_ONCE and not budget.spend():
-        return GiveUp(Stop.BUDGET)
-    return Again(after_s, detail or str(_reason(outcome)))
+    if detail not in _IMMEDIATE_RETRY_DETAILS and not budget.try_acquire():
+        return GiveUp(StopReason.BUDGET)
+    return Retry(after_s, detail or str(_reason(outcome)))
 
 
-def _obstacle(
+def _stop_reason(
     outcome: types.Outcome,
     detail: str,
     idempotent: bool,
     attempt: int,
     rules: rules_lib.Rules,
-) -> Stop | None:
+) -> StopReason | None:
     if detail == NO_WORKER:
         # The entry's own queue refused it; to queue again would only hold
         # back the refusal.
-        return Stop.FINAL
+        return StopReason.FINAL
     reason = _reason(outcome)
     if reason in _FINAL_NOT_RUN or reason in _FINAL_UNKNOWN:
-        return Stop.FINAL
+        return StopReason.FINAL
     if isinstance(outcome, types.Unknown) and not idempotent:
         # It may have run. A second run could book twice.
-        return Stop.NOT_IDEMPOTENT
+        return StopReason.NOT_IDEMPOTENT
     if attempt >= rules.max_attempts:
-        return Stop.ATTEMPTS
+        return StopReason.ATTEMPTS
     return None
 
 
--- a/src/clementinegw/requests/rules.py
+++ b/src/clementinegw/requests/rules.py
@@ -11,7 +11,7 @@
 from clementinegw.settings import tree as settings_tree
 
 _SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-_COMPLETIONS = ("/v1/completions", "/v1/chat/completions")
+_COMPLETION_PATHS = ("/v1/completions", "/v1/chat/completions")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,10 +33,10 @@
         if method != self.method:
             return False
         # Compared as the backend server reads it: `/%62ookings` is a booking.
-        bare = urllib.parse.unquote(path.partition("?")[0])
+        decoded_path = urllib.parse.unquote(path.partition("?")[0])
         if self.path.endswith("*"):
-            return bare.startswith(self.path[:-1])
-        return bare == self.path
+            return decoded_path.startswith(self.path[:-1])
+        return decoded_path == self.path
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -117,7 +117,7 @@
         if method in _SAFE_METHODS:
             return True
         return self.kind is types.ServiceKind.MODEL_ENGINE and path.startswith(
-            _COMPLETIONS
+            _COMPLETION_PATHS
         )
 
 
@@ -168,7 +168,7 @@
         self._current = current
         self._place = place
         self._revision = -1
-        self._known: dict[tuple[str, str], Rules | None] = {}
+        self._resolved: dict[tuple[str, str], Rules | None] = {}
 
     def ready(self) -> bool:
         """Returns whether any settings have been folded yet."""
@@ -188,11 +188,11 @@
             return None
         if state.revision != self._revision:
             self._revision = state.revision
-            self._known.clear()
+            self._resolved.clear()
         key = (service, customer if customer in state.tree.customers else "")
-        if key not in self._known:
-            self._known[key] = _resolve(state, self._place, *key)
-        return self._known[key]
+        if key not in self._resolved:
+            self._resolved[key] = _resolve(state, self._place, *key)
+        return self._resolved[key]
 
 
 class FixedRules:
@@ -211,13 +211,13 @@
         """
         self._services = services
         self._customers = customers or {}
-        self._known: dict[tuple[str, str], Rules] = {}
+        self._resolved: dict[tuple[str, str], Rules] = {}
 
     def rules(self, service: str, customer: str) -> Rules | None:
         """Returns the rules; None for a service that is not declared."""
-        known = self._known.get((service, customer))
-        if known is not None:
-            return known
+        resolved = self._resolved.get((service, customer))
+        if resolved is not None:
+            return resolved
         base = self._services.get(service)
         if base is None:
             return None
@@ -225,7 +225,7 @@
             base,
             **self._customers.get(customer, {}),  # type: ignore[arg-type]
         )
-        self._known[service, customer] = changed
+        self._resolved[service, customer] = changed
         return changed
 
     def ready(self) -> bool:
@@ -243,12 +243,12 @@
     declared = state.tree.services.get(service)
     if declared is None:
         return None
-    found = settings_tree.resolve(state.tree, place, service, customer)
+    resolved = settings_tree.resolve(state.tree, place, service, customer)
     weight = 1.0
     if customer in state.tree.customers:
         weight = state.tree.customers[customer].weight
-    limits, admission = found.limits, found.admission
-    routing, retries = found.routing, found.retries
+    limits, admission = resolved.limits, resolved.admission
+    routing, retries = resolved.routing, resolved.retries
     return Rules(
         service=service,
         kind=declared.kind,
--- a/src/clementinegw/requests/send.py
+++ b/src/clementinegw/requests/send.py
@@ -20,14 +20,14 @@
 from clementinegw.wire.gen.requests import ttypes
 
 Kind = connection_lib.Kind
-Order = _attempt.Order
+AttemptOptions = _attempt.AttemptOptions
 
 # Answers to a tombstone come from the agent's memory; one that takes longer
 # than this is lost, and the caller is waiting.
-DEFAULT_SETTLE_S = 1.0
-_SETTLE_PAUSE_S = 0.05
+DEFAULT_PROOF_TIMEOUT_S = 1.0
+_PROOF_RETRY_INTERVAL_S = 0.05
 # After the deadline there is only this long to prove that nothing ran.
-_LATE_SETTLE_S = 0.1
+_MIN_PROOF_TIMEOUT_S = 0.1
 
 
 class Connector(Protocol):
@@ -53,14 +53,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Attempt:
+class AttemptResult:
     """How one attempt ended.
 
     Attributes:
       outcome: The tagged outcome.
       version: The model version that answered; empty when none did.
       tokens: Tokens that the answer says it took.
-      reported: The agent's own requests in flight and in its queue, as the
+      reported_load: The agent's own requests in flight and in its queue, as the
         answer told them; None when it did not.
       detail: The agent's word for why it refused or failed.
     """
@@ -68,7 +68,7 @@
     outcome: types.Outcome
     version: str = ""
     tokens: int = 0
-    reported: int | None = None
+    reported_load: int | None = None
     detail: str = ""
 
 
@@ -80,7 +80,7 @@
         connector: Connector,
         clock: clock_lib.Clock,
         counters: counters_lib.Counters,
-        settle_s: float = DEFAULT_SETTLE_S,
+        proof_timeout_s: float = DEFAULT_PROOF_TIMEOUT_S,
     ):
         """Prepares the sender.
 
@@ -88,27 +88,27 @@
           connector: Connects to agents.
           clock: The source of time.
           counters: Where outcomes are counted.
-          settle_s: How long to ask an agent for proof, in seconds.
+          proof_timeout_s: How long to ask an agent for proof, in seconds.
         """
         self._connector = connector
         self._clock = clock
         self._counters = counters
-        self._settle_s = settle_s
+        self._proof_timeout_s = proof_timeout_s
         self._tasks: set[asyncio.Task] = set()
 
     async def send(
         self,
         target: Target,
         request: request_types.Request,
-        order: Order,
-        answer: stream_lib.Answer,
-    ) -> Attempt:
+        options: AttemptOptions,
+        answer: stream_lib.AnswerCollector,
+    ) -> AttemptResult:
         """Sends one attempt and waits for its end.
 
         Args:
           target: The agent that gets it.
           request: What to run.
-          order: How to run it.
+          options: How to run it.
           answer: Collects the answer; it lives on when a stream is resumed.
 
         Returns:
@@ -123,28 +123,28 @@
             # An entry that was paused wakes here with its claim lapsed. Others
             # have been told that the claim's use is over.
             exchange.close()
-            return Attempt(types.NotRun(types.NotRunReason.DEADLINE, 1.0))
-        run = _attempt.Run(
+            return AttemptResult(types.NotRun(types.NotRunReason.DEADLINE, 1.0))
+        call = _attempt.AttemptCall(
             self._clock,
             self._counters,
             request,
-            order,
+            options,
             answer,
             connection.peer.incarnation,
         )
         try:
-            outcome = await self._collect(target, connection, exchange, run)
-        except (asyncio.CancelledError, request_types.CallerGone):
+            outcome = await self._collect(target, connection, exchange, call)
+        except (asyncio.CancelledError, request_types.CallerDisconnected):
             self._counters.add("requests.cancelled")
-            self._cancel(connection, run)
+            self._cancel(connection, call)
             raise
         finally:
             exchange.close()
         if isinstance(outcome, types.Unknown):
             # Work whose answer nobody takes any more holds up others.
-            self._cancel(connection, run)
-        return Attempt(
-            outcome, run.version, run.tokens, run.reported, run.detail
+            self._cancel(connection, call)
+        return AttemptResult(
+            outcome, call.version, call.tokens, call.reported_load, call.detail
         )
 
     async def _collect(
@@ -152,10 +152,10 @@
         target: Target,
         connection: connection_lib.Connection,
         exchange: connection_lib.Exchange,
-        run: _attempt.Run,
+        call: _attempt.AttemptCall,
     ) -> types.Outcome:
         try:
-            return await run.collect(exchange)
+            return await call.collect(exchange)
         except exceptions.DecodeError:
             # What else stands on this connection cannot be trusted either.
             self._counters.add("requests.frames_malformed")
@@ -164,22 +164,24 @@
             self._counters.add("requests.connection_lost")
         except TimeoutError:
             self._counters.add("requests.deadline_passed")
-        return await self._settle(target, connection.peer, run)
+        return await self._prove_not_run(target, connection.peer, call)
 
     def _cancel(
-        self, connection: connection_lib.Connection, run: _attempt.Run
+        self, connection: connection_lib.Connection, call: _attempt.AttemptCall
     ) -> None:
         if connection.closed:
             return
-        task = asyncio.ensure_future(_send_cancel(connection, run.naming()))
+        task = asyncio.ensure_future(
+            _send_cancel(connection, call.encoded_id())
+        )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _settle(
+    async def _prove_not_run(
         self,
         target: Target,
         peer: connection_lib.Identity,
-        run: _attempt.Run,
+        call: _attempt.AttemptCall,
     ) -> types.Outcome:
         """Asks the agent for proof that an attempt has not run.
 
@@ -189,34 +191,35 @@
         request run twice; one would notice it as two bookings for one call.
         """
         now = self._clock.now()
-        until = min(now + self._settle_s, run.request.deadline)
-        until = max(until, now + _LATE_SETTLE_S)
-        unknown = types.Unknown(run.why(now))
-        if run.started:
+        proof_deadline = min(now + self._proof_timeout_s, call.request.deadline)
+        proof_deadline = max(proof_deadline, now + _MIN_PROOF_TIMEOUT_S)
+        unknown = types.Unknown(call.unknown_reason(now))
+        if call.started:
             # Part of an answer has come: it runs, whatever an agent says now.
             return unknown
-        while (left := until - self._clock.now()) > 0:
+        while (remaining_s := proof_deadline - self._clock.now()) > 0:
             try:
                 proved = await asyncio.wait_for(
-                    self._tombstone(target, peer, run, left), left
+                    self._request_tombstone(target, peer, call, remaining_s),
+                    remaining_s,
                 )
             except TimeoutError:
                 break
             except exceptions.ConnectionLost:
-                await asyncio.sleep(min(_SETTLE_PAUSE_S, left))
+                await asyncio.sleep(min(_PROOF_RETRY_INTERVAL_S, remaining_s))
                 continue
             if proved:
                 self._counters.add("requests.tombstone_proved")
-                return run.proved(self._clock.now())
+                return call.not_run_outcome(self._clock.now())
             break
         self._counters.add("requests.unsettled")
         return unknown
 
-    async def _tombstone(
+    async def _request_tombstone(
         self,
         target: Target,
         peer: connection_lib.Identity,
-        run: _attempt.Run,
+        call: _attempt.AttemptCall,
         timeout: float,
     ) -> bool:
         connection = await self._connector.connect(target.address)
@@ -230,29 +233,31 @@
             self._counters.add("requests.agent_replaced")
             return False
         frame = await connection_lib.call(
-            connection, Kind.TOMBSTONE, run.naming(), timeout
+            connection, Kind.TOMBSTONE, call.encoded_id(), timeout
         )
         if frame.kind != Kind.TOMBSTONED:
             return False
         answer = codec.decode(ttypes.Tombstoned, frame.body)
         return bool(
             answer.proved
-            and answer.request_id == run.request.request_id
-            and answer.attempt == run.order.attempt
+            and answer.request_id == call.request.request_id
+            and answer.attempt == call.options.attempt
         )
 
 
 async def _send_cancel(
-    connection: connection_lib.Connection, naming: bytes
+    connection: connection_lib.Connection, encoded_id: bytes
 ) -> None:
     try:
         exchange = connection.open()
-        await exchange.send(Kind.CANCEL, naming)
+        await exchange.send(Kind.CANCEL, encoded_id)
         exchange.close()
     except exceptions.ConnectionLost:
         # The agent notices the lost connection and cancels by itself.
         return
 
 
-def _not_run(reason: types.NotRunReason, detail: str) -> Attempt:
-    return Attempt(types.NotRun(reason, 1.0, detail), detail="not_connected")
+def _not_run(reason: types.NotRunReason, detail: str) -> AttemptResult:
+    return AttemptResult(
+        types.NotRun(reason, 1.0, detail), detail="not_connected"
+    )
--- a/src/clementinegw/requests/service.py
+++ b/src/clementinegw/requests/service.py
@@ -19,7 +19,7 @@
 from clementinegw.telemetry import logs
 from clementinegw.wire import connection as connection_lib
 
-_MEMBERS_S = 0.5
+_REFRESH_INTERVAL_S = 0.5
 
 
 class RequestService(mode.Service):
@@ -54,15 +54,15 @@
         """
         super().__init__()
         self._members = members
-        self._known: frozenset[fleet_lib.Member] = frozenset()
+        self._last_members: frozenset[fleet_lib.Member] = frozenset()
         self._clock = clock or clock_lib.SystemClock()
         self._counters = counters or counters_lib.Counters()
         log = log or logs.Log(instance=me.instance_id)
         rng = rng or random.Random()
-        shared = (self._clock, log, self._counters, rng)
-        self.fleet = fleet_lib.Fleet(me, endpoint, rules, *shared)
+        common = (self._clock, log, self._counters, rng)
+        self.fleet = fleet_lib.Fleet(me, endpoint, rules, *common)
         self._shares = shares.Shares(me.instance_id)
-        self._usage = usage.UsageExchange(
+        self._usage_exchange = usage.UsageExchange(
             self._shares, endpoint, self._clock, self._counters
         )
         self.pipeline = pipeline_lib.Pipeline(
@@ -72,22 +72,22 @@
             rules,
             claims or pipeline_lib.NoClaims(),
             suspects or pipeline_lib.NoSuspects(),
-            *shared,
+            *common,
         )
 
     def refresh(self) -> None:
         """Takes the present members; call it when they change."""
         members = frozenset(self._members())
-        if members == self._known:
+        if members == self._last_members:
             return
-        self._known = members
+        self._last_members = members
         self.fleet.set_members(members)
         entries = {
             m.instance.instance_id: m.instance.address
             for m in members
             if m.instance.role is types.Role.ENTRY and not m.leaving
         }
-        self._usage.set_entries(entries)
+        self._usage_exchange.set_entries(entries)
 
     def settings_changed(self) -> None:
         """Chooses workers anew, by other settings.
@@ -96,7 +96,7 @@
         never be looked at again: the services were not declared then, and the
         entry would refuse every request for want of a backend server.
         """
-        self._known = frozenset()
+        self._last_members = frozenset()
         self.refresh()
 
     async def on_start(self) -> None:
@@ -110,13 +110,15 @@
     @mode.Service.task
     async def _follow_members(self) -> None:
         while not self.should_stop:
-            await self.sleep(_MEMBERS_S)
+            await self.sleep(_REFRESH_INTERVAL_S)
             self.refresh()
-            for name, lane in self.fleet.lanes().items():
-                self._counters.gauge(f"requests.waiting.{name}", lane.waiting)
+            for name, dispatcher in self.fleet.dispatchers().items():
+                self._counters.gauge(
+                    f"requests.waiting.{name}", dispatcher.waiting
+                )
 
     @mode.Service.task
     async def _share_usage(self) -> None:
         while not self.should_stop:
             await self.sleep(shares.PERIOD_S)
-            await self._usage.tick()
+            await self._usage_exchange.end_period()
--- a/src/clementinegw/requests/shares.py
+++ b/src/clementinegw/requests/shares.py
@@ -20,16 +20,16 @@
 import xxhash
 
 PERIOD_S = 1.0
-FLOOR = 0.2
-_SMOOTHING = 0.5
+SHARE_FLOOR = 0.2
+_SMOOTHING_FACTOR = 0.5
 _STALE_PERIODS = 3.5
-_NEGLIGIBLE = 0.01
+_NEGLIGIBLE_RATE = 0.01
 
 Key = tuple[str, str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Demand:
+class CustomerDemand:
     """What customers ask of services, in a second.
 
     Attributes:
@@ -51,22 +51,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tell:
+class UsageMessage:
     """Send these demands, or sums, to another entry.
 
     Attributes:
-      entry: The receiver's instance id.
+      receiver: The receiver's instance id.
       sums: Whether they are sums over all entries.
       demands: The demands.
     """
 
-    entry: str
+    receiver: str
     sums: bool
-    demands: tuple[Demand, ...]
+    demands: tuple[CustomerDemand, ...]
 
 
 @dataclasses.dataclass(slots=True)
-class _Own:
+class _OwnDemand:
     requests: int = 0
     tokens: int = 0
     rate: float = 0.0
@@ -86,19 +86,19 @@
         """
         self._me = me
         self._entries: tuple[str, ...] = (me,)
-        self._own: dict[Key, _Own] = {}
-        self._sums: dict[Key, dict[str, tuple[Demand, float]]] = {}
-        self._ticked_at: float | None = None
+        self._own: dict[Key, _OwnDemand] = {}
+        self._sums: dict[Key, dict[str, tuple[CustomerDemand, float]]] = {}
+        self._period_ended_at: float | None = None
 
     def set_entries(self, entries: Iterable[str]) -> None:
         """Sets which entries live, this one included or not."""
         self._entries = tuple(sorted({self._me, *entries}))
 
-    def seen(self, key: Key, tokens: int, now: float) -> None:
+    def record_request(self, key: Key, tokens: int, now: float) -> None:
         """Notes a request, whether or not it is within the limit."""
         own = self._own.get(key)
         if own is None:
-            own = self._own[key] = _Own()
+            own = self._own[key] = _OwnDemand()
         own.requests += 1
         own.tokens += tokens
 
@@ -110,39 +110,39 @@
             return 1.0
         if own is None or now - own.total_at > _STALE_PERIODS * PERIOD_S:
             return 1.0 / count
-        total = max(own.total, own.rate, _NEGLIGIBLE)
-        return (1 - FLOOR) * own.rate / total + FLOOR / count
+        total = max(own.total, own.rate, _NEGLIGIBLE_RATE)
+        return (1 - SHARE_FLOOR) * own.rate / total + SHARE_FLOOR / count
 
-    def on_tick(self, now: float) -> list[Tell]:
+    def end_period(self, now: float) -> list[UsageMessage]:
         """Ends a period; returns what owners are to be told."""
-        passed_s = PERIOD_S
-        if self._ticked_at is not None:
-            passed_s = max(0.1 * PERIOD_S, now - self._ticked_at)
-        self._ticked_at = now
-        by_owner: dict[str, list[Demand]] = {}
+        elapsed_s = PERIOD_S
+        if self._period_ended_at is not None:
+            elapsed_s = max(0.1 * PERIOD_S, now - self._period_ended_at)
+        self._period_ended_at = now
+        by_owner: dict[str, list[CustomerDemand]] = {}
         for key, own in list(self._own.items()):
-            _smooth(own, passed_s)
-            if own.rate < _NEGLIGIBLE:
+            _smooth(own, elapsed_s)
+            if own.rate < _NEGLIGIBLE_RATE:
                 del self._own[key]
                 continue
-            demand = Demand(*key, own.rate, own.token_rate)
+            demand = CustomerDemand(*key, own.rate, own.token_rate)
             by_owner.setdefault(self.owner(key), []).append(demand)
-        mine = by_owner.pop(self._me, [])
-        if mine:
-            self.on_sums(self._add(self._me, mine, now), now)
+        own_demands = by_owner.pop(self._me, [])
+        if own_demands:
+            self.apply_sums(self._add(self._me, own_demands, now), now)
         self._expire(now)
         return [
-            Tell(entry, False, tuple(demands))
+            UsageMessage(entry, False, tuple(demands))
             for entry, demands in by_owner.items()
         ]
 
-    def on_demands(
-        self, entry: str, demands: Iterable[Demand], now: float
-    ) -> Tell:
+    def add_demands(
+        self, entry: str, demands: Iterable[CustomerDemand], now: float
+    ) -> UsageMessage:
         """Takes an entry's demands; returns the sums for it."""
-        return Tell(entry, True, tuple(self._add(entry, demands, now)))
+        return UsageMessage(entry, True, tuple(self._add(entry, demands, now)))
 
-    def on_sums(self, sums: Iterable[Demand], now: float) -> None:
+    def apply_sums(self, sums: Iterable[CustomerDemand], now: float) -> None:
         """Takes sums from an owner."""
         for demand in sums:
             own = self._own.get(demand.key)
@@ -159,41 +159,43 @@
         )
 
     def _add(
-        self, entry: str, demands: Iterable[Demand], now: float
-    ) -> list[Demand]:
+        self, entry: str, demands: Iterable[CustomerDemand], now: float
+    ) -> list[CustomerDemand]:
         sums = []
         for demand in demands:
             known = self._sums.setdefault(demand.key, {})
             known[entry] = (demand, now)
-            fresh = [
+            current = [
                 d
                 for d, at in known.values()
                 if now - at <= _STALE_PERIODS * PERIOD_S
             ]
             sums.append(
-                Demand(
+                CustomerDemand(
                     *demand.key,
-                    sum(d.requests for d in fresh),
-                    sum(d.tokens for d in fresh),
+                    sum(d.requests for d in current),
+                    sum(d.tokens for d in current),
                 )
             )
         return sums
 
     def _expire(self, now: float) -> None:
         for key in list(self._sums):
-            kept = {
-                entry: told
-                for entry, told in self._sums[key].items()
-                if now - told[1] <= _STALE_PERIODS * PERIOD_S
+            current = {
+                entry: entry_demand
+                for entry, entry_demand in self._sums[key].items()
+                if now - entry_demand[1] <= _STALE_PERIODS * PERIOD_S
             }
-            if kept:
-                self._sums[key] = kept
+            if current:
+                self._sums[key] = current
             else:
                 del self._sums[key]
 
 
-def _smooth(own: _Own, passed_s: float) -> None:
-    own.rate += _SMOOTHING * (own.requests / passed_s - own.rate)
-    own.token_rate += _SMOOTHING * (own.tokens / passed_s - own.token_rate)
+def _smooth(own: _OwnDemand, elapsed_s: float) -> None:
+    own.rate += _SMOOTHING_FACTOR * (own.requests / elapsed_s - own.rate)
+    own.token_rate += _SMOOTHING_FACTOR * (
+        own.tokens / elapsed_s - own.token_rate
+    )
     own.requests = 0
     own.tokens = 0
--- a/src/clementinegw/requests/stream.py
+++ b/src/clementinegw/requests/stream.py
@@ -12,7 +12,7 @@
 _ID = b"id:"
 
 
-class Answer:
+class AnswerCollector:
     """Collects one answer and, for a stream, passes it on."""
 
     def __init__(self, sink: request_types.Sink | None):
@@ -24,9 +24,9 @@
         self._sink = sink
         self._head: request_types.Head | None = None
         self._chunks: list[bytes] = []
-        self._rest = b""
+        self._partial_event = b""
         self._tokens = 0
-        self._passed_bytes = 0
+        self._forwarded_bytes = 0
         self._attempt_bytes = 0
         self._damaged = False
 
@@ -65,7 +65,7 @@
           another version: the two must not be joined.
         """
         self._attempt_bytes = 0
-        self._rest = b""
+        self._partial_event = b""
         if self._sink is None:
             self._head = head
             self._chunks.clear()
@@ -85,38 +85,40 @@
         if self._sink is None:
             self._chunks.append(data)
             return
-        whole, mark, self._rest = (self._rest + data).rpartition(_EVENT_END)
-        if mark:
-            await self._pass_on(whole + mark)
+        complete, separator, self._partial_event = (
+            self._partial_event + data
+        ).rpartition(_EVENT_END)
+        if separator:
+            await self._forward(complete + separator)
 
-    def damage(self) -> None:
+    def mark_damaged(self) -> None:
         """Notes that the bytes do not add up: some may be missing inside."""
         self._damaged = True
 
     async def finish(self) -> types.Answered:
         """Takes the explicit end and returns the whole answer."""
         assert self._head is not None
-        if self._sink is not None and self._rest:
-            await self._pass_on(self._rest)
-            self._rest = b""
+        if self._sink is not None and self._partial_event:
+            await self._forward(self._partial_event)
+            self._partial_event = b""
         body = b"".join(self._chunks) if self._sink is None else b""
         headers = self._head.headers
         if self._head.version:
             headers = (*headers, ("clementine-version", self._head.version))
         return types.Answered(self._head.status, headers, body)
 
-    async def _pass_on(self, events: bytes) -> None:
+    async def _forward(self, events: bytes) -> None:
         assert self._sink is not None
         await self._sink.data(events)
-        self._passed_bytes += len(events)
-        self._tokens = _token_number(events, self._tokens)
+        self._forwarded_bytes += len(events)
+        self._tokens = _last_token_number(events, self._tokens)
 
 
-def _token_number(events: bytes, before: int) -> int:
+def _last_token_number(events: bytes, previous: int) -> int:
     """Returns the number in the last event id; engines count tokens by it."""
     start = events.rfind(_ID)
     if start < 0 or (start > 0 and events[start - 1 : start] != b"\n"):
-        return before
+        return previous
     end = events.find(b"\n", start)
     number = events[start + len(_ID) : end].strip()
-    return int(number) if number.isdigit() else before
+    return int(number) if number.isdigit() else previous
--- a/src/clementinegw/requests/subset.py
+++ b/src/clementinegw/requests/subset.py
@@ -38,9 +38,9 @@
     ordered = sorted({me, *entries}, key=_position)
     count = len(ring)
     coverage = -(-count * MIN_COVERAGE // len(ordered))
-    run = min(count, max(size, coverage))
+    length = min(count, max(size, coverage))
     start = ordered.index(me) * count // len(ordered)
-    return [ring[(start + step) % count] for step in range(run)]
+    return [ring[(start + step) % count] for step in range(length)]
 
 
 def _position(name: str) -> tuple[int, str]:
--- a/src/clementinegw/requests/suspects_service.py
+++ b/src/clementinegw/requests/suspects_service.py
@@ -20,7 +20,7 @@
 from clementinegw.wire.gen.requests import ttypes
 
 Kind = connection_lib.Kind
-Turn = request_types.Turn
+Lease = request_types.Lease
 STREAM = "suspects"
 _POLL_S = 30.0
 _RETRY_S = 1.0
@@ -32,10 +32,10 @@
 class Turns(Protocol):
     """Gives turns of which there is one in the fleet at a time."""
 
-    async def turn(self, name: bytes, use_s: float) -> Turn | None:
+    async def turn(self, name: bytes, use_s: float) -> Lease | None:
         """Takes the turn; None when another has it or the log is down."""
 
-    def end_turn(self, turn: Turn) -> None:
+    def end_turn(self, turn: Lease) -> None:
         """Gives a turn back."""
 
 
@@ -92,9 +92,9 @@
             return _CLEAR
         return self._suspicions.verdict(request.fingerprint)
 
-    async def turn(
+    async def acquire_lease(
         self, request: request_types.Request, wait_s: float
-    ) -> Turn | types.NotRun | None:
+    ) -> Lease | types.NotRun | None:
         """Waits until a request may run.
 
         Args:
@@ -102,8 +102,8 @@
           wait_s: How long to wait for its turn, in seconds.
 
         Returns:
-          A turn to give back by `end_turn`; None when nothing is held against
-          the request; NotRun when it may not run, or not yet.
+          A turn to give back by `release_lease`; None when nothing is held
+          against the request; NotRun when it may not run, or not yet.
         """
         until = min(self._clock.now() + wait_s, request.deadline)
         while True:
@@ -127,7 +127,7 @@
                 )
             await asyncio.sleep(_TURN_PAUSE_S)
 
-    def end_turn(self, turn: Turn) -> None:
+    def release_lease(self, turn: Lease) -> None:
         """Gives a turn back."""
         self._turns.end_turn(turn)
 
--- a/src/clementinegw/requests/types.py
+++ b/src/clementinegw/requests/types.py
@@ -81,7 +81,7 @@
     version: str
 
 
-class CallerGone(Exception):  # noqa: N818
+class CallerDisconnected(Exception):  # noqa: N818
     """The caller has gone away; nobody takes the answer any more."""
 
 
@@ -95,7 +95,7 @@
         """Passes on the next bytes, whole events only.
 
         Raises:
-          CallerGone: The caller has gone away.
+          CallerDisconnected: The caller has gone away.
         """
 
 
@@ -123,7 +123,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kept:
+class StoredAnswer:
     """The key ran before, and its answer was kept.
 
     Attributes:
@@ -133,7 +133,7 @@
     outcome: types.Answered
 
 
-ClaimResult = ClaimWon | ClaimRefused | Kept
+ClaimResult = ClaimWon | ClaimRefused | StoredAnswer
 
 
 class Claims(Protocol):
@@ -165,7 +165,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Turn:
+class Lease:
     """The only turn in the fleet for something, which this entry has.
 
     Attributes:
@@ -185,17 +185,17 @@
     def check(self, request: Request, now: float) -> SuspectVerdict:
         """Says how the request may run."""
 
-    async def turn(
+    async def acquire_lease(
         self, request: Request, wait_s: float
-    ) -> Turn | types.NotRun | None:
+    ) -> Lease | types.NotRun | None:
         """Waits until a suspect may run, for at most `wait_s` seconds.
 
         Returns:
-          A turn to give back by `end_turn`; None when nothing is held against
-          the request any more; NotRun when it may not run, or not yet.
+          A turn to give back by `release_lease`; None when nothing is held
+          against the request any more; NotRun when it may not run, or not yet.
         """
 
-    def end_turn(self, turn: Turn) -> None:
+    def release_lease(self, lease: Lease) -> None:
         """Gives a turn back."""
 
     def completed(self, request: Request) -> None:
--- a/src/clementinegw/requests/usage.py
+++ b/src/clementinegw/requests/usage.py
@@ -42,10 +42,10 @@
         self._addresses = entries
         self._shares.set_entries(entries)
 
-    async def tick(self) -> None:
+    async def end_period(self) -> None:
         """Tells the owners what this entry sees."""
-        for tell in self._shares.on_tick(self._clock.now()):
-            address = self._addresses.get(tell.entry)
+        for outgoing in self._shares.end_period(self._clock.now()):
+            address = self._addresses.get(outgoing.receiver)
             if address is None:
                 continue
             try:
@@ -54,14 +54,16 @@
                 # Without the owner's sums the share falls back by itself.
                 self._counters.add("requests.usage_unsent")
                 continue
-            self._tell(connection, tell)
+            self._send(connection, outgoing)
 
-    def _tell(
-        self, connection: connection_lib.Connection, tell: shares_lib.Tell
+    def _send(
+        self,
+        connection: connection_lib.Connection,
+        outgoing: shares_lib.UsageMessage,
     ) -> None:
         message = ttypes.UsageShare(
             instance_id=self._endpoint.identity.instance_id,
-            sums=tell.sums,
+            sums=outgoing.sums,
             usages=[
                 ttypes.Usage(
                     service_name=d.service,
@@ -69,7 +71,7 @@
                     requests=d.requests,
                     tokens=d.tokens,
                 )
-                for d in tell.demands
+                for d in outgoing.demands
             ],
         )
         connection.notify(Kind.USAGE_SHARE, codec.encode(message))
@@ -79,14 +81,16 @@
     ) -> None:
         message = codec.decode(ttypes.UsageShare, body)
         demands = [
-            shares_lib.Demand(u.service_name, u.customer, u.requests, u.tokens)
+            shares_lib.CustomerDemand(
+                u.service_name, u.customer, u.requests, u.tokens
+            )
             for u in message.usages
         ]
         now = self._clock.now()
         if message.sums:
-            self._shares.on_sums(demands, now)
+            self._shares.apply_sums(demands, now)
             return
-        reply = self._shares.on_demands(
+        reply = self._shares.add_demands(
             connection.peer.instance_id, demands, now
         )
-        self._tell(connection, reply)
+        self._send(connection, reply)
--- a/tests/requests_script.py
+++ b/tests/requests_script.py
@@ -54,14 +54,14 @@
         self.endpoint.on_call(Kind.SUBMIT, self._on_submit)
         self.endpoint.on_call(Kind.TOMBSTONE, self._on_tombstone)
         self.endpoint.on_call(Kind.CANCEL, self._on_cancel)
-        self.endpoint.on_connected(self.tell)
+        self.endpoint.on_connected(self.send_status)
         address = await self.endpoint.listen(types.Address("127.0.0.1", port))
         self.instance = types.Instance(
             self.name, types.Role.AGENT, PLACE, address, 1, "s"
         )
         return self
 
-    def tell(self, connection) -> None:
+    def send_status(self, connection) -> None:
         status = ttypes.AgentStatus(
             instance_id=self.name,
             incarnation=self.incarnation,
@@ -117,7 +117,7 @@
     await end(exchange, submit, len(body))
 
 
-async def break_off(agent, connection, exchange, submit):
+async def drop_connection(agent, connection, exchange, submit):
     connection.abort()
 
 
@@ -125,7 +125,7 @@
     await asyncio.sleep(3600)
 
 
-async def short(agent, connection, exchange, submit):
+async def send_truncated_answer(agent, connection, exchange, submit):
     await head(exchange, submit)
     await exchange.send(Kind.ANSWER_DATA, b"half")
     await end(exchange, submit, 8)
@@ -148,21 +148,24 @@
 
 
 class Sink:
-    def __init__(self, gone_after: int | None = None):
+    def __init__(self, disconnect_after_bytes: int | None = None):
         self.body = b""
         self.heads: list[request_types.Head] = []
-        self.gone_after = gone_after
+        self.disconnect_after_bytes = disconnect_after_bytes
 
     async def head(self, got):
         self.heads.append(got)
 
     async def data(self, data):
         self.body += data
-        if self.gone_after is not None and len(self.body) >= self.gone_after:
-            raise request_types.CallerGone
+        if (
+            self.disconnect_after_bytes is not None
+            and len(self.body) >= self.disconnect_after_bytes
+        ):
+            raise request_types.CallerDisconnected
 
 
-async def entry(clock, agents, source=None, **fields):
+async def start_entry(clock, agents, source=None, **fields):
     network.HOST.set("entry")
     counters = counters_lib.Counters()
     identity = connection_lib.Identity("entry", types.Role.ENTRY, PLACE, 1)
@@ -184,7 +187,7 @@
     return service, counters
 
 
-async def agents_of(*scripts) -> list[Agent]:
+async def start_agents(*scripts) -> list[Agent]:
     agents = []
     for index, script in enumerate(scripts):
         agent = Agent(f"a{index}", script)
@@ -193,7 +196,7 @@
     return agents
 
 
-def request_of(clock, number=1, idempotent=False, stream=False, wait_s=10.0):
+def make_request(clock, number=1, idempotent=False, stream=False, wait_s=10.0):
     return request_types.Request(
         f"r{number}",
         "customer",
@@ -209,7 +212,7 @@
     )
 
 
-def event_of(token: int) -> bytes:
+def encode_event(token: int) -> bytes:
     return f"id: {token}\ndata: {token}\n\n".encode()
 
 
@@ -218,14 +221,14 @@
         await head(exchange, submit, agent.version)
         size = 0
         for token in range(first, last + 1):
-            event = event_of(token)
+            event = encode_event(token)
             size += len(event)
             await exchange.send(Kind.ANSWER_DATA, event)
         if whole:
             await end(exchange, submit, size, last)
         else:
             # The last event arrives in part only.
-            await exchange.send(Kind.ANSWER_DATA, event_of(last + 1)[:7])
+            await exchange.send(Kind.ANSWER_DATA, encode_event(last + 1)[:7])
             connection.abort()
 
     return step
--- a/tests/test_claim_pause.py
+++ b/tests/test_claim_pause.py
@@ -73,8 +73,8 @@
         attempt = await sender.send(
             send.Target("agent-1", types.Address("127.0.0.1", 1)),
             request,
-            send.Order(1, claim_offset=won.offset),
-            stream.Answer(None),
+            send.AttemptOptions(1, claim_offset=won.offset),
+            stream.AnswerCollector(None),
         )
         assert connector.sent == []
         assert attempt.outcome.reason == types.NotRunReason.DEADLINE
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -97,7 +97,7 @@
         result = await entry.claims.claim(request)
         if not entry.endpoint.up:
             return None
-        if isinstance(result, request_types.Kept):
+        if isinstance(result, request_types.StoredAnswer):
             return result.outcome
         if isinstance(result, request_types.ClaimRefused):
             return result.outcome
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -25,7 +25,7 @@
     fleet.entries["e1"].claims.settle(first, ANSWER)
     for name in fleet.entries:
         again = await fleet.entries[name].claims.claim(fleet.request("r2"))
-        assert again == request_types.Kept(ANSWER)
+        assert again == request_types.StoredAnswer(ANSWER)
 
 
 @claims_fleet.in_fleet("e1", "e2")
@@ -47,7 +47,7 @@
 
     results = await asyncio.gather(*(claim(name) for name in requests))
     kinds = sorted(type(result).__name__ for result in results)
-    assert kinds == ["ClaimWon", "Kept"]
+    assert kinds == ["ClaimWon", "StoredAnswer"]
 
 
 @claims_fleet.in_fleet("e1", "e2")
--- a/tests/test_gate_service.py
+++ b/tests/test_gate_service.py
@@ -124,9 +124,9 @@
             whole = isinstance(notice, ttypes.AgentStatus)
             new, gone = notice.prefixes or [], notice.prefixes_gone or []
             if whole and not notice.prefixes_changed:
-                index.reported("agent-1", new, 0.0)
+                index.apply_report("agent-1", new, 0.0)
             else:
-                index.changed("agent-1", new, gone, 0.0)
+                index.apply_changes("agent-1", new, gone, 0.0)
         told = sum(len(notice.prefixes or []) for notice in setup.notices)
         assert told <= 2 * len(index)
         for number in range(3):
--- a/tests/test_gate_status.py
+++ b/tests/test_gate_status.py
@@ -136,10 +136,10 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([])
-        service, _ = await script.entry(clock, agents)
-        lane = service.fleet.lanes()["s"]
-        worker = lane.workers.get("a0")
+        agents = await script.start_agents([])
+        service, _ = await script.start_entry(clock, agents)
+        dispatcher = service.fleet.dispatchers()["s"]
+        worker = dispatcher.workers.get("a0")
         (link,) = agents[0].endpoint.connections()
 
         async def tell(incarnation, in_flight, prefix):
@@ -149,11 +149,11 @@
 
         known = agents[0].incarnation
         await tell(known, 5, 11)
-        assert worker.others == 7
-        assert lane.index.matches([11], clock.now()) == {"a0": 1}
+        assert worker.other_requests == 7
+        assert dispatcher.index.matches([11], clock.now()) == {"a0": 1}
         for other in (known - 1, known + 1):
             await tell(other, 30, 12)
-            assert worker.others == 7
-            assert lane.index.matches([12], clock.now()) == {}
+            assert worker.other_requests == 7
+            assert dispatcher.index.matches([12], clock.now()) == {}
 
     script.run(test)
--- a/tests/test_requests_pipeline.py
+++ b/tests/test_requests_pipeline.py
@@ -36,15 +36,17 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([], [])
-        service, counters = await script.entry(clock, agents, hedging=True)
+        agents = await script.start_agents([], [])
+        service, counters = await script.start_entry(
+            clock, agents, hedging=True
+        )
         for number in range(60):
-            await service.pipeline.run(script.request_of(clock, number))
+            await service.pipeline.run(script.make_request(clock, number))
         for agent in agents:
             agent.submitted.clear()
         # Whichever is asked first hangs; the other answers.
         agents[0].script = agents[1].script = [script.hang]
-        request = script.request_of(clock, 99, idempotent, wait_s=5.0)
+        request = script.make_request(clock, 99, idempotent, wait_s=5.0)
         agents[0].proof = agents[1].proof = False
         outcome = await service.pipeline.run(request)
         sent = len(agents[0].submitted) + len(agents[1].submitted)
@@ -65,15 +67,15 @@
         await script.answer(agent, connection, exchange, submit)
 
     async def test(clock, loop):
-        agents = await script.agents_of([slow])
-        service, _ = await script.entry(clock, agents)
+        agents = await script.start_agents([slow])
+        service, _ = await script.start_entry(clock, agents)
         running = asyncio.ensure_future(
-            service.pipeline.run(script.request_of(clock))
+            service.pipeline.run(script.make_request(clock))
         )
         await asyncio.sleep(0.5)
         drain = asyncio.ensure_future(service.pipeline.drain(30.0))
         await asyncio.sleep(0.1)
-        late = await service.pipeline.run(script.request_of(clock, 2))
+        late = await service.pipeline.run(script.make_request(clock, 2))
         assert late.reason is types.NotRunReason.LEAVING
         assert await drain
         assert isinstance(await running, types.Answered)
@@ -89,15 +91,15 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([])
+        agents = await script.start_agents([])
         source = _LateRules()
-        service, _ = await script.entry(clock, agents, source=source)
-        early = await service.pipeline.run(script.request_of(clock))
+        service, _ = await script.start_entry(clock, agents, source=source)
+        early = await service.pipeline.run(script.make_request(clock))
         assert early.reason is types.NotRunReason.NO_SETTINGS
         source.declared = True
         service.settings_changed()
         await asyncio.sleep(0.1)
-        outcome = await service.pipeline.run(script.request_of(clock, 2))
+        outcome = await service.pipeline.run(script.make_request(clock, 2))
         assert isinstance(outcome, types.Answered)
 
     script.run(test)
--- a/tests/test_requests_queue.py
+++ b/tests/test_requests_queue.py
@@ -24,7 +24,7 @@
 def _serve(queue: fair.FairQueue, count: int) -> list[fair.Ticket]:
     served = []
     for _ in range(count):
-        ticket = queue.heads(1)[0]
+        ticket = queue.candidates(1)[0]
         queue.serve(ticket)
         served.append(ticket)
     return served
@@ -61,7 +61,7 @@
         queue.push(_ticket("calm"))
         queue.push(_ticket("urgent", _HIGH))
     served = [t.customer for t in _serve(queue, 20)]
-    ahead = int(fair.CREDIT)
+    ahead = int(fair.HIGH_PRIORITY_CREDIT)
     assert served[:ahead] == ["urgent"] * ahead
     assert 4 <= served.count("calm") <= 10
 
@@ -88,8 +88,8 @@
         queue.push(_ticket("a"))
     turns = 0
     while first.waiting:
-        heads = queue.heads(4)
-        queue.serve(heads[-1], heads[:-1])
+        candidates = queue.candidates(4)
+        queue.serve(candidates[-1], candidates[:-1])
         turns += 1
     assert turns == fair.MAX_SKIPS + 1
 
@@ -100,34 +100,34 @@
         queue.push(_ticket("a"))
         queue.push(_ticket("b"))
     first = _serve(queue, 1)[0]
-    queue.push(first, first=True)
-    assert queue.heads(1)[0] is first
+    queue.push(first, requeued=True)
+    assert queue.candidates(1)[0] is first
 
 
 def _admission(queue, run_s=1.0, running=4.0):
     admission = admit.Admission(queue, random.Random(1))
     for _ in range(int(running)):
         ticket = _ticket("x")
-        admission.started(ticket)
-        admission.started(ticket)
-        admission.ended(ticket, run_s)
+        admission.record_started(ticket)
+        admission.record_started(ticket)
+        admission.record_ended(ticket, run_s)
     return admission
 
 
 def test_overload_is_refused_at_once_with_a_time_to_come_back():
     queue = fair.FairQueue()
     admission = _admission(queue)
-    bounds = admit.Bounds()
+    limits = admit.AdmissionLimits()
     for _ in range(40):
         queue.push(_ticket("a"))
     late = _ticket("a", _LOW)
     # A burst is let in; a delay that lasts is not.
-    assert admission.refusal(late, bounds, 100.0) is None
-    shed = admission.refusal(late, bounds, 100.6)
-    assert shed.reason is types.NotRunReason.OVERLOADED
-    assert 5.0 < shed.retry_after_s <= 30.0
+    assert admission.check_arrival(late, limits, 100.0) is None
+    rejection = admission.check_arrival(late, limits, 100.6)
+    assert rejection.reason is types.NotRunReason.OVERLOADED
+    assert 5.0 < rejection.retry_after_s <= 30.0
     # A customer with nothing waiting is still let in.
-    assert admission.refusal(_ticket("b"), bounds, 100.6) is None
+    assert admission.check_arrival(_ticket("b"), limits, 100.6) is None
 
 
 def test_what_cannot_be_done_in_time_is_not_begun():
@@ -135,10 +135,10 @@
     admission = _admission(queue)
     for _ in range(40):
         queue.push(_ticket("a"))
-    shed = admission.refusal(
-        _ticket("a", deadline=103.0), admit.Bounds(), 100.0
+    rejection = admission.check_arrival(
+        _ticket("a", deadline=103.0), admit.AdmissionLimits(), 100.0
     )
-    assert shed.reason is types.NotRunReason.DEADLINE
+    assert rejection.reason is types.NotRunReason.DEADLINE
 
 
 def test_a_waiting_request_is_not_held_until_its_deadline():
@@ -153,14 +153,16 @@
     ticket = _ticket("a", deadline=1000.0)
     ticket.queued_at = 100.0
     queue.push(ticket)
-    assert admission.overdue(ticket, admit.Bounds(), 100.2) is None
-    shed = admission.overdue(ticket, admit.Bounds(), 102.0)
-    assert shed.reason is types.NotRunReason.OVERLOADED
-    assert shed.retry_after_s > 0
+    assert (
+        admission.check_waiting(ticket, admit.AdmissionLimits(), 100.2) is None
+    )
+    rejection = admission.check_waiting(ticket, admit.AdmissionLimits(), 102.0)
+    assert rejection.reason is types.NotRunReason.OVERLOADED
+    assert rejection.retry_after_s > 0
 
 
 @pytest.mark.parametrize(
-    ("rates", "capacity", "light"),
+    ("rates", "capacity", "within_share"),
     [
         ({"a": 2, "b": 3}, 10, {"a", "b"}),
         ({"a": 2, "b": 30}, 10, {"a"}),
@@ -168,20 +170,22 @@
         ({"a": 1, "b": 1, "c": 9}, 10, {"a", "b", "c"}),
     ],
 )
-def test_light_customers_by_max_min_share(rates, capacity, light):
-    meter = demand.Demand()
+def test_light_customers_by_max_min_share(rates, capacity, within_share):
+    meter = demand.DemandTracker()
     now = 0.0
     for _ in range(60):
         for name, rate in rates.items():
             for _ in range(rate):
-                meter.seen(name, 1.0, 1.0, now)
+                meter.record_request(name, 1.0, 1.0, now)
         now += 1.0
         meter.end_period(capacity, now)
         for name, rate in rates.items():
-            meter.seen(name, 1.0, float(rate), now)
+            meter.record_request(name, 1.0, float(rate), now)
         now += 1.0
         meter.end_period(capacity, now)
-    assert {name for name in rates if meter.is_light(name)} == light
+    assert {
+        name for name in rates if meter.is_within_share(name)
+    } == within_share
 
 
 def _rules(**fields):
@@ -191,38 +195,40 @@
 def test_rate_limit_refuses_and_says_when_to_come_back():
     limiter = limit.Limiter(shares.Shares("e1"))
     rules = _rules(requests_per_s=2.0, burst_s=2.0)
-    outcomes = [limiter.take(rules, "a", 0, 100.0) for _ in range(5)]
+    outcomes = [limiter.try_acquire(rules, "a", 0, 100.0) for _ in range(5)]
     assert outcomes[:4] == [None] * 4
     assert outcomes[4].reason is types.NotRunReason.RATE_LIMITED
     assert outcomes[4].retry_after_s == pytest.approx(0.5)
-    assert limiter.take(rules, "b", 0, 100.0) is None
-    assert limiter.take(rules, "a", 0, 100.6) is None
+    assert limiter.try_acquire(rules, "b", 0, 100.0) is None
+    assert limiter.try_acquire(rules, "a", 0, 100.6) is None
 
 
 def test_token_limit_charges_what_was_used():
     limiter = limit.Limiter(shares.Shares("e1"))
     rules = _rules(tokens_per_s=100.0, burst_s=1.0)
-    assert limiter.take(rules, "a", 300, 100.0) is None
-    refused = limiter.take(rules, "a", 1, 100.0)
+    assert limiter.try_acquire(rules, "a", 300, 100.0) is None
+    refused = limiter.try_acquire(rules, "a", 1, 100.0)
     assert refused.reason is types.NotRunReason.TOKEN_LIMITED
     # It took 20 tokens in the end; the rest is given back.
-    limiter.done(rules, "a", 300, 20, ran=True)
-    assert limiter.take(rules, "a", 50, 100.0) is None
+    limiter.release(rules, "a", 300, 20, ran=True)
+    assert limiter.try_acquire(rules, "a", 50, 100.0) is None
 
 
 def test_a_request_that_did_not_run_is_free():
     limiter = limit.Limiter(shares.Shares("e1"))
     rules = _rules(requests_per_s=1.0, burst_s=1.0)
     for _ in range(10):
-        assert limiter.take(rules, "a", 0, 100.0) is None
-        limiter.done(rules, "a", 0, 0, ran=False)
+        assert limiter.try_acquire(rules, "a", 0, 100.0) is None
+        limiter.release(rules, "a", 0, 0, ran=False)
 
 
 def _share_all(entries: dict[str, shares.Shares], now: float) -> None:
     for name, entry in entries.items():
-        for tell in entry.on_tick(now):
-            reply = entries[tell.entry].on_demands(name, tell.demands, now)
-            entry.on_sums(reply.demands, now)
+        for message in entry.end_period(now):
+            reply = entries[message.receiver].add_demands(
+                name, message.demands, now
+            )
+            entry.apply_sums(reply.demands, now)
 
 
 def test_entries_share_a_limit_by_demand():
@@ -239,8 +245,8 @@
         entry.set_entries(names)
     for _ in range(20):
         for _ in range(50):
-            entries["e3"].seen(key, 10, now)
-        entries["e5"].seen(key, 10, now)
+            entries["e3"].record_request(key, 10, now)
+        entries["e5"].record_request(key, 10, now)
         now += shares.PERIOD_S
         _share_all(entries, now)
     asking = [entries[name].share(key, now) for name in ("e3", "e5")]
@@ -249,7 +255,7 @@
     # Bounded error: entries that have not asked count with their floor or an
     # equal share, never with all of it.
     total = sum(entry.share(key, now) for entry in entries.values())
-    assert total <= 2 - shares.FLOOR
+    assert total <= 2 - shares.SHARE_FLOOR
 
 
 def test_shares_fall_back_without_the_owner():
@@ -262,8 +268,8 @@
     one = shares.Shares("e0")
     one.set_entries(names)
     key = ("s", "a")
-    one.seen(key, 1, 0.0)
-    one.on_tick(1.0)
-    one.on_sums([shares.Demand("s", "a", 0.5, 1.0)], 1.0)
+    one.record_request(key, 1, 0.0)
+    one.end_period(1.0)
+    one.apply_sums([shares.CustomerDemand("s", "a", 0.5, 1.0)], 1.0)
     assert one.share(key, 1.0) > 0.5
     assert one.share(key, 10.0) == pytest.approx(1 / 4)
--- a/tests/test_requests_route.py
+++ b/tests/test_requests_route.py
@@ -29,32 +29,37 @@
         )
         for index, place in enumerate(places)
     ]
-    workers.keep(instances)
+    workers.set_subset(instances)
     for instance in instances:
         report = workers_lib.Report(
             "v1", False, True, 0, capacity, serving_s, 1
         )
-        workers.report(instance.instance_id, report, _NOW)
+        workers.apply_report(instance.instance_id, report, _NOW)
     return workers
 
 
 def _fill(workers, name: str, count: int, start: float = _NOW) -> None:
     worker = workers.get(name)
     for _ in range(count):
-        workers.started(worker, f"{name}-{worker.own}", 1.0, start)
+        workers.record_started(
+            worker, f"{name}-{worker.own_requests}", 1.0, start
+        )
 
 
 def _finish(workers, name: str, count: int, seconds: float) -> None:
     worker = workers.get(name)
     for _ in range(count):
-        workers.started(worker, "x", 1.0, _NOW - seconds)
-        workers.ended(worker, "x", _NOW, ok=True)
+        workers.record_started(worker, "x", 1.0, _NOW - seconds)
+        workers.record_ended(worker, "x", _NOW, answered=True)
 
 
-def _choose(workers, query=None, situation=None, policy=None, now=_NOW):
+def _choose(workers, query=None, context=None, policy=None, now=_NOW):
     policy = policy or route.CacheAware(random.Random(1))
     choice = policy.choose(
-        workers, [query or route.Query()], situation or route.Situation(), now
+        workers,
+        [query or route.RoutingQuery()],
+        context or route.RoutingContext(),
+        now,
     )
     return choice.worker.name if choice else None
 
@@ -112,20 +117,20 @@
     assert _choose(workers) is None
     # A customer within its share may queue at a worker; so may an entry that
     # has less than its part of the slots.
-    assert _choose(workers, route.Query(light=True)) is not None
-    starved = route.Situation(fair_share=20.0)
-    assert _choose(workers, situation=starved) is not None
+    assert _choose(workers, route.RoutingQuery(within_share=True)) is not None
+    below_fair_share = route.RoutingContext(fair_share=20.0)
+    assert _choose(workers, context=below_fair_share) is not None
 
 
 def test_the_load_of_other_entries_counts():
     workers = _workers(_HERE, _HERE)
     report = workers_lib.Report("v1", False, True, 4, 4, 100.0, 1)
-    workers.report("a0", report, _NOW)
+    workers.apply_report("a0", report, _NOW)
     assert all(_choose(workers) == "a1" for _ in range(10))
     # An answer tells of free room sooner than the next report.
     worker = workers.get("a0")
-    workers.started(worker, "r", 1.0, _NOW)
-    workers.ended(worker, "r", _NOW, ok=True, reported=0)
+    workers.record_started(worker, "r", 1.0, _NOW)
+    workers.record_ended(worker, "r", _NOW, answered=True, reported_load=0)
     assert worker.load == 0
 
 
@@ -133,8 +138,8 @@
     index = prefix.PrefixIndex()
     policy = route.CacheAware(random.Random(1), index)
     workers = _workers(_HERE, _HERE, _HERE)
-    index.reported("a2", [11, 12, 13], _NOW)
-    query = route.Query(prefixes=(11, 12, 13, 14))
+    index.apply_report("a2", [11, 12, 13], _NOW)
+    query = route.RoutingQuery(prefixes=(11, 12, 13, 14))
     _fill(workers, "a2", 2)
     assert _choose(workers, query, policy=policy) == "a2"
     _fill(workers, "a2", 2)
@@ -148,10 +153,10 @@
     a report for ever.
     """
     index = prefix.PrefixIndex()
-    index.reported("a0", [1, 2, 3], 0.0)
+    index.apply_report("a0", [1, 2, 3], 0.0)
     assert index.matches((1, 2, 3), 1.0) == {"a0": 3}
     # The next report lacks one block and never mentions another's eviction.
-    index.reported("a0", [1, 2], 2.0)
+    index.apply_report("a0", [1, 2], 2.0)
     assert index.matches((1, 2, 3), 2.0) == {"a0": 2}
     later = 2.0 + prefix.REPORTED_TTL_S
     assert index.matches((1, 2, 3), later) == {}
@@ -159,11 +164,11 @@
 
 def test_a_routed_prompt_counts_before_its_report():
     index = prefix.PrefixIndex()
-    index.routed("a0", (1, 2), 0.0)
-    index.reported("a0", [], 0.1)
+    index.record_routed("a0", (1, 2), 0.0)
+    index.apply_report("a0", [], 0.1)
     assert index.matches((1, 2, 3), 1.0) == {"a0": 2}
     assert index.matches((1, 2, 3), prefix.ROUTED_TTL_S) == {}
-    index.reported("a0", [1], 20.0)
+    index.apply_report("a0", [1], 20.0)
     index.forget("a0")
     assert not len(index)
 
@@ -171,7 +176,7 @@
 def test_prefixes_are_bounded():
     index = prefix.PrefixIndex(max_prefixes=100)
     for number in range(1000):
-        index.routed("a0", (number,), 0.0)
+        index.record_routed("a0", (number,), 0.0)
     assert len(index) == 100
     assert index.matches((999,), 1.0) == {"a0": 1}
 
@@ -192,7 +197,7 @@
         for index in range(200)
     ]
     assert 1 <= chosen.count("a3") <= 3
-    booking = route.Query(idempotent=False)
+    booking = route.RoutingQuery(idempotent=False)
     later = _NOW + 100.0
     assert _choose(workers, booking, policy=policy, now=later) != "a3"
 
@@ -216,7 +221,7 @@
 def test_a_new_worker_starts_slowly_and_a_new_fleet_does_not():
     workers = _workers(_HERE, _HERE, capacity=8)
     report = workers_lib.Report("v2", False, True, 0, 8, 1.0, 1)
-    workers.report("a1", report, _NOW)
+    workers.apply_report("a1", report, _NOW)
     chosen = []
     for _ in range(8):
         name = _choose(workers)
@@ -232,17 +237,17 @@
 
 def test_a_replaced_agent_starts_with_a_clean_record():
     workers = _workers(_HERE)
-    workers.leaving("a0")
+    workers.mark_leaving("a0")
     assert _choose(workers) is None
     report = workers_lib.Report("v1", False, True, 0, 4, 0.0, 2)
-    workers.report("a0", report, _NOW)
+    workers.apply_report("a0", report, _NOW)
     assert _choose(workers) == "a0"
 
 
 def test_failures_in_a_row_pause_a_worker():
     workers = _workers(_HERE, _HERE)
     for _ in range(3):
-        workers.failed(workers.get("a0"), _NOW)
+        workers.record_failure(workers.get("a0"), _NOW)
     assert {_choose(workers) for _ in range(20)} == {"a1"}
     policy = route.CacheAware(random.Random(1))
     later = _NOW + 1.1
@@ -253,7 +258,7 @@
 @pytest.mark.parametrize("name", [*route.POLICIES, *route.ALIASES])
 def test_every_policy_keeps_off_workers_that_leave(name):
     workers = _workers(_HERE, _HERE, _HERE)
-    workers.leaving("a1")
+    workers.mark_leaving("a1")
     policy = route.make_policy(name, random.Random(1))
     names = {_choose(workers, policy=policy) for _ in range(50)}
     assert names == {"a0", "a2"}
@@ -299,21 +304,21 @@
         attempt,
         left_s,
         _RULES,
-        retry.Budget(),
+        retry.RetryBudget(),
         random.Random(1),
     )
     if stop is None:
-        assert isinstance(decision, retry.Again)
+        assert isinstance(decision, retry.Retry)
         assert decision.reason == detail
         assert decision.after_s <= _RULES.base_s
     else:
-        assert decision == retry.GiveUp(retry.Stop(stop))
+        assert decision == retry.GiveUp(retry.StopReason(stop))
 
 
 def test_a_spent_budget_is_earned_by_first_attempts():
-    budget = retry.Budget(floor=2.0)
-    assert [budget.spend() for _ in range(3)] == [True, True, False]
+    budget = retry.RetryBudget(max_retries=2.0)
+    assert [budget.try_acquire() for _ in range(3)] == [True, True, False]
     for _ in range(11):
-        budget.earn(0.1)
-    assert budget.spend()
-    assert not budget.spend()
+        budget.record_request(0.1)
+    assert budget.try_acquire()
+    assert not budget.try_acquire()
--- a/tests/test_requests_send.py
+++ b/tests/test_requests_send.py
@@ -30,9 +30,9 @@
         await script.answer(agent, connection, exchange, submit)
 
     async def test(clock, loop):
-        agents = await script.agents_of([late] * 40)
-        service, _ = await script.entry(clock, agents)
-        requests = [script.request_of(clock, number) for number in range(40)]
+        agents = await script.start_agents([late] * 40)
+        service, _ = await script.start_entry(clock, agents)
+        requests = [script.make_request(clock, number) for number in range(40)]
         outcomes = await asyncio.gather(
             *(service.pipeline.run(request) for request in requests)
         )
@@ -54,9 +54,9 @@
         await script.answer(agent, connection, exchange, submit)
 
     async def test(clock, loop):
-        agents = await script.agents_of([crossed])
-        service, counters = await script.entry(clock, agents)
-        outcome = await service.pipeline.run(script.request_of(clock))
+        agents = await script.start_agents([crossed])
+        service, counters = await script.start_entry(clock, agents)
+        outcome = await service.pipeline.run(script.make_request(clock))
         assert outcome.body == b"r1"
         assert ("clementine-version", "v1") in outcome.headers
         assert counters.value("requests.frames_crossed") == 1
@@ -70,11 +70,13 @@
         await script.answer(agent, connection, exchange, submit)
 
     async def test(clock, loop):
-        agents = await script.agents_of([slow])
+        agents = await script.start_agents([slow])
         agents[0].proof = False
-        service, counters = await script.entry(clock, agents, max_attempts=1)
+        service, counters = await script.start_entry(
+            clock, agents, max_attempts=1
+        )
         outcome = await service.pipeline.run(
-            script.request_of(clock, wait_s=1.0)
+            script.make_request(clock, wait_s=1.0)
         )
         assert outcome == types.Unknown(types.UnknownReason.DEADLINE)
         await asyncio.sleep(5.0)
@@ -92,9 +94,11 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([script.break_off, script.answer])
-        service, counters = await script.entry(clock, agents)
-        outcome = await service.pipeline.run(script.request_of(clock))
+        agents = await script.start_agents(
+            [script.drop_connection, script.answer]
+        )
+        service, counters = await script.start_entry(clock, agents)
+        outcome = await service.pipeline.run(script.make_request(clock))
         assert outcome.body == b"r1"
         assert counters.value("requests.tombstone_proved") == 1
         assert [s.attempt for s in agents[0].submitted] == [1, 2]
@@ -111,17 +115,17 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([script.break_off], [])
+        agents = await script.start_agents([script.drop_connection], [])
         agents[0].proof = proof
         agents[1].leaving = True
-        service, counters = await script.entry(clock, agents)
+        service, counters = await script.start_entry(clock, agents)
         agents[1].leaving = False
         for connection in agents[1].endpoint.connections():
-            agents[1].tell(connection)
-        began = clock.now()
-        outcome = await service.pipeline.run(script.request_of(clock))
+            agents[1].send_status(connection)
+        started_at = clock.now()
+        outcome = await service.pipeline.run(script.make_request(clock))
         assert outcome == types.Unknown(types.UnknownReason.CONNECTION_LOST)
-        assert clock.now() - began < 2.0
+        assert clock.now() - started_at < 2.0
         assert len(agents[0].submitted) == 1
         assert not agents[1].submitted
         assert counters.value("requests.no_retry.not_idempotent") == 1
@@ -151,9 +155,9 @@
         await asyncio.sleep(3600)
 
     async def test(clock, loop):
-        agents = await script.agents_of([dies])
-        service, counters = await script.entry(clock, agents)
-        outcome = await service.pipeline.run(script.request_of(clock))
+        agents = await script.start_agents([dies])
+        service, counters = await script.start_entry(clock, agents)
+        outcome = await service.pipeline.run(script.make_request(clock))
         assert outcome == types.Unknown(types.UnknownReason.CONNECTION_LOST)
         assert counters.value("requests.agent_replaced") == 1
         assert not agents[0].successor.submitted
@@ -164,15 +168,15 @@
 @pytest.mark.parametrize(
     ("step", "reason"),
     [
-        (script.short, types.UnknownReason.ANSWER_TRUNCATED),
+        (script.send_truncated_answer, types.UnknownReason.ANSWER_TRUNCATED),
         (script.fail("backend_crashed"), types.UnknownReason.BACKEND_CRASHED),
     ],
 )
 def test_an_answer_without_its_end_is_not_whole(step, reason):
     async def test(clock, loop):
-        agents = await script.agents_of([step])
-        service, _ = await script.entry(clock, agents)
-        outcome = await service.pipeline.run(script.request_of(clock))
+        agents = await script.start_agents([step])
+        service, _ = await script.start_entry(clock, agents)
+        outcome = await service.pipeline.run(script.make_request(clock))
         assert outcome == types.Unknown(reason, outcome.detail)
         assert len(agents[0].submitted) == 1
 
@@ -181,11 +185,11 @@
 
 def test_an_idempotent_request_is_tried_elsewhere():
     async def test(clock, loop):
-        agents = await script.agents_of([script.fail("backend_crashed")], [])
-        service, counters = await script.entry(clock, agents)
+        agents = await script.start_agents([script.fail("backend_crashed")], [])
+        service, counters = await script.start_entry(clock, agents)
         outcomes = [
             await service.pipeline.run(
-                script.request_of(clock, n, idempotent=True)
+                script.make_request(clock, n, idempotent=True)
             )
             for n in range(4)
         ]
@@ -203,12 +207,12 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of(
+        agents = await script.start_agents(
             [script.fail("backend_crashed"), script.refuse("declined")]
         )
-        service, _ = await script.entry(clock, agents, max_attempts=2)
+        service, _ = await script.start_entry(clock, agents, max_attempts=2)
         outcome = await service.pipeline.run(
-            script.request_of(clock, idempotent=True)
+            script.make_request(clock, idempotent=True)
         )
         assert outcome == types.Unknown(
             types.UnknownReason.BACKEND_CRASHED, outcome.detail
@@ -225,11 +229,13 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([script.refuse("overloaded")] * 500)
-        service, counters = await script.entry(clock, agents, budget_ratio=0.1)
+        agents = await script.start_agents([script.refuse("overloaded")] * 500)
+        service, counters = await script.start_entry(
+            clock, agents, budget_ratio=0.1
+        )
         for number in range(60):
             await service.pipeline.run(
-                script.request_of(clock, number, idempotent=True, wait_s=60.0)
+                script.make_request(clock, number, idempotent=True, wait_s=60.0)
             )
         assert counters.value("requests.no_retry.budget") > 0
         assert len(agents[0].submitted) <= 60 + 10 + 6 + 1
@@ -245,14 +251,14 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([], [])
-        service, _ = await script.entry(clock, agents)
+        agents = await script.start_agents([], [])
+        service, _ = await script.start_entry(clock, agents)
         agents[0].leaving = True
         for connection in agents[0].endpoint.connections():
-            agents[0].tell(connection)
+            agents[0].send_status(connection)
         await asyncio.sleep(0.01)
         for number in range(20):
-            await service.pipeline.run(script.request_of(clock, number))
+            await service.pipeline.run(script.make_request(clock, number))
         assert not agents[0].submitted
         assert len(agents[1].submitted) == 20
 
@@ -261,11 +267,11 @@
 
 def test_a_refusal_because_of_leaving_costs_the_caller_nothing():
     async def test(clock, loop):
-        agents = await script.agents_of([script.refuse("leaving")] * 9, [])
-        service, counters = await script.entry(clock, agents)
+        agents = await script.start_agents([script.refuse("leaving")] * 9, [])
+        service, counters = await script.start_entry(clock, agents)
         for number in range(20):
             outcome = await service.pipeline.run(
-                script.request_of(clock, number)
+                script.make_request(clock, number)
             )
             assert isinstance(outcome, types.Answered)
         # One refusal is word enough.
@@ -281,14 +287,16 @@
         step = (
             script.hang if how == "cancelled" else script.stream(1, 500, False)
         )
-        agents = await script.agents_of([step])
-        service, counters = await script.entry(clock, agents)
-        sink = script.Sink(gone_after=20)
-        request = script.request_of(clock, idempotent=True, stream=True)
+        agents = await script.start_agents([step])
+        service, counters = await script.start_entry(clock, agents)
+        sink = script.Sink(disconnect_after_bytes=20)
+        request = script.make_request(clock, idempotent=True, stream=True)
         task = asyncio.ensure_future(service.pipeline.run(request, sink))
         await asyncio.sleep(1.0)
         task.cancel()
-        with pytest.raises((asyncio.CancelledError, request_types.CallerGone)):
+        with pytest.raises(
+            (asyncio.CancelledError, request_types.CallerDisconnected)
+        ):
             await task
         await asyncio.sleep(0.1)
         if how == "cancelled":
@@ -301,13 +309,13 @@
 
 def test_an_unreachable_agent_is_proof_that_nothing_ran():
     async def test(clock, loop):
-        agents = await script.agents_of([], [])
-        service, counters = await script.entry(clock, agents)
+        agents = await script.start_agents([], [])
+        service, counters = await script.start_entry(clock, agents)
         await agents[0].endpoint.close()
         await asyncio.sleep(0.01)
         for number in range(10):
             outcome = await service.pipeline.run(
-                script.request_of(clock, number)
+                script.make_request(clock, number)
             )
             assert isinstance(outcome, types.Answered)
         assert len(agents[1].submitted) == 10
@@ -323,15 +331,15 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([script.hang])
-        service, counters = await script.entry(clock, agents)
-        request = script.request_of(clock, wait_s=60.0)
+        agents = await script.start_agents([script.hang])
+        service, counters = await script.start_entry(clock, agents)
+        request = script.make_request(clock, wait_s=60.0)
         task = asyncio.ensure_future(service.pipeline.run(request))
         await asyncio.sleep(0.1)
         loop.cut("entry", "a0")
-        began = clock.now()
+        started_at = clock.now()
         outcome = await task
-        assert clock.now() - began < 12.0
+        assert clock.now() - started_at < 12.0
         assert outcome == types.Unknown(types.UnknownReason.CONNECTION_LOST)
         assert counters.value("requests.connection_lost") == 1
 
--- a/tests/test_requests_stream.py
+++ b/tests/test_requests_stream.py
@@ -16,15 +16,17 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of(
+        agents = await script.start_agents(
             [script.stream(1, 3, False), script.stream(4, 6, True)]
         )
-        service, counters = await script.entry(clock, agents)
+        service, counters = await script.start_entry(clock, agents)
         sink = script.Sink()
-        request = script.request_of(clock, idempotent=True, stream=True)
+        request = script.make_request(clock, idempotent=True, stream=True)
         outcome = await service.pipeline.run(request, sink)
         assert isinstance(outcome, types.Answered)
-        assert sink.body == b"".join(script.event_of(t) for t in range(1, 7))
+        assert sink.body == b"".join(
+            script.encode_event(t) for t in range(1, 7)
+        )
         assert len(sink.heads) == 1
         again = agents[0].submitted[1]
         assert (again.resume_tokens, again.version) == (3, "v1")
@@ -42,22 +44,22 @@
 
     async def stall(agent, connection, exchange, submit):
         await script.head(exchange, submit)
-        await exchange.send(Kind.ANSWER_DATA, script.event_of(1))
+        await exchange.send(Kind.ANSWER_DATA, script.encode_event(1))
         await script.hang(agent, connection, exchange, submit)
 
     async def test(clock, loop):
-        agents = await script.agents_of([stall, script.stream(2, 3, True)])
-        service, counters = await script.entry(
+        agents = await script.start_agents([stall, script.stream(2, 3, True)])
+        service, counters = await script.start_entry(
             clock, agents, attempt_timeout_s=2.0
         )
         sink = script.Sink()
-        began = clock.now()
+        started_at = clock.now()
         outcome = await service.pipeline.run(
-            script.request_of(clock, idempotent=True, stream=True), sink
+            script.make_request(clock, idempotent=True, stream=True), sink
         )
         assert isinstance(outcome, types.Answered)
-        assert sink.body == b"".join(script.event_of(t) for t in (1, 2, 3))
-        assert clock.now() - began < 4.0
+        assert sink.body == b"".join(script.encode_event(t) for t in (1, 2, 3))
+        assert clock.now() - started_at < 4.0
         assert counters.value("requests.streams_silent") == 1
         assert [c.request_id for c in agents[0].cancelled] == ["r1"]
 
@@ -74,14 +76,14 @@
 
     async def gap(agent, connection, exchange, submit):
         await script.head(exchange, submit)
-        await exchange.send(Kind.ANSWER_DATA, script.event_of(1))
-        await exchange.send(Kind.ANSWER_DATA, script.event_of(3))
-        await script.end(exchange, submit, 3 * len(script.event_of(1)), 3)
+        await exchange.send(Kind.ANSWER_DATA, script.encode_event(1))
+        await exchange.send(Kind.ANSWER_DATA, script.encode_event(3))
+        await script.end(exchange, submit, 3 * len(script.encode_event(1)), 3)
 
     async def test(clock, loop):
-        agents = await script.agents_of([gap, script.stream(4, 4, True)])
-        service, _ = await script.entry(clock, agents)
-        request = script.request_of(clock, idempotent=True, stream=True)
+        agents = await script.start_agents([gap, script.stream(4, 4, True)])
+        service, _ = await script.start_entry(clock, agents)
+        request = script.make_request(clock, idempotent=True, stream=True)
         outcome = await service.pipeline.run(request, script.Sink())
         assert outcome == types.Unknown(types.UnknownReason.ANSWER_TRUNCATED)
         assert len(agents[0].submitted) == 1
@@ -97,26 +99,28 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([script.stream(1, 3, False)], [])
+        agents = await script.start_agents([script.stream(1, 3, False)], [])
         agents[1].version = "v2"
         agents[1].leaving = True
-        service, _ = await script.entry(clock, agents)
+        service, _ = await script.start_entry(clock, agents)
         agents[1].leaving = False
 
         async def newer(agent, connection, exchange, submit):
-            agents[1].tell(agents[1].endpoint.connections()[0])
+            agents[1].send_status(agents[1].endpoint.connections()[0])
             agent.leaving = True
-            agent.tell(connection)
+            agent.send_status(connection)
             await script.stream(1, 3, False)(
                 agent, connection, exchange, submit
             )
 
         agents[0].script = [newer]
         sink = script.Sink()
-        request = script.request_of(clock, idempotent=True, stream=True)
+        request = script.make_request(clock, idempotent=True, stream=True)
         outcome = await service.pipeline.run(request, sink)
         assert isinstance(outcome, types.Unknown)
-        assert sink.body == b"".join(script.event_of(t) for t in range(1, 4))
+        assert sink.body == b"".join(
+            script.encode_event(t) for t in range(1, 4)
+        )
         assert not agents[1].submitted
 
     script.run(test)
--- a/tests/test_suspect.py
+++ b/tests/test_suspect.py
@@ -165,7 +165,7 @@
     async def run(self, name, request, innocent_with=()):
         """Runs a request as the pipeline does; returns its outcome."""
         service = self.suspects[name]
-        turn = await service.turn(request, 2.0)
+        turn = await service.acquire_lease(request, 2.0)
         if isinstance(turn, types.NotRun):
             return turn
         self.running += 1
@@ -178,7 +178,7 @@
             self.tell([request.fingerprint, *others], [name])
             return types.Unknown(types.UnknownReason.BACKEND_CRASHED)
         if turn is not None:
-            service.end_turn(turn)
+            service.release_lease(turn)
         service.completed(request)
         return types.Answered(200, (), b"")
 
