--- a/src/clementinegw/requests/_request_state.py
+++ b/src/clementinegw/requests/_request_state.py
@@ -4,7 +4,7 @@
 
 from clementinegw import types
 from clementinegw.requests import dispatcher as dispatcher_lib
-from clementinegw.requests import fair
+from clementinegw.requests import fair_queue
 from clementinegw.requests import route
 from clementinegw.requests import rules as rules_lib
 from clementinegw.requests import send
@@ -22,7 +22,7 @@
         request: Request,
         rules: rules_lib.Rules,
         dispatcher: dispatcher_lib.Dispatcher,
-        ticket: fair.Ticket,
+        ticket: fair_queue.Ticket,
         answer: stream.AnswerCollector,
     ):
         self.request = request
--- a/src/clementinegw/requests/admit.py
+++ b/src/clementinegw/requests/admit.py
@@ -9,7 +9,7 @@
 import random
 
 from clementinegw import types
-from clementinegw.requests import fair
+from clementinegw.requests import fair_queue
 
 # Allowed queueing delay by priority, in multiples of the target.
 _MAX_DELAY_RATIOS = {
@@ -55,7 +55,7 @@
 class Admission:
     """Decides who may join the queue of one service, and who must leave it."""
 
-    def __init__(self, queue: fair.FairQueue, rng: random.Random):
+    def __init__(self, queue: fair_queue.FairQueue, rng: random.Random):
         """Starts without knowledge of how long requests run.
 
         Args:
@@ -74,7 +74,7 @@
         return self._mean_run_s
 
     def check_arrival(
-        self, ticket: fair.Ticket, limits: AdmissionLimits, now: float
+        self, ticket: fair_queue.Ticket, limits: AdmissionLimits, now: float
     ) -> Rejection | None:
         """Decides on a request that has just come.
 
@@ -103,7 +103,7 @@
         return self._reject(types.NotRunReason.OVERLOADED, wait_s - max_delay_s)
 
     def check_waiting(
-        self, ticket: fair.Ticket, limits: AdmissionLimits, now: float
+        self, ticket: fair_queue.Ticket, limits: AdmissionLimits, now: float
     ) -> Rejection | None:
         """Decides on a request that waits.
 
@@ -130,7 +130,7 @@
         unit_s = max(limits.target_s, _RUN_TIME_RATIO * self._mean_run_s)
         return _MAX_DELAY_RATIOS[priority] * unit_s
 
-    def predicted_wait_s(self, ticket: fair.Ticket) -> float:
+    def predicted_wait_s(self, ticket: fair_queue.Ticket) -> float:
         """Returns how long a new request would wait, in seconds.
 
         Little's law: work leaves at the rate of what runs over its time.
@@ -138,11 +138,13 @@
         cost_ahead = self._queue.cost_ahead(ticket)
         return cost_ahead * self._mean_run_s / max(1.0, self._running)
 
-    def record_started(self, ticket: fair.Ticket) -> None:
+    def record_started(self, ticket: fair_queue.Ticket) -> None:
         """Notes that a request was sent to a worker."""
         self._running += ticket.cost
 
-    def record_ended(self, ticket: fair.Ticket, run_s: float | None) -> None:
+    def record_ended(
+        self, ticket: fair_queue.Ticket, run_s: float | None
+    ) -> None:
         """Notes that a request left its worker.
 
         Args:
--- a/src/clementinegw/requests/dispatcher.py
+++ b/src/clementinegw/requests/dispatcher.py
@@ -9,7 +9,7 @@
 from clementinegw import types
 from clementinegw.requests import admit
 from clementinegw.requests import demand
-from clementinegw.requests import fair
+from clementinegw.requests import fair_queue
 from clementinegw.requests import prefix
 from clementinegw.requests import retry
 from clementinegw.requests import route
@@ -51,7 +51,7 @@
     """
 
     name: str
-    ticket: fair.Ticket
+    ticket: fair_queue.Ticket
     query: route.RoutingQuery
     worker: workers_lib.Worker | None = None
     rejection: admit.Rejection | None = None
@@ -86,13 +86,13 @@
         self._rng = rng
         self._rules = rules
         self._policy = route.make_policy(rules.policy, rng)
-        self._queue = fair.FairQueue()
+        self._queue = fair_queue.FairQueue()
         self._admission = admit.Admission(self._queue, rng)
         self._demand = demand.DemandTracker()
         self._run_times: collections.deque[float] = collections.deque(
             maxlen=_MAX_RUN_TIMES
         )
-        self._jobs: dict[fair.Ticket, Job] = {}
+        self._jobs: dict[fair_queue.Ticket, Job] = {}
         self._recheck_timer: asyncio.TimerHandle | None = None
         self._mean_tokens = 0.0
         self._entries_per_worker = 1.0
@@ -152,7 +152,7 @@
         priority: types.Priority,
         tokens: int,
         deadline: float,
-    ) -> fair.Ticket:
+    ) -> fair_queue.Ticket:
         """Returns a ticket for a request that has come."""
         if tokens > 0:
             smoothing = _MEAN_TOKENS_SMOOTHING if self._mean_tokens else 1.0
@@ -166,9 +166,11 @@
             run_s = max(_MIN_RUN_S, self._admission.mean_run_s)
             self._demand.end_period(self._context.fair_share / run_s, now)
         self._demand.record_request(customer, weight, cost, now)
-        return fair.Ticket(customer, weight, priority, cost, deadline)
+        return fair_queue.Ticket(customer, weight, priority, cost, deadline)
 
-    def check_arrival(self, ticket: fair.Ticket) -> admit.Rejection | None:
+    def check_arrival(
+        self, ticket: fair_queue.Ticket
+    ) -> admit.Rejection | None:
         """Returns why a request that has come is not taken in, if so."""
         return self._admission.check_arrival(
             ticket, self._limits, self._clock.now()
@@ -281,7 +283,7 @@
             self._queue.candidates(LOOK_AHEAD, self._demand.is_within_share)
         )
 
-    def _dispatch_one(self, candidates: list[fair.Ticket]) -> bool:
+    def _dispatch_one(self, candidates: list[fair_queue.Ticket]) -> bool:
         """Gives one of the tickets to a worker, if any has room."""
         if not candidates:
             return False
@@ -319,7 +321,9 @@
             ticket = max(self._jobs, key=lambda t: (-t.priority, t.queued_at))
             self._reject(ticket, self._admission.queue_full_rejection())
 
-    def _reject(self, ticket: fair.Ticket, rejection: admit.Rejection) -> None:
+    def _reject(
+        self, ticket: fair_queue.Ticket, rejection: admit.Rejection
+    ) -> None:
         self._queue.remove(ticket)
         self._resolve(self._jobs[ticket], rejection=rejection)
 
--- a/tests/test_requests_queue.py
+++ b/tests/test_requests_queue.py
@@ -7,7 +7,7 @@
 from clementinegw import types
 from clementinegw.requests import admit
 from clementinegw.requests import demand
-from clementinegw.requests import fair
+from clementinegw.requests import fair_queue
 from clementinegw.requests import limit
 from clementinegw.requests import rules as rules_lib
 from clementinegw.requests import shares
@@ -18,10 +18,10 @@
 
 
 def _ticket(customer, priority=_NORMAL, weight=1.0, deadline=1e9, cost=1.0):
-    return fair.Ticket(customer, weight, priority, cost, deadline)
+    return fair_queue.Ticket(customer, weight, priority, cost, deadline)
 
 
-def _serve(queue: fair.FairQueue, count: int) -> list[fair.Ticket]:
+def _serve(queue: fair_queue.FairQueue, count: int) -> list[fair_queue.Ticket]:
     served = []
     for _ in range(count):
         ticket = queue.candidates(1)[0]
@@ -36,7 +36,7 @@
     Sequence: a customer queues a hundred requests, then others send one each.
     Cause: a queue in order of arrival, or classes above the customers.
     """
-    queue = fair.FairQueue()
+    queue = fair_queue.FairQueue()
     for _ in range(100):
         queue.push(_ticket("heavy", _HIGH))
     _serve(queue, 20)
@@ -47,7 +47,7 @@
 
 
 def test_shares_follow_the_weights():
-    queue = fair.FairQueue()
+    queue = fair_queue.FairQueue()
     for _ in range(200):
         queue.push(_ticket("large", weight=5.0))
         queue.push(_ticket("small", weight=1.0))
@@ -56,18 +56,18 @@
 
 
 def test_urgent_work_passes_until_its_customer_is_ahead_of_its_share():
-    queue = fair.FairQueue()
+    queue = fair_queue.FairQueue()
     for _ in range(30):
         queue.push(_ticket("calm"))
         queue.push(_ticket("urgent", _HIGH))
     served = [t.customer for t in _serve(queue, 20)]
-    ahead = int(fair.HIGH_PRIORITY_CREDIT)
+    ahead = int(fair_queue.HIGH_PRIORITY_CREDIT)
     assert served[:ahead] == ["urgent"] * ahead
     assert 4 <= served.count("calm") <= 10
 
 
 def test_urgent_work_of_one_customer_goes_first():
-    queue = fair.FairQueue()
+    queue = fair_queue.FairQueue()
     queue.push(_ticket("a", _LOW))
     queue.push(_ticket("a", _NORMAL))
     queue.push(_ticket("a", _HIGH))
@@ -81,7 +81,7 @@
     Sequence: a free worker is always given a prompt that it has cached. Cause:
     looking for a match without counting whom it passes over.
     """
-    queue = fair.FairQueue()
+    queue = fair_queue.FairQueue()
     first = _ticket("a")
     queue.push(first)
     for _ in range(40):
@@ -91,11 +91,11 @@
         candidates = queue.candidates(4)
         queue.serve(candidates[-1], candidates[:-1])
         turns += 1
-    assert turns == fair.MAX_SKIPS + 1
+    assert turns == fair_queue.MAX_SKIPS + 1
 
 
 def test_a_repeated_request_keeps_its_turn():
-    queue = fair.FairQueue()
+    queue = fair_queue.FairQueue()
     for _ in range(5):
         queue.push(_ticket("a"))
         queue.push(_ticket("b"))
@@ -115,7 +115,7 @@
 
 
 def test_overload_is_refused_at_once_with_a_time_to_come_back():
-    queue = fair.FairQueue()
+    queue = fair_queue.FairQueue()
     admission = _admission(queue)
     limits = admit.AdmissionLimits()
     for _ in range(40):
@@ -131,7 +131,7 @@
 
 
 def test_what_cannot_be_done_in_time_is_not_begun():
-    queue = fair.FairQueue()
+    queue = fair_queue.FairQueue()
     admission = _admission(queue)
     for _ in range(40):
         queue.push(_ticket("a"))
@@ -148,7 +148,7 @@
     Cause: only its deadline ends the wait, so that its caller learns too late
     that it should have asked elsewhere.
     """
-    queue = fair.FairQueue()
+    queue = fair_queue.FairQueue()
     admission = _admission(queue)
     ticket = _ticket("a", deadline=1000.0)
     ticket.queued_at = 100.0
