--- a/src/clementinegw/requests/_attempt.py
+++ b/src/clementinegw/requests/_attempt.py
@@ -1,4 +1,4 @@
-"""The frames of one attempt, and what each of them means."""
+"""Sends one attempt to an agent and interprets the frames it returns."""
 
 from collections.abc import Awaitable, Callable
 import dataclasses
@@ -18,14 +18,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptOptions:
-    """How one attempt is to run.
+    """Options of one attempt.
 
     Attributes:
-      attempt: Its number, from 1.
-      revision: The settings revision it was decided by.
-      claim_offset: The fencing number of its claim; 0 without one.
-      alone: Whether nothing may run beside it.
-      max_silence_s: The longest silence within a streamed answer.
+      attempt: The number of the attempt, from 1.
+      revision: The settings revision that applied when it was sent.
+      claim_offset: The fencing number of the request's claim; 0 without one.
+      alone: Whether the agent must run no other request at the same time.
+      max_silence_s: The longest gap between frames of a streamed answer, in
+        seconds.
     """
 
     attempt: int
@@ -36,7 +37,17 @@
 
 
 class AttemptCall:
-    """The frames of one attempt."""
+    """One attempt on a connection to an agent.
+
+    Attributes:
+      request: The request to run.
+      options: How to run it.
+      version: The model version that answered; empty until the answer starts.
+      tokens: Tokens used, as reported at the end of the answer.
+      reported_load: The agent's requests in flight and queued, as reported at
+        the end of the answer; None if it was not reported.
+      detail: The agent's reason for a refusal or failure.
+    """
 
     def __init__(
         self,
@@ -62,11 +73,11 @@
 
     @property
     def started(self) -> bool:
-        """Whether any part of an answer has come."""
+        """Whether the head of an answer was received."""
         return self._started
 
     def encoded_id(self) -> bytes:
-        """Returns the encoded name of this attempt."""
+        """Returns the encoded message that identifies this attempt."""
         age_s = self._clock.now() - self._sent_at
         return codec.encode(
             ttypes.Tombstone(
@@ -78,19 +89,28 @@
         )
 
     def unknown_reason(self, now: float) -> types.UnknownReason:
-        """Returns why the outcome is unknown when it cannot be settled."""
+        """Returns why the outcome is unknown if nothing was proved."""
         if now >= self.request.deadline:
             return types.UnknownReason.DEADLINE
         return types.UnknownReason.CONNECTION_LOST
 
     def not_run_outcome(self, now: float) -> types.NotRun:
-        """Returns the outcome when the agent has proved it."""
+        """Returns the outcome after the agent proved that nothing ran."""
         if now >= self.request.deadline:
             return types.NotRun(types.NotRunReason.DEADLINE, 1.0)
         return types.NotRun(types.NotRunReason.TOMBSTONED, 0.0)
 
     async def collect(self, exchange: connection_lib.Exchange) -> types.Outcome:
-        """Submits and takes frames until one of them ends the attempt."""
+        """Submits the request and returns the outcome of the attempt.
+
+        Args:
+          exchange: A new exchange on the connection to the agent.
+
+        Raises:
+          ConnectionLost: The connection failed.
+          DecodeError: A frame was malformed.
+          TimeoutError: The request's deadline passed.
+        """
         await exchange.send(Kind.SUBMIT, codec.encode(self._submit()))
         while True:
             frame = await self._next_frame(exchange)
@@ -108,11 +128,11 @@
     async def _next_frame(
         self, exchange: connection_lib.Exchange
     ) -> connection_lib.Frame | None:
-        """Returns the next frame; None when a stream has fallen silent.
+        """Returns the next frame; None if a stream was silent for too long.
 
-        An engine that stalls in mid-answer keeps its connection. Waiting for
-        the deadline, the caller would see a stream that stands still although
-        another engine could go on with it.
+        An engine that stalls in the middle of an answer keeps its connection
+        open. If only the deadline ended the attempt, the caller's stream would
+        hang although another engine could resume it.
         """
         remaining_s = max(0.0, self.request.deadline - self._clock.now())
         timeout_s = remaining_s
@@ -154,10 +174,11 @@
         )
 
     def _names_this_attempt(self, message) -> bool:
-        """Whether a frame names this attempt.
+        """Returns whether a frame belongs to this attempt.
 
-        The call number already says so. Were it reused by mistake, an answer
-        would reach a foreign caller; the names in the frame rule that out.
+        The call number normally ensures this. If an agent reused a number by
+        mistake, an answer would reach the wrong caller; the ids in the frame
+        prevent that.
         """
         matches = (
             message.request_id == self.request.request_id
@@ -235,7 +256,8 @@
     Kind.FAILED: AttemptCall._on_failed,
 }
 
-# What callers are told for the agent's word; any other is REFUSED_BY_AGENT.
+# Reasons reported to callers by the agent's reason; REFUSED_BY_AGENT for any
+# other.
 _NOT_RUN_REASONS = {reason.value: reason for reason in types.NotRunReason} | {
     "loading": types.NotRunReason.NO_BACKEND,
     "not_ready": types.NotRunReason.NO_BACKEND,
--- a/src/clementinegw/requests/_http_parse.py
+++ b/src/clementinegw/requests/_http_parse.py
@@ -1,4 +1,4 @@
-"""From a caller's HTTP request to a checked `Request`."""
+"""Parses and validates callers' HTTP requests."""
 
 import json
 from typing import Any
@@ -42,7 +42,12 @@
 
 
 class BadRequest(Exception):  # noqa: N818
-    """The caller's request cannot be accepted; the text says where."""
+    """The caller's request is invalid; the message names the invalid part.
+
+    Attributes:
+      status: The HTTP status of the response.
+      reason: The reason reported to the caller.
+    """
 
     def __init__(
         self,
@@ -56,7 +61,15 @@
 
 
 async def read_body(http: web.Request, limit: int) -> bytes:
-    """Reads a body of at most `limit` bytes; raises BadRequest beyond."""
+    """Returns the body of a request.
+
+    Args:
+      http: The caller's HTTP request.
+      limit: The maximum size, in bytes.
+
+    Raises:
+      BadRequest: The body is larger than the limit.
+    """
     if (http.content_length or 0) > limit:
         raise _too_large(limit)
     chunks = []
@@ -76,7 +89,18 @@
     source: rules_lib.RulesSource,
     now: float,
 ) -> request_types.Request:
-    """Returns the request of a completion call; raises BadRequest."""
+    """Returns the request of a completion call.
+
+    Args:
+      http: The caller's HTTP request.
+      body: Its body.
+      request_id: The id of the new request.
+      source: The settings in force.
+      now: The current time, in monotonic seconds.
+
+    Raises:
+      BadRequest: The caller's request is invalid.
+    """
     data = _parse_json(body)
     service = _text_field(data, "model")
     rules = _rules(source, service, http, types.ServiceKind.MODEL_ENGINE)
@@ -102,7 +126,18 @@
     now: float,
     max_body_bytes: int,
 ) -> request_types.Request:
-    """Returns the request of a call to a plain service; raises BadRequest."""
+    """Returns the request of a call to a plain service.
+
+    Args:
+      http: The caller's HTTP request.
+      request_id: The id of the new request.
+      source: The settings in force.
+      now: The current time, in monotonic seconds.
+      max_body_bytes: The maximum size of the body for any service.
+
+    Raises:
+      BadRequest: The caller's request is invalid.
+    """
     service = http.match_info["service"]
     rules = _rules(source, service, http, types.ServiceKind.PLAIN)
     path = http.rel_url.raw_path_qs.removeprefix(f"/services/{service}") or "/"
@@ -114,11 +149,11 @@
 
 
 def _reject_dot_segments(path: str) -> None:
-    """Refuses a path whose meaning the backend server decides.
+    """Rejects a path that the backend server could resolve differently.
 
-    `/search/../bookings` matches an operation that is declared idempotent, and
-    may be repeated, while the backend server takes a booking: it would show up
-    as two bookings for one request.
+    `/search/../bookings` matches an operation that is declared idempotent and
+    may therefore be retried, but the backend server resolves it to a booking.
+    The symptom would be two bookings for one request.
     """
     decoded_path = urllib.parse.unquote(path.partition("?")[0])
     if _DOT_SEGMENTS.intersection(decoded_path.replace("\\", "/").split("/")):
--- a/src/clementinegw/requests/_http_reply.py
+++ b/src/clementinegw/requests/_http_reply.py
@@ -1,4 +1,4 @@
-"""From an outcome to the HTTP response that tells it."""
+"""Builds the HTTP responses for outcomes of requests."""
 
 import json
 import math
@@ -8,7 +8,7 @@
 from clementinegw import types
 from clementinegw.requests import types as request_types
 
-# Not sent to anybody; marks a handler whose caller has gone away.
+# Never sent: it ends the handler of a caller that has disconnected.
 CALLER_DISCONNECTED_STATUS = 499
 
 _NOT_RUN_STATUS = 503
@@ -40,12 +40,13 @@
 def to_response(
     request_id: str, outcome: types.Outcome, status: int | None = None
 ) -> web.Response:
-    """Returns the whole response for an outcome.
+    """Returns the complete response for an outcome.
 
     Args:
-      request_id: The request's id.
-      outcome: The outcome.
-      status: The HTTP status of a caller's mistake; None chooses by reason.
+      request_id: The id of the request.
+      outcome: The outcome of the request.
+      status: The HTTP status of a response other than an answer; None derives
+        it from the reason of the outcome.
     """
     headers = {"Clementine-Request-Id": request_id}
     if isinstance(outcome, types.Answered):
@@ -70,7 +71,7 @@
 
 
 def error_document(outcome: types.Outcome) -> dict:
-    """Returns the JSON that tells an outcome other than an answer."""
+    """Returns the JSON object for an outcome other than an answer."""
     if isinstance(outcome, types.Answered):
         return {}
     kind = "not_run" if isinstance(outcome, types.NotRun) else "unknown"
@@ -85,14 +86,14 @@
 
 
 class HttpSink:
-    """Sends a streamed answer to a caller as it comes."""
+    """Sends a streamed answer to a caller as it is received."""
 
     def __init__(self, http: web.Request, request: request_types.Request):
-        """Prepares the response; nothing is sent yet.
+        """Stores the request; nothing is sent yet.
 
         Args:
           http: The caller's HTTP request.
-          request: The request made from it.
+          request: The request that was parsed from it.
         """
         self._http = http
         self._request = request
@@ -101,11 +102,16 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the response has begun."""
+        """Whether the head of the response was sent."""
         return self._response is not None
 
     async def head(self, head: request_types.Head) -> None:
-        """Sends the response's head."""
+        """Sends the head of the response.
+
+        Raises:
+          CallerDisconnected: The caller disconnected, and its request is
+            idempotent, so that it can be cancelled.
+        """
         result = web.StreamResponse(status=head.status)
         _copy_headers(head.headers, result)
         result.headers["Clementine-Request-Id"] = self._request.request_id
@@ -118,7 +124,12 @@
             self._on_disconnect()
 
     async def data(self, data: bytes) -> None:
-        """Sends bytes of the body."""
+        """Sends a part of the body.
+
+        Raises:
+          CallerDisconnected: The caller disconnected, and its request is
+            idempotent, so that it can be cancelled.
+        """
         assert self._response is not None
         if self._disconnected:
             return
@@ -128,11 +139,15 @@
             self._on_disconnect()
 
     async def end(self, outcome: types.Outcome) -> web.StreamResponse:
-        """Ends the response: cleanly after a whole answer, else by a break.
+        """Ends the response, or aborts it if the answer is incomplete.
+
+        If an incomplete response ended normally, the caller would take a part
+        of the answer for all of it. Instead, the caller receives an error event
+        and the connection closes before the final chunk, so that every client
+        detects at least one of the two.
 
-        A clean end would pass the beginning of an answer off as all of it. The
-        caller gets an error event and a connection that breaks before the last
-        chunk, so that any client notices one or the other.
+        Args:
+          outcome: The outcome of the request.
         """
         assert self._response is not None
         if isinstance(outcome, types.Answered) or self._disconnected:
--- a/src/clementinegw/requests/_request_state.py
+++ b/src/clementinegw/requests/_request_state.py
@@ -1,4 +1,4 @@
-"""One request on its way through the filters."""
+"""State of one request in the pipeline."""
 
 import dataclasses
 
@@ -15,7 +15,19 @@
 
 
 class RequestState:
-    """One request on its way through the filters."""
+    """The state of one request in the pipeline.
+
+    Attributes:
+      request: The request.
+      rules: The settings that apply to it.
+      dispatcher: Assigns requests of its service to workers.
+      answer: Collects the answer.
+      attempt: The number of attempts sent so far.
+      alone: Whether the next attempt must be the only request at its agent.
+      claim_offset: The fencing number of its claim; 0 without one.
+      tokens: The largest number of tokens that an attempt reported.
+      avoid: Names of the workers where an attempt failed.
+    """
 
     def __init__(
         self,
@@ -39,10 +51,10 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether it may run more than once from here on.
+        """Whether it may be sent to a worker again.
 
-        A stream that the caller has the beginning of can only go on where the
-        engine resumes it; other streams cannot be joined.
+        If the caller has received the start of a stream, another attempt must
+        resume it at the engine; otherwise the two parts would not match.
         """
         if not self.request.idempotent:
             return False
@@ -50,7 +62,7 @@
 
     @property
     def may_hedge(self) -> bool:
-        """Whether a late attempt may be sent a second time beside it."""
+        """Whether a second attempt may run while the first one is late."""
         return (
             self.rules.hedging
             and self.request.idempotent
@@ -66,10 +78,10 @@
         )
 
     def make_hedge_job(self, first_worker: str) -> dispatcher_lib.Job:
-        """Returns the job for a second attempt beside one that is late.
+        """Returns the job for a second attempt while the first one is late.
 
         Args:
-          first_worker: The worker of the first.
+          first_worker: The name of the worker of the first attempt.
         """
         query = self._query()
         query.avoid |= {first_worker}
@@ -77,7 +89,7 @@
         return dispatcher_lib.Job(f"{self.request.request_id}#", ticket, query)
 
     def attempt_options(self) -> send.AttemptOptions:
-        """Returns how the present attempt is to run."""
+        """Returns the options for the current attempt."""
         return send.AttemptOptions(
             attempt=self.attempt,
             revision=self.rules.revision,
@@ -87,15 +99,15 @@
         )
 
     def record_outcome(self, outcome: types.Outcome) -> None:
-        """Keeps an outcome that a later one must not hide."""
+        """Records an outcome that a later one must not replace."""
         if isinstance(outcome, types.Unknown):
             self._unknown_outcome = outcome
 
     def combined_outcome(self, outcome: types.Outcome) -> types.Outcome:
-        """Returns the outcome of all attempts together.
+        """Returns the outcome of all attempts, given that of the last one.
 
-        The last attempt may be proved not to have run while an earlier one may
-        have: told "not run", the caller would be told something untrue.
+        An earlier attempt may have run even if the last one certainly did not.
+        "Not run" would then be wrong for the request as a whole.
         """
         if (
             isinstance(outcome, types.NotRun)
--- a/src/clementinegw/requests/admit.py
+++ b/src/clementinegw/requests/admit.py
@@ -1,8 +1,8 @@
-"""Which requests an entry takes in, and how long they may wait.
+"""Admission control: which requests an entry accepts and how long they wait.
 
-A request waits at the entry until a worker has room. Whoever cannot be served
-in time is refused at once, with the time after which to come again: that costs
-little, and the work that is taken in gets done.
+Accepted requests wait at the entry until a worker has capacity. A request that
+cannot be served in time is rejected immediately with a time to retry after.
+Rejections are cheap, so the capacity goes to the accepted requests.
 """
 
 import dataclasses
@@ -11,13 +11,14 @@
 from clementinegw import types
 from clementinegw.requests import fair_queue
 
-# Allowed queueing delay by priority, in multiples of the target.
+# Maximum queueing delay by priority, as a multiple of the target or of a share
+# of the mean run time, whichever is longer.
 _MAX_DELAY_RATIOS = {
     types.Priority.LOW: 2.0,
     types.Priority.NORMAL: 4.0,
     types.Priority.HIGH: 20.0,
 }
-# Where requests run long, a wait is short in proportion to them.
+# A wait of this share of the mean run time is acceptable if requests run long.
 _RUN_TIME_RATIO = 0.1
 _SMOOTHING_FACTOR = 0.05
 _MIN_RETRY_S = 0.5
@@ -26,11 +27,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejection:
-    """The request is refused now.
+    """Rejection of a request.
 
     Attributes:
-      reason: Why.
-      retry_after_s: When to come again, in seconds.
+      reason: Why the request is rejected.
+      retry_after_s: After how long the caller should retry, in seconds.
     """
 
     reason: types.NotRunReason
@@ -39,12 +40,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    """What the settings allow.
+    """Limits on the queue of a service, from the settings.
 
     Attributes:
-      max_queue: Requests that may wait.
-      target_s: The queueing delay from which low priorities are refused.
-      interval_s: How long the delay must exceed it.
+      max_queue: The maximum number of queued requests.
+      target_s: The target for the queueing delay, in seconds. The maximum delay
+        of each priority is a multiple of it.
+      interval_s: How long the delay must exceed the maximum before requests are
+        rejected, in seconds.
     """
 
     max_queue: int = 256
@@ -53,14 +56,14 @@
 
 
 class Admission:
-    """Decides who may join the queue of one service, and who must leave it."""
+    """Decides which requests may join and stay in the queue of one service."""
 
     def __init__(self, queue: fair_queue.FairQueue, rng: random.Random):
-        """Starts without knowledge of how long requests run.
+        """Starts without an estimate of the run time.
 
         Args:
-          queue: The requests that wait.
-          rng: Spreads the times at which refused callers come again.
+          queue: The queued requests.
+          rng: Randomizes the times after which rejected callers retry.
         """
         self._queue = queue
         self._rng = rng
@@ -70,16 +73,18 @@
 
     @property
     def mean_run_s(self) -> float:
-        """The smoothed time that a mean request takes once it is sent."""
+        """The smoothed run time of a request of mean cost, in seconds."""
         return self._mean_run_s
 
     def check_arrival(
         self, ticket: fair_queue.Ticket, limits: AdmissionLimits, now: float
     ) -> Rejection | None:
-        """Decides on a request that has just come.
+        """Returns the rejection of a new request; None if it may be queued.
 
-        Returns:
-          None when it may join the queue.
+        Args:
+          ticket: The ticket of the request.
+          limits: The limits on the queue.
+          now: The current time, in monotonic seconds.
         """
         slack_s = ticket.deadline - now - self._mean_run_s * ticket.cost
         if ticket.deadline <= now:
@@ -105,10 +110,16 @@
     def check_waiting(
         self, ticket: fair_queue.Ticket, limits: AdmissionLimits, now: float
     ) -> Rejection | None:
-        """Decides on a request that waits.
+        """Returns the rejection of a queued request; None if it may wait.
+
+        A request that waits much longer than predicted is rejected now. If it
+        were held until its deadline, its caller would learn too late that it
+        should have retried elsewhere.
 
-        One that turns out to wait far longer than was foreseen is told so now:
-        to hold it until its deadline would only hide the refusal.
+        Args:
+          ticket: The ticket of the request.
+          limits: The limits on the queue.
+          now: The current time, in monotonic seconds.
         """
         if now + self._mean_run_s * ticket.cost * 0.5 >= ticket.deadline:
             return self._reject(types.NotRunReason.DEADLINE, self._mean_run_s)
@@ -119,37 +130,38 @@
         return self._reject(types.NotRunReason.OVERLOADED, waited_s)
 
     def queue_full_rejection(self) -> Rejection:
-        """Returns the refusal of a request that a full queue gives up."""
+        """Returns the rejection of a request that a full queue drops."""
         wait_s = len(self._queue) * self._mean_run_s / max(1.0, self._running)
         return self._reject(types.NotRunReason.OVERLOADED, wait_s)
 
     def max_delay_s(
         self, priority: types.Priority, limits: AdmissionLimits
     ) -> float:
-        """Returns the queueing delay that a priority may meet, in seconds."""
+        """Returns the maximum queueing delay of a priority, in seconds."""
         unit_s = max(limits.target_s, _RUN_TIME_RATIO * self._mean_run_s)
         return _MAX_DELAY_RATIOS[priority] * unit_s
 
     def predicted_wait_s(self, ticket: fair_queue.Ticket) -> float:
-        """Returns how long a new request would wait, in seconds.
+        """Returns the predicted wait of a new request, in seconds.
 
-        Little's law: work leaves at the rate of what runs over its time.
+        By Little's law, requests complete at the rate of the running cost
+        divided by the mean run time.
         """
         cost_ahead = self._queue.cost_ahead(ticket)
         return cost_ahead * self._mean_run_s / max(1.0, self._running)
 
     def record_started(self, ticket: fair_queue.Ticket) -> None:
-        """Notes that a request was sent to a worker."""
+        """Records that a request was sent to a worker."""
         self._running += ticket.cost
 
     def record_ended(
         self, ticket: fair_queue.Ticket, run_s: float | None
     ) -> None:
-        """Notes that a request left its worker.
+        """Records that a request ended at its worker.
 
         Args:
-          ticket: Its ticket.
-          run_s: How long it took; None when it was not answered.
+          ticket: The ticket of the request.
+          run_s: The run time, in seconds; None if it is not a valid sample.
         """
         self._running = max(0.0, self._running - ticket.cost)
         if run_s is None:
--- a/src/clementinegw/requests/agent_connections.py
+++ b/src/clementinegw/requests/agent_connections.py
@@ -1,4 +1,4 @@
-"""Keeps the connections to the agents that this entry has chosen."""
+"""Maintains the connections to the agents in this entry's subset."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -18,12 +18,16 @@
 
 
 class Connector(Protocol):
-    """What is used of `wire.connection.Endpoint`."""
+    """The part of `wire.connection.Endpoint` that opens connections."""
 
     async def connect(
         self, address: types.Address
     ) -> connection_lib.Connection:
-        """Returns the kept connection; raises `ConnectionLost`."""
+        """Returns a new or existing connection.
+
+        Raises:
+          ConnectionLost: The connection could not be opened.
+        """
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,7 +38,7 @@
 
 
 class AgentConnections:
-    """One connection to each chosen agent, opened again when it breaks."""
+    """Maintains one connection to each chosen agent and reopens lost ones."""
 
     def __init__(
         self,
@@ -47,11 +51,12 @@
         """Starts without connections.
 
         Args:
-          connector: Opens them.
-          on_change: Told when one is up or down.
-          log: Where events go.
-          counters: Where failures are counted.
-          rng: Spreads the attempts to connect.
+          connector: Opens the connections.
+          on_change: Called with the agent and whether it is connected, after
+            each change.
+          log: Receives the log events.
+          counters: Counts the failures.
+          rng: Randomizes the delays between attempts to connect.
         """
         self._connector = connector
         self._on_change = on_change
@@ -61,7 +66,7 @@
         self._links: dict[str, _Link] = {}
 
     def set_chosen(self, chosen: Iterable[types.Instance]) -> None:
-        """Sets which agents to be connected to."""
+        """Sets the agents to connect to."""
         wanted = {i.instance_id: i for i in chosen}
         for name in [n for n in self._links if n not in wanted]:
             self._links.pop(name).task.cancel()
@@ -75,7 +80,7 @@
             self._links[name] = _Link(instance, task)
 
     def on_disconnected(self, connection: connection_lib.Connection) -> None:
-        """Takes note that a connection ended; it is opened again."""
+        """Reopens a connection that ended, if its agent is still chosen."""
         link = self._links.get(connection.peer.instance_id)
         if link is None or link.connection is not connection:
             return
--- a/src/clementinegw/requests/baselines.py
+++ b/src/clementinegw/requests/baselines.py
@@ -1,4 +1,4 @@
-"""The usual routing policies, which ours is measured against."""
+"""Common routing policies, as baselines for the cache-aware policy."""
 
 from collections.abc import Sequence
 import random
@@ -13,7 +13,7 @@
 
 
 class _FirstInQueue:
-    """A policy that serves in order and looks at one request only."""
+    """A policy that considers only the first request in the queue."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -25,7 +25,7 @@
         context: RoutingContext,
         now: float,
     ) -> Choice | None:
-        """Returns the first request and a worker for it."""
+        """Returns the first request and its worker; None if none is usable."""
         del context
         eligible = _eligible(workers, queries[0], now)
         return Choice(0, self._pick(eligible)) if eligible else None
@@ -35,10 +35,14 @@
 
 
 class RoundRobin(_FirstInQueue):
-    """Each usable worker in turn."""
+    """Chooses each usable worker in turn."""
 
     def __init__(self, rng: random.Random):
-        """Starts at a random worker."""
+        """Starts at a random worker.
+
+        Args:
+          rng: Chooses the first worker.
+        """
         super().__init__(rng)
         self._next = rng.randrange(1 << 16)
 
@@ -48,21 +52,21 @@
 
 
 class Random(_FirstInQueue):
-    """Any usable worker."""
+    """Chooses a random usable worker."""
 
     def _pick(self, eligible: list[Worker]) -> Worker:
         return self._rng.choice(eligible)
 
 
 class LeastInFlight(_FirstInQueue):
-    """The worker with the fewest requests of this entry."""
+    """Chooses the worker with the fewest requests of this entry."""
 
     def _pick(self, eligible: list[Worker]) -> Worker:
         return min(eligible, key=lambda w: (w.own_requests, self._rng.random()))
 
 
 class PowerOfTwo(_FirstInQueue):
-    """The less loaded of two random workers."""
+    """Chooses the less loaded of two random workers."""
 
     def _pick(self, eligible: list[Worker]) -> Worker:
         pair = self._rng.sample(eligible, min(2, len(eligible)))
@@ -72,9 +76,10 @@
 def _eligible(
     workers: workers_lib.Workers, query: RoutingQuery, now: float
 ) -> list[Worker]:
-    """Returns the workers that may run the request at all.
+    """Returns the usable workers with the required version.
 
-    Workers that failed it before come back when there is no other.
+    Workers where the request failed before are included only if there is no
+    other.
     """
     eligible = [
         w
--- a/src/clementinegw/requests/choices.py
+++ b/src/clementinegw/requests/choices.py
@@ -1,4 +1,4 @@
-"""What a routing policy is asked, and what it answers."""
+"""Interface of the routing policies."""
 
 from collections.abc import Sequence
 import dataclasses
@@ -11,16 +11,17 @@
 
 @dataclasses.dataclass(slots=True)
 class RoutingQuery:
-    """What a choice depends on.
+    """What the choice of a worker for one request depends on.
 
     Attributes:
       prefixes: Hashes of the prompt's prefixes, shortest first.
-      version: The only version that will do; empty for any.
-      avoid: Workers that failed this request before.
-      idempotent: Whether it may be tried on a worker of doubtful health.
-      urgent: Whether it goes out even when no worker has room: a stream that
-        its caller has the beginning of.
-      within_share: Whether its customer is within its share.
+      version: The required version; empty for any.
+      avoid: Names of the workers to choose only if there is no other, for
+        example those where an attempt failed.
+      idempotent: Whether it may be sent to a slow worker as a probe.
+      urgent: Whether it is sent even if no worker has capacity, because its
+        caller has already received the start of a stream.
+      within_share: Whether its customer is within its share of the service.
     """
 
     prefixes: tuple[int, ...] = ()
@@ -33,16 +34,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingContext:
-    """What holds for all requests of a service at this entry.
+    """What routing depends on for all requests of a service at this entry.
 
     Attributes:
-      slow_start_s: How long a new worker takes to get its full share.
-      spill_load: The load above which other failure domains take work.
-      fair_share: Requests this entry may run in all, whatever others do.
-      headroom: Requests above its capacity that a worker may be sent, as a
-        share of the capacity; covers the way there and back.
-      reserved_share: What customers above their share leave free at each
-        worker for the others, as a share of the capacity.
+      slow_start_s: How long the capacity of a new worker increases to its full
+        value, in seconds.
+      spill_load: The load above which requests go to other failure domains, as
+        a share of the capacity.
+      fair_share: The number of requests this entry may run in total, whatever
+        other entries run.
+      headroom: The number of requests that a worker may receive above its
+        capacity, as a share of the capacity. It covers the round trip.
+      reserved_share: The share of each worker's capacity that customers above
+        their share leave free for the others.
     """
 
     slow_start_s: float = 10.0
@@ -54,10 +58,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """Which request goes to which worker.
+    """A request and the worker chosen for it.
 
     Attributes:
-      index: The request, by its place in the order.
+      index: The index of the request among the queries.
       worker: The worker.
     """
 
@@ -66,7 +70,7 @@
 
 
 class Policy(Protocol):
-    """A way of choosing."""
+    """Chooses the next request and a worker for it."""
 
     def choose(
         self,
@@ -75,14 +79,14 @@
         context: RoutingContext,
         now: float,
     ) -> Choice | None:
-        """Chooses for one of the requests that are next.
+        """Chooses one of the next requests and a worker for it.
 
         Args:
           workers: The workers of the service.
-          queries: The next requests of different customers, in their order.
-          context: What holds for all of them.
-          now: Monotonic seconds.
+          queries: The next requests in the queue, in order.
+          context: What applies to all of them.
+          now: The current time, in monotonic seconds.
 
         Returns:
-          A request and its worker; None when all had better wait.
+          A request and its worker; None if all requests should wait.
         """
--- a/src/clementinegw/requests/demand.py
+++ b/src/clementinegw/requests/demand.py
@@ -1,8 +1,8 @@
-"""Which customers stay within their share of a busy service.
+"""Tracks which customers are within their share of a busy service.
 
-The share is max-min fair: capacity is divided by weight, and what a customer
-does not ask for goes to the others. One that asks for less than its share is
-light. Its requests need not wait for those who ask for more.
+Shares are max-min fair: the capacity is divided by weight, and the part that a
+customer does not use is divided among the others. Requests of a customer within
+its share need not wait for those of customers above theirs.
 """
 
 import dataclasses
@@ -10,11 +10,13 @@
 
 _PERIOD_S = 1.0
 _SMOOTHING_FACTOR = 0.15
-# A rate is measured with noise; one somewhat above its share is still light.
+# Measured rates are noisy, so a customer slightly above its share still counts
+# as within it.
 _SHARE_MARGIN = 1.25
 _NEGLIGIBLE_RATE = 0.01
-# When all ask for more than their share, noise makes one or the other seem
-# light; those that are ask for a good part of the capacity together.
+# If all customers are above their share, noise makes some seem to be within it.
+# Customers that really are within their share use at least this share of the
+# capacity together.
 _MIN_WITHIN_SHARE_LOAD = 0.3
 
 
@@ -31,7 +33,7 @@
     """The demand of each customer of one service at one entry."""
 
     def __init__(self) -> None:
-        """Starts without demand."""
+        """Starts without any demand."""
         self._customers: dict[str, _Customer] = {}
         self._period_start: float | None = None
         self._mixed = False
@@ -39,13 +41,13 @@
     def record_request(
         self, name: str, weight: float, cost: float, now: float
     ) -> None:
-        """Notes a request, whether it is taken in or not.
+        """Records a request, whether or not it is accepted.
 
         Args:
-          name: The customer.
-          weight: Its weight.
-          cost: What the request takes, in units of one mean request.
-          now: Monotonic seconds.
+          name: The name of the customer.
+          weight: The customer's weight.
+          cost: The cost of the request, in units of one mean request.
+          now: The current time, in monotonic seconds.
         """
         customer = self._customers.get(name)
         if customer is None:
@@ -62,29 +64,33 @@
 
     @property
     def mixed(self) -> bool:
-        """Whether light customers, beside others, are much of the work."""
+        """Whether customers within their share compete with others.
+
+        This requires that they cause a considerable part of the load.
+        """
         return self._mixed
 
     def is_due(self, now: float) -> bool:
-        """Returns whether the present period is over."""
+        """Returns whether the current period is over."""
         return self._period_start is not None and (
             now - self._period_start >= _PERIOD_S
         )
 
     def end_period(self, capacity: float, now: float) -> None:
-        """Compares the demand with the capacity.
+        """Ends the period and compares its demand with the capacity.
 
         Args:
-          capacity: Cost a second that this entry can have served.
-          now: Monotonic seconds.
+          capacity: The cost per second that this entry can run.
+          now: The current time, in monotonic seconds.
         """
         assert self._period_start is not None
         elapsed_s = now - self._period_start
         self._period_start = now
         for name, customer in list(self._customers.items()):
             rate = customer.cost / elapsed_s
-            # The first periods count fully. Smoothed from zero, a customer
-            # that starts with a burst would seem light for ten of them.
+            # The first periods are averaged with equal weight. If the rate
+            # were smoothed from zero, a customer that starts with a burst
+            # would count as within its share for ten periods.
             customer.periods += 1
             weight = max(_SMOOTHING_FACTOR, 1.0 / customer.periods)
             customer.rate += weight * (rate - customer.rate)
@@ -104,7 +110,7 @@
         )
 
     def _fair_rate(self, capacity: float) -> float:
-        """Returns the rate for each unit of weight at which all is used."""
+        """Returns the max-min fair rate per unit of weight."""
         remaining = capacity
         weights = sum(c.weight for c in self._customers.values())
         ordered = sorted(
--- a/src/clementinegw/requests/dispatcher.py
+++ b/src/clementinegw/requests/dispatcher.py
@@ -1,4 +1,4 @@
-"""The queue, the workers and the routing policy of one service at one entry."""
+"""Dispatches the queued requests of one service to its workers."""
 
 import asyncio
 import collections
@@ -16,20 +16,21 @@
 from clementinegw.requests import rules as rules_lib
 from clementinegw.requests import workers as workers_lib
 
-# How often waiting requests are looked at when nothing else happens: workers
-# warm up, pauses end, deadlines pass.
+# Interval between checks of the queue when no event triggers one: workers warm
+# up, cooldowns end and deadlines pass without an event. Seconds.
 RECHECK_INTERVAL_S = 0.05
-# Requests of different customers that a free worker may choose from. Taking
-# the one whose prompt it has cached moves none by more than one turn.
+# The number of queued requests that a free worker may choose from. Choosing the
+# one whose prompt is cached delays no other by more than one turn.
 LOOK_AHEAD = 8
-# The way to a worker and back, during which a freed slot would stay empty.
+# The round trip to a worker, during which a freed slot would stay unused.
 _ROUND_TRIP_S = 0.002
 _NO_BACKEND_RETRY_S = 1.0
 _MEAN_TOKENS_SMOOTHING = 0.02
 _MIN_COST = 0.1
 _MIN_RUN_S = 1e-3
-# Customers above their share take the speed of full workers from the others as
-# well as their turns. What is left free costs them, and nobody else, this part.
+# Customers above their share slow the others down not only in the queue but
+# also at the workers, because full workers are slower. This share of the
+# capacity stays free; it is withheld from customers above their share only.
 _RESERVED_SHARE = 0.25
 _MIN_RUN_TIMES = 50
 _MAX_RUN_TIMES = 200
@@ -38,16 +39,16 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Job:
-    """A request that wants a worker.
+    """A request that needs a worker.
 
     Attributes:
-      name: Names it among the requests at a worker.
-      ticket: Its place in the queue.
-      query: What the choice depends on.
-      worker: The worker it was given.
-      rejection: Why it was given none.
-      waiter: Wakes it; None while it has not had to wait.
-      queued: Whether its worker was full when it was sent there.
+      name: Identifies it among the requests at a worker.
+      ticket: Its ticket in the queue.
+      query: What the choice of the worker depends on.
+      worker: The assigned worker.
+      rejection: Why it was rejected.
+      waiter: Resolves when it is assigned or rejected; None unless it waits.
+      queued_at_worker: Whether the worker was full when it was assigned.
     """
 
     name: str
@@ -60,12 +61,17 @@
 
     @property
     def resolved(self) -> bool:
-        """Whether it has a worker or was refused."""
+        """Whether it was assigned to a worker or rejected."""
         return self.worker is not None or self.rejection is not None
 
 
 class Dispatcher:
-    """Hands the waiting requests of one service to its workers."""
+    """Dispatches the queued requests of one service to its workers.
+
+    Attributes:
+      workers: The workers of the service.
+      retry_budget: Limits the retries of the service.
+    """
 
     def __init__(
         self,
@@ -77,10 +83,10 @@
         """Starts without workers.
 
         Args:
-          place: Where this entry stands.
-          rules: The service's settings.
+          place: The location of this entry.
+          rules: The settings of the service.
           clock: The source of time.
-          rng: For ties and spread.
+          rng: Breaks ties and randomizes delays.
         """
         self._clock = clock
         self._rng = rng
@@ -103,27 +109,27 @@
 
     @property
     def index(self) -> prefix.PrefixIndex | None:
-        """The prefixes that workers hold; None for a policy without."""
+        """The index of cached prefixes; None if the policy has none."""
         if isinstance(self._policy, route.CacheAware):
             return self._policy.index
         return None
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for a worker."""
+        """The number of requests that wait for a worker."""
         return len(self._queue)
 
     @property
     def ready(self) -> bool:
-        """Whether any worker serves."""
+        """Whether any worker is ready and not leaving."""
         return any(w.ready and not w.leaving for w in self.workers)
 
     def set_policy(self, policy: route.Policy) -> None:
-        """Routes by a policy of the caller's making."""
+        """Replaces the routing policy."""
         self._policy = policy
 
     def configure(self, rules: rules_lib.Rules) -> None:
-        """Takes the service's settings."""
+        """Applies the settings of the service."""
         if rules.policy != self._rules.policy:
             self._policy = route.make_policy(rules.policy, self._rng)
         self._rules = rules
@@ -133,12 +139,12 @@
         self._update_context()
 
     def set_entries_per_worker(self, entries_per_worker: float) -> None:
-        """Sets how many entries share each worker."""
+        """Sets the mean number of entries that share each worker."""
         self._entries_per_worker = max(1.0, entries_per_worker)
         self._update_context()
 
     def cost(self, tokens: int) -> float:
-        """Returns a request's cost in units of one mean request."""
+        """Returns the cost of a request, in units of one mean request."""
         if tokens <= 0:
             return 1.0
         if self._mean_tokens <= 0:
@@ -153,16 +159,26 @@
         tokens: int,
         deadline: float,
     ) -> fair_queue.Ticket:
-        """Returns a ticket for a request that has come."""
+        """Returns a ticket for a new request.
+
+        Args:
+          customer: The name of the customer.
+          weight: The customer's weight.
+          priority: The priority of the request.
+          tokens: The maximum number of tokens of the answer; 0 for a plain
+            service.
+          deadline: The deadline, in monotonic seconds.
+        """
         if tokens > 0:
             smoothing = _MEAN_TOKENS_SMOOTHING if self._mean_tokens else 1.0
             self._mean_tokens += smoothing * (tokens - self._mean_tokens)
         cost = self.cost(tokens)
         now = self._clock.now()
         if self._demand.is_due(now):
-            # By the share of the slots, not by those that are in use: an entry
-            # that holds more would take its heavy customers for light ones and
-            # come to hold more still.
+            # The capacity is this entry's fair share of the slots rather than
+            # the slots in use. Otherwise an entry that uses more than its share
+            # would consider its heavy customers to be within their share, and
+            # use even more.
             run_s = max(_MIN_RUN_S, self._admission.mean_run_s)
             self._demand.end_period(self._context.fair_share / run_s, now)
         self._demand.record_request(customer, weight, cost, now)
@@ -171,17 +187,18 @@
     def check_arrival(
         self, ticket: fair_queue.Ticket
     ) -> admit.Rejection | None:
-        """Returns why a request that has come is not taken in, if so."""
+        """Returns the rejection of a new request; None if it is accepted."""
         return self._admission.check_arrival(
             ticket, self._limits, self._clock.now()
         )
 
     async def acquire(self, job: Job, requeued: bool = False) -> None:
-        """Waits until the job has a worker or is refused.
+        """Waits until the job is assigned to a worker or rejected.
 
         Args:
-          job: The request.
-          requeued: Whether it has been sent before, and keeps its place.
+          job: The job.
+          requeued: Whether it was sent before and goes to the front of its
+            customer's queue.
         """
         if not self.ready:
             job.rejection = _no_backend()
@@ -214,13 +231,14 @@
         tokens: int = 0,
         reported_load: int | None = None,
     ) -> None:
-        """Notes that a job has left its worker, and serves the next.
+        """Releases the worker of a job and dispatches queued requests.
 
         Args:
           job: The job.
           answered: Whether it was answered.
-          tokens: What the answer took; 0 when that is not known.
-          reported_load: The agent's load as told with the answer.
+          tokens: The number of tokens used; 0 if unknown.
+          reported_load: The agent's load as reported with the answer, in
+            requests; None if it was not reported.
         """
         worker = job.worker
         assert worker is not None
@@ -230,8 +248,8 @@
         self.workers.record_ended(
             worker, job.name, now, answered, cost, reported_load
         )
-        # Time in a worker's queue is none that the request runs; taken for it,
-        # the capacity would seem smaller the busier the workers are.
+        # The time in a worker's queue is not run time. If it counted, the
+        # capacity would seem to shrink as the workers become busier.
         has_run_time = answered and not job.queued_at_worker
         if answered:
             self._run_times.append(now - started_at)
@@ -245,10 +263,10 @@
         """Returns the time after which an attempt is late, in seconds.
 
         Args:
-          quantile: The part of attempts that are not late.
+          quantile: The share of attempts that are not late.
 
         Returns:
-          None before enough attempts have been answered.
+          The time; None until enough attempts were answered.
         """
         if len(self._run_times) < _MIN_RUN_TIMES:
             return None
@@ -256,12 +274,12 @@
         return ordered[min(len(ordered) - 1, int(len(ordered) * quantile))]
 
     def dispatch(self) -> None:
-        """Gives waiting requests to workers that have room."""
+        """Dispatches queued requests to workers that have capacity."""
         while self._dispatch_next():
             pass
 
     def workers_changed(self) -> None:
-        """Notes that workers came, went or reported."""
+        """Handles workers that joined, left or reported."""
         self._update_context()
         if self._jobs:
             self.dispatch()
@@ -277,14 +295,14 @@
             for ticket in candidates
         ):
             return False
-        # No room for those that are next. A customer within its share may use
-        # room that others may not, and does not wait behind them.
+        # No worker has capacity for the next requests. A customer within its
+        # share may use reserved capacity and does not wait behind the others.
         return self._dispatch_one(
             self._queue.candidates(LOOK_AHEAD, self._demand.is_within_share)
         )
 
     def _dispatch_one(self, candidates: list[fair_queue.Ticket]) -> bool:
-        """Gives one of the tickets to a worker, if any has room."""
+        """Dispatches one of the candidates; returns whether it could."""
         if not candidates:
             return False
         now = self._clock.now()
@@ -316,7 +334,7 @@
             job.waiter.set_result(None)
 
     def _enforce_queue_limit(self) -> None:
-        """Refuses the least urgent requests beyond the queue's bound."""
+        """Rejects the least urgent requests above the queue limit."""
         while len(self._jobs) > self._limits.max_queue:
             ticket = max(self._jobs, key=lambda t: (-t.priority, t.queued_at))
             self._reject(ticket, self._admission.queue_full_rejection())
--- a/src/clementinegw/requests/fair_queue.py
+++ b/src/clementinegw/requests/fair_queue.py
@@ -1,15 +1,15 @@
-"""Fair queueing between customers, with priorities inside each one's share.
-
-Each customer is a flow with a start tag in virtual time; a service moves its
-tag on by cost over weight, and the flow with the smallest tag is served next.
-One that sends ten times its share waits behind itself and behind nobody else.
-
-Priorities work inside that order. A flow serves its most urgent request first,
-and a flow that has a high one is put ahead by `HIGH_PRIORITY_CREDIT`
-units of virtual time: urgent work passes the others' until its customer is so
-far ahead of its share.
-With strict classes above the customers, one customer that calls everything
-urgent would starve the rest.
+"""Fair queueing between customers, with priorities within each one's share.
+
+Each customer is a flow with a start tag in virtual time. Serving a request
+increases the tag by cost divided by weight, and the flow with the smallest tag
+is served next. A customer that sends ten times its share delays only itself.
+
+Priorities apply within this order. A flow serves its most urgent requests
+first, and a flow with a request of high priority is sorted as if its tag were
+smaller by `HIGH_PRIORITY_CREDIT`, so that urgent requests overtake those of
+other customers until their customer is ahead of its share by that much. With
+strict priority classes above the customers, one customer that marks every
+request as urgent would starve all others.
 """
 
 import collections
@@ -19,7 +19,7 @@
 
 from clementinegw import types
 
-# Virtual time: one unit serves one mean request for each unit of weight.
+# In units of virtual time. One unit serves one mean request per unit of weight.
 HIGH_PRIORITY_CREDIT = 4.0
 _PRIORITY_OFFSETS = {
     types.Priority.LOW: 0.0,
@@ -28,23 +28,24 @@
 }
 _DESCENDING = tuple(sorted(types.Priority, reverse=True))
 _MAX_IDLE_FLOWS = 1_000
+# How often a request may be overtaken for a better match with a worker's cache.
 MAX_SKIPS = 16
 _CUSTOMER_LOOK_AHEAD = 4
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Ticket:
-    """A request's place in the queue.
+    """A request in the queue.
 
     Attributes:
-      customer: Whose it is.
+      customer: The name of its customer.
       weight: The customer's weight.
-      priority: Its urgency.
-      cost: What it takes, in units of one mean request.
-      deadline: Monotonic seconds after which it need not run.
-      queued_at: When it came.
+      priority: Its priority.
+      cost: Its cost, in units of one mean request.
+      deadline: When an answer becomes useless, in monotonic seconds.
+      queued_at: When it was queued, in monotonic seconds.
       waiting: Whether it is in the queue.
-      skipped: How often one behind it was served first.
+      skipped: How often a request behind it was served first.
     """
 
     customer: str
@@ -58,7 +59,7 @@
 
 
 class _Flow:
-    """The waiting requests of one customer."""
+    """The queued requests of one customer."""
 
     __slots__ = ("backlog", "queues", "start_tag", "weight")
 
@@ -71,14 +72,14 @@
         }
 
     def most_urgent(self) -> collections.deque[Ticket]:
-        """Returns the queue that is served next; empty when all are."""
+        """Returns the queue that is served next; empty if all are empty."""
         for priority in _DESCENDING:
             if self.queues[priority]:
                 return self.queues[priority]
         return self.queues[types.Priority.LOW]
 
     def cost_before(self, priority: types.Priority) -> float:
-        """Returns the cost that is served before a new ticket."""
+        """Returns the cost that is served before a new ticket of a priority."""
         if self.backlog <= 0:
             return 0.0
         return sum(
@@ -90,7 +91,7 @@
 
 
 class FairQueue:
-    """The waiting requests of all customers of one service."""
+    """The queued requests of all customers of one service."""
 
     def __init__(self) -> None:
         """Starts empty, at virtual time zero."""
@@ -100,11 +101,16 @@
         self._count = 0
 
     def __len__(self) -> int:
-        """Returns how many tickets wait."""
+        """Returns the number of queued tickets."""
         return self._count
 
     def push(self, ticket: Ticket, requeued: bool = False) -> None:
-        """Adds a ticket; `requeued` puts it before its equals."""
+        """Adds a ticket to its customer's queue.
+
+        Args:
+          ticket: The ticket.
+          requeued: Whether it was served before and goes to the front.
+        """
         flow = self._flows.get(ticket.customer)
         if flow is None:
             start_tag = max(
@@ -118,7 +124,7 @@
         queue = flow.queues[ticket.priority]
         if requeued:
             queue.appendleft(ticket)
-            # What it was charged when it was served is given back.
+            # Refunds what it was charged when it was served.
             flow.start_tag -= ticket.cost / ticket.weight
         else:
             queue.append(ticket)
@@ -127,7 +133,7 @@
         self._count += 1
 
     def remove(self, ticket: Ticket) -> None:
-        """Takes a ticket out unserved; does nothing when it has left."""
+        """Removes a ticket if it is in the queue."""
         if not ticket.waiting:
             return
         flow = self._flows[ticket.customer]
@@ -137,15 +143,16 @@
     def candidates(
         self, count: int, customer_filter: Callable[[str], bool] | None = None
     ) -> list[Ticket]:
-        """Returns the tickets that may be served next, in their order.
+        """Returns the tickets that may be served next, in order.
 
-        Besides the very next there are some close behind it, so that a free
-        worker can be given one whose prompt it has cached. One that has been
-        passed over `MAX_SKIPS` times stands alone.
+        These are the first ticket and some close behind it, so that a free
+        worker can receive a request whose prompt it has cached. A first ticket
+        that was skipped `MAX_SKIPS` times is returned alone.
 
         Args:
-          count: How many at most.
-          customer_filter: Tells which customers' to return; None for all.
+          count: The maximum number of tickets.
+          customer_filter: Returns whether to include a customer; None includes
+            all.
         """
         ordered = []
         for customer, flow in self._flows.items():
@@ -162,7 +169,7 @@
         for key, weight, queue in ordered:
             if key > limit or len(result) >= count:
                 break
-            # Inside one customer's queue nobody else is passed over.
+            # Skipping within one customer's queue delays no other customer.
             depth = max(_CUSTOMER_LOOK_AHEAD, int((limit - key) * weight) + 1)
             result += itertools.islice(queue, min(depth, count - len(result)))
         if result[0].skipped >= MAX_SKIPS:
@@ -170,18 +177,18 @@
         return result
 
     def serve(self, ticket: Ticket, passed: Iterable[Ticket] = ()) -> None:
-        """Takes out a ticket that `candidates` has returned, and charges it.
+        """Removes a ticket that `candidates` returned and charges its customer.
 
         Args:
           ticket: The ticket.
-          passed: Those before it, which are passed over.
+          passed: The tickets before it, which are skipped.
         """
         for other in passed:
             other.skipped += 1
         flow = self._flows[ticket.customer]
-        # Virtual time follows the flow that is behind all others. Following
-        # the one that is served, an urgent request would carry it ahead and
-        # customers that come next would start behind those that wait.
+        # Virtual time follows the flow with the smallest tag. If it followed
+        # the served flow, an urgent request would advance it, and new customers
+        # would start behind those that already wait.
         least = min(other.start_tag for other in self._flows.values())
         self._virtual_time = max(self._virtual_time, least)
         flow.start_tag += ticket.cost / ticket.weight
@@ -205,7 +212,15 @@
         return total
 
     def head_wait_s(self, ticket: Ticket, now: float) -> float:
-        """Returns how long the next equal of a ticket has been waiting."""
+        """Returns how long the first ticket of the same queue has waited.
+
+        Args:
+          ticket: A ticket with the customer and priority of the queue.
+          now: The current time, in monotonic seconds.
+
+        Returns:
+          The time in seconds; 0 if the queue is empty.
+        """
         flow = self._flows.get(ticket.customer)
         queue = flow.queues[ticket.priority] if flow is not None else None
         return now - queue[0].queued_at if queue else 0.0
@@ -223,7 +238,7 @@
             self._prune_idle()
 
     def _prune_idle(self) -> None:
-        """Drops tags that no longer matter, or the smallest of too many."""
+        """Removes expired tags, and the smallest ones if there are too many."""
         ordered = sorted(
             self._idle_start_tags.items(), key=lambda item: -item[1]
         )
@@ -237,7 +252,7 @@
 def _served_before(
     flow: _Flow, priority: types.Priority, turns: float
 ) -> float:
-    """Returns what another flow is served in that many turns."""
+    """Returns the cost another flow is served during a span of virtual time."""
     urgent = 0.0
     if priority < types.Priority.HIGH:
         urgent = sum(t.cost for t in flow.queues[types.Priority.HIGH])
@@ -245,5 +260,5 @@
     return max(urgent, fair)
 
 
-def _sort_key(ordered: tuple[float, float, collections.deque[Ticket]]) -> float:
-    return ordered[0]
+def _sort_key(flow: tuple[float, float, collections.deque[Ticket]]) -> float:
+    return flow[0]
--- a/src/clementinegw/requests/fleet.py
+++ b/src/clementinegw/requests/fleet.py
@@ -1,4 +1,4 @@
-"""The services that this entry serves, and who their workers are."""
+"""Tracks the services of this entry and their workers."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -20,18 +20,18 @@
 
 Kind = connection_lib.Kind
 
-# Of the workers in another failure domain an entry keeps this part of a subset:
-# enough to spill to, few enough not to connect everybody with everybody.
+# An entry divides the subset size by this for other failure domains. The rest
+# is enough to spill load to without connecting every entry with every agent.
 _REMOTE_SUBSET_DIVISOR = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """One live member, as membership or the platform's list tells.
+    """A live member, as reported by membership or by the platform's list.
 
     Attributes:
-      instance: Who and where it is.
-      leaving: Whether it is said to leave.
+      instance: The instance.
+      leaving: Whether it was reported as leaving.
     """
 
     instance: types.Instance
@@ -39,7 +39,10 @@
 
 
 class Fleet:
-    """A lane for each service, fed by membership and by agents themselves."""
+    """Maintains a dispatcher for each service.
+
+    Updates come from membership and from the agents' own notices.
+    """
 
     def __init__(
         self,
@@ -51,16 +54,16 @@
         counters: counters_lib.Counters,
         rng: random.Random,
     ):
-        """Registers for the notices of agents.
+        """Registers for the agents' notices.
 
         Args:
           me: This entry.
-          endpoint: Its connections.
+          endpoint: The connections of this entry.
           rules: The settings in force.
           clock: The source of time.
-          log: Where events go.
-          counters: Where failures are counted.
-          rng: For ties and spread.
+          log: Receives the log events.
+          counters: Counts the failures.
+          rng: Breaks ties and randomizes delays.
         """
         self._me = me
         self._rules = rules
@@ -77,11 +80,15 @@
         endpoint.on_disconnected(self._connections.on_disconnected)
 
     def dispatchers(self) -> dict[str, dispatcher_lib.Dispatcher]:
-        """Returns the lanes by service."""
+        """Returns the dispatchers by service."""
         return dict(self._dispatchers)
 
     def dispatcher(self, rules: rules_lib.Rules) -> dispatcher_lib.Dispatcher:
-        """Returns the lane of a service, by the settings of a request."""
+        """Returns the dispatcher of a service, configured by the given rules.
+
+        Args:
+          rules: The settings that apply to a request for the service.
+        """
         dispatcher = self._dispatchers.get(rules.service)
         if dispatcher is None:
             dispatcher = self._dispatchers[rules.service] = (
@@ -96,10 +103,10 @@
         return dispatcher
 
     def set_members(self, members: Iterable[Member]) -> None:
-        """Takes the live members; chooses whom to connect to."""
+        """Applies the live members and chooses the agents to connect to."""
         entries: dict[str, list[str]] = {}
         agents: dict[str, list[Member]] = {}
-        # In a fixed order, so that equal members give equal choices.
+        # A fixed order, so that equal members lead to equal choices.
         for member in sorted(members, key=lambda m: m.instance.instance_id):
             instance = member.instance
             if instance.role is types.Role.ENTRY:
@@ -226,7 +233,7 @@
 def _entries_per_worker(
     chosen: int, local: int, workers: int, entries: dict[str, list[str]]
 ) -> float:
-    """Returns how many entries share each chosen worker, on average."""
+    """Returns the mean number of entries that share a chosen worker."""
     count = max(1, sum(len(names) for names in entries.values()))
     if not workers:
         return float(count)
--- a/src/clementinegw/requests/http.py
+++ b/src/clementinegw/requests/http.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: completions in the OpenAI style, and plain services."""
+"""HTTP handlers for callers: OpenAI-style completions and plain services."""
 
 import asyncio
 import itertools
@@ -17,8 +17,8 @@
 from clementinegw.telemetry import counters as counters_lib
 from clementinegw.telemetry import logs
 
-# A completion names its service in the body, so the body is read before the
-# service's own bound is known.
+# The service of a completion is named in the body, so the body is read before
+# the limit of the service is known.
 MAX_COMPLETION_BYTES = 8 << 20
 MAX_BODY_BYTES = 64 << 20
 
@@ -39,17 +39,17 @@
         Args:
           pipeline: Runs the requests.
           clock: The source of time.
-          log: Where unexpected errors go.
-          counters: Where outcomes are counted.
-          entry: This entry's instance id, part of each request id.
+          log: Receives the unexpected errors.
+          counters: Counts the outcomes.
+          entry: The instance id of this entry, a part of each request id.
         """
         self._pipeline = pipeline
         self._clock = clock
         self._log = log
         self._counters = counters
         self._ids = itertools.count(1)
-        # An entry that starts again must not give out an id twice: an agent
-        # may still remember the attempts of the first.
+        # A restarted entry must not reuse an id, because an agent may still
+        # have a record of the attempts made before the restart.
         self._id_prefix = f"{entry}-{secrets.token_hex(4)}"
 
     def add_to(self, app: web.Application) -> None:
@@ -91,11 +91,11 @@
         try:
             outcome = await self._run(request, sink)
         except request_types.CallerDisconnected:
-            # Nobody reads the response; it only ends the handler.
+            # The response is never sent; it only ends the handler.
             return web.Response(status=_http_reply.CALLER_DISCONNECTED_STATUS)
         except Exception as error:
-            # One request's defect must not show as a bare 500 that says
-            # neither what ran nor whom to ask.
+            # An unexpected error must not result in a plain 500, which would
+            # report neither the outcome nor the request id.
             self._counters.add("requests.handler_failed")
             self._log.write(
                 _events.HANDLER_FAILED,
@@ -114,8 +114,8 @@
     ) -> types.Outcome:
         if request.idempotent:
             return await self._pipeline.run(request, sink)
-        # The caller may go away; what must not run twice still runs to its
-        # end, so that its outcome is known to whoever asks with the same key.
+        # If the caller disconnects, a request that must not run twice still
+        # runs to its end, so that a retry with the same key gets its outcome.
         return await asyncio.shield(
             asyncio.ensure_future(self._pipeline.run(request, sink))
         )
@@ -139,12 +139,12 @@
 
 
 def make_runner(app: web.Application) -> web.AppRunner:
-    """Returns a runner that cancels a handler whose caller goes away."""
+    """Returns a runner that cancels a handler when its caller disconnects."""
     return web.AppRunner(
         app, handler_cancellation=True, access_log=None, keepalive_timeout=75.0
     )
 
 
 def error_body(outcome: types.Outcome) -> bytes:
-    """Returns the JSON body that tells an outcome other than an answer."""
+    """Returns the JSON body for an outcome other than an answer."""
     return json.dumps(_http_reply.error_document(outcome)).encode()
--- a/src/clementinegw/requests/limit.py
+++ b/src/clementinegw/requests/limit.py
@@ -1,9 +1,9 @@
 """Rate and token limits of customers, shared by all entries.
 
-Each entry holds a token bucket with its share of the customer's rate. Shares
-follow demand: see `shares`. The sum of the shares is one while the entries
-agree on the demand, so a customer gets its limit whichever entries the balancer
-sends it to.
+Each entry has token buckets with its share of the customer's rates. The shares
+follow the demand; see `shares`. They add up to one while the entries agree on
+the demand, so a customer gets its whole limit whichever entries the load
+balancer chooses.
 """
 
 import dataclasses
@@ -22,15 +22,21 @@
     """A token bucket.
 
     Attributes:
-      level: What may be taken now; negative after an underestimate.
-      refilled_at: When the level was last brought up to date.
+      level: The number of tokens available; negative after an underestimate.
+      refilled_at: When it was last refilled, in monotonic seconds.
     """
 
     level: float
     refilled_at: float
 
     def refill(self, rate: float, burst: float, now: float) -> None:
-        """Adds what has come in since the last time."""
+        """Adds the tokens for the time since the last refill.
+
+        Args:
+          rate: Tokens added per second.
+          burst: The maximum level.
+          now: The current time, in monotonic seconds.
+        """
         elapsed_s = max(0.0, now - self.refilled_at)
         self.level = min(burst, self.level + rate * elapsed_s)
         self.refilled_at = now
@@ -41,8 +47,9 @@
     """The request exceeds a limit.
 
     Attributes:
-      reason: Which kind.
-      retry_after_s: When there is room for it again, in seconds.
+      reason: Which limit it exceeds.
+      retry_after_s: After how long the request would be within the limit, in
+        seconds.
     """
 
     reason: types.NotRunReason
@@ -57,13 +64,13 @@
 
 
 class Limiter:
-    """The limits of all customers at one entry."""
+    """Enforces the limits of all customers at one entry."""
 
     def __init__(self, shares: shares_lib.Shares):
-        """Prepares the limiter.
+        """Starts without any usage.
 
         Args:
-          shares: Says which part of a limit this entry may use.
+          shares: Determines the share of a limit that this entry may use.
         """
         self._shares = shares
         self._usage: dict[tuple[str, str], _Usage] = {}
@@ -71,16 +78,17 @@
     def try_acquire(
         self, rules: rules_lib.Rules, customer: str, tokens: int, now: float
     ) -> LimitExceeded | None:
-        """Charges a request to its customer.
+        """Charges a request to its customer if it is within the limits.
 
         Args:
           rules: The customer's limits.
-          customer: The customer.
-          tokens: Tokens that the request may take, prompt and answer.
-          now: Monotonic seconds.
+          customer: The name of the customer.
+          tokens: The maximum number of tokens of the prompt and the answer.
+          now: The current time, in monotonic seconds.
 
         Returns:
-          None when it is within the limits; `release` must follow then.
+          The exceeded limit; None if the request was charged, in which case
+          `release` must be called when it ends.
         """
         key = (rules.service, customer)
         self._shares.record_request(key, tokens, now)
@@ -118,14 +126,14 @@
         used: int,
         ran: bool,
     ) -> None:
-        """Gives back what a request did not use.
+        """Refunds what a request did not use.
 
         Args:
           rules: The customer's limits.
-          customer: The customer.
-          charged: Tokens that `try_acquire` was told.
-          used: Tokens that it took in the end.
-          ran: Whether it may have run; one that did not is free.
+          customer: The name of the customer.
+          charged: The number of tokens that `try_acquire` charged.
+          used: The number of tokens that the request used.
+          ran: Whether it may have run; otherwise everything is refunded.
         """
         usage = self._usage.get((rules.service, customer))
         if usage is None:
@@ -172,10 +180,11 @@
     reason: types.NotRunReason,
     now: float,
 ) -> LimitExceeded | None:
-    """Lets a request pass while the level is above zero.
+    """Returns the exceeded limit; None if the bucket allows another request.
 
-    The level may then fall below zero: a request that takes more tokens than
-    the whole burst must pass some time, and is paid for afterwards.
+    The bucket of tokens allows requests while its level is at least zero, and
+    the level may then become negative. Otherwise a request that needs more
+    tokens than the whole burst would never be allowed.
     """
     if math.isinf(rate):
         bucket.level = math.inf
--- a/src/clementinegw/requests/pipeline.py
+++ b/src/clementinegw/requests/pipeline.py
@@ -1,4 +1,4 @@
-"""The filters that a request passes, in order, and the outcome it gets.
+"""Runs requests through the filters of an entry.
 
 resolve settings -> admit -> limit -> suspect -> claim -> route -> send ->
 retry -> answer. Each filter passes the request on or ends it with an outcome.
@@ -32,7 +32,7 @@
 
 
 class Pipeline:
-    """Runs requests of callers at one entry."""
+    """Runs the requests of callers at one entry."""
 
     def __init__(
         self,
@@ -47,19 +47,19 @@
         counters: counters_lib.Counters,
         rng: random.Random,
     ):
-        """Joins the filters.
+        """Stores the filters.
 
         Args:
           fleet: The services and their workers.
-          sender: Sends attempts.
-          limiter: Knows the customers' limits.
+          sender: Sends the attempts.
+          limiter: Enforces the customers' limits.
           rules: The settings in force.
           claims: Claims idempotency keys.
-          suspects: Knows requests that crash servers.
+          suspects: Tracks requests that may have crashed backend servers.
           clock: The source of time.
-          log: Where events go.
-          counters: Where each outcome is counted.
-          rng: Spreads waits.
+          log: Receives the log events.
+          counters: Counts the outcomes and retries.
+          rng: Randomizes the backoff.
         """
         self._fleet = fleet
         self._sender = sender
@@ -78,7 +78,7 @@
 
     @property
     def running(self) -> int:
-        """Requests that have not ended yet."""
+        """The number of requests that have not ended."""
         return self._running
 
     @property
@@ -92,11 +92,12 @@
         """Runs one request.
 
         Args:
-          request: What the caller asks.
-          sink: Takes the answer piece by piece; None holds it to its end.
+          request: The request.
+          sink: Receives a streamed answer; None buffers the whole answer.
 
         Returns:
-          The outcome. After a streamed `Answered` the sink has all of it.
+          The outcome. After a streamed `Answered`, the sink has received the
+          whole body.
         """
         self._running += 1
         self._idle.clear()
@@ -110,10 +111,13 @@
         return outcome
 
     async def drain(self, grace_s: float) -> bool:
-        """Refuses new requests and waits for those that run.
+        """Refuses new requests and waits for the running ones.
+
+        Args:
+          grace_s: The maximum time to wait, in seconds.
 
         Returns:
-          Whether all of them ended in time.
+          Whether all running requests ended in time.
         """
         self._draining = True
         self._log.write(_events.DRAINING, running=self._running)
@@ -169,7 +173,7 @@
     async def _run_checked(
         self, state: request_state.RequestState
     ) -> types.Outcome:
-        """The suspect check."""
+        """Runs the request unless it is known to crash backend servers."""
         verdict = self._suspects.check(state.request, self._clock.now())
         if isinstance(verdict, request_types.Refuse):
             return types.NotRun(types.NotRunReason.SUSPECT)
@@ -178,7 +182,7 @@
     async def _run_claimed(
         self, state: request_state.RequestState
     ) -> types.Outcome:
-        """The claim, for a keyed request that must not run twice."""
+        """Runs the request, with a claim if it is keyed and not idempotent."""
         request = state.request
         if request.idempotent or not request.key:
             return await self._run_attempts(state)
@@ -194,14 +198,14 @@
             outcome = await self._run_attempts(state)
             return outcome
         finally:
-            # Also when the caller goes away: a claim that nobody settles holds
-            # its key until it expires.
+            # Also on cancellation: a claim that is not settled blocks its key
+            # until it expires.
             self._claims.settle(request, outcome)
 
     async def _run_attempts(
         self, state: request_state.RequestState
     ) -> types.Outcome:
-        """Sends the request until it is answered or given up."""
+        """Sends the request until it is answered or no retry is allowed."""
         state.dispatcher.retry_budget.record_request(state.rules.budget_ratio)
         while True:
             outcome, detail = await self._run_attempt(state)
@@ -229,9 +233,10 @@
     async def _run_attempt(
         self, state: request_state.RequestState
     ) -> tuple[types.Outcome, str]:
-        """Sends one attempt; a suspect waits for its turn in the fleet.
+        """Sends one attempt, under a fleet-wide lease if it is a suspect.
 
-        Checked before each attempt: the one before may have crashed a server.
+        The check is repeated before each attempt, because the previous attempt
+        may have crashed a backend server.
         """
         verdict = self._suspects.check(state.request, self._clock.now())
         if isinstance(verdict, request_types.Clear):
@@ -244,8 +249,8 @@
             return lease, "suspect"
         state.alone = lease is not None
         outcome, detail = await self._send_attempt(state)
-        # After a crash the turn is left to lapse: given back, another entry
-        # might take it before it has heard of the crash.
+        # After a crash the lease is left to expire. If it were released,
+        # another entry could acquire it before it receives the crash report.
         if lease is not None and not isinstance(outcome, types.Unknown):
             self._suspects.release_lease(lease)
         return outcome, detail
@@ -253,7 +258,7 @@
     async def _send_attempt(
         self, state: request_state.RequestState
     ) -> tuple[types.Outcome, str]:
-        """Sends one attempt, or two when the first is late and may be."""
+        """Sends one attempt, and a hedge if the first is late and may hedge."""
         job = state.make_job()
         late_s = None
         if state.may_hedge:
@@ -286,7 +291,11 @@
     def _may_send_hedge(
         self, state: request_state.RequestState, job: dispatcher_lib.Job
     ) -> bool:
-        """Whether a late attempt is at a worker and the budget allows two."""
+        """Returns whether a late attempt may be hedged.
+
+        The attempt must be at a worker. The hedge is charged to the retry
+        budget.
+        """
         return (
             job.worker is not None
             and state.dispatcher.retry_budget.try_acquire()
@@ -334,7 +343,7 @@
     def _update_worker(
         self, state: request_state.RequestState, worker, result, resumed: bool
     ) -> None:
-        """Draws conclusions about the worker from an attempt."""
+        """Updates the state of the worker according to an attempt."""
         if isinstance(result.outcome, types.Answered):
             if resumed:
                 self._counters.add("requests.streams_resumed")
@@ -369,7 +378,10 @@
 async def _first_answered(
     tasks: set[asyncio.Task[tuple[types.Outcome, str]]],
 ) -> tuple[types.Outcome, str]:
-    """Returns the first answer; without one, what may have run at all."""
+    """Returns the first answer of the tasks.
+
+    Without an answer, an unknown outcome takes precedence over "not run".
+    """
     pending = tasks
     worst: tuple[types.Outcome, str] | None = None
     while pending:
--- a/src/clementinegw/requests/prefix.py
+++ b/src/clementinegw/requests/prefix.py
@@ -1,53 +1,59 @@
-"""Which worker probably holds which prompt prefixes in its cache.
+"""Index of the prompt prefixes that workers probably have in their caches.
 
-Engines publish cache events late and with gaps, so nothing here is certain. A
-wrong entry costs one prompt's computation; what matters is that it does not
-last. Each entry therefore expires unless a later report repeats it.
+Engines publish cache events late and with gaps, so the index is approximate. A
+wrong item costs the computation of one prompt, as long as it does not persist.
+Each item therefore expires unless a later report repeats it.
 """
 
 from collections.abc import Iterable, Sequence
 
-# What this entry routed to a worker is probably cached there; a report that
-# lists it must come within this time.
+# A prompt that this entry routed to a worker is probably cached there. Unless a
+# report confirms it within this time, in seconds, it no longer counts.
 ROUTED_TTL_S = 10.0
-# A reported prefix may have been evicted with the event lost in a gap. One
-# would notice it as a worker that gets prompts it no longer has cached.
+# A reported prefix expires after this time, in seconds, in case its eviction
+# was lost in a gap. The symptom would be a worker that keeps receiving prompts
+# it no longer has cached.
 REPORTED_TTL_S = 60.0
 MAX_PREFIXES = 50_000
 
 
 class PrefixIndex:
-    """The prefixes that workers of one service probably hold."""
+    """The prefixes that the workers of one service have probably cached."""
 
     def __init__(self, max_prefixes: int = MAX_PREFIXES):
         """Starts empty.
 
         Args:
-          max_prefixes: Hashes remembered at most, over all workers.
+          max_prefixes: The maximum number of hashes, over all workers.
         """
         self._max_prefixes = max_prefixes
-        # Hash to worker to expiry, hashes used least recently first.
+        # Expiry by worker by hash; the least recently used hashes come first.
         self._holders: dict[int, dict[str, float]] = {}
         self._reported: dict[str, frozenset[int]] = {}
 
     def __len__(self) -> int:
-        """Returns how many hashes are remembered."""
+        """Returns the number of hashes in the index."""
         return len(self._holders)
 
     def record_routed(
         self, worker: str, prefixes: Sequence[int], now: float
     ) -> None:
-        """Notes that a prompt went to a worker, which will cache it."""
+        """Records that a prompt was sent to a worker, which will cache it."""
         self._record(worker, prefixes, now + ROUTED_TTL_S)
 
     def apply_report(
         self, worker: str, prefixes: Iterable[int], now: float
     ) -> None:
-        """Takes a worker's report of its cache, perhaps old or incomplete.
+        """Applies a worker's report of its cache, perhaps old or incomplete.
 
-        A hash that the last report had and this one lacks has been evicted. A
-        hash that neither has is left to expire: the prompt may have been
-        routed there after the report was made.
+        A hash that the last report contained and this one does not was evicted.
+        A hash that neither contains is left to expire, because the prompt may
+        have been routed to the worker after the report was made.
+
+        Args:
+          worker: The name of the worker.
+          prefixes: The hashes in its cache.
+          now: The current time, in monotonic seconds.
         """
         held = frozenset(prefixes)
         for prefix in self._reported.get(worker, frozenset()) - held:
@@ -62,13 +68,13 @@
         removed: Iterable[int],
         now: float,
     ) -> None:
-        """Takes what has changed in a worker's cache since its last report.
+        """Applies changes of a worker's cache since its last report.
 
         Args:
-          worker: The worker.
-          added: Hashes that its cache holds since then.
-          removed: Hashes that it holds no longer.
-          now: Monotonic seconds.
+          worker: The name of the worker.
+          added: The hashes added to its cache.
+          removed: The hashes removed from its cache.
+          now: The current time, in monotonic seconds.
         """
         added_set, removed_set = frozenset(added), frozenset(removed)
         held = self._reported.get(worker, frozenset())
@@ -78,20 +84,20 @@
         self._record(worker, added_set, now + REPORTED_TTL_S)
 
     def forget(self, worker: str) -> None:
-        """Drops what is known of a worker that died or loaded a version."""
+        """Removes a worker whose cache was lost or whose version changed."""
         self._reported.pop(worker, None)
         for prefix in [p for p, h in self._holders.items() if worker in h]:
             self._remove(worker, prefix)
 
     def matches(self, prefixes: Sequence[int], now: float) -> dict[str, int]:
-        """Returns how many blocks of a prompt each worker probably holds.
+        """Returns how many blocks of a prompt each worker probably has cached.
 
         Args:
-          prefixes: The prompt's hashes, shortest prefix first.
-          now: Monotonic seconds.
+          prefixes: The hashes of the prompt's prefixes, shortest first.
+          now: The current time, in monotonic seconds.
 
         Returns:
-          Blocks by worker; workers without a match are absent.
+          The number of blocks by worker; workers without a match are absent.
         """
         found: dict[str, int] = {}
         for index in range(len(prefixes) - 1, -1, -1):
@@ -107,7 +113,7 @@
         self, worker: str, prefixes: Iterable[int], expiry: float
     ) -> None:
         for prefix in prefixes:
-            # Taken out and put back, so that the oldest use comes first.
+            # Removed and reinserted to keep the least recently used first.
             holders = self._holders.pop(prefix, None)
             if holders is None:
                 holders = {}
--- a/src/clementinegw/requests/retry.py
+++ b/src/clementinegw/requests/retry.py
@@ -1,7 +1,7 @@
-"""Whether a request is sent again, and when.
+"""Decides whether and when a request is retried.
 
-A request is repeated when nothing has been handed over, which takes proof, or
-when it is idempotent. Everything else ends with the outcome it has.
+A request is retried if it provably was not handed to a backend server, or if it
+is idempotent. Otherwise the outcome of the attempt is final.
 """
 
 import dataclasses
@@ -11,16 +11,17 @@
 from clementinegw import types
 from clementinegw.requests import rules as rules_lib
 
-# Repetitions allowed before any traffic has earned some.
+# Retries allowed before any request was recorded, and the maximum that can
+# accumulate.
 _DEFAULT_MAX_RETRIES = 10.0
-# A worker that is merely full or leaving has done nothing wrong; the entry
-# looks for another at once.
+# After these refusals the entry tries another worker without backoff, because
+# the worker has not failed.
 _IMMEDIATE_RETRY_DETAILS = frozenset(
     {"leaving", "not_connected", "not_ready", "loading", "wrong_version"}
 )
-# Stands for the agent's word when no agent was asked.
+# Used in place of an agent's reason if no worker was assigned.
 NO_WORKER = "no_worker"
-# Nothing that another worker could do better.
+# Another worker would lead to the same outcome.
 _FINAL_NOT_RUN = frozenset(
     {
         types.NotRunReason.DEADLINE,
@@ -37,7 +38,10 @@
 
 
 class StopReason(enum.StrEnum):
-    """Why a request is not sent again. Counters `requests.no_retry.REASON`."""
+    """Why a request is not retried.
+
+    Each reason has a counter `requests.no_retry.REASON`.
+    """
 
     FINAL = "final"
     NOT_IDEMPOTENT = "not_idempotent"
@@ -48,11 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Retry:
-    """Send it again.
+    """The request is to be retried.
 
     Attributes:
       after_s: How long to wait first, in seconds.
-      reason: Why the attempt before ended; counter `requests.retry.REASON`.
+      reason: Why the last attempt ended. It has a counter
+        `requests.retry.REASON`.
     """
 
     after_s: float
@@ -61,10 +66,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GiveUp:
-    """The outcome stands.
+    """The outcome of the last attempt is final.
 
     Attributes:
-      stop: Why it is not sent again.
+      reason: Why the request is not retried.
     """
 
     reason: StopReason
@@ -74,28 +79,32 @@
 
 
 class RetryBudget:
-    """Allows repetitions as a share of first attempts.
+    """Limits retries to a share of the requests.
 
-    When a service fails as a whole, repetitions would multiply its load by the
-    number of attempts just when it can bear it least; one would notice it as an
-    overload that outlives its cause.
+    If a whole service fails, unlimited retries would multiply its load by the
+    number of attempts. The symptom would be an overload that continues after
+    its cause has ended.
     """
 
     def __init__(self, max_retries: float = _DEFAULT_MAX_RETRIES):
-        """Starts full.
+        """Starts with the maximum number of retries.
 
         Args:
-          max_retries: Repetitions that may come at once.
+          max_retries: The maximum number of retries that can accumulate.
         """
         self._max_retries = max_retries
         self._available = max_retries
 
     def record_request(self, ratio: float) -> None:
-        """Notes a first attempt."""
+        """Adds the retries allowed for one more request.
+
+        Args:
+          ratio: Retries allowed per request.
+        """
         self._available = min(self._max_retries, self._available + ratio)
 
     def try_acquire(self) -> bool:
-        """Takes one repetition; False when none is left."""
+        """Counts a retry if the budget allows it; returns whether it does."""
         if self._available < 1.0:
             return False
         self._available -= 1.0
@@ -112,20 +121,20 @@
     budget: RetryBudget,
     rng: random.Random,
 ) -> Decision:
-    """Decides after an attempt that was not answered.
+    """Decides on a retry after an attempt that was not answered.
 
     Args:
-      outcome: How it ended.
-      detail: The agent's own word for why.
+      outcome: The outcome of the attempt.
+      detail: The agent's reason for the outcome.
       idempotent: Whether the request may run more than once.
       attempt: The number of the attempt, from 1.
-      remaining_s: Seconds until the deadline.
-      rules: The settings.
-      budget: Repetitions that are left.
-      rng: Spreads the waits.
+      remaining_s: The time until the deadline, in seconds.
+      rules: The settings that apply to the request.
+      budget: The retry budget of the service.
+      rng: Randomizes the backoff.
 
     Returns:
-      Whether and when to send it again.
+      Whether and when to retry.
     """
     stop = _stop_reason(outcome, detail, idempotent, attempt, rules)
     if stop is not None:
@@ -136,7 +145,8 @@
         after_s = rng.uniform(0.0, max_backoff_s)
     if after_s >= remaining_s:
         return GiveUp(StopReason.DEADLINE)
-    # A worker that could not take it has not been burdened either.
+    # Retries without backoff are not charged to the budget: the worker that
+    # refused the request had no load from it.
     if detail not in _IMMEDIATE_RETRY_DETAILS and not budget.try_acquire():
         return GiveUp(StopReason.BUDGET)
     return Retry(after_s, detail or str(_reason(outcome)))
@@ -150,14 +160,14 @@
     rules: rules_lib.Rules,
 ) -> StopReason | None:
     if detail == NO_WORKER:
-        # The entry's own queue refused it; to queue again would only hold
-        # back the refusal.
+        # The entry's own queue rejected it. Queueing it again would only delay
+        # the rejection.
         return StopReason.FINAL
     reason = _reason(outcome)
     if reason in _FINAL_NOT_RUN or reason in _FINAL_UNKNOWN:
         return StopReason.FINAL
     if isinstance(outcome, types.Unknown) and not idempotent:
-        # It may have run. A second run could book twice.
+        # It may have run, and another run could repeat its effect.
         return StopReason.NOT_IDEMPOTENT
     if attempt >= rules.max_attempts:
         return StopReason.ATTEMPTS
--- a/src/clementinegw/requests/route.py
+++ b/src/clementinegw/requests/route.py
@@ -1,4 +1,4 @@
-"""Which worker a request goes to: our policy and the usual ones beside it."""
+"""Routing policies, which choose the worker of a request."""
 
 from collections.abc import Callable, Sequence
 import dataclasses
@@ -17,9 +17,10 @@
 Worker = workers_lib.Worker
 
 _TIE_BREAK_WEIGHT = 0.01
-# What customers within their share may queue at a worker, by its capacity.
+# Requests that customers within their share may queue at a worker, as a share
+# of its capacity.
 _WITHIN_SHARE_QUEUE_RATIO = 0.5
-# Headroom below this part of a request is none.
+# Fractions of a request up to this are not rounded up to one more request.
 _HEADROOM_TOLERANCE = 0.25
 
 
@@ -28,10 +29,11 @@
     """Weights of the cache-aware policy, in units of one mean run time.
 
     Attributes:
-      load: Of a worker that is full but has no queue.
-      match: Of a prompt that is wholly in the cache.
-      order: Of a request that is served a place before its turn.
-      tiers: Of a worker in the same domain, the same region, elsewhere.
+      load: Penalty for a worker that is full but has no queue.
+      match: Bonus for a prompt that is completely cached.
+      order: Penalty per position that a request is served before its turn.
+      tiers: Penalty for a worker in the same failure domain, in the same region
+        and elsewhere.
     """
 
     load: float = 0.6
@@ -42,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _WorkerState:
-    """What holds of one worker during one choice."""
+    """The state of one worker during one choice."""
 
     worker: Worker
     load: int
@@ -52,11 +54,11 @@
 
 
 class CacheAware:
-    """Least expected time, from load, pace, distance and cached prefixes.
+    """Chooses by expected time, from load, speed, distance and cached prefixes.
 
-    It answers None rather than send a request where it would only wait: a
-    queue at the entry can still be reordered between customers and given to
-    whichever worker is free first.
+    It chooses no worker for a request that would only wait there. In the
+    entry's queue, the request can still be reordered between customers and
+    assigned to the first worker that has capacity.
     """
 
     def __init__(
@@ -68,9 +70,10 @@
         """Prepares the policy.
 
         Args:
-          rng: Breaks ties, so that entries do not flock.
-          index: What workers probably hold in their caches.
-          weights: Weights.
+          rng: Breaks ties, so that entries do not all choose the same worker.
+          index: The prefixes that workers have probably cached; None starts
+            with an empty index.
+          weights: The weights of the score; None uses the defaults.
         """
         self._rng = rng
         self._index = prefix.PrefixIndex() if index is None else index
@@ -78,7 +81,7 @@
 
     @property
     def index(self) -> prefix.PrefixIndex:
-        """What workers probably hold in their caches."""
+        """The prefixes that workers have probably cached."""
         return self._index
 
     def choose(
@@ -89,9 +92,9 @@
         now: float,
     ) -> Choice | None:
         """Returns the request and worker with the least expected time."""
-        # Most choices of a busy entry find every worker full. Seen first, that
-        # costs a few comparisons; scored first, it was the largest part of the
-        # entry's processor time.
+        # At a busy entry, usually all workers are full. Checking this first
+        # takes a few comparisons. Computing the scores first took the largest
+        # part of the entry's processor time.
         below_fair_share = (
             sum(w.own_requests for w in workers) < context.fair_share
         )
@@ -100,9 +103,9 @@
             return None
         choice = self._choose(workers, queries, context, now)
         if choice is None and _has_new_workers(workers, context, now):
-            # Only workers that have just started have room. Held to their slow
-            # start, a fleet that starts as a whole would refuse what it can
-            # well serve.
+            # Only new workers may have capacity. If the slow start limited
+            # them here as well, a fleet that starts as a whole would refuse
+            # requests that it can serve.
             context = dataclasses.replace(context, slow_start_s=0.0)
             choice = self._choose(workers, queries, context, now)
         if choice is not None:
@@ -136,7 +139,7 @@
     def _states(
         self, workers: workers_lib.Workers, context: RoutingContext, now: float
     ) -> list[_WorkerState]:
-        """Returns what holds of each usable worker, whatever the request."""
+        """Returns the states of all usable workers, for any request."""
         median = workers.median_seconds_per_cost
         states = []
         for worker in workers:
@@ -166,7 +169,7 @@
         below_fair_share: bool,
         now: float,
     ) -> tuple[float, Worker] | None:
-        """Returns the best worker with room for a request, and its score."""
+        """Returns the lowest score for a request and the worker that has it."""
         eligible = _eligible(states, query)
         with_room = [
             state
@@ -194,11 +197,12 @@
     def _without_slow(
         self, eligible: list[_WorkerState], query: RoutingQuery, now: float
     ) -> list[_WorkerState]:
-        """Leaves out slow workers, but for a rare trial.
+        """Returns the workers that are not slow, or one slow worker to probe.
 
-        A slow worker that is left out for ever is capacity lost; one that is
-        tried often shows in the tail. Trials go to idempotent requests only,
-        at growing distances. If all are slow, none is.
+        Excluding a slow worker forever would waste its capacity, and probing it
+        often would increase the tail latency. Probes use idempotent requests
+        only, at increasing intervals. If all workers are slow, all are
+        returned.
         """
         not_slow = [state for state in eligible if not state.slow]
         if not not_slow or len(not_slow) == len(eligible):
@@ -218,11 +222,12 @@
     def _nearest_tiers(
         self, not_slow: list[_WorkerState], context: RoutingContext
     ) -> list[_WorkerState]:
-        """Returns the workers of the nearest tiers that can carry the load.
+        """Returns the workers of the nearest tiers that can take the load.
 
-        Farther tiers are added while the nearer ones are loaded above the
-        limit. Without it a far worker that happens to be idle would draw work
-        that a near one can do; one would notice it as traffic between domains.
+        Farther tiers are added while the load of the nearer ones is above the
+        spill limit. Without the limit, an idle remote worker would receive
+        requests that a near one could run. The symptom would be traffic between
+        failure domains.
         """
         if not any(state.worker.tier for state in not_slow):
             return not_slow
@@ -241,7 +246,7 @@
 def _eligible(
     states: list[_WorkerState], query: RoutingQuery
 ) -> list[_WorkerState]:
-    """Returns the workers that may run a request, best new to it."""
+    """Returns the workers that may run a request, untried ones if any."""
     if query.version:
         states = [s for s in states if s.worker.version == query.version]
     if not query.avoid:
@@ -255,18 +260,21 @@
     context: RoutingContext,
     below_fair_share: bool,
 ) -> Callable[[Worker], float]:
-    """Returns the load below which a worker may have room for any of them."""
+    """Returns a function for the load below which a worker may have capacity.
+
+    The function returns an upper bound over all queries.
+    """
     if any(query.urgent for query in queries):
         return _unlimited_load
     headroom = context.headroom
-    within_share = (
+    queue_ratio = (
         _WITHIN_SHARE_QUEUE_RATIO
         if any(query.within_share for query in queries)
         else 0.0
     )
 
     def load_limit(worker: Worker) -> float:
-        limit = worker.capacity + math.ceil(worker.capacity * within_share)
+        limit = worker.capacity + math.ceil(worker.capacity * queue_ratio)
         return limit + _headroom(worker.capacity, headroom) + below_fair_share
 
     return load_limit
@@ -296,10 +304,10 @@
     below_fair_share: bool,
 ) -> bool:
     limit = state.capacity + _headroom(state.capacity, context.headroom)
-    # Slots pass from a request to the next of the same entry. An entry with few
-    # of them, or a customer within its share at an entry that others keep busy,
-    # would wait while every slot that falls free is taken elsewhere. What waits
-    # at the worker gets the first, whichever entry's request held it.
+    # A freed slot is usually taken by the next request of the same entry. An
+    # entry with few slots, or a customer within its share at a busy entry,
+    # would wait while others take every freed slot. A request that is queued at
+    # the worker gets the next freed slot, whichever entry's request held it.
     if query.within_share:
         limit += math.ceil(state.capacity * _WITHIN_SHARE_QUEUE_RATIO)
         return state.load < limit
@@ -316,10 +324,18 @@
     "random": baselines.Random,
     "round_robin": baselines.RoundRobin,
 }
-# Names that the bench uses for the same policies.
+# Names of the same policies in the bench.
 ALIASES = {"least_in_flight": "least_loaded", "power_of_two": "two_choices"}
 
 
 def make_policy(name: str, rng: random.Random) -> Policy:
-    """Returns a new policy by its name; raises KeyError for a wrong one."""
+    """Returns a new policy.
+
+    Args:
+      name: The name or alias of the policy.
+      rng: Used by the policy.
+
+    Raises:
+      KeyError: No policy has this name.
+    """
     return POLICIES[ALIASES.get(name, name)](rng)
--- a/src/clementinegw/requests/rules.py
+++ b/src/clementinegw/requests/rules.py
@@ -1,4 +1,4 @@
-"""The settings that govern one request, resolved for service and customer."""
+"""Resolves the settings that apply to one request."""
 
 from collections.abc import Callable
 import dataclasses
@@ -16,11 +16,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operation:
-    """An operation of a service, as operators declare it.
+    """An operation of a service, as declared by the operators.
 
     Attributes:
       method: The HTTP method.
-      path: The path, or its beginning when it ends in `*`.
+      path: The path, or a prefix of it followed by `*`.
       idempotent: Whether it may run more than once.
     """
 
@@ -29,10 +29,11 @@
     idempotent: bool
 
     def matches(self, method: str, path: str) -> bool:
-        """Returns whether a request is one of this operation."""
+        """Returns whether a request calls this operation."""
         if method != self.method:
             return False
-        # Compared as the backend server reads it: `/%62ookings` is a booking.
+        # Compares the decoded path, as the backend server does: `/%62ookings`
+        # is `/bookings`.
         decoded_path = urllib.parse.unquote(path.partition("?")[0])
         if self.path.endswith("*"):
             return decoded_path.startswith(self.path[:-1])
@@ -41,38 +42,49 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rules:
-    """What holds for one customer's requests to one service at one entry.
+    """Settings for one customer's requests to one service at one entry.
 
     Attributes:
-      service: The service's name.
-      kind: What its backend servers are.
-      revision: The settings revision these rules come from.
-      version: The model version that is declared; empty for a plain service.
-      operations: The declared operations; others go by their HTTP method.
-      weight: The customer's share when work queues, relative to the others.
-      requests_per_s: The customer's rate over all entries.
-      tokens_per_s: The customer's tokens a second over all entries.
+      service: The name of the service.
+      kind: The kind of the service.
+      revision: The settings revision.
+      version: The declared model version; empty for a plain service.
+      operations: The declared operations. Others are idempotent or not
+        according to their HTTP method.
+      weight: The customer's weight in the queue, relative to other customers.
+      requests_per_s: The customer's maximum request rate over all entries.
+      tokens_per_s: The customer's maximum token rate over all entries.
       burst_s: How many seconds of its rate a customer may use at once.
-      max_body_bytes: The largest request body.
-      max_concurrent: The customer's requests in flight at one entry.
-      max_queue: Requests that may wait at one entry for the service.
-      target_s: The queueing delay from which work is refused, by priority.
-      interval_s: How long the delay must exceed the target.
-      deadline_s: The deadline of a request that names none.
-      max_deadline_s: The longest deadline a caller may ask for.
+      max_body_bytes: The maximum size of a request body.
+      max_concurrent: The customer's maximum number of requests in flight at one
+        entry.
+      max_queue: The maximum number of queued requests of the service at one
+        entry.
+      target_s: The target for the queueing delay, in seconds. The maximum delay
+        of each priority is a multiple of it.
+      interval_s: How long the delay must exceed the maximum before requests are
+        refused, in seconds.
+      deadline_s: The timeout of a request that specifies none, in seconds.
+      max_deadline_s: The maximum timeout of a request, in seconds.
       policy: The name of the routing policy.
-      subset_size: Agents of a service that an entry keeps connections to.
-      spill_load: The load above which other failure domains take work.
-      slow_start_s: How long a new worker takes to get its full share.
+      subset_size: The minimum number of agents that an entry connects to in its
+        own failure domain, per service.
+      spill_load: The load above which requests go to other failure domains, as
+        a share of the capacity.
+      slow_start_s: How long the capacity of a new worker increases to its full
+        value, in seconds.
       hedging: Whether late idempotent requests are sent a second time.
-      hedge_quantile: The quantile of the delay after which one is late.
-      max_attempts: How often a request may be sent.
-      budget_ratio: Repetitions allowed as a share of requests.
-      base_s: The first backoff.
-      max_s: The longest backoff.
-      attempt_timeout_s: The longest silence within a streamed answer.
-      alone_timeout_s: How long a suspect waits for its turn.
-      max_tokens: Tokens of an answer whose request names no limit.
+      hedge_quantile: The quantile of the run time after which a request is
+        late.
+      max_attempts: The maximum number of attempts of a request.
+      budget_ratio: Retries allowed per request.
+      base_s: The maximum backoff before the first retry, in seconds.
+      max_s: The maximum backoff before any retry, in seconds.
+      attempt_timeout_s: The longest gap between frames of a streamed answer, in
+        seconds.
+      alone_timeout_s: How long a suspect may wait for its lease, in seconds.
+      max_tokens: The assumed number of tokens of an answer if the request
+        specifies no limit.
     """
 
     service: str
@@ -108,8 +120,8 @@
     def idempotent(self, method: str, path: str) -> bool:
         """Returns whether an operation may run more than once.
 
-        A declared operation goes by its declaration. Any other goes by its
-        method; a completion only computes, so it may be repeated.
+        The declaration of an operation takes precedence over its HTTP method.
+        Undeclared completions have no side effects and may be repeated.
         """
         for operation in self.operations:
             if operation.matches(method, path):
@@ -122,35 +134,35 @@
 
 
 class SettingsState(Protocol):
-    """The settings in force, as `settings.follower` keeps them."""
+    """The settings in force, as stored by `settings.follower`."""
 
     @property
     def revision(self) -> int:
-        """The revision."""
+        """The revision of the settings."""
 
     @property
     def tree(self) -> model.Tree:
-        """The tree at that revision."""
+        """The settings tree at that revision."""
 
 
 class RulesSource(Protocol):
-    """Where the rules in force come from."""
+    """Provides the rules in force."""
 
     def rules(self, service: str, customer: str) -> Rules | None:
-        """Returns the rules; None for a service that is not declared."""
+        """Returns the rules; None if the service is not declared."""
 
     def ready(self) -> bool:
-        """Returns whether any settings have been folded yet."""
+        """Returns whether settings are available."""
 
     def customer(self, name: str) -> str:
-        """Returns the name that limits and shares go by."""
+        """Returns the customer name that limits and shares use."""
 
 
 class SettingsRules:
-    """Rules from the settings in force, resolved once a revision.
+    """Resolves rules from the settings in force, once per revision.
 
-    A customer that the tree does not name is treated as the nameless one, so
-    that a caller can neither escape its limits nor fill the entry's memory by
+    All customers that the settings tree does not declare share the empty name.
+    Otherwise a caller could evade its limits, or exhaust the entry's memory, by
     inventing names.
     """
 
@@ -159,11 +171,11 @@
         current: Callable[[], SettingsState | None],
         place: types.Place,
     ):
-        """Prepares the lookup.
+        """Starts with an empty cache.
 
         Args:
-          current: Returns the settings in force, None before the first.
-          place: Where this entry stands.
+          current: Returns the settings in force; None if there are none yet.
+          place: The location of this entry.
         """
         self._current = current
         self._place = place
@@ -171,18 +183,18 @@
         self._resolved: dict[tuple[str, str], Rules | None] = {}
 
     def ready(self) -> bool:
-        """Returns whether any settings have been folded yet."""
+        """Returns whether settings are available."""
         return self._current() is not None
 
     def customer(self, name: str) -> str:
-        """Returns the name that limits and shares go by."""
+        """Returns the customer name that limits and shares use."""
         state = self._current()
         if state is None or name not in state.tree.customers:
             return ""
         return name
 
     def rules(self, service: str, customer: str) -> Rules | None:
-        """Returns the rules; None for a service that is not declared."""
+        """Returns the rules; None if the service is not declared."""
         state = self._current()
         if state is None:
             return None
@@ -196,25 +208,26 @@
 
 
 class FixedRules:
-    """Rules that do not change, the same for every customer but the weight."""
+    """Rules that never change."""
 
     def __init__(
         self,
         services: dict[str, Rules],
         customers: dict[str, dict[str, float]] | None = None,
     ):
-        """Keeps the rules.
+        """Stores the rules.
 
         Args:
           services: Rules by service.
-          customers: Fields of `Rules` that differ, by customer.
+          customers: The fields of `Rules` that differ for a customer, by
+            customer.
         """
         self._services = services
         self._customers = customers or {}
         self._resolved: dict[tuple[str, str], Rules] = {}
 
     def rules(self, service: str, customer: str) -> Rules | None:
-        """Returns the rules; None for a service that is not declared."""
+        """Returns the rules; None if the service is not declared."""
         resolved = self._resolved.get((service, customer))
         if resolved is not None:
             return resolved
@@ -229,11 +242,11 @@
         return changed
 
     def ready(self) -> bool:
-        """Returns True."""
+        """Returns True: the rules are always available."""
         return True
 
     def customer(self, name: str) -> str:
-        """Returns the name itself."""
+        """Returns the name unchanged."""
         return name
 
 
--- a/src/clementinegw/requests/send.py
+++ b/src/clementinegw/requests/send.py
@@ -1,7 +1,8 @@
-"""One attempt of a request over the connection to one agent.
+"""Sends attempts of requests to agents and determines their outcomes.
 
-The outcome of an attempt is tagged. `NotRun` needs proof: nothing was sent, or
-the agent refused, or it put a tombstone on the attempt. All else is `Unknown`.
+`NotRun` requires proof: nothing was sent, the agent refused the attempt, or the
+agent recorded a tombstone for it. Without proof, the outcome of an attempt that
+was not answered is `Unknown`.
 """
 
 import asyncio
@@ -22,30 +23,34 @@
 Kind = connection_lib.Kind
 AttemptOptions = _attempt.AttemptOptions
 
-# Answers to a tombstone come from the agent's memory; one that takes longer
-# than this is lost, and the caller is waiting.
+# How long to ask an agent for proof. Agents answer from memory, so an answer
+# that takes longer than this is lost, while the caller waits.
 DEFAULT_PROOF_TIMEOUT_S = 1.0
 _PROOF_RETRY_INTERVAL_S = 0.05
-# After the deadline there is only this long to prove that nothing ran.
+# Minimum time for proof, for attempts that end near or after the deadline.
 _MIN_PROOF_TIMEOUT_S = 0.1
 
 
 class Connector(Protocol):
-    """Opens or returns the kept connection to an agent."""
+    """Opens connections to agents."""
 
     async def connect(
         self, address: types.Address
     ) -> connection_lib.Connection:
-        """Returns the connection; raises `ConnectionLost`."""
+        """Returns a new or existing connection.
+
+        Raises:
+          ConnectionLost: The connection could not be opened.
+        """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """Where an attempt goes.
+    """The agent that receives an attempt.
 
     Attributes:
-      instance_id: The agent.
-      address: Its address.
+      instance_id: The instance id of the agent.
+      address: The address of the agent.
     """
 
     instance_id: str
@@ -54,15 +59,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How one attempt ended.
+    """The result of one attempt.
 
     Attributes:
-      outcome: The tagged outcome.
-      version: The model version that answered; empty when none did.
-      tokens: Tokens that the answer says it took.
-      reported_load: The agent's own requests in flight and in its queue, as the
-        answer told them; None when it did not.
-      detail: The agent's word for why it refused or failed.
+      outcome: The outcome of the attempt.
+      version: The model version that answered; empty without an answer.
+      tokens: Tokens used, as reported with the answer.
+      reported_load: The agent's requests in flight and queued, as reported with
+        the answer; None if they were not reported.
+      detail: The agent's reason for a refusal or failure.
     """
 
     outcome: types.Outcome
@@ -73,7 +78,7 @@
 
 
 class Sender:
-    """Sends attempts and settles those whose connection broke."""
+    """Sends attempts and asks for proof if an outcome is uncertain."""
 
     def __init__(
         self,
@@ -85,9 +90,9 @@
         """Prepares the sender.
 
         Args:
-          connector: Connects to agents.
+          connector: Opens connections to agents.
           clock: The source of time.
-          counters: Where outcomes are counted.
+          counters: Counts the outcomes.
           proof_timeout_s: How long to ask an agent for proof, in seconds.
         """
         self._connector = connector
@@ -103,16 +108,21 @@
         options: AttemptOptions,
         answer: stream_lib.AnswerCollector,
     ) -> AttemptResult:
-        """Sends one attempt and waits for its end.
+        """Sends one attempt and waits for its result.
+
+        Cancelling this call also cancels the attempt at the agent.
 
         Args:
-          target: The agent that gets it.
-          request: What to run.
+          target: The agent that receives the attempt.
+          request: The request to run.
           options: How to run it.
-          answer: Collects the answer; it lives on when a stream is resumed.
+          answer: Collects the answer, across attempts if a stream is resumed.
 
         Returns:
-          How it ended. Cancellation cancels the attempt at the agent too.
+          The result of the attempt.
+
+        Raises:
+          CallerDisconnected: The caller disconnected during a streamed answer.
         """
         try:
             connection = await self._connector.connect(target.address)
@@ -120,8 +130,8 @@
         except exceptions.ConnectionLost as error:
             return _not_run(types.NotRunReason.NO_BACKEND, error.message)
         if self._clock.now() >= request.deadline:
-            # An entry that was paused wakes here with its claim lapsed. Others
-            # have been told that the claim's use is over.
+            # After a pause of the entry's process, its claim may have expired
+            # here, and other entries already treat it as expired.
             exchange.close()
             return AttemptResult(types.NotRun(types.NotRunReason.DEADLINE, 1.0))
         call = _attempt.AttemptCall(
@@ -141,7 +151,7 @@
         finally:
             exchange.close()
         if isinstance(outcome, types.Unknown):
-            # Work whose answer nobody takes any more holds up others.
+            # A request whose answer is no longer needed would delay others.
             self._cancel(connection, call)
         return AttemptResult(
             outcome, call.version, call.tokens, call.reported_load, call.detail
@@ -157,7 +167,7 @@
         try:
             return await call.collect(exchange)
         except exceptions.DecodeError:
-            # What else stands on this connection cannot be trusted either.
+            # Other data on this connection cannot be trusted either.
             self._counters.add("requests.frames_malformed")
             connection.abort()
         except exceptions.ConnectionLost:
@@ -183,19 +193,20 @@
         peer: connection_lib.Identity,
         call: _attempt.AttemptCall,
     ) -> types.Outcome:
-        """Asks the agent for proof that an attempt has not run.
+        """Asks the agent for proof that an attempt did not run.
 
-        The connection broke, or the deadline came, after SUBMIT had left. The
-        agent may not have got it, may hold it in its queue, or may have handed
-        it over. To call it not run on a guess would let a non-idempotent
-        request run twice; one would notice it as two bookings for one call.
+        The connection failed, or the deadline passed, after SUBMIT was sent.
+        The agent may not have received it, may have it queued, or may have
+        handed it to the backend server. If it were reported as not run without
+        proof, a non-idempotent request could run twice. The symptom would be
+        two bookings for one call.
         """
         now = self._clock.now()
         proof_deadline = min(now + self._proof_timeout_s, call.request.deadline)
         proof_deadline = max(proof_deadline, now + _MIN_PROOF_TIMEOUT_S)
         unknown = types.Unknown(call.unknown_reason(now))
         if call.started:
-            # Part of an answer has come: it runs, whatever an agent says now.
+            # A part of an answer was received, so the request did run.
             return unknown
         while (remaining_s := proof_deadline - self._clock.now()) > 0:
             try:
@@ -227,9 +238,9 @@
             connection.peer.instance_id != peer.instance_id
             or connection.peer.incarnation != peer.incarnation
         ):
-            # Another process answers at that address now. It never saw the
-            # attempt and would put a tombstone on it gladly, while its
-            # predecessor may have handed it over: a "not run" that is untrue.
+            # Another process uses this address now. It never received the
+            # attempt and would record a tombstone, although its predecessor may
+            # have handed the attempt over. "Not run" could then be wrong.
             self._counters.add("requests.agent_replaced")
             return False
         frame = await connection_lib.call(
@@ -253,7 +264,7 @@
         await exchange.send(Kind.CANCEL, encoded_id)
         exchange.close()
     except exceptions.ConnectionLost:
-        # The agent notices the lost connection and cancels by itself.
+        # The agent detects the lost connection and cancels the attempt itself.
         return
 
 
--- a/src/clementinegw/requests/service.py
+++ b/src/clementinegw/requests/service.py
@@ -1,4 +1,4 @@
-"""The entry's request part as one service: wiring and timers only."""
+"""Connects the request handling of an entry and runs its periodic tasks."""
 
 from collections.abc import Callable, Iterable
 import random
@@ -23,7 +23,12 @@
 
 
 class RequestService(mode.Service):
-    """Everything between the callers' HTTP and the connections to agents."""
+    """Handles requests, between the HTTP handlers and the agent connections.
+
+    Attributes:
+      fleet: The services and their workers.
+      pipeline: Runs the requests.
+    """
 
     def __init__(
         self,
@@ -38,19 +43,20 @@
         counters: counters_lib.Counters | None = None,
         rng: random.Random | None = None,
     ):
-        """Wires the filters.
+        """Creates the pipeline and its filters.
 
         Args:
           me: This entry.
-          endpoint: Its connections.
+          endpoint: The connections of this entry.
           rules: The settings in force.
-          members: Returns the live members, this entry included or not.
+          members: Returns the live members, with or without this entry.
           claims: Claims idempotency keys; None refuses keyed requests.
-          suspects: Knows requests that crash servers; None suspects nobody.
+          suspects: Tracks requests that may have crashed backend servers; None
+            suspects no request.
           clock: The source of time.
-          log: Where events go.
-          counters: Where each refusal and retry is counted.
-          rng: For ties and spread.
+          log: Receives the log events.
+          counters: Counts the refusals and retries.
+          rng: Breaks ties and randomizes delays.
         """
         super().__init__()
         self._members = members
@@ -76,7 +82,7 @@
         )
 
     def refresh(self) -> None:
-        """Takes the present members; call it when they change."""
+        """Applies the current members if they have changed."""
         members = frozenset(self._members())
         if members == self._last_members:
             return
@@ -90,17 +96,17 @@
         self._usage_exchange.set_entries(entries)
 
     def settings_changed(self) -> None:
-        """Chooses workers anew, by other settings.
+        """Chooses the workers again, according to new settings.
 
-        Members that were all known before the first settings came would else
-        never be looked at again: the services were not declared then, and the
-        entry would refuse every request for want of a backend server.
+        If all members were known before the first settings arrived, their
+        services were not declared yet. Unless they are applied again, the entry
+        would refuse every request because it has no backend server.
         """
         self._last_members = frozenset()
         self.refresh()
 
     async def on_start(self) -> None:
-        """Takes the members that are known already."""
+        """Applies the members that are already known."""
         self.refresh()
 
     async def on_stop(self) -> None:
--- a/src/clementinegw/requests/shares.py
+++ b/src/clementinegw/requests/shares.py
@@ -1,17 +1,17 @@
-"""Which part of a customer's limit each entry may use.
+"""Determines the share of a customer's limit that each entry may use.
 
-No entry coordinates the others. For each customer and service, rendezvous
-hashing names one entry that adds up what the entries see (its owner); it keeps
-nothing that it cannot lose. Every entry tells the owner its own demand once a
-period and gets the sum back. Its share is its part of the sum, with a floor for
-entries that are just getting their first requests:
+There is no central coordinator. For each customer and service, rendezvous
+hashing selects one entry, the owner, which adds up the demand of all entries.
+The owner may lose this state at any time. Every entry reports its own demand to
+the owner once per period and receives the sum. The share of an entry is its
+part of the sum, with a floor for entries that receive their first requests:
 
     share = (1 - floor) * own / sum + floor / entries
 
-The shares add up to one as long as the sum is current. Bound of the error: when
-demand moves between entries within a period, the shares of one period can add
-up to at most 2 - floor. Without a sum from the owner (it died, or a partition)
-an entry falls back to one over the number of entries it knows.
+The shares add up to one while the sum is current. If demand moves between
+entries within a period, the shares of that period add up to at most 2 - floor.
+Without a sum from the owner, because it died or is partitioned, an entry uses
+one divided by the number of entries it knows.
 """
 
 from collections.abc import Iterable
@@ -30,13 +30,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CustomerDemand:
-    """What customers ask of services, in a second.
+    """The demand of a customer for a service.
 
     Attributes:
-      service: The service.
-      customer: The customer.
-      requests: Requests a second.
-      tokens: Tokens a second.
+      service: The name of the service.
+      customer: The name of the customer.
+      requests: Requests per second.
+      tokens: Tokens per second.
     """
 
     service: str
@@ -52,11 +52,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageMessage:
-    """Send these demands, or sums, to another entry.
+    """Demands, or sums of demands, to send to another entry.
 
     Attributes:
-      receiver: The receiver's instance id.
-      sums: Whether they are sums over all entries.
+      receiver: The instance id of the receiver.
+      sums: Whether the demands are sums over all entries.
       demands: The demands.
     """
 
@@ -76,13 +76,13 @@
 
 
 class Shares:
-    """The shares of one entry, and the sums that it keeps for others."""
+    """Computes the shares of one entry, and the sums that it owns."""
 
     def __init__(self, me: str):
         """Starts as the only entry.
 
         Args:
-          me: This entry's instance id.
+          me: The instance id of this entry.
         """
         self._me = me
         self._entries: tuple[str, ...] = (me,)
@@ -91,11 +91,11 @@
         self._period_ended_at: float | None = None
 
     def set_entries(self, entries: Iterable[str]) -> None:
-        """Sets which entries live, this one included or not."""
+        """Sets the live entries, with or without this one."""
         self._entries = tuple(sorted({self._me, *entries}))
 
     def record_request(self, key: Key, tokens: int, now: float) -> None:
-        """Notes a request, whether or not it is within the limit."""
+        """Records a request, whether or not it is within the limit."""
         own = self._own.get(key)
         if own is None:
             own = self._own[key] = _OwnDemand()
@@ -103,7 +103,7 @@
         own.tokens += tokens
 
     def share(self, key: Key, now: float) -> float:
-        """Returns the part of a limit that this entry may use, 0 to 1."""
+        """Returns the share of a limit that this entry may use, from 0 to 1."""
         count = len(self._entries)
         own = self._own.get(key)
         if count == 1:
@@ -114,7 +114,7 @@
         return (1 - SHARE_FLOOR) * own.rate / total + SHARE_FLOOR / count
 
     def end_period(self, now: float) -> list[UsageMessage]:
-        """Ends a period; returns what owners are to be told."""
+        """Ends a period; returns the messages to the owners."""
         elapsed_s = PERIOD_S
         if self._period_ended_at is not None:
             elapsed_s = max(0.1 * PERIOD_S, now - self._period_ended_at)
@@ -139,11 +139,11 @@
     def add_demands(
         self, entry: str, demands: Iterable[CustomerDemand], now: float
     ) -> UsageMessage:
-        """Takes an entry's demands; returns the sums for it."""
+        """Adds an entry's demands; returns the message with the sums."""
         return UsageMessage(entry, True, tuple(self._add(entry, demands, now)))
 
     def apply_sums(self, sums: Iterable[CustomerDemand], now: float) -> None:
-        """Takes sums from an owner."""
+        """Applies the sums received from an owner."""
         for demand in sums:
             own = self._own.get(demand.key)
             if own is not None:
@@ -151,7 +151,7 @@
                 own.total_at = now
 
     def owner(self, key: Key) -> str:
-        """Returns the entry that adds up a customer's demand."""
+        """Returns the entry that adds up the demand for a key."""
         name = "\0".join(key).encode()
         return max(
             self._entries,
--- a/src/clementinegw/requests/stream.py
+++ b/src/clementinegw/requests/stream.py
@@ -1,8 +1,8 @@
-"""The answer of one request, collected over one or more attempts.
+"""Collects the answer of one request over one or more attempts.
 
-An answer that is not streamed is held until its end. A streamed one is passed
-on in whole events, so that it can go on from another engine after a death: the
-events already passed on say how many tokens the caller has.
+An answer that is not streamed is buffered until its end. A streamed answer is
+forwarded in complete events, so that another engine can resume it after a
+crash: the forwarded events show how many tokens the caller has received.
 """
 
 from clementinegw import types
@@ -13,13 +13,13 @@
 
 
 class AnswerCollector:
-    """Collects one answer and, for a stream, passes it on."""
+    """Collects one answer and forwards it if it is streamed."""
 
     def __init__(self, sink: request_types.Sink | None):
         """Starts empty.
 
         Args:
-          sink: Where a streamed answer goes; None holds it until its end.
+          sink: Receives a streamed answer; None buffers the answer.
         """
         self._sink = sink
         self._head: request_types.Head | None = None
@@ -32,37 +32,40 @@
 
     @property
     def resumable(self) -> bool:
-        """Whether what the caller has can be gone on with."""
+        """Whether another engine can resume the stream."""
         return bool(self.version) and not self._damaged
 
     @property
     def tokens(self) -> int:
-        """Tokens that were passed on to the caller."""
+        """The number of tokens that were forwarded to the caller."""
         return self._tokens
 
     @property
     def version(self) -> str:
-        """The version the stream began with; empty before its head."""
+        """The version that started the stream; empty before its head."""
         if self._sink is None or self._head is None:
             return ""
         return self._head.version
 
     @property
     def begun(self) -> bool:
-        """Whether the caller has been sent anything."""
+        """Whether anything was sent to the caller."""
         return self._sink is not None and self._head is not None
 
     @property
     def attempt_bytes(self) -> int:
-        """Bytes that the present attempt has delivered."""
+        """The number of body bytes received in the current attempt."""
         return self._attempt_bytes
 
     async def start(self, head: request_types.Head) -> bool:
-        """Takes the head of an attempt.
+        """Handles the head of an attempt's answer.
+
+        Args:
+          head: The head.
 
         Returns:
-          False when the caller already has the beginning of an answer by
-          another version: the two must not be joined.
+          False if the caller has already received the start of an answer of
+          another version or status, which this one must not continue.
         """
         self._attempt_bytes = 0
         self._partial_event = b""
@@ -80,7 +83,7 @@
         return True
 
     async def add(self, data: bytes) -> None:
-        """Takes bytes of the body."""
+        """Handles a part of the body."""
         self._attempt_bytes += len(data)
         if self._sink is None:
             self._chunks.append(data)
@@ -92,11 +95,15 @@
             await self._forward(complete + separator)
 
     def mark_damaged(self) -> None:
-        """Notes that the bytes do not add up: some may be missing inside."""
+        """Records that the size is wrong, so that events may be missing."""
         self._damaged = True
 
     async def finish(self) -> types.Answered:
-        """Takes the explicit end and returns the whole answer."""
+        """Handles the end of the answer and returns the answer.
+
+        Returns:
+          The answer, with an empty body if it was streamed.
+        """
         assert self._head is not None
         if self._sink is not None and self._partial_event:
             await self._forward(self._partial_event)
@@ -115,7 +122,7 @@
 
 
 def _last_token_number(events: bytes, previous: int) -> int:
-    """Returns the number in the last event id; engines count tokens by it."""
+    """Returns the last event id, which is the engine's token count."""
     start = events.rfind(_ID)
     if start < 0 or (start > 0 and events[start - 1 : start] != b"\n"):
         return previous
--- a/src/clementinegw/requests/subset.py
+++ b/src/clementinegw/requests/subset.py
@@ -1,17 +1,17 @@
-"""Which agents an entry keeps connections to, chosen without talking.
+"""Chooses the agents an entry connects to, without communication.
 
-Every entry lays the workers of a service on the same ring and takes a run of
-neighbours. The runs start evenly spaced, so every worker is covered by the same
-number of entries, give or take one, and a member that comes or goes moves each
-run by at most one place.
+Every entry places the workers of a service on the same ring and chooses
+consecutive ones. The starts are evenly spaced, so that the numbers of entries
+per worker differ by at most one, and a member that joins or leaves shifts each
+choice by at most one position.
 """
 
 from collections.abc import Sequence
 
 import xxhash
 
-# Each worker is covered by this many entries at least, so that the loss of one
-# entry neither idles a worker nor leaves it to a single entry's traffic.
+# Minimum number of entries that connect to each worker, so that the loss of an
+# entry leaves no worker idle or with the requests of one entry only.
 MIN_COVERAGE = 3
 
 
@@ -24,13 +24,15 @@
     """Returns the workers that one entry connects to.
 
     Args:
-      me: The entry.
-      entries: All entries that share these workers, in any order.
-      workers: All workers of one service in one tier, in any order.
-      size: How many workers an entry wants at least.
+      me: The instance id of the entry.
+      entries: The instance ids of all entries that share these workers, in any
+        order.
+      workers: The instance ids of all workers of one service in one failure
+        domain, in any order.
+      size: The minimum number of workers to choose.
 
     Returns:
-      Workers in ring order: at least `size` of them, or all.
+      The chosen workers in ring order: at least `size`, or all of them.
     """
     if not workers:
         return []
--- a/src/clementinegw/requests/types.py
+++ b/src/clementinegw/requests/types.py
@@ -1,4 +1,4 @@
-"""A caller's request, and the values that the filters pass to each other."""
+"""Callers' requests and the types shared by the filters."""
 
 import dataclasses
 from typing import Protocol
@@ -12,25 +12,25 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One request of a caller, parsed and bounded.
+    """A validated request of a caller.
 
     Attributes:
-      request_id: Unique over all entries and their restarts.
+      request_id: An id that is unique over all entries and their restarts.
       customer: The customer's name in the settings tree.
       service: The service's name in the settings tree.
       method: The HTTP method for the backend server.
-      path: The path, with query, for the backend server.
-      headers: End-to-end headers, names in lower case.
+      path: The path, with the query, for the backend server.
+      headers: The end-to-end headers, with names in lower case.
       body: The whole body.
-      priority: The urgency the caller asked for.
-      deadline: Monotonic seconds after which an answer is of no use.
+      priority: The priority that the caller requested.
+      deadline: When an answer becomes useless, in monotonic seconds.
       idempotent: Whether it may run more than once.
       key: The caller's idempotency key; empty without one.
-      fingerprint: Equal for equal requests, whoever sends them.
-      stream: Whether the answer goes to the caller piece by piece.
-      caller: The customer's name as the caller gave it, declared or not; keys
-        of one caller never meet those of another.
-      tokens: Tokens the answer is allowed to take; 0 for a plain service.
+      caller: The customer's name as sent by the caller, declared or not. It
+        separates the idempotency keys of different callers.
+      fingerprint: A hash that is equal for equal requests of any caller.
+      stream: Whether the answer is streamed to the caller.
+      tokens: The maximum number of tokens of the answer; 0 for a plain service.
       prefixes: Hashes of the prompt's prefixes, shortest first.
     """
 
@@ -53,10 +53,10 @@
 
 
 def fingerprint(service: str, method: str, path: str, body: bytes) -> bytes:
-    """Returns 16 bytes that are equal for equal requests.
+    """Returns a 16-byte hash that is equal for equal requests.
 
-    The customer, the key and the headers are left out: the same body that
-    crashes a backend server for one caller crashes it for another.
+    The customer, the key and the headers are excluded, because a body that
+    crashes a backend server for one caller also crashes it for another.
     """
     hasher = blake3.blake3()
     for part in (service, method, path):
@@ -68,11 +68,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """The start of a streamed answer.
+    """The head of an answer.
 
     Attributes:
       status: The HTTP status of the backend server.
-      headers: End-to-end headers, names in lower case.
+      headers: The end-to-end headers, with names in lower case.
       version: The model version that answers; empty for a plain service.
     """
 
@@ -82,29 +82,33 @@
 
 
 class CallerDisconnected(Exception):  # noqa: N818
-    """The caller has gone away; nobody takes the answer any more."""
+    """The caller has disconnected, so nothing receives the answer any more."""
 
 
 class Sink(Protocol):
-    """Where a streamed answer goes, piece by piece."""
+    """Receives a streamed answer in parts."""
 
     async def head(self, head: Head) -> None:
-        """Starts the answer; called once, before any data."""
+        """Starts the answer; called once, before any data.
+
+        Raises:
+          CallerDisconnected: The caller has disconnected.
+        """
 
     async def data(self, data: bytes) -> None:
-        """Passes on the next bytes, whole events only.
+        """Sends the next part of the body, in complete events.
 
         Raises:
-          CallerDisconnected: The caller has gone away.
+          CallerDisconnected: The caller has disconnected.
         """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimWon:
-    """The request may run; nobody else may run this key.
+    """The request may run, and no other request with its key may.
 
     Attributes:
-      offset: The claim's offset in its stream, the fencing number.
+      offset: The offset of the claim in its stream, used as the fencing number.
     """
 
     offset: int
@@ -115,8 +119,8 @@
     """The request may not run.
 
     Attributes:
-      outcome: What its caller is told; Unknown when an earlier request with
-        the key may have run.
+      outcome: The outcome reported to its caller; Unknown if an earlier request
+        with the key may have run.
     """
 
     outcome: types.NotRun | types.Unknown
@@ -124,10 +128,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """The key ran before, and its answer was kept.
+    """A request with the key ran before, and its answer was stored.
 
     Attributes:
-      outcome: The answer of the first run.
+      outcome: The stored answer.
     """
 
     outcome: types.Answered
@@ -137,28 +141,28 @@
 
 
 class Claims(Protocol):
-    """Claims of idempotency keys, through the platform's log."""
+    """Claims idempotency keys through the platform's log."""
 
     async def claim(self, request: Request) -> ClaimResult:
-        """Claims the request's key; only for keyed, non-idempotent ones."""
+        """Claims the key of a keyed request that is not idempotent."""
 
     def settle(self, request: Request, outcome: types.Outcome) -> None:
-        """Tells how a claimed request ended; called once a won claim."""
+        """Records the outcome of a request; called once per won claim."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Clear:
-    """Nothing is known against the request."""
+    """The request is not suspected."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunAlone:
-    """The request may have crashed a backend server: nothing runs beside it."""
+    """The request may have crashed a backend server and must run alone."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """The request crashed backend servers and runs nowhere any more."""
+    """The request crashed backend servers and must not run again."""
 
 
 SuspectVerdict = Clear | RunAlone | Refuse
@@ -166,12 +170,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """The only turn in the fleet for something, which this entry has.
+    """An exclusive lease in the fleet, held by this entry.
 
     Attributes:
-      key: The hashed name of what it is for.
-      claim_id: The claim in the log that took it.
-      until: Monotonic seconds at which it is over by itself.
+      key: The hash of the lease's name.
+      claim_id: The id of the claim in the log that acquired it.
+      until: When it expires, in monotonic seconds.
     """
 
     key: bytes
@@ -180,10 +184,10 @@
 
 
 class Suspects(Protocol):
-    """Requests that were in flight when backend servers crashed."""
+    """Tracks requests that were in flight when backend servers crashed."""
 
     def check(self, request: Request, now: float) -> SuspectVerdict:
-        """Says how the request may run."""
+        """Returns how the request may run."""
 
     async def acquire_lease(
         self, request: Request, wait_s: float
@@ -191,12 +195,12 @@
         """Waits until a suspect may run, for at most `wait_s` seconds.
 
         Returns:
-          A turn to give back by `release_lease`; None when nothing is held
-          against the request any more; NotRun when it may not run, or not yet.
+          A lease to return by `release_lease`; None if the request is no longer
+          suspected; NotRun if it may not run, or not yet.
         """
 
     def release_lease(self, lease: Lease) -> None:
-        """Gives a turn back."""
+        """Releases a lease."""
 
     def completed(self, request: Request) -> None:
-        """Takes that a request was answered whole: that clears it."""
+        """Records that a request was answered, which clears suspicions."""
--- a/src/clementinegw/requests/usage.py
+++ b/src/clementinegw/requests/usage.py
@@ -1,4 +1,4 @@
-"""Carries demands and sums between entries; see `shares`."""
+"""Exchanges demands and their sums between entries; see `shares`."""
 
 from clementinegw import clock as clock_lib
 from clementinegw import exceptions
@@ -13,7 +13,7 @@
 
 
 class UsageExchange:
-    """Sends and takes USAGE_SHARE notices."""
+    """Sends and receives USAGE_SHARE notices."""
 
     def __init__(
         self,
@@ -25,10 +25,10 @@
         """Registers for the notices.
 
         Args:
-          shares: Decides what is told.
-          endpoint: This entry's connections.
+          shares: Provides the messages to send.
+          endpoint: The connections of this entry.
           clock: The source of time.
-          counters: Where failures are counted.
+          counters: Counts the failures.
         """
         self._shares = shares
         self._endpoint = endpoint
@@ -38,12 +38,12 @@
         endpoint.on_notice(Kind.USAGE_SHARE, self._on_notice)
 
     def set_entries(self, entries: dict[str, types.Address]) -> None:
-        """Sets which entries live, and where."""
+        """Sets the addresses of the live entries, by instance id."""
         self._addresses = entries
         self._shares.set_entries(entries)
 
     async def end_period(self) -> None:
-        """Tells the owners what this entry sees."""
+        """Ends a period and sends this entry's demand to the owners."""
         for outgoing in self._shares.end_period(self._clock.now()):
             address = self._addresses.get(outgoing.receiver)
             if address is None:
@@ -51,7 +51,8 @@
             try:
                 connection = await self._endpoint.connect(address)
             except exceptions.ConnectionLost:
-                # Without the owner's sums the share falls back by itself.
+                # Without sums from the owner, the share falls back to an equal
+                # one.
                 self._counters.add("requests.usage_unsent")
                 continue
             self._send(connection, outgoing)
--- a/src/clementinegw/requests/workers.py
+++ b/src/clementinegw/requests/workers.py
@@ -1,8 +1,8 @@
-"""What an entry knows of the workers of one service.
+"""The state of the workers of one service as known to an entry.
 
-A worker is an agent with its backend server. Facts come from three sources of
-different age: this entry's own requests (at once), the load told with each
-answer and status (a moment old), and membership (seconds old).
+A worker is an agent with its backend server. The state comes from three sources
+of different age: this entry's own requests (immediate), the load reported with
+each answer and status (recent), and membership (seconds old).
 """
 
 from collections.abc import Iterable
@@ -14,12 +14,12 @@
 DEFAULT_CAPACITY = 4
 _SMOOTHING_FACTOR = 0.2
 _MIN_SAMPLES = 3
-# A worker this much slower than the median is left out.
+# A worker slower than the median by this factor is excluded.
 SLOW_RATIO = 2.5
 _SLOW_AGE_RATIO = 4.0
 _MIN_PROBE_INTERVAL_S = 5.0
 _MAX_PROBE_INTERVAL_S = 60.0
-# Failures in a row after which a worker is left out for a while.
+# Consecutive failures after which a worker is in cooldown.
 _MAX_CONSECUTIVE_FAILURES = 3
 _MIN_COOLDOWN_S = 1.0
 _MAX_COOLDOWN_S = 30.0
@@ -27,16 +27,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """An agent's own word on itself.
+    """A report of an agent about itself.
 
     Attributes:
       version: The model version it serves.
-      mark_leaving: Whether it takes no new work.
-      ready: Whether it serves.
-      load: Requests in flight and in its queue, of all entries.
-      capacity: Requests that run at once.
-      serving_s: Seconds since it began to serve the version.
-      incarnation: Grows with each start of the agent.
+      leaving: Whether it accepts no new requests.
+      ready: Whether it can serve requests.
+      load: The number of requests in flight and queued, of all entries.
+      capacity: The number of requests that can run concurrently.
+      serving_s: How long it has served the version, in seconds.
+      incarnation: Increases with each start of the agent.
     """
 
     version: str
@@ -50,26 +50,31 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Worker:
-    """One worker as this entry sees it.
+    """The state of one worker as known to this entry.
 
     Attributes:
-      instance: Who and where it is.
+      instance: The instance of the agent.
       tier: 0 in this failure domain, 1 in this region, 2 elsewhere.
-      set_connected: Whether there is a connection to it.
-      mark_leaving: Whether anybody has said that it leaves.
-      ready: Whether it said that it serves.
-      version: The version it serves.
-      incarnation: Of the agent that reported last.
-      capacity: Requests that run at once.
-      other_requests: Its requests of other entries, by its last report.
-      serving_since: When it began to serve, monotonic seconds.
-      record_started: This entry's requests there, by id: start time and cost.
-      seconds_per_cost: Smoothed seconds a unit of cost; 0 without samples.
-      samples: Answers that the pace rests on.
-      failures: Failed attempts in a row.
-      cooldown_until: No work before, after failures.
-      next_probe_at: When a slow worker may be tried again.
-      probe_interval_s: The present distance of such trials.
+      connected: Whether there is a connection to it.
+      leaving: Whether it was reported as leaving by any source.
+      ready: Whether it reported that it can serve requests.
+      version: The model version it serves.
+      incarnation: The incarnation in its last report.
+      capacity: The number of requests that can run concurrently.
+      other_requests: The number of requests of other entries, according to its
+        last report.
+      serving_since: When it began to serve the version, in monotonic seconds.
+      running: The start time and cost of this entry's requests there, by id.
+      seconds_per_cost: The smoothed run time per unit of cost, in seconds; 0
+        without samples.
+      samples: The number of answers in `seconds_per_cost`.
+      failures: The number of consecutive failed attempts.
+      cooldown_until: When it may receive requests again after failures, in
+        monotonic seconds.
+      next_probe_at: When it may be probed next if it is slow, in monotonic
+        seconds.
+      probe_interval_s: The delay between the next probe and the one after it,
+        in seconds.
     """
 
     instance: types.Instance
@@ -94,21 +99,21 @@
 
     @property
     def name(self) -> str:
-        """The agent's instance id."""
+        """The instance id of the agent."""
         return self.instance.instance_id
 
     @property
     def own_requests(self) -> int:
-        """This entry's requests there."""
+        """The number of this entry's requests there."""
         return len(self.running)
 
     @property
     def load(self) -> int:
-        """All requests there, as far as known."""
+        """The known number of requests there, of all entries."""
         return len(self.running) + self.other_requests
 
     def usable(self, now: float) -> bool:
-        """Returns whether new work may go there at all."""
+        """Returns whether it may receive new requests."""
         return (
             self.connected
             and self.ready
@@ -117,11 +122,16 @@
         )
 
     def effective_capacity(self, now: float, slow_start_s: float) -> float:
-        """Returns how many requests it may run at once just now.
+        """Returns its capacity, reduced during the slow start.
+
+        A worker that has just loaded a version has a cold cache and compiles on
+        first use. With its full share of requests it would answer late. The
+        symptom would be a latency peak after each rollout.
 
-        A worker that has just loaded a version has a cold cache and compiles
-        on first use. Given its whole share at once it would answer late; one
-        would notice it as a peak of latency after each rollout.
+        Args:
+          now: The current time, in monotonic seconds.
+          slow_start_s: How long the capacity increases to its full value, in
+            seconds.
         """
         serving_s = now - self.serving_since
         if serving_s >= slow_start_s or not slow_start_s:
@@ -129,7 +139,7 @@
         return max(1.0, self.capacity * serving_s / slow_start_s)
 
     def record_probe(self, now: float) -> None:
-        """Notes that this slow worker is being tried again."""
+        """Records a probe of this slow worker and schedules the next one."""
         self.next_probe_at = now + self.probe_interval_s
         self.probe_interval_s = min(
             _MAX_PROBE_INTERVAL_S, self.probe_interval_s * 2
@@ -143,7 +153,7 @@
         """Starts empty.
 
         Args:
-          place: Where this entry stands.
+          place: The location of this entry.
         """
         self._place = place
         self._workers: dict[str, Worker] = {}
@@ -151,7 +161,7 @@
 
     @property
     def median_seconds_per_cost(self) -> float:
-        """The median seconds a unit of cost; 0 without samples."""
+        """The median run time per unit of cost, in seconds; 0 if unknown."""
         return self._median_seconds_per_cost
 
     def __iter__(self):
@@ -159,17 +169,17 @@
         return iter(self._workers.values())
 
     def __len__(self) -> int:
-        """Returns how many there are."""
+        """Returns the number of workers."""
         return len(self._workers)
 
     def get(self, name: str) -> Worker | None:
-        """Returns a worker by its instance id."""
+        """Returns a worker by its instance id; None if it is unknown."""
         return self._workers.get(name)
 
     def set_subset(self, chosen: Iterable[types.Instance]) -> None:
-        """Sets who belongs to this entry's subset.
+        """Sets the workers in this entry's subset.
 
-        Requests that still run at a worker outside it go on to their end.
+        Requests that run at a removed worker continue to their end.
         """
         wanted = {instance.instance_id: instance for instance in chosen}
         for name, instance in wanted.items():
@@ -182,17 +192,22 @@
             del self._workers[name]
 
     def set_connected(self, name: str, connected: bool) -> None:
-        """Notes that the connection to a worker is up or down."""
+        """Sets whether there is a connection to a worker."""
         worker = self._workers.get(name)
         if worker is not None:
             worker.connected = connected
             worker.ready = worker.ready and connected
 
     def apply_report(self, name: str, report: Report, now: float) -> bool:
-        """Takes an agent's own word.
+        """Applies the report of an agent.
+
+        Args:
+          name: The instance id of the agent.
+          report: The report.
+          now: The current time, in monotonic seconds.
 
         Returns:
-          Whether the worker serves another version than before.
+          Whether the version of the worker has changed.
         """
         worker = self._workers.get(name)
         if worker is None:
@@ -201,8 +216,8 @@
         worker.connected = True
         worker.version = report.version
         if report.incarnation != worker.incarnation:
-            # A new process at the same address: what its predecessor said of
-            # leaving and how fast it was no longer holds.
+            # A new process at the same address: the reports and the speed of
+            # its predecessor no longer apply.
             worker.incarnation = report.incarnation
             worker.leaving = False
             worker.failures = 0
@@ -216,16 +231,16 @@
         return changed
 
     def apply_load(self, name: str, incarnation: int, load: int) -> bool:
-        """Takes an agent's load alone, between two reports.
+        """Applies the load of an agent, received between two reports.
 
         Args:
-          name: The agent's instance id.
-          incarnation: Of the agent that says so.
-          load: Requests in flight and in its queue, of all entries.
+          name: The instance id of the agent.
+          incarnation: The incarnation of the agent that sent it.
+          load: The number of requests in flight and queued, of all entries.
 
         Returns:
-          Whether it counts: the load of another incarnation than the one that
-          reported last says nothing of this worker.
+          Whether it was applied. The load of an incarnation other than that of
+          the last report does not apply to this worker.
         """
         worker = self._workers.get(name)
         if worker is None or worker.incarnation != incarnation:
@@ -234,7 +249,7 @@
         return True
 
     def mark_leaving(self, name: str) -> None:
-        """Notes that a worker leaves, whoever says so."""
+        """Records that a worker is leaving, as reported by any source."""
         worker = self._workers.get(name)
         if worker is not None:
             worker.leaving = True
@@ -242,7 +257,7 @@
     def record_started(
         self, worker: Worker, request_id: str, cost: float, now: float
     ) -> None:
-        """Notes that a request of this entry goes there."""
+        """Records that a request of this entry was sent to a worker."""
         worker.running[request_id] = (now, cost)
 
     def record_ended(
@@ -254,15 +269,16 @@
         cost: float | None = None,
         reported_load: int | None = None,
     ) -> None:
-        """Notes that a request of this entry ended there.
+        """Records that a request of this entry ended at a worker.
 
         Args:
           worker: The worker.
-          request_id: The request.
-          now: Monotonic seconds.
+          request_id: The id of the request.
+          now: The current time, in monotonic seconds.
           answered: Whether it was answered.
-          cost: What it turned out to cost; None keeps the estimate.
-          reported_load: The agent's load as told with the answer.
+          cost: The actual cost; None uses the estimate.
+          reported_load: The agent's load as reported with the answer, in
+            requests; None if it was not reported.
         """
         start, estimate = worker.running.pop(request_id, (now, 0.0))
         if reported_load is not None:
@@ -275,7 +291,7 @@
             self._sample(worker, (now - start) / units)
 
     def record_failure(self, worker: Worker, now: float) -> None:
-        """Notes a failed attempt; several in a row pause the worker."""
+        """Records a failed attempt; consecutive ones lead to a cooldown."""
         worker.failures += 1
         excess = worker.failures - _MAX_CONSECUTIVE_FAILURES
         if excess >= 0:
@@ -283,10 +299,10 @@
             worker.cooldown_until = now + cooldown_s
 
     def is_slow(self, worker: Worker, now: float) -> bool:
-        """Returns whether a worker is an outlier.
+        """Returns whether a worker is much slower than the others.
 
-        Either its answers take far longer than the others', or its oldest open
-        request is far overdue: a stalled worker gives no answers to judge by.
+        Either its answers take much longer than the median, or its oldest
+        running request does: a stalled worker returns no answers to measure.
         """
         median = self._median_seconds_per_cost
         if median <= 0:
