--- a/src/clementinegw/requests/admit.py
+++ b/src/clementinegw/requests/admit.py
@@ -102,8 +102,8 @@
         if wait_s <= max_delay_s:
             self._delayed_since.pop(key, None)
             return None
-        since = self._delayed_since.setdefault(key, now)
-        if now - since < limits.interval_s:
+        delayed_since = self._delayed_since.setdefault(key, now)
+        if now - delayed_since < limits.interval_s:
             return None
         return self._reject(types.NotRunReason.OVERLOADED, wait_s - max_delay_s)
 
@@ -170,6 +170,6 @@
         self._mean_run_s += weight * (run_s / ticket.cost - self._mean_run_s)
 
     def _reject(self, reason: types.NotRunReason, excess_s: float) -> Rejection:
-        spread = 1.0 + self._rng.random()
+        jitter = 1.0 + self._rng.random()
         after_s = min(_MAX_RETRY_S, max(_MIN_RETRY_S, excess_s))
-        return Rejection(reason, after_s * spread)
+        return Rejection(reason, after_s * jitter)
--- a/src/clementinegw/requests/fair_queue.py
+++ b/src/clementinegw/requests/fair_queue.py
@@ -189,8 +189,8 @@
         # Virtual time follows the flow with the smallest tag. If it followed
         # the served flow, an urgent request would advance it, and new customers
         # would start behind those that already wait.
-        least = min(other.start_tag for other in self._flows.values())
-        self._virtual_time = max(self._virtual_time, least)
+        min_start_tag = min(other.start_tag for other in self._flows.values())
+        self._virtual_time = max(self._virtual_time, min_start_tag)
         flow.start_tag += ticket.cost / ticket.weight
         self.remove(ticket)
 
--- a/src/clementinegw/requests/workers.py
+++ b/src/clementinegw/requests/workers.py
@@ -286,9 +286,9 @@
         if not answered:
             return
         worker.failures = 0
-        units = cost if cost is not None else estimate
-        if units > 0:
-            self._sample(worker, (now - start) / units)
+        known_cost = cost if cost is not None else estimate
+        if known_cost > 0:
+            self._sample(worker, (now - start) / known_cost)
 
     def record_failure(self, worker: Worker, now: float) -> None:
         """Records a failed attempt; consecutive ones lead to a cooldown."""
--- a/tests/requests_script.py
+++ b/tests/requests_script.py
@@ -1,4 +1,4 @@
-"""An agent whose answers are a script, before a real entry, in memory."""
+"""A real entry with scripted agents, over connections in memory."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 
 
 def run(test):
-    """Runs a coroutine function in virtual time with links in memory."""
+    """Runs a coroutine function in virtual time with connections in memory."""
     clock = clock_lib.VirtualClock()
     loop = network.MemoryLoop(clock, lambda one, other: 0.001)
     with asyncio.Runner(loop_factory=lambda: loop) as runner:
@@ -33,7 +33,18 @@
 
 
 class Agent:
-    """An agent whose answers are a script, one step for each submission."""
+    """An agent that runs one step of a script for each submission.
+
+    Attributes:
+      name: The host name and the instance id.
+      script: The remaining steps; without any, the agent answers normally.
+      submitted: The submissions received.
+      cancelled: The cancellations received.
+      proof: The answer to a tombstone request; None sends no answer.
+      incarnation: The incarnation of the agent.
+      leaving: Whether its status reports it as leaving.
+      version: The model version that it reports.
+    """
 
     def __init__(self, name: str, script, incarnation: int = 1):
         self.name = name
@@ -86,10 +97,12 @@
         await step(self, connection, exchange, submit)
 
     async def _on_tombstone(self, connection, exchange, frame):
-        named = codec.decode(ttypes.Tombstone, frame.body)
+        request = codec.decode(ttypes.Tombstone, frame.body)
         if self.proof is None:
             await asyncio.sleep(3600)
-        reply = ttypes.Tombstoned(named.request_id, named.attempt, self.proof)
+        reply = ttypes.Tombstoned(
+            request.request_id, request.attempt, self.proof
+        )
         await exchange.send(Kind.TOMBSTONED, codec.encode(reply))
 
     async def _on_cancel(self, connection, exchange, frame):
@@ -148,13 +161,15 @@
 
 
 class Sink:
+    """Records a streamed answer and can act as a caller that disconnects."""
+
     def __init__(self, disconnect_after_bytes: int | None = None):
         self.body = b""
         self.heads: list[request_types.Head] = []
         self.disconnect_after_bytes = disconnect_after_bytes
 
-    async def head(self, got):
-        self.heads.append(got)
+    async def head(self, head):
+        self.heads.append(head)
 
     async def data(self, data):
         self.body += data
@@ -227,7 +242,7 @@
         if whole:
             await end(exchange, submit, size, last)
         else:
-            # The last event arrives in part only.
+            # Sends a part of the next event only.
             await exchange.send(Kind.ANSWER_DATA, encode_event(last + 1)[:7])
             connection.abort()
 
--- a/tests/test_requests_http.py
+++ b/tests/test_requests_http.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: headers, errors, streams that break."""
+"""Tests of the callers' HTTP interface: headers, errors and failing streams."""
 
 import asyncio
 import json
@@ -37,20 +37,27 @@
 
 
 class _Pipeline:
-    """Stands for the filters: notes requests and gives a set outcome."""
+    """A fake pipeline that records requests and returns a given outcome.
+
+    Attributes:
+      requests: The requests received.
+      cancelled: Set when a request is cancelled.
+      finished: Set when a request ends.
+      delay_s: How long each request runs, in seconds.
+    """
 
     def __init__(self, outcome: types.Outcome):
         self.rules = _RULES
         self.outcome = outcome
-        self.seen: list[request_types.Request] = []
+        self.requests: list[request_types.Request] = []
         self.cancelled = asyncio.Event()
         self.finished = asyncio.Event()
-        self.hang_s = 0.0
+        self.delay_s = 0.0
 
     async def run(self, request, sink=None):
-        self.seen.append(request)
+        self.requests.append(request)
         try:
-            await asyncio.sleep(self.hang_s)
+            await asyncio.sleep(self.delay_s)
         except asyncio.CancelledError:
             self.cancelled.set()
             raise
@@ -90,11 +97,11 @@
         return pipeline, session
 
     yield start
-    for one in reversed(runners):
-        await (one.close() if hasattr(one, "close") else one.cleanup())
+    for runner in reversed(runners):
+        await (runner.close() if hasattr(runner, "close") else runner.cleanup())
 
 
-async def test_completion_becomes_a_request(serve):
+async def test_completion_is_parsed_into_a_request(serve):
     answer = types.Answered(200, (("x-a", "b"),), b"{}")
     pipeline, session = await serve(answer)
     headers = {
@@ -112,7 +119,7 @@
         assert response.status == 200
         assert response.headers["Clementine-Outcome"] == "answered"
         assert response.headers["X-A"] == "b"
-    request = pipeline.seen[0]
+    request = pipeline.requests[0]
     assert request.customer == "zadelmaker"
     assert request.priority is types.Priority.HIGH
     assert (request.key, request.tokens) == ("k-1", 9)
@@ -130,14 +137,14 @@
         assert response.status == 201
     async with session.post("/services/magazijn/book") as response:
         assert await response.read() == b"x"
-    found, booked = pipeline.seen
+    found, booked = pipeline.requests
     assert (found.path, found.idempotent) == ("/find/1?q=a%20b", True)
     assert (booked.path, booked.idempotent) == ("/book", False)
     assert found.request_id != booked.request_id
 
 
 @pytest.mark.parametrize(
-    ("path", "body", "headers", "status", "place"),
+    ("path", "body", "headers", "status", "message"),
     [
         ("/v1/completions", b"{", {}, 400, "body: expected JSON"),
         ("/v1/completions", b"[]", {}, 400, "body: expected an object"),
@@ -169,19 +176,19 @@
         ),
     ],
 )
-async def test_bad_input_gets_one_clear_error(
-    serve, path, body, headers, status, place
+async def test_invalid_request_is_refused_with_a_message(
+    serve, path, body, headers, status, message
 ):
     pipeline, session = await serve(types.Answered(200, (), b""))
     async with session.post(path, data=body, headers=headers) as response:
         assert response.status == status
         assert response.headers["Clementine-Outcome"] == "not-run"
-        assert place in (await response.json())["error"]["message"]
-    assert not pipeline.seen
+        assert message in (await response.json())["error"]["message"]
+    assert not pipeline.requests
 
 
 @pytest.mark.parametrize(
-    ("outcome", "status", "told", "retry_after"),
+    ("outcome", "status", "outcome_header", "retry_after"),
     [
         (
             types.NotRun(types.NotRunReason.OVERLOADED, 1.2),
@@ -205,18 +212,18 @@
         ),
     ],
 )
-async def test_outcome_is_told_by_status_and_header(
-    serve, outcome, status, told, retry_after
+async def test_status_and_headers_report_the_outcome(
+    serve, outcome, status, outcome_header, retry_after
 ):
     _, session = await serve(outcome)
     async with session.get("/services/magazijn/x") as response:
         assert response.status == status
-        assert response.headers["Clementine-Outcome"] == told
+        assert response.headers["Clementine-Outcome"] == outcome_header
         assert response.headers["Clementine-Reason"] == outcome.reason.value
         assert response.headers.get("Retry-After") == retry_after
 
 
-async def test_whole_stream_ends_cleanly(serve):
+async def test_complete_stream_ends_normally(serve):
     _, session = await serve(types.Answered(200, (), b""))
     body = {"model": "assistent", "prompt": "a", "stream": True}
     async with session.post("/v1/completions", json=body) as response:
@@ -224,11 +231,11 @@
         assert await response.read() == b"".join(_EVENTS)
 
 
-async def test_broken_stream_is_never_passed_off_as_whole(serve):
-    """Symptom: half a quotation looks like a whole one.
+async def test_incomplete_stream_does_not_end_normally(serve):
+    """Guards against a partial answer that looks complete.
 
-    Sequence: a stream begins, its worker dies, nothing can resume it. Cause: a
-    response that is ended cleanly after the events that came.
+    A stream starts, its worker dies, and no other one can resume it. The
+    response ended normally after the events received so far.
     """
     unknown = types.Unknown(types.UnknownReason.BACKEND_CRASHED)
     _, session = await serve(unknown)
@@ -245,7 +252,7 @@
     assert error["error"]["code"] == "backend_crashed"
 
 
-async def test_stream_refused_before_it_begins_has_a_status(serve):
+async def test_stream_refused_before_its_start_has_a_status(serve):
     _, session = await serve(_NOTHING_SENT)
     body = {"model": "assistent", "prompt": "a", "stream": True}
     async with session.post("/v1/completions", json=body) as response:
@@ -254,32 +261,32 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "goes_on"),
+    ("path", "runs_to_end"),
     [("/v1/completions", False), ("/v1/chat/completions", True)],
 )
-async def test_caller_that_goes_away(serve, path, goes_on):
-    """Symptom: work for nobody, or a booking cut off in the middle.
+async def test_caller_that_disconnects(serve, path, runs_to_end):
+    """Guards against wasted work, or a booking that is cancelled while running.
 
-    Sequence: a caller closes its connection before the answer. Cause: an
-    idempotent request that is not cancelled wastes a worker; one that must not
-    run twice and is cancelled leaves its caller no way to learn how it ended.
+    A caller closes its connection before the answer. An idempotent request that
+    is not cancelled wastes capacity. A request that must not run twice must run
+    to its end, or its caller could not find out its outcome.
     """
     pipeline, session = await serve(types.Answered(200, (), b""))
-    pipeline.hang_s = 0.3
+    pipeline.delay_s = 0.3
     body = {"model": "assistent", "prompt": "a", "messages": []}
     with pytest.raises(asyncio.TimeoutError):
         await session.post(
             path, json=body, timeout=aiohttp.ClientTimeout(total=0.1)
         )
-    event = pipeline.finished if goes_on else pipeline.cancelled
+    event = pipeline.finished if runs_to_end else pipeline.cancelled
     await asyncio.wait_for(event.wait(), 10)
 
 
-async def test_key_comes_with_its_time_and_its_caller(serve):
-    """Symptom: two callers that the settings do not name share a booking.
+async def test_key_is_passed_with_its_time_and_its_caller(serve):
+    """Guards against a booking shared by two callers that are not declared.
 
-    Sequence: both send the same key and body. Cause: limits treat them as one
-    customer; claims must not.
+    Both send the same key and body. Limits treat undeclared callers as one
+    customer, but claims must not.
     """
     pipeline, session = await serve(types.Answered(200, (), b"{}"))
     for caller in ("zadelmaker", "wagenmaker"):
@@ -292,10 +299,10 @@
             "/services/magazijn/bookings", data=b"{}", headers=headers
         ) as response:
             assert response.status == 200
-    assert [one.caller for one in pipeline.seen] == [
+    assert [request.caller for request in pipeline.requests] == [
         "zadelmaker",
         "wagenmaker",
     ]
-    for one in pipeline.seen:
-        time = claim.key_time_ms(one.key, one.headers)
+    for request in pipeline.requests:
+        time = claim.key_time_ms(request.key, request.headers)
         assert time == 1_733_000_000_000
--- a/tests/test_requests_paths.py
+++ b/tests/test_requests_paths.py
@@ -1,4 +1,4 @@
-"""Which operation a path names, however it is written."""
+"""Tests that operations match their paths in any encoding."""
 
 import pytest
 
@@ -27,14 +27,11 @@
         ("POST", "/bookings", False),
     ],
 )
-def test_operation_is_found_however_its_path_is_written(
-    method, path, idempotent
-):
-    """Symptom: one call to a declared operation books twice.
+def test_operation_matches_percent_encoded_path(method, path, idempotent):
+    """Guards against two bookings for one call to a declared operation.
 
-    Sequence: a caller writes the operation's path with percent signs; an
-    attempt is lost and repeated.
-    Cause: the declaration is compared with the path as it was written, while
-    the backend server decodes it.
+    A caller percent-encodes the path of the operation, and a lost attempt is
+    retried. The declaration was compared with the encoded path, which the
+    backend server decodes.
     """
     assert RULES.idempotent(method, path) is idempotent
--- a/tests/test_requests_pipeline.py
+++ b/tests/test_requests_pipeline.py
@@ -1,4 +1,4 @@
-"""What the filters do together: hedging and draining."""
+"""Tests of the whole pipeline: hedging, draining and late settings."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class _LateRules:
-    """Settings that come after the members."""
+    """Settings that become available after the members."""
 
     def __init__(self):
         self.declared = False
@@ -28,11 +28,11 @@
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_a_late_look_up_is_sent_a_second_time_and_a_booking_never(idempotent):
-    """Symptom: one look-up in a hundred takes a worker's whole stall.
+def test_late_idempotent_request_is_hedged_and_a_booking_never(idempotent):
+    """Guards against an idempotent request that waits for a stalled worker.
 
-    Sequence: after many quick answers an attempt hangs. Cause: waiting for it
-    to the deadline. A booking has to wait: both attempts might run.
+    After many fast answers, an attempt hangs until the deadline. A booking must
+    not be hedged, because both attempts could run.
     """
 
     async def test(clock, loop):
@@ -44,7 +44,7 @@
             await service.pipeline.run(script.make_request(clock, number))
         for agent in agents:
             agent.submitted.clear()
-        # Whichever is asked first hangs; the other answers.
+        # The first agent that receives it hangs; the other answers.
         agents[0].script = agents[1].script = [script.hang]
         request = script.make_request(clock, 99, idempotent, wait_s=5.0)
         agents[0].proof = agents[1].proof = False
@@ -61,7 +61,7 @@
     script.run(test)
 
 
-def test_draining_finishes_what_runs_and_refuses_what_comes():
+def test_draining_finishes_running_requests_and_refuses_new_ones():
     async def slow(agent, connection, exchange, submit):
         await asyncio.sleep(5.0)
         await script.answer(agent, connection, exchange, submit)
@@ -83,11 +83,11 @@
     script.run(test)
 
 
-def test_a_service_declared_after_its_agents_gets_workers():
-    """Symptom: a new service answers "no backend" until an instance changes.
+def test_service_declared_after_its_agents_gets_workers():
+    """Guards against a new service without workers until a member changes.
 
-    Sequence: agents join, then the settings declare their service. Cause:
-    looking at members only when the members change.
+    Agents join before the settings declare their service. The members were
+    applied only when they changed.
     """
 
     async def test(clock, loop):
--- a/tests/test_requests_queue.py
+++ b/tests/test_requests_queue.py
@@ -1,4 +1,4 @@
-"""Fair queueing, admission, demand and limits: decisions only."""
+"""Unit tests of fair queueing, admission, demand, limits and shares."""
 
 import random
 
@@ -30,11 +30,11 @@
     return served
 
 
-def test_one_customer_at_ten_times_its_share_waits_behind_itself():
-    """Symptom: every caller is late because one customer sends a batch.
+def test_customer_at_ten_times_its_share_delays_only_itself():
+    """Guards against delays for all callers when one customer sends a batch.
 
-    Sequence: a customer queues a hundred requests, then others send one each.
-    Cause: a queue in order of arrival, or classes above the customers.
+    A customer queues a hundred requests, then others send one each. The queue
+    was in order of arrival, or ranked priorities above customers.
     """
     queue = fair_queue.FairQueue()
     for _ in range(100):
@@ -46,7 +46,7 @@
     assert {"a", "b", "c"} <= set(served)
 
 
-def test_shares_follow_the_weights():
+def test_shares_are_proportional_to_the_weights():
     queue = fair_queue.FairQueue()
     for _ in range(200):
         queue.push(_ticket("large", weight=5.0))
@@ -55,18 +55,18 @@
     assert served.count("large") == pytest.approx(100, abs=2)
 
 
-def test_urgent_work_passes_until_its_customer_is_ahead_of_its_share():
+def test_urgent_requests_go_first_until_their_customer_exceeds_its_share():
     queue = fair_queue.FairQueue()
     for _ in range(30):
-        queue.push(_ticket("calm"))
+        queue.push(_ticket("normal"))
         queue.push(_ticket("urgent", _HIGH))
     served = [t.customer for t in _serve(queue, 20)]
     ahead = int(fair_queue.HIGH_PRIORITY_CREDIT)
     assert served[:ahead] == ["urgent"] * ahead
-    assert 4 <= served.count("calm") <= 10
+    assert 4 <= served.count("normal") <= 10
 
 
-def test_urgent_work_of_one_customer_goes_first():
+def test_urgent_requests_of_one_customer_go_first():
     queue = fair_queue.FairQueue()
     queue.push(_ticket("a", _LOW))
     queue.push(_ticket("a", _NORMAL))
@@ -75,11 +75,11 @@
     assert served == [_HIGH, _NORMAL, _LOW]
 
 
-def test_a_passed_over_request_is_served_in_the_end():
-    """Symptom: one request waits while those behind it are answered.
+def test_skipped_request_is_served_after_the_maximum_of_skips():
+    """Guards against a request that waits while later ones are answered.
 
-    Sequence: a free worker is always given a prompt that it has cached. Cause:
-    looking for a match without counting whom it passes over.
+    A free worker always receives a request whose prompt it has cached. Requests
+    could be skipped without limit.
     """
     queue = fair_queue.FairQueue()
     first = _ticket("a")
@@ -94,7 +94,7 @@
     assert turns == fair_queue.MAX_SKIPS + 1
 
 
-def test_a_repeated_request_keeps_its_turn():
+def test_requeued_request_goes_to_the_front():
     queue = fair_queue.FairQueue()
     for _ in range(5):
         queue.push(_ticket("a"))
@@ -114,23 +114,23 @@
     return admission
 
 
-def test_overload_is_refused_at_once_with_a_time_to_come_back():
+def test_overload_is_rejected_immediately_with_a_time_to_retry():
     queue = fair_queue.FairQueue()
     admission = _admission(queue)
     limits = admit.AdmissionLimits()
     for _ in range(40):
         queue.push(_ticket("a"))
     late = _ticket("a", _LOW)
-    # A burst is let in; a delay that lasts is not.
+    # A burst is accepted, but not if the delay persists.
     assert admission.check_arrival(late, limits, 100.0) is None
     rejection = admission.check_arrival(late, limits, 100.6)
     assert rejection.reason is types.NotRunReason.OVERLOADED
     assert 5.0 < rejection.retry_after_s <= 30.0
-    # A customer with nothing waiting is still let in.
+    # Requests of a customer without queued requests are still accepted.
     assert admission.check_arrival(_ticket("b"), limits, 100.6) is None
 
 
-def test_what_cannot_be_done_in_time_is_not_begun():
+def test_request_that_would_miss_its_deadline_is_rejected():
     queue = fair_queue.FairQueue()
     admission = _admission(queue)
     for _ in range(40):
@@ -141,12 +141,11 @@
     assert rejection.reason is types.NotRunReason.DEADLINE
 
 
-def test_a_waiting_request_is_not_held_until_its_deadline():
-    """Symptom: a refusal that comes a moment before the deadline.
+def test_queued_request_is_rejected_before_its_deadline():
+    """Guards against a rejection shortly before the deadline.
 
-    Sequence: a request waits, the workers slow down, its turn does not come.
-    Cause: only its deadline ends the wait, so that its caller learns too late
-    that it should have asked elsewhere.
+    A request is queued and the workers slow down. Only its deadline ended the
+    wait, too late for its caller to retry elsewhere.
     """
     queue = fair_queue.FairQueue()
     admission = _admission(queue)
@@ -170,21 +169,21 @@
         ({"a": 1, "b": 1, "c": 9}, 10, {"a", "b", "c"}),
     ],
 )
-def test_light_customers_by_max_min_share(rates, capacity, within_share):
-    meter = demand.DemandTracker()
+def test_customers_within_their_max_min_share(rates, capacity, within_share):
+    tracker = demand.DemandTracker()
     now = 0.0
     for _ in range(60):
         for name, rate in rates.items():
             for _ in range(rate):
-                meter.record_request(name, 1.0, 1.0, now)
+                tracker.record_request(name, 1.0, 1.0, now)
         now += 1.0
-        meter.end_period(capacity, now)
+        tracker.end_period(capacity, now)
         for name, rate in rates.items():
-            meter.record_request(name, 1.0, float(rate), now)
+            tracker.record_request(name, 1.0, float(rate), now)
         now += 1.0
-        meter.end_period(capacity, now)
+        tracker.end_period(capacity, now)
     assert {
-        name for name in rates if meter.is_within_share(name)
+        name for name in rates if tracker.is_within_share(name)
     } == within_share
 
 
@@ -192,7 +191,7 @@
     return rules_lib.Rules("s", types.ServiceKind.MODEL_ENGINE, **fields)
 
 
-def test_rate_limit_refuses_and_says_when_to_come_back():
+def test_rate_limit_refuses_with_a_time_to_retry():
     limiter = limit.Limiter(shares.Shares("e1"))
     rules = _rules(requests_per_s=2.0, burst_s=2.0)
     outcomes = [limiter.try_acquire(rules, "a", 0, 100.0) for _ in range(5)]
@@ -203,18 +202,18 @@
     assert limiter.try_acquire(rules, "a", 0, 100.6) is None
 
 
-def test_token_limit_charges_what_was_used():
+def test_token_limit_charges_the_used_tokens():
     limiter = limit.Limiter(shares.Shares("e1"))
     rules = _rules(tokens_per_s=100.0, burst_s=1.0)
     assert limiter.try_acquire(rules, "a", 300, 100.0) is None
     refused = limiter.try_acquire(rules, "a", 1, 100.0)
     assert refused.reason is types.NotRunReason.TOKEN_LIMITED
-    # It took 20 tokens in the end; the rest is given back.
+    # It used 20 tokens; the rest is refunded.
     limiter.release(rules, "a", 300, 20, ran=True)
     assert limiter.try_acquire(rules, "a", 50, 100.0) is None
 
 
-def test_a_request_that_did_not_run_is_free():
+def test_request_that_did_not_run_is_refunded():
     limiter = limit.Limiter(shares.Shares("e1"))
     rules = _rules(requests_per_s=1.0, burst_s=1.0)
     for _ in range(10):
@@ -232,10 +231,11 @@
 
 
 def test_entries_share_a_limit_by_demand():
-    """Symptom: a customer gets an eighth of its limit, or eight times of it.
+    """Guards against a customer with an eighth, or eight times, of its limit.
 
-    Sequence: the balancer sends all of its requests to one of the entries.
-    Cause: fixed shares waste what the others do not use; no shares multiply.
+    The load balancer sends all requests of a customer to one of eight entries.
+    Fixed shares left the shares of the other entries unused; without shares,
+    each entry allowed the whole limit.
     """
     names = [f"e{index}" for index in range(8)]
     entries = {name: shares.Shares(name) for name in names}
@@ -249,27 +249,27 @@
         entries["e5"].record_request(key, 10, now)
         now += shares.PERIOD_S
         _share_all(entries, now)
-    asking = [entries[name].share(key, now) for name in ("e3", "e5")]
-    assert asking[0] > 0.75
-    assert sum(asking) <= 1.0
-    # Bounded error: entries that have not asked count with their floor or an
-    # equal share, never with all of it.
+    used = [entries[name].share(key, now) for name in ("e3", "e5")]
+    assert used[0] > 0.75
+    assert sum(used) <= 1.0
+    # The error is bounded: entries without demand have the floor or an equal
+    # share, never the whole limit.
     total = sum(entry.share(key, now) for entry in entries.values())
     assert total <= 2 - shares.SHARE_FLOOR
 
 
 def test_shares_fall_back_without_the_owner():
-    """Symptom: a limit that vanishes or closes while an entry is down.
+    """Guards against a limit that allows all or nothing after an entry died.
 
-    Sequence: the entry that adds up a customer's demand dies. Cause: shares
-    that rest on sums nobody keeps up to date.
+    The entry that adds up a customer's demand dies. The shares were computed
+    from outdated sums.
     """
     names = [f"e{index}" for index in range(4)]
-    one = shares.Shares("e0")
-    one.set_entries(names)
+    entry = shares.Shares("e0")
+    entry.set_entries(names)
     key = ("s", "a")
-    one.record_request(key, 1, 0.0)
-    one.end_period(1.0)
-    one.apply_sums([shares.CustomerDemand("s", "a", 0.5, 1.0)], 1.0)
-    assert one.share(key, 1.0) > 0.5
-    assert one.share(key, 10.0) == pytest.approx(1 / 4)
+    entry.record_request(key, 1, 0.0)
+    entry.end_period(1.0)
+    entry.apply_sums([shares.CustomerDemand("s", "a", 0.5, 1.0)], 1.0)
+    assert entry.share(key, 1.0) > 0.5
+    assert entry.share(key, 10.0) == pytest.approx(1 / 4)
--- a/tests/test_requests_route.py
+++ b/tests/test_requests_route.py
@@ -1,4 +1,4 @@
-"""Routing decisions: subsets, load, prefixes, slow and new workers, retries."""
+"""Unit tests of subsets, routing and retry decisions."""
 
 import random
 
@@ -69,10 +69,10 @@
     [(320, 860, 16), (9, 7, 16), (8, 40, 4), (1, 30, 4), (50, 3, 2)],
 )
 def test_subsets_cover_every_worker_evenly(entries, workers, size):
-    """Symptom: some workers idle while others are overrun.
+    """Guards against idle workers beside overloaded ones.
 
-    Sequence: each entry keeps connections to some of the workers. Cause: random
-    subsets, which leave workers to few entries or to none.
+    Each entry connects to some of the workers. Random subsets left workers to
+    few entries or to none.
     """
     names = [f"e{index}" for index in range(entries)]
     agents = [f"a{index}" for index in range(workers)]
@@ -88,7 +88,7 @@
         assert sum(covered.values()) / entries <= 20
 
 
-def test_a_member_that_goes_moves_few_connections():
+def test_removed_member_moves_few_connections():
     names = [f"e{index}" for index in range(320)]
     agents = [f"a{index}" for index in range(860)]
     before = {n: set(subset.choose(n, names, agents, 16)) for n in names}
@@ -100,7 +100,7 @@
     assert max(moved) <= 3
 
 
-def test_the_near_are_asked_before_the_far():
+def test_nearer_workers_are_chosen_first():
     workers = _workers(_HERE, _HERE, _NEAR, _FAR)
     assert _choose(workers) in {"a0", "a1"}
     _fill(workers, "a0", 4)
@@ -110,31 +110,31 @@
     assert _choose(workers) == "a3"
 
 
-def test_without_room_a_request_waits():
+def test_request_waits_without_capacity():
     workers = _workers(_HERE, _HERE)
     _fill(workers, "a0", 4)
     _fill(workers, "a1", 4)
     assert _choose(workers) is None
-    # A customer within its share may queue at a worker; so may an entry that
-    # has less than its part of the slots.
+    # A customer within its share may queue at a worker, and so may an entry
+    # with less than its fair share of the slots.
     assert _choose(workers, route.RoutingQuery(within_share=True)) is not None
     below_fair_share = route.RoutingContext(fair_share=20.0)
     assert _choose(workers, context=below_fair_share) is not None
 
 
-def test_the_load_of_other_entries_counts():
+def test_load_of_other_entries_counts():
     workers = _workers(_HERE, _HERE)
     report = workers_lib.Report("v1", False, True, 4, 4, 100.0, 1)
     workers.apply_report("a0", report, _NOW)
     assert all(_choose(workers) == "a1" for _ in range(10))
-    # An answer tells of free room sooner than the next report.
+    # An answer reports free capacity earlier than the next report.
     worker = workers.get("a0")
     workers.record_started(worker, "r", 1.0, _NOW)
     workers.record_ended(worker, "r", _NOW, answered=True, reported_load=0)
     assert worker.load == 0
 
 
-def test_a_cached_prefix_draws_and_a_full_worker_does_not():
+def test_cached_prefix_is_preferred_unless_its_worker_is_full():
     index = prefix.PrefixIndex()
     policy = route.CacheAware(random.Random(1), index)
     workers = _workers(_HERE, _HERE, _HERE)
@@ -146,23 +146,23 @@
     assert _choose(workers, query, policy=policy) != "a2"
 
 
-def test_a_stale_prefix_does_not_mislead_for_long():
-    """Symptom: prompts go to a worker that computes them anew every time.
+def test_stale_prefix_expires():
+    """Guards against prompts for a worker that no longer has them cached.
 
-    Sequence: a block is evicted and the event is lost in a gap. Cause: trusting
-    a report for ever.
+    A block is evicted and the event is lost in a gap. A report was valid
+    forever.
     """
     index = prefix.PrefixIndex()
     index.apply_report("a0", [1, 2, 3], 0.0)
     assert index.matches((1, 2, 3), 1.0) == {"a0": 3}
-    # The next report lacks one block and never mentions another's eviction.
+    # The next report lacks one block, and no report evicts the others.
     index.apply_report("a0", [1, 2], 2.0)
     assert index.matches((1, 2, 3), 2.0) == {"a0": 2}
     later = 2.0 + prefix.REPORTED_TTL_S
     assert index.matches((1, 2, 3), later) == {}
 
 
-def test_a_routed_prompt_counts_before_its_report():
+def test_routed_prompt_counts_before_its_report():
     index = prefix.PrefixIndex()
     index.record_routed("a0", (1, 2), 0.0)
     index.apply_report("a0", [], 0.1)
@@ -181,11 +181,11 @@
     assert index.matches((999,), 1.0) == {"a0": 1}
 
 
-def test_a_slow_worker_is_left_out_and_tried_rarely():
-    """Symptom: one in ten answers takes five times as long.
+def test_slow_worker_is_excluded_and_probed_rarely():
+    """Guards against one in ten answers that takes five times as long.
 
-    Sequence: one worker becomes slow and stays in the rotation. Cause: routing
-    by load alone; a slow worker has few requests in flight when asked rarely.
+    A worker becomes slow and is still chosen. Routing considered the load
+    alone, and a slow worker that is chosen rarely has few requests in flight.
     """
     workers = _workers(_HERE, _HERE, _HERE, _HERE)
     for name in ("a0", "a1", "a2"):
@@ -202,7 +202,7 @@
     assert _choose(workers, booking, policy=policy, now=later) != "a3"
 
 
-def test_a_stalled_worker_is_noticed_without_answers():
+def test_stalled_worker_is_excluded_without_answers():
     workers = _workers(_HERE, _HERE, _HERE)
     for name in ("a0", "a1", "a2"):
         _finish(workers, name, 5, 0.2)
@@ -210,7 +210,7 @@
     assert all(_choose(workers) != "a1" for _ in range(20))
 
 
-def test_when_all_are_slow_none_is_left_out():
+def test_no_worker_is_excluded_if_all_are_slow():
     workers = _workers(_HERE, _HERE)
     for name in ("a0", "a1"):
         _finish(workers, name, 10, 5.0)
@@ -218,7 +218,7 @@
     assert _choose(workers) is not None
 
 
-def test_a_new_worker_starts_slowly_and_a_new_fleet_does_not():
+def test_new_worker_has_a_slow_start_and_a_new_fleet_has_none():
     workers = _workers(_HERE, _HERE, capacity=8)
     report = workers_lib.Report("v2", False, True, 0, 8, 1.0, 1)
     workers.apply_report("a1", report, _NOW)
@@ -235,7 +235,7 @@
     assert _choose(cold) is None
 
 
-def test_a_replaced_agent_starts_with_a_clean_record():
+def test_replaced_agent_starts_with_new_state():
     workers = _workers(_HERE)
     workers.mark_leaving("a0")
     assert _choose(workers) is None
@@ -244,7 +244,7 @@
     assert _choose(workers) == "a0"
 
 
-def test_failures_in_a_row_pause_a_worker():
+def test_consecutive_failures_start_a_cooldown():
     workers = _workers(_HERE, _HERE)
     for _ in range(3):
         workers.record_failure(workers.get("a0"), _NOW)
@@ -256,7 +256,7 @@
 
 
 @pytest.mark.parametrize("name", [*route.POLICIES, *route.ALIASES])
-def test_every_policy_keeps_off_workers_that_leave(name):
+def test_every_policy_excludes_leaving_workers(name):
     workers = _workers(_HERE, _HERE, _HERE)
     workers.mark_leaving("a1")
     policy = route.make_policy(name, random.Random(1))
@@ -296,7 +296,7 @@
         ),
     ],
 )
-def test_what_is_sent_again(outcome, detail, idempotent, attempt, left_s, stop):
+def test_retry_decisions(outcome, detail, idempotent, attempt, left_s, stop):
     decision = retry.decide(
         outcome,
         detail,
@@ -315,7 +315,7 @@
         assert decision == retry.GiveUp(retry.StopReason(stop))
 
 
-def test_a_spent_budget_is_earned_by_first_attempts():
+def test_spent_budget_is_refilled_by_requests():
     budget = retry.RetryBudget(max_retries=2.0)
     assert [budget.try_acquire() for _ in range(3)] == [True, True, False]
     for _ in range(11):
--- a/tests/test_requests_send.py
+++ b/tests/test_requests_send.py
@@ -1,7 +1,7 @@
-"""Attempts over connections that break, stall and bring frames late.
+"""Tests of attempts over connections that fail, stall or deliver frames late.
 
-The entry's side is the real one; the agent is a script. Connections run in
-memory and time is virtual.
+The entry is real and the agents are scripted. Connections are in memory and
+time is virtual.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 
 def test_answers_reach_their_own_callers():
-    """Symptom: a clerk sees another customer's quotation.
+    """Guards against an answer that reaches another customer.
 
-    Sequence: many calls on one connection are answered in another order. Cause:
-    answers matched by order of arrival.
+    Many calls on one connection are answered in a different order. Answers were
+    matched by their order of arrival.
     """
 
     async def late(agent, connection, exchange, submit):
@@ -42,11 +42,11 @@
     script.run(test)
 
 
-def test_a_frame_that_names_another_attempt_is_dropped():
-    """Symptom: an answer made of two attempts' pieces.
+def test_frame_of_another_attempt_is_dropped():
+    """Guards against an answer composed of parts of two attempts.
 
-    Sequence: a head of an earlier attempt arrives on the call of a later one.
-    Cause: a call number that an agent has mixed up.
+    The head for another attempt arrives on the call of an attempt, because the
+    agent confused the call numbers.
     """
 
     async def crossed(agent, connection, exchange, submit):
@@ -64,7 +64,7 @@
     script.run(test)
 
 
-def test_a_frame_of_a_closed_call_is_dropped_and_counted():
+def test_frame_of_a_closed_call_is_dropped_and_counted():
     async def slow(agent, connection, exchange, submit):
         await asyncio.sleep(2.0)
         await script.answer(agent, connection, exchange, submit)
@@ -85,12 +85,12 @@
     script.run(test)
 
 
-def test_a_tombstone_proves_that_a_lost_submission_did_not_run():
-    """Symptom: a booking is told as unknown though it never reached a server.
+def test_tombstone_proves_that_a_lost_submission_did_not_run():
+    """Guards against an unknown outcome for a booking that reached no server.
 
-    Sequence: the connection breaks right after SUBMIT. Cause: nobody asks the
-    agent, which has refused or never seen it. With proof it is sent again, even
-    though it must not run twice.
+    The connection fails right after SUBMIT, and the agent has refused or never
+    received the attempt. The entry did not ask the agent for proof. With proof,
+    even a request that must not run twice is retried.
     """
 
     async def test(clock, loop):
@@ -108,10 +108,10 @@
 
 @pytest.mark.parametrize("proof", [False, None])
 def test_without_proof_a_booking_is_unknown_and_sent_once(proof):
-    """Symptom: leather is booked twice, or "not run" is told of a booking.
+    """Guards against two bookings, or a booking reported as not run.
 
-    Sequence: the connection breaks after SUBMIT; the agent says that it has
-    handed the attempt over, or says nothing. Cause: a retry on a guess.
+    The connection fails after SUBMIT, and the agent replies that it handed the
+    attempt over, or does not reply. The request was retried without proof.
     """
 
     async def test(clock, loop):
@@ -133,12 +133,12 @@
     script.run(test)
 
 
-def test_a_replaced_agent_proves_nothing():
-    """Symptom: "not run" is told of a request that the old agent handed over.
+def test_tombstone_of_a_replaced_agent_is_no_proof():
+    """Guards against "not run" for a request that a former agent handed over.
 
-    Sequence: the agent dies after the hand-over and another process takes its
-    address. It never saw the attempt and forbids it gladly. Cause: proof taken
-    from a process that cannot know.
+    The agent dies after the hand-over, and another process that never received
+    the attempt uses its address. The tombstone of that process was accepted as
+    proof.
     """
 
     async def replace(agent, connection, exchange, submit):
@@ -172,7 +172,7 @@
         (script.fail("backend_crashed"), types.UnknownReason.BACKEND_CRASHED),
     ],
 )
-def test_an_answer_without_its_end_is_not_whole(step, reason):
+def test_answer_without_its_end_is_incomplete(step, reason):
     async def test(clock, loop):
         agents = await script.start_agents([step])
         service, _ = await script.start_entry(clock, agents)
@@ -183,7 +183,7 @@
     script.run(test)
 
 
-def test_an_idempotent_request_is_tried_elsewhere():
+def test_idempotent_request_is_retried_at_another_worker():
     async def test(clock, loop):
         agents = await script.start_agents([script.fail("backend_crashed")], [])
         service, counters = await script.start_entry(clock, agents)
@@ -200,10 +200,10 @@
 
 
 def test_not_run_never_hides_an_attempt_that_may_have_run():
-    """Symptom: "not run" is told although the first attempt ran.
+    """Guards against "not run" for a request whose first attempt ran.
 
-    Sequence: an idempotent request's first attempt crashes its server, the
-    second is refused. Cause: only the last attempt is told.
+    The first attempt of an idempotent request crashes the server, and the
+    second one is refused. Only the outcome of the last attempt was reported.
     """
 
     async def test(clock, loop):
@@ -221,11 +221,11 @@
     script.run(test)
 
 
-def test_retries_end_with_the_budget():
-    """Symptom: an overload that outlives its cause.
+def test_retries_are_limited_by_the_budget():
+    """Guards against an overload that continues after its cause has ended.
 
-    Sequence: a service fails as a whole; each request is sent three times.
-    Cause: retries without a bound over all requests.
+    A whole service fails, and each request is sent three times. There was no
+    limit on the retries of all requests together.
     """
 
     async def test(clock, loop):
@@ -243,11 +243,11 @@
     script.run(test)
 
 
-def test_a_leaving_agent_gets_nothing_new():
-    """Symptom: refusals, or cut requests, whenever an instance is replaced.
+def test_leaving_agent_receives_no_new_requests():
+    """Guards against refused or aborted requests when an instance is replaced.
 
-    Sequence: an agent says that it leaves; the list still names it. Cause:
-    routing by the list alone.
+    An agent reports that it leaves while the list of members still contains it.
+    Requests were routed by the list alone.
     """
 
     async def test(clock, loop):
@@ -265,7 +265,7 @@
     script.run(test)
 
 
-def test_a_refusal_because_of_leaving_costs_the_caller_nothing():
+def test_refusal_by_a_leaving_agent_is_retried_elsewhere():
     async def test(clock, loop):
         agents = await script.start_agents([script.refuse("leaving")] * 9, [])
         service, counters = await script.start_entry(clock, agents)
@@ -274,15 +274,15 @@
                 script.make_request(clock, number)
             )
             assert isinstance(outcome, types.Answered)
-        # One refusal is word enough.
+        # After one refusal the agent receives no more requests.
         assert len(agents[0].submitted) <= 1
         assert counters.value("requests.retry.leaving") <= 1
 
     script.run(test)
 
 
-@pytest.mark.parametrize("how", ["cancelled", "gone"])
-def test_work_of_a_caller_that_went_away_is_cancelled(how):
+@pytest.mark.parametrize("how", ["cancelled", "disconnected"])
+def test_request_of_a_disconnected_caller_is_cancelled(how):
     async def test(clock, loop):
         step = (
             script.hang if how == "cancelled" else script.stream(1, 500, False)
@@ -307,7 +307,7 @@
     script.run(test)
 
 
-def test_an_unreachable_agent_is_proof_that_nothing_ran():
+def test_requests_to_an_unreachable_agent_are_retried_elsewhere():
     async def test(clock, loop):
         agents = await script.start_agents([], [])
         service, counters = await script.start_entry(clock, agents)
@@ -323,11 +323,11 @@
     script.run(test)
 
 
-def test_a_stalled_connection_is_given_up_and_its_request_settled():
-    """Symptom: callers wait for their deadlines while a link is stalled.
+def test_stalled_connection_is_closed_and_its_request_ends():
+    """Guards against callers that wait until their deadline on a stalled link.
 
-    Sequence: a link stalls without closing after SUBMIT. Cause: nobody notices
-    a connection on which nothing comes any more.
+    A link stalls after SUBMIT without closing. The entry did not detect a
+    connection on which nothing is received any more.
     """
 
     async def test(clock, loop):
@@ -346,7 +346,7 @@
     script.run(test)
 
 
-def test_connecting_fails_cleanly_when_nobody_listens():
+def test_connecting_without_a_listener_raises_connection_lost():
     async def test(clock, loop):
         script.network.HOST.set("entry")
         identity = connection_lib.Identity(
--- a/tests/test_requests_stream.py
+++ b/tests/test_requests_stream.py
@@ -1,4 +1,4 @@
-"""Streams that break, go on elsewhere, or must not."""
+"""Tests of streams that fail and are resumed, or must not be."""
 
 import requests_script as script
 
@@ -8,11 +8,11 @@
 Kind = connection_lib.Kind
 
 
-def test_a_broken_stream_goes_on_from_the_tokens_passed_on():
-    """Symptom: a stream that breaks, repeats tokens or leaves some out.
+def test_broken_stream_is_resumed_after_the_forwarded_tokens():
+    """Guards against a stream that ends early, or repeats or lacks tokens.
 
-    Sequence: an engine dies in mid-event; another of the same version goes on.
-    Cause: resuming from bytes instead of from whole events.
+    An engine crashes in the middle of an event, and another one of the same
+    version resumes the stream. It was resumed by bytes, not by complete events.
     """
 
     async def test(clock, loop):
@@ -28,18 +28,18 @@
             script.encode_event(t) for t in range(1, 7)
         )
         assert len(sink.heads) == 1
-        again = agents[0].submitted[1]
-        assert (again.resume_tokens, again.version) == (3, "v1")
+        resumed = agents[0].submitted[1]
+        assert (resumed.resume_tokens, resumed.version) == (3, "v1")
         assert counters.value("requests.streams_resumed") == 1
 
     script.run(test)
 
 
-def test_a_stream_that_falls_silent_goes_on_elsewhere():
-    """Symptom: a stream stands still until its caller gives up.
+def test_silent_stream_is_resumed_by_another_worker():
+    """Guards against a stream that hangs until its caller gives up.
 
-    Sequence: an engine stalls in mid-answer and keeps its connection. Cause:
-    only the deadline and a broken connection end an attempt.
+    An engine stalls in the middle of an answer and keeps its connection open.
+    Only the deadline or a lost connection ended an attempt.
     """
 
     async def stall(agent, connection, exchange, submit):
@@ -66,12 +66,11 @@
     script.run(test)
 
 
-def test_a_stream_with_a_gap_is_not_gone_on_with():
-    """Symptom: a stream that is told as whole lacks an event in the middle.
+def test_stream_with_a_missing_event_is_not_resumed():
+    """Guards against a complete stream that lacks an event in the middle.
 
-    Sequence: an event is lost on the way, a later one arrives; the sizes do
-    not add up, and another engine goes on after the last token. Cause: going
-    on with what was already damaged.
+    An event is lost and a later one arrives, so the size is wrong. Another
+    engine resumed the damaged stream after the last token.
     """
 
     async def gap(agent, connection, exchange, submit):
@@ -91,11 +90,11 @@
     script.run(test)
 
 
-def test_a_stream_never_goes_on_by_another_version():
-    """Symptom: a quotation half by the old model, half by the new one.
+def test_stream_is_not_resumed_by_another_version():
+    """Guards against an answer that is partly from the old model version.
 
-    Sequence: a stream breaks during a rollout; the only worker left serves the
-    new version. Cause: resuming without the version.
+    A stream fails during a rollout, and the only worker left serves the new
+    version. The stream was resumed without comparing the versions.
     """
 
     async def test(clock, loop):
