--- a/tests/requests_script.py
+++ b/tests/requests_script.py
@@ -27,7 +27,7 @@
 def run(test):
     """Runs a coroutine function in virtual time with connections in memory."""
     clock = clock_lib.VirtualClock()
-    loop = network.MemoryLoop(clock, lambda one, other: 0.001)
+    loop = network.MemoryLoop(clock, lambda source, target: 0.001)
     with asyncio.Runner(loop_factory=lambda: loop) as runner:
         return runner.run(test(clock, loop))
 
@@ -231,7 +231,7 @@
     return f"id: {token}\ndata: {token}\n\n".encode()
 
 
-def stream(first: int, last: int, whole: bool):
+def stream(first: int, last: int, complete: bool):
     async def step(agent, connection, exchange, submit):
         await head(exchange, submit, agent.version)
         size = 0
@@ -239,7 +239,7 @@
             event = encode_event(token)
             size += len(event)
             await exchange.send(Kind.ANSWER_DATA, event)
-        if whole:
+        if complete:
             await end(exchange, submit, size, last)
         else:
             # Sends a part of the next event only.
--- a/tests/test_requests_route.py
+++ b/tests/test_requests_route.py
@@ -69,7 +69,7 @@
     [(320, 860, 16), (9, 7, 16), (8, 40, 4), (1, 30, 4), (50, 3, 2)],
 )
 def test_subsets_cover_every_worker_evenly(entries, workers, size):
-    """Guards against idle workers beside overloaded ones.
+    """Guards against idle workers while others are overloaded.
 
     Each entry connects to some of the workers. Random subsets left workers to
     few entries or to none.
