--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -1,4 +1,4 @@
-"""At most once under schedules of faults, drawn at random, in virtual time."""
+"""Tests at-most-once under random schedules of faults, in virtual time."""
 
 import asyncio
 import collections
@@ -18,11 +18,13 @@
 
 NAMES = ("e1", "e2", "e3")
 SECONDS = 60.0
-LIMITS = claims_service.Limits(horizon=claim_lib.Horizon(30.0, 2.0), ask_s=1.0)
+LIMITS = claims_service.Limits(
+    horizon=claim_lib.Horizon(30.0, 2.0), call_timeout_s=1.0
+)
 
 
-class World:
-    """Entries, agents and a log, with everything that goes wrong."""
+class FaultSchedule:
+    """Runs entries, agents and a log, and injects faults at random."""
 
     def __init__(self, clock, seed):
         self.clock = clock
@@ -32,8 +34,8 @@
         self.gates = {}
         self.runs = collections.defaultdict(list)
         self.ran_requests = set()
-        self.told = {}
-        self.dated = {}
+        self.outcomes = {}
+        self.key_times = {}
         self.tasks = []
 
     async def start(self):
@@ -54,7 +56,7 @@
         self.gates[name] = (gate_lib.Gate(limits, number), number)
 
     def _delay_appends(self, entry):
-        """Lets some appends arrive long after they seemed to fail."""
+        """Makes some appends arrive long after they seemed to fail."""
         append = entry.log.append
 
         async def delayed(stream, value):
@@ -72,13 +74,13 @@
     def _spawn(self, coroutine):
         self.tasks.append(asyncio.ensure_future(coroutine))
 
-    # One caller's request, from its entry to an agent.
+    # A caller's request, from its entry to an agent.
 
     async def call(self, number):
         await asyncio.sleep(self.rng.uniform(0, SECONDS))
         key = f"k{self.rng.randrange(12)}"
         body = b"other" if self.rng.random() < 0.05 else key.encode()
-        first = self.dated.setdefault(key, self.clock.wall())
+        first = self.key_times.setdefault(key, self.clock.wall())
         name = self.rng.choice(list(self.fleet.entries) or [None])
         if name is None:
             return
@@ -90,10 +92,13 @@
             self.rng.choice([1.0, 5.0]),
             (("clementine-key-time", repr(first)),),
         )
-        self.told[request.request_id] = (key, await self.serve(entry, request))
+        self.outcomes[request.request_id] = (
+            key,
+            await self.serve(entry, request),
+        )
 
     async def serve(self, entry, request):
-        """Does what the pipeline does; None when the entry died."""
+        """Serves a request as the pipeline does; None if the entry died."""
         result = await entry.claims.claim(request)
         if not entry.endpoint.up:
             return None
@@ -102,7 +107,7 @@
         if isinstance(result, request_types.ClaimRefused):
             return result.outcome
         if self.rng.random() < 0.2:
-            # A paused process: everything in it stands still, and goes on.
+            # A paused process stops completely and then continues.
             await asyncio.sleep(self.rng.choice([0.5, 2.0, 40.0]))
         outcome = await self.send(request, result.offset)
         if not entry.endpoint.up:
@@ -123,7 +128,7 @@
     async def attempt(self, request, number, offset):
         """Sends one attempt as `send` does, over a link that may stall."""
         name = self.rng.choice(sorted(self.gates))
-        meant_for = self.gates[name][1]
+        target_incarnation = self.gates[name][1]
         sent_at = self.clock.now()
         attempt = gate_types.Attempt(
             gate_types.AttemptId(request.request_id, number),
@@ -131,35 +136,35 @@
             idempotent=False,
             key=request.key,
             claim_offset=offset,
-            incarnation=meant_for,
+            incarnation=target_incarnation,
             sent_at=sent_at,
         )
-        self._spawn(self.arrive(name, attempt, request))
+        self._spawn(self.deliver(name, attempt, request))
         wait_s = min(1.0, request.deadline - sent_at)
         until = sent_at + wait_s
         while self.clock.now() < until:
             await asyncio.sleep(0.05)
-            done = self.finished(attempt.id)
+            done = self.answer_to(attempt.id)
             if done is not None:
                 return done
         gate, _ = self.gates[name]
         proved, _ = gate.tombstone(
-            attempt.id, False, meant_for, sent_at, self.clock.now()
+            attempt.id, False, target_incarnation, sent_at, self.clock.now()
         )
         if proved:
             return types.NotRun(types.NotRunReason.TOMBSTONED, 0.0)
         return types.Unknown(types.UnknownReason.CONNECTION_LOST)
 
-    def finished(self, attempt_id):
+    def answer_to(self, attempt_id):
         return self.answers.get(attempt_id)
 
     answers: dict
 
-    async def arrive(self, name, attempt, request):
+    async def deliver(self, name, attempt, request):
         await asyncio.sleep(self.rng.choice([0.001, 0.01, 0.5, 15.0]))
         gate, incarnation = self.gates[name]
-        # A connection does not outlive the process that it was made to, but
-        # now and then one is made anew and its frames sent again.
+        # A connection ends with the process that it was made to, but in some
+        # cases a new one is made and the frames are sent again.
         if attempt.incarnation != incarnation and self.rng.random() < 0.5:
             return
         actions = gate.submit(attempt, self.clock.now())
@@ -175,13 +180,13 @@
             body = b"booked " + request.request_id.encode()
             self.answers[attempt.id] = types.Answered(200, (), body)
 
-    # What goes wrong meanwhile.
+    # The faults.
 
-    async def trouble(self):
+    async def inject_faults(self):
         end = self.clock.now() + SECONDS
         while self.clock.now() < end:
             await asyncio.sleep(self.rng.uniform(0.2, 4.0))
-            await self.rng.choice(self._TROUBLES)(self)
+            await self.rng.choice(self._FAULTS)(self)
         self.heal()
 
     def heal(self):
@@ -201,8 +206,8 @@
     async def _replace_agent(self):
         self.start_agent(self.rng.choice(sorted(self.gates)))
 
-    async def _cut(self):
-        self.fleet.cut(*self.rng.sample(NAMES, 2))
+    async def _partition(self):
+        self.fleet.partition(*self.rng.sample(NAMES, 2))
 
     async def _heal(self):
         self.heal()
@@ -216,13 +221,20 @@
             faults.answer_lost = self.rng.randrange(3)
             faults.refused = self.rng.randrange(2)
 
-    _TROUBLES = (_crash_entry, _replace_agent, _cut, _heal, _heal, _log_fault)
+    _FAULTS = (
+        _crash_entry,
+        _replace_agent,
+        _partition,
+        _heal,
+        _heal,
+        _log_fault,
+    )
 
-    def judge(self):
-        """Compares what callers were told with what ran."""
-        doubled = {k: r for k, r in self.runs.items() if len(r) > 1}
-        assert not doubled
-        for request_id, (key, outcome) in self.told.items():
+    def check(self):
+        """Checks the outcomes of callers against the requests that ran."""
+        repeated_runs = {k: r for k, r in self.runs.items() if len(r) > 1}
+        assert not repeated_runs
+        for request_id, (key, outcome) in self.outcomes.items():
             if isinstance(outcome, types.NotRun):
                 assert request_id not in self.ran_requests
             if isinstance(outcome, types.Answered):
@@ -232,36 +244,36 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_schedule_of_faults_runs_no_key_twice(seed):
-    """Symptom: a booking is made twice, or told "not run" although it ran.
+    """Guards against bookings that run twice or ran in spite of "not run".
 
-    Sequence: entries and agents die and are replaced, links between entries
-    break, the log is down, slow, loses answers and takes records late, holders
-    of claims are paused and wake, callers repeat keys at any entry. Cause: any
-    two of these together.
+    Entries and agents die and are replaced, links between entries break, the
+    log is down or slow, loses answers and accepts records late, holders of
+    claims are paused and resume, and callers repeat keys at any entry. Any two
+    of these together may cause the failure.
     """
     clock = clocks.VirtualClock()
 
     async def body():
-        world = World(clock, seed)
-        world.answers = {}
-        await world.start()
-        troubles = asyncio.ensure_future(world.trouble())
-        await asyncio.gather(*(world.call(number) for number in range(150)))
-        await troubles
-        await asyncio.gather(*world.tasks)
+        schedule = FaultSchedule(clock, seed)
+        schedule.answers = {}
+        await schedule.start()
+        faults = asyncio.ensure_future(schedule.inject_faults())
+        await asyncio.gather(*(schedule.call(number) for number in range(150)))
+        await faults
+        await asyncio.gather(*schedule.tasks)
         await asyncio.sleep(5.0)
-        world.judge()
-        for name, entry in world.fleet.entries.items():
-            fresh = world.fleet.request(f"fresh-{name}", f"fresh-{name}")
+        schedule.check()
+        for name, entry in schedule.fleet.entries.items():
+            fresh = schedule.fleet.request(f"fresh-{name}", f"fresh-{name}")
             won = await entry.claims.claim(fresh)
             assert isinstance(won, request_types.ClaimWon)
-        await world.fleet.stop()
-        return world
+        await schedule.fleet.stop()
+        return schedule
 
-    world = clocks.run(body(), clock)
+    schedule = clocks.run(body(), clock)
     outcomes = collections.Counter(
-        type(outcome).__name__ for _, outcome in world.told.values()
+        type(outcome).__name__ for _, outcome in schedule.outcomes.values()
     )
-    # The schedule must have let something through, or it shows nothing.
+    # Without any answer or refusal the schedule would not test anything.
     assert outcomes["Answered"] > 0
     assert outcomes["NotRun"] > 0
--- a/tests/test_requests_http.py
+++ b/tests/test_requests_http.py
@@ -304,5 +304,5 @@
         "wagenmaker",
     ]
     for request in pipeline.requests:
-        time = claim.key_time_ms(request.key, request.headers)
+        time = claim.parse_key_time_ms(request.key, request.headers)
         assert time == 1_733_000_000_000
