--- a/src/clementinegw/requests/_claim_outcome_resolver.py
+++ b/src/clementinegw/requests/_claim_outcome_resolver.py
@@ -66,7 +66,7 @@
             return outcomes.key_reused()
         await _wait_settled(held, request.deadline - self._clock.now())
         if held.answer is not None:
-            return request_types.StoredAnswer(held.answer)
+            return request_types.KeptAnswer(held.answer)
         return outcomes.RESULT_BY_STATE[held.state]()
 
     async def resolve_winner(
@@ -93,7 +93,7 @@
                 verdict = Verdict.UNKNOWN
             return outcomes.RESULT_BY_VERDICT[verdict]()
         if holder_reply.answer is not None:
-            return request_types.StoredAnswer(
+            return request_types.KeptAnswer(
                 outcomes.answer_from_wire(holder_reply.answer)
             )
         if holder_reply.verdict == Verdict.NOT_KEPT:
--- a/src/clementinegw/requests/pipeline.py
+++ b/src/clementinegw/requests/pipeline.py
@@ -187,7 +187,7 @@
         if request.idempotent or not request.key:
             return await self._run_attempts(state)
         result = await self._claims.claim(request)
-        if isinstance(result, request_types.StoredAnswer):
+        if isinstance(result, request_types.KeptAnswer):
             self._counters.add("requests.kept_answers")
             return result.outcome
         if isinstance(result, request_types.ClaimRefused):
--- a/src/clementinegw/requests/suspects_service.py
+++ b/src/clementinegw/requests/suspects_service.py
@@ -99,10 +99,10 @@
 
         Args:
           request: The request.
-          wait_s: How long to wait for its turn, in seconds.
+          wait_s: How long to wait for a lease, in seconds.
 
         Returns:
-          A turn to be ended by `release_lease`; None if the request is no
+          A lease to be released by `release_lease`; None if the request is no
           suspect; NotRun if it may not run, or not yet.
         """
         until = min(self._clock.now() + wait_s, request.deadline)
@@ -116,12 +116,12 @@
                     types.NotRunReason.SUSPECT, None, "it crashed two servers"
                 )
             remaining_s = request.deadline - self._clock.now()
-            turn = await self._lease_manager.acquire_lease(
+            lease = await self._lease_manager.acquire_lease(
                 request.fingerprint, remaining_s
             )
-            if turn is not None:
+            if lease is not None:
                 self._counters.add("suspects.turns")
-                return turn
+                return lease
             if self._clock.now() + _LEASE_RETRY_INTERVAL_S >= until:
                 self._counters.add("suspects.deferred")
                 return types.NotRun(
@@ -129,9 +129,9 @@
                 )
             await asyncio.sleep(_LEASE_RETRY_INTERVAL_S)
 
-    def release_lease(self, turn: Lease) -> None:
-        """Ends a turn."""
-        self._lease_manager.release_lease(turn)
+    def release_lease(self, lease: Lease) -> None:
+        """Releases a lease."""
+        self._lease_manager.release_lease(lease)
 
     def completed(self, request: request_types.Request) -> None:
         """Clears a request that was answered completely."""
--- a/src/clementinegw/requests/types.py
+++ b/src/clementinegw/requests/types.py
@@ -127,17 +127,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoredAnswer:
-    """A request with the key ran before, and its answer was stored.
+class KeptAnswer:
+    """A request with the key ran before, and its answer was kept.
 
     Attributes:
-      outcome: The stored answer.
+      outcome: The kept answer.
     """
 
     outcome: types.Answered
 
 
-ClaimResult = ClaimWon | ClaimRefused | StoredAnswer
+ClaimResult = ClaimWon | ClaimRefused | KeptAnswer
 
 
 class Claims(Protocol):
--- a/tests/test_claim_horizon.py
+++ b/tests/test_claim_horizon.py
@@ -44,7 +44,7 @@
     claims.settle(first, ANSWER)
     await asyncio.sleep(3000.0)
     again = fleet.request("r2", headers=first.headers)
-    assert isinstance(await claims.claim(again), request_types.StoredAnswer)
+    assert isinstance(await claims.claim(again), request_types.KeptAnswer)
     await asyncio.sleep(30_000.0)
     await fleet.crash("e1")
     claims = (await fleet.start("e1", 2)).claims
@@ -86,7 +86,7 @@
     await asyncio.sleep(1.0)
     for shard in range(claim_lib.SHARDS):
         fleet.log.roll_back(claim_lib.stream_name(shard), 1)
-    assert isinstance(await claims.claim(first), request_types.StoredAnswer)
+    assert isinstance(await claims.claim(first), request_types.KeptAnswer)
     for key in same[1:]:
         late = fleet.request(f"r-{key}", key, headers=first.headers)
         assert (
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -102,7 +102,7 @@
         result = await entry.claims.claim(request)
         if not entry.endpoint.up:
             return None
-        if isinstance(result, request_types.StoredAnswer):
+        if isinstance(result, request_types.KeptAnswer):
             return result.outcome
         if isinstance(result, request_types.ClaimRefused):
             return result.outcome
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -25,7 +25,7 @@
     fleet.entries["e1"].claims.settle(first, ANSWER)
     for name in fleet.entries:
         again = await fleet.entries[name].claims.claim(fleet.request("r2"))
-        assert again == request_types.StoredAnswer(ANSWER)
+        assert again == request_types.KeptAnswer(ANSWER)
 
 
 @claims_fleet.with_fleet("e1", "e2")
@@ -46,7 +46,7 @@
 
     results = await asyncio.gather(*(claim(name) for name in requests))
     kinds = sorted(type(result).__name__ for result in results)
-    assert kinds == ["ClaimWon", "StoredAnswer"]
+    assert kinds == ["ClaimWon", "KeptAnswer"]
 
 
 @claims_fleet.with_fleet("e1", "e2")
--- a/tests/test_suspect.py
+++ b/tests/test_suspect.py
@@ -165,20 +165,20 @@
     async def run(self, name, request, batched_with=()):
         """Runs a request as the pipeline does; returns its outcome."""
         service = self.suspects[name]
-        turn = await service.acquire_lease(request, 2.0)
-        if isinstance(turn, types.NotRun):
-            return turn
+        lease = await service.acquire_lease(request, 2.0)
+        if isinstance(lease, types.NotRun):
+            return lease
         self.running += 1
         self.max_running = max(self.max_running, self.running)
         await asyncio.sleep(0.01)
         self.running -= 1
         if request.fingerprint == self.poison:
-            alone = turn is not None
+            alone = lease is not None
             others = [] if alone else list(batched_with)
             self.report_crash([request.fingerprint, *others], [name])
             return types.Unknown(types.UnknownReason.BACKEND_CRASHED)
-        if turn is not None:
-            service.release_lease(turn)
+        if lease is not None:
+            service.release_lease(lease)
         service.completed(request)
         return types.Answered(200, (), b"")
 
