--- a/src/clementinegw/requests/claims_service.py
+++ b/src/clementinegw/requests/claims_service.py
@@ -215,7 +215,7 @@
 
     async def acquire_lease(
         self, name: bytes, use_s: float
-    ) -> request_types.Turn | None:
+    ) -> request_types.Lease | None:
         """Acquires a lease that only one entry of the fleet holds at a time.
 
         Args:
@@ -238,12 +238,12 @@
         until = self._clock.now() + use_s
         reply = await self._call_owner(claim, until)
         if reply.verdict == Verdict.WON and self._clock.now() < until:
-            return request_types.Turn(key, claim.claim_id, until)
+            return request_types.Lease(key, claim.claim_id, until)
         if reply.verdict not in _FINAL_VERDICTS:
             self._end_queue.release(claim)
         return None
 
-    def release_lease(self, lease: request_types.Turn) -> None:
+    def release_lease(self, lease: request_types.Lease) -> None:
         """Releases a lease."""
         self._end_queue.add(
             lease.key, lease.claim_id, ttypes.ClaimEndKind.RELEASED
--- a/src/clementinegw/requests/demand.py
+++ b/src/clementinegw/requests/demand.py
@@ -1,21 +1,23 @@
-"""Which customers stay within their share of a busy service.
+"""Tracks which customers are within their share of a busy service.
 
-The share is max-min fair: capacity is divided by weight, and what a customer
-does not ask for goes to the others. One that asks for less than its share is
-light. Its requests need not wait for those who ask for more.
+Shares are max-min fair: the capacity is divided by weight, and the part that a
+customer does not use is divided among the others. Requests of a customer within
+its share need not wait for those of customers above theirs.
 """
 
 import dataclasses
 import math
 
 _PERIOD_S = 1.0
-_SMOOTHING = 0.15
-# A rate is measured with noise; one somewhat above its share is still light.
-_MARGIN = 1.25
-_NEGLIGIBLE = 0.01
-# When all ask for more than their share, noise makes one or the other seem
-# light; those that are ask for a good part of the capacity together.
-_LIGHT_PART = 0.3
+_SMOOTHING_FACTOR = 0.15
+# Measured rates are noisy, so a customer slightly above its share still counts
+# as within it.
+_SHARE_MARGIN = 1.25
+_NEGLIGIBLE_RATE = 0.01
+# If all customers are above their share, noise makes some seem to be within it.
+# Customers that really are within their share use at least this share of the
+# capacity together.
+_MIN_WITHIN_SHARE_LOAD = 0.3
 
 
 @dataclasses.dataclass(slots=True)
@@ -24,91 +26,99 @@
     cost: float = 0.0
     rate: float = 0.0
     periods: int = 0
-    light: bool = True
+    within_share: bool = True
 
 
-class Demand:
+class DemandTracker:
     """The demand of each customer of one service at one entry."""
 
     def __init__(self) -> None:
-        """Starts without demand."""
+        """Starts without any demand."""
         self._customers: dict[str, _Customer] = {}
-        self._ended_at: float | None = None
+        self._period_start: float | None = None
         self._mixed = False
 
-    def seen(self, name: str, weight: float, cost: float, now: float) -> None:
-        """Notes a request, whether it is taken in or not.
+    def record_request(
+        self, name: str, weight: float, cost: float, now: float
+    ) -> None:
+        """Records a request, whether or not it is accepted.
 
         Args:
-          name: The customer.
-          weight: Its weight.
-          cost: What the request takes, in units of one mean request.
-          now: Monotonic seconds.
+          name: The name of the customer.
+          weight: The customer's weight.
+          cost: The cost of the request, in units of one mean request.
+          now: The current time, in monotonic seconds.
         """
         customer = self._customers.get(name)
         if customer is None:
             customer = self._customers[name] = _Customer(weight)
         customer.weight = weight
         customer.cost += cost
-        if self._ended_at is None:
-            self._ended_at = now
+        if self._period_start is None:
+            self._period_start = now
 
-    def is_light(self, name: str) -> bool:
+    def is_within_share(self, name: str) -> bool:
         """Returns whether a customer is within its share."""
         customer = self._customers.get(name)
-        return customer is None or customer.light
+        return customer is None or customer.within_share
 
     @property
     def mixed(self) -> bool:
-        """Whether light customers, beside others, are much of the work."""
+        """Whether customers within their share compete with others.
+
+        This requires that they cause a considerable part of the load.
+        """
         return self._mixed
 
     def is_due(self, now: float) -> bool:
-        """Returns whether the present period is over."""
-        return self._ended_at is not None and (
-            now - self._ended_at >= _PERIOD_S
+        """Returns whether the current period is over."""
+        return self._period_start is not None and (
+            now - self._period_start >= _PERIOD_S
         )
 
     def end_period(self, capacity: float, now: float) -> None:
-        """Compares the demand with the capacity.
+        """Ends the period and compares its demand with the capacity.
 
         Args:
-          capacity: Cost a second that this entry can have served.
-          now: Monotonic seconds.
+          capacity: The cost per second that this entry can run.
+          now: The current time, in monotonic seconds.
         """
-        assert self._ended_at is not None
-        passed_s = now - self._ended_at
-        self._ended_at = now
+        assert self._period_start is not None
+        elapsed_s = now - self._period_start
+        self._period_start = now
         for name, customer in list(self._customers.items()):
-            rate = customer.cost / passed_s
-            # The first periods count fully. Smoothed from zero, a customer
-            # that starts with a burst would seem light for ten of them.
+            rate = customer.cost / elapsed_s
+            # The first periods are averaged with equal weight. If the rate
+            # were smoothed from zero, a customer that starts with a burst
+            # would count as within its share for ten periods.
             customer.periods += 1
-            weight = max(_SMOOTHING, 1.0 / customer.periods)
+            weight = max(_SMOOTHING_FACTOR, 1.0 / customer.periods)
             customer.rate += weight * (rate - customer.rate)
             customer.cost = 0.0
-            if customer.rate < _NEGLIGIBLE:
+            if customer.rate < _NEGLIGIBLE_RATE:
                 del self._customers[name]
-        level = self._fair_level(capacity)
+        fair_rate = self._fair_rate(capacity)
         for customer in self._customers.values():
-            limit = customer.weight * level * _MARGIN
-            customer.light = customer.rate <= limit
-        light = [c.rate for c in self._customers.values() if c.light]
+            limit = customer.weight * fair_rate * _SHARE_MARGIN
+            customer.within_share = customer.rate <= limit
+        within_share = [
+            c.rate for c in self._customers.values() if c.within_share
+        ]
         self._mixed = (
-            len(light) < len(self._customers)
-            and sum(light) >= _LIGHT_PART * capacity
+            len(within_share) < len(self._customers)
+            and sum(within_share) >= _MIN_WITHIN_SHARE_LOAD * capacity
         )
 
-    def _fair_level(self, capacity: float) -> float:
-        """Returns the rate for each unit of weight at which all is used."""
-        left = capacity
+    def _fair_rate(self, capacity: float) -> float:
+        """Returns the max-min fair rate per unit of weight."""
+        remaining = capacity
         weights = sum(c.weight for c in self._customers.values())
         ordered = sorted(
             self._customers.values(), key=lambda c: c.rate / c.weight
         )
         for customer in ordered:
-            if customer.rate / customer.weight > left / weights:
-                return left / weights
-            left -= customer.rate
+            if customer.rate / customer.weight > remaining / weights:
+                return remaining / weights
+            remaining -= customer.rate
             weights -= customer.weight
         return math.inf
--- a/tests/test_gate_service.py
+++ b/tests/test_gate_service.py
@@ -124,9 +124,9 @@
             is_status = isinstance(notice, ttypes.AgentStatus)
             added, removed = notice.prefixes or [], notice.prefixes_gone or []
             if is_status and not notice.prefixes_changed:
-                index.reported("agent-1", added, 0.0)
+                index.apply_report("agent-1", added, 0.0)
             else:
-                index.changed("agent-1", added, removed, 0.0)
+                index.apply_changes("agent-1", added, removed, 0.0)
         sent = sum(len(notice.prefixes or []) for notice in setup.notices)
         assert sent <= 2 * len(index)
         for number in range(3):
