--- a/src/clementinegw/commands/settings.py
+++ b/src/clementinegw/commands/settings.py
@@ -238,7 +238,7 @@
     history = fold.history()
     oldest = history[0].revision if history else 0
     if revision > fold.revision or (
-        revision < oldest and len(history) == fold_lib.HISTORY_KEPT
+        revision < oldest and len(history) == fold_lib.MAX_HISTORY_ENTRIES
     ):
         raise exceptions.SettingsError(
             f"revision: expected {oldest} to {fold.revision}, found {revision}"
--- a/src/clementinegw/daemons/core.py
+++ b/src/clementinegw/daemons/core.py
@@ -77,7 +77,7 @@
         self._key_ring = _load_key_ring(file)
         self._incarnation = int(self.clock.wall() * _MS_PER_S)
         identity = connection_lib.Identity(
-            file.instance_id, file.role, file.type_place(), self._incarnation
+            file.instance_id, file.role, file.to_place(), self._incarnation
         )
         self.endpoint = connection_lib.Endpoint(
             identity,
@@ -96,7 +96,7 @@
     @property
     def place(self) -> types.Place:
         """The region and failure domain of this process."""
-        return self.file.type_place()
+        return self.file.to_place()
 
     @property
     def instance(self) -> types.Instance:
@@ -227,7 +227,7 @@
         self.membership.set_keys(ring)
 
     def _on_member(self, member: views.MemberView) -> None:
-        self.follower.hear(member.settings_revision)
+        self.follower.receive_revision(member.settings_revision)
 
     async def _announce(self, state: instances_lib.State) -> None:
         while not self.should_stop:
--- a/src/clementinegw/matrix/settings.py
+++ b/src/clementinegw/matrix/settings.py
@@ -204,7 +204,7 @@
         ):
             return
         if process.follower is not None:
-            follower.hear(process.follower.revision)
+            follower.receive_revision(process.follower.revision)
 
     def _base(self) -> int:
         follower = self.processes[0].follower
--- a/src/clementinegw/matrix/settings_faults.py
+++ b/src/clementinegw/matrix/settings_faults.py
@@ -180,7 +180,7 @@
     guards.Guard(
         "no_revision_check",
         "lost_update",
-        (guards.Patch(_check, "conflict", _no_conflict),),
+        (guards.Patch(_check, "find_conflict", _no_conflict),),
         ("settings_change",),
         ("operators_race@append_sent",),
     ),
@@ -188,7 +188,7 @@
         "no_log_check",
         "log_differs",
         (
-            guards.Patch(cursor_lib.Cursor, "_judge", _believe_any),
+            guards.Patch(cursor_lib.Cursor, "_adopt_or_refuse", _believe_any),
             guards.Patch(_merge, "merge", _leave_out),
         ),
         ("settings_change", "snapshot"),
@@ -204,7 +204,7 @@
     guards.Guard(
         "no_snapshot",
         "accepted_not_in_force",
-        (guards.Patch(snapshots.Duty, "due", _never_due),),
+        (guards.Patch(snapshots.SnapshotSchedule, "due", _never_due),),
         ("snapshot",),
         ("operators_race@expired",),
     ),
--- a/src/clementinegw/settings/_check.py
+++ b/src/clementinegw/settings/_check.py
@@ -9,7 +9,7 @@
 from clementinegw.settings import results
 
 
-def conflict(
+def find_conflict(
     state: _state.State, change: changes.Change
 ) -> results.Rejected | None:
     """Returns a refusal if what a change touches moved since its base."""
--- a/src/clementinegw/settings/_errors.py
+++ b/src/clementinegw/settings/_errors.py
@@ -7,7 +7,7 @@
 
 import pydantic
 
-_FOUND_LENGTH = 60
+_MAX_FOUND_CHARS = 60
 
 
 def dump_json(value: Any) -> bytes:
@@ -35,20 +35,20 @@
     return "$" + "".join(steps)
 
 
-def nearest(name: str, known: list[str]) -> str | None:
+def closest_match(name: str, known: list[str]) -> str | None:
     """Returns the known name that a mistyped one most likely meant."""
     close = difflib.get_close_matches(name, known, n=1, cutoff=0.5)
     return close[0] if close else None
 
 
-def _model_of(annotation: Any) -> type[pydantic.BaseModel] | None:
+def _find_model(annotation: Any) -> type[pydantic.BaseModel] | None:
     """Finds the model in an annotation such as `Service | None`."""
     if isinstance(annotation, type) and issubclass(
         annotation, pydantic.BaseModel
     ):
         return annotation
     for argument in typing.get_args(annotation):
-        found = _model_of(argument)
+        found = _find_model(argument)
         if found is not None:
             return found
     return None
@@ -71,21 +71,21 @@
             return []
         fields = _field_names(current)
         if step in fields:
-            current = _model_of(fields[str(step)])
+            current = _find_model(fields[str(step)])
     return list(_field_names(current)) if current else []
 
 
-def _found(value: Any) -> str:
+def _clip(value: Any) -> str:
     text = json.dumps(value, default=str, ensure_ascii=False)
-    if len(text) > _FOUND_LENGTH:
-        text = text[:_FOUND_LENGTH] + "..."
+    if len(text) > _MAX_FOUND_CHARS:
+        text = text[:_MAX_FOUND_CHARS] + "..."
     return text
 
 
-def _unknown_key(detail: Any, model: type[pydantic.BaseModel]) -> str:
+def _describe_unknown_key(detail: Any, model: type[pydantic.BaseModel]) -> str:
     location = detail["loc"]
     known = known_keys(model, location[:-1])
-    guess = nearest(str(location[-1]), known)
+    guess = closest_match(str(location[-1]), known)
     hint = f'; did you mean "{guess}"?' if guess else ""
     return (
         f"{json_path(location)}: expected one of {', '.join(known)},"
@@ -93,7 +93,7 @@
     )
 
 
-def _other(detail: Any) -> str:
+def _describe_other(detail: Any) -> str:
     location = json_path(detail["loc"])
     message = detail["msg"]
     if detail["type"] == "value_error":
@@ -101,16 +101,14 @@
         if location == "$":
             return message if message.startswith("$") else f"$.{message}"
         message = message.removeprefix("expected ")
-        return (
-            f"{location}: expected {message}, found {_found(detail['input'])}"
-        )
+        return f"{location}: expected {message}, found {_clip(detail['input'])}"
     if detail["type"] == "missing":
         return f"{location}: expected a value, found none"
     if detail["type"] == "json_invalid":
         return f"$: expected JSON, found: {message}"
     expected = message.removeprefix("Input should ").removeprefix("be ")
     expected = expected.replace("String should", "a text that should")
-    return f"{location}: expected {expected}, found {_found(detail['input'])}"
+    return f"{location}: expected {expected}, found {_clip(detail['input'])}"
 
 
 def describe(
@@ -123,9 +121,9 @@
     details.sort(key=lambda detail: detail["type"] != "extra_forbidden")
     first = details[0]
     if first["type"] == "extra_forbidden":
-        line = _unknown_key(first, model)
+        line = _describe_unknown_key(first, model)
     else:
-        line = _other(first)
+        line = _describe_other(first)
     if len(details) > 1:
         line += f" (and {len(details) - 1} more)"
     return line.replace("\n", " ")
--- a/src/clementinegw/settings/_merge.py
+++ b/src/clementinegw/settings/_merge.py
@@ -52,7 +52,7 @@
     state: _state.State
     refused: _state.Verdicts
 
-    def has_met(self, entry: _state.HistoryEntry) -> bool:
+    def has_decided(self, entry: _state.HistoryEntry) -> bool:
         """Returns whether a change was decided on, or is too long ago."""
         return (
             entry.revision <= self.state.floor
@@ -75,10 +75,10 @@
       exceptions.SettingsError: The snapshot's tree does not fit.
     """
     ahead = snapshot.state.revision > own.state.revision
-    if not ahead and all(own.has_met(e) for e in snapshot.state.history):
+    if not ahead and all(own.has_decided(e) for e in snapshot.state.history):
         return None
     if not _is_complete(own.state, snapshot.state):
-        moved = _moved(own.state, snapshot.state)
+        moved = _changed_paths(own.state, snapshot.state)
         return _apply(own, snapshot.state, moved)
     newest = own.state.revision
     merged = _apply(snapshot, own.state, ())
@@ -93,7 +93,7 @@
 
     What the history forgot could not be applied again and would be undone.
     """
-    if len(own.history) < _state.HISTORY_KEPT:
+    if len(own.history) < _state.MAX_HISTORY_ENTRIES:
         return True
     oldest = own.history[0]
     return oldest.revision <= snapshot.floor or snapshot.accepted(
@@ -101,7 +101,9 @@
     )
 
 
-def _moved(own: _state.State, snapshot: _state.State) -> tuple[str, ...]:
+def _changed_paths(
+    own: _state.State, snapshot: _state.State
+) -> tuple[str, ...]:
     """Returns the paths touched after the last change that both know."""
     common = max(
         (
@@ -115,7 +117,7 @@
 
 
 def _apply(
-    earlier: Side, later: _state.State, blocked: tuple[str, ...]
+    earlier: Side, later: _state.State, protected_paths: tuple[str, ...]
 ) -> Merged:
     """Applies the changes that only one side has on top of the other."""
     state = earlier.state
@@ -125,9 +127,11 @@
     for entry in later.history:
         if entry.revision <= state.floor or state.accepted(entry.change_id):
             continue
-        change = _change_of(entry, state)
+        change = _rebase_change(entry, state)
         checked = _check.check(state.tree, tree, change)
-        if isinstance(checked, results.Rejected) or _touches(change, blocked):
+        if isinstance(checked, results.Rejected) or _overlaps(
+            change, protected_paths
+        ):
             lost.append(entry.change_id)
             continue
         raw, tree = checked
@@ -141,7 +145,7 @@
     return Merged(state, tree, earlier.refused, tuple(kept), tuple(lost))
 
 
-def _touches(change: changes.Change, paths: tuple[str, ...]) -> bool:
+def _overlaps(change: changes.Change, paths: tuple[str, ...]) -> bool:
     return any(
         changes.overlap(path, operation.path)
         for path in paths
@@ -149,7 +153,7 @@
     )
 
 
-def _change_of(
+def _rebase_change(
     entry: _state.HistoryEntry, state: _state.State
 ) -> changes.Change:
     return changes.Change(
--- a/src/clementinegw/settings/_reporter.py
+++ b/src/clementinegw/settings/_reporter.py
@@ -21,7 +21,7 @@
         self._log = log
         self._counters = counters
 
-    def folded(self, folded: cursor_lib.Folded, revision: int) -> None:
+    def report_folded(self, folded: cursor_lib.Folded, revision: int) -> None:
         """Reports a record.
 
         Args:
@@ -39,7 +39,7 @@
                 conflict=result.conflicting_revision,
             )
         elif isinstance(result, results.Skipped):
-            self._skipped(folded.offset, result, revision)
+            self._report_skipped(folded.offset, result, revision)
         elif isinstance(result, results.Restored):
             self._log.write(
                 _events.RESTORED,
@@ -50,17 +50,17 @@
         elif isinstance(result, results.Halted):
             self._log.write(_events.HALTED, schema=result.schema)
 
-    def diverged(self, source: str, revision: int) -> None:
+    def report_divergence(self, source: str, revision: int) -> None:
         """Reports that another process has other content at a revision."""
         self._counters.add("settings.diverged")
         self._log.write(_events.DIVERGED, source=source, revision=revision)
 
-    def _skipped(
+    def _report_skipped(
         self, offset: int, skipped: results.Skipped, revision: int
     ) -> None:
         self._counters.add(f"settings.skipped.{skipped.reason}")
         if skipped.reason is records.SkipReason.SNAPSHOT_DIVERGES:
-            self.diverged("snapshot", revision)
+            self.report_divergence("snapshot", revision)
         elif not skipped.reason.startswith("snapshot_"):
             self._log.write(
                 _events.RECORD_SKIPPED, offset=offset, reason=skipped.reason
--- a/src/clementinegw/settings/_state.py
+++ b/src/clementinegw/settings/_state.py
@@ -15,8 +15,8 @@
 from clementinegw.settings import changes
 
 MAX_STATE_BYTES = 16_777_216
-VERDICTS_KEPT = 512
-HISTORY_KEPT = 100
+MAX_VERDICTS = 512
+MAX_HISTORY_ENTRIES = 100
 
 Verdicts = collections.OrderedDict[str, "Verdict"]
 
@@ -80,7 +80,7 @@
         }
 
 
-def _history_from_json(data: dict[str, Any]) -> HistoryEntry:
+def _history_entry_from_json(data: dict[str, Any]) -> HistoryEntry:
     return HistoryEntry(
         data["revision"],
         data["id"],
@@ -156,18 +156,18 @@
         self.revision = revision
         for operation in change.operations:
             self.touched[operation.path] = (revision, change.change_id)
-        if len(refused) == VERDICTS_KEPT:
+        if len(refused) == MAX_VERDICTS:
             oldest = next(iter(refused.values()))
             self.floor = max(self.floor, oldest.revision)
         self.verdicts.update(refused)
         self.verdicts[change.change_id] = Verdict(revision)
         refused.clear()
-        self._forget()
+        self._trim()
 
-    def _forget(self) -> None:
-        while len(self.history) > HISTORY_KEPT:
+    def _trim(self) -> None:
+        while len(self.history) > MAX_HISTORY_ENTRIES:
             self.history.popleft()
-        while len(self.verdicts) > VERDICTS_KEPT:
+        while len(self.verdicts) > MAX_VERDICTS:
             # A forgotten change that came again would be decided anew. It is
             # made for this revision or an earlier one, so the floor stops it.
             _, forgotten = self.verdicts.popitem(last=False)
@@ -211,7 +211,9 @@
             data["tree"],
             {p: (t[0], t[1]) for p, t in data["touched"].items()},
             verdicts_from_json(data["verdicts"]),
-            collections.deque(_history_from_json(h) for h in data["history"]),
+            collections.deque(
+                _history_entry_from_json(h) for h in data["history"]
+            ),
         )
     except (ValueError, KeyError, TypeError, IndexError) as error:
         raise exceptions.DecodeError(f"settings state: {error!r}") from None
--- a/src/clementinegw/settings/changes.py
+++ b/src/clementinegw/settings/changes.py
@@ -220,14 +220,14 @@
 
     def __str__(self) -> str:
         parts = {
-            DiffKind.ADDED: f"{_text(self.after)}",
-            DiffKind.REMOVED: f"{_text(self.before)}",
-            DiffKind.CHANGED: f"{_text(self.before)} -> {_text(self.after)}",
+            DiffKind.ADDED: f"{_dump(self.after)}",
+            DiffKind.REMOVED: f"{_dump(self.before)}",
+            DiffKind.CHANGED: f"{_dump(self.before)} -> {_dump(self.after)}",
         }
         return f"{self.kind} {self.path} = {parts[self.kind]}"
 
 
-def _text(value: Json) -> str:
+def _dump(value: Json) -> str:
     return _errors.dump_json(value).decode()
 
 
--- a/src/clementinegw/settings/cursor.py
+++ b/src/clementinegw/settings/cursor.py
@@ -16,8 +16,8 @@
 from clementinegw.settings import snapshots
 
 PAGE_RECORDS = 500
-FIRST_WINDOW = 512
-WINDOW_GROWTH = 8
+FIRST_WINDOW_RECORDS = 512
+WINDOW_GROWTH_FACTOR = 8
 
 
 RefuseReason = _pages.RefuseReason
@@ -33,7 +33,7 @@
     VERIFY = "verify"
 
 
-class Remedy(enum.StrEnum):
+class Repair(enum.StrEnum):
     """What mends a log that is not believed.
 
     RESTORE: its fold lacks accepted changes that this process holds; a
@@ -109,12 +109,12 @@
     Attributes:
       reason: Why.
       detail: Offsets and revisions, for the log line.
-      remedy: What this process may put into the log to mend it.
+      repair: What this process may put into the log to mend it.
     """
 
     reason: RefuseReason
     detail: str
-    remedy: Remedy = Remedy.NONE
+    repair: Repair = Repair.NONE
 
 
 Event = Folded | Adopted | Refused
@@ -128,7 +128,7 @@
         self._fold: fold_lib.Fold | None = None
         self._candidate: fold_lib.Fold | None = None
         self._search: snapshots.Search | None = None
-        self._search_at = 0
+        self._search_offset = 0
         self._mode = Mode.SURVEY
         self._first_offset = 1
         self._refused: RefuseReason | None = None
@@ -171,7 +171,7 @@
         if self._mode is Mode.SURVEY:
             return Read(1, 1)
         if self._mode is Mode.SEARCH:
-            return Read(self._search_at, PAGE_RECORDS)
+            return Read(self._search_offset, PAGE_RECORDS)
         if self._mode is Mode.CATCH_UP:
             assert self._candidate is not None
             return _overlapping(self._candidate)
@@ -185,23 +185,25 @@
         self._first_offset = page.first_offset
         return self._handlers[self._mode](page)
 
-    def on_disturbance(self) -> None:
+    def require_verification(self) -> None:
         """Checks the log again before it is followed, after a failed read."""
         if self._mode is Mode.FOLLOW:
             self._mode = Mode.VERIFY
 
-    def adopt(self, fold: fold_lib.Fold, take_place: bool = True) -> Adoption:
+    def adopt(
+        self, fold: fold_lib.Fold, adopt_position: bool = True
+    ) -> Adoption:
         """Takes a peer's fold when it continues the one in force.
 
         Args:
           fold: The peer's.
-          take_place: Whether one of the same revision is taken when it is
+          adopt_position: Whether one of the same revision is taken when it is
             further in the log.
         """
         if self._fold is not None:
-            if not _continues(self._fold, fold, take_place):
+            if not _continues(self._fold, fold, adopt_position):
                 return Adoption.NOT_NEWER
-            if unknown_changes(self._fold, fold):
+            if missing_changes(self._fold, fold):
                 # The peer follows a log that lost what is in force here. The
                 # two are brought together in the log, see `fold.Fold`.
                 return Adoption.LACKS_CHANGES
@@ -219,7 +221,7 @@
 
     def _on_survey(self, page: log_lib.Page) -> list[Event]:
         self._start_search(
-            max(page.first_offset, page.next_offset - FIRST_WINDOW, 1)
+            max(page.first_offset, page.next_offset - FIRST_WINDOW_RECORDS, 1)
         )
         if page.next_offset <= max(page.first_offset, 1):
             return self._end_search(page)
@@ -227,15 +229,15 @@
 
     def _start_search(self, start: int) -> None:
         self._search = snapshots.Search(start)
-        self._search_at = start
+        self._search_offset = start
         self._mode = Mode.SEARCH
 
     def _on_search(self, page: log_lib.Page) -> list[Event]:
         assert self._search is not None
         for record in page.records:
             self._search.add(record.offset, record.value)
-            self._search_at = record.offset + 1
-        if page.records and self._search_at < page.next_offset:
+            self._search_offset = record.offset + 1
+        if page.records and self._search_offset < page.next_offset:
             return []
         return self._end_search(page)
 
@@ -244,15 +246,15 @@
         start = self._search.start
         candidate = self._search.best(self._allow_rebase)
         if candidate is None and start > max(page.first_offset, 1):
-            window = (page.next_offset - start) * WINDOW_GROWTH
+            window = (page.next_offset - start) * WINDOW_GROWTH_FACTOR
             self._start_search(
                 max(page.first_offset, page.next_offset - window, 1)
             )
             return []
         if candidate is None and page.first_offset > 1:
             detail = f"the log begins at {page.first_offset}"
-            remedy = self._rebase_remedy(page)
-            return self._refuse(RefuseReason.NO_SNAPSHOT, detail, remedy)
+            repair = self._rebase_repair(page)
+            return self._refuse(RefuseReason.NO_SNAPSHOT, detail, repair)
         self._search = None
         self._candidate = candidate or fold_lib.Fold()
         self._mode = Mode.CATCH_UP
@@ -263,20 +265,20 @@
         assert candidate is not None
         problem = _pages.check(candidate, page)
         if problem is not None:
-            remedy = Remedy.NONE
+            repair = Repair.NONE
             if problem is RefuseReason.GAP:
                 self._allow_rebase = True
-                remedy = self._rebase_remedy(page)
+                repair = self._rebase_repair(page)
             return self._refuse(
-                problem, _pages.describe(candidate, page), remedy
+                problem, _pages.describe(candidate, page), repair
             )
         for record in _pages.new_records(candidate, page):
             candidate.apply(record.offset, record.value, record.time)
         if candidate.position < page.next_offset and not candidate.halted:
             return []
-        return self._judge(candidate)
+        return self._adopt_or_refuse(candidate)
 
-    def _rebase_remedy(self, page: log_lib.Page) -> Remedy:
+    def _rebase_repair(self, page: log_lib.Page) -> Repair:
         """Returns whether a snapshot of this process may stand for the log.
 
         Not if records expired that it has never seen: a change may have been
@@ -284,22 +286,22 @@
         """
         fold = self._fold
         if fold is None or fold.position < page.first_offset:
-            return Remedy.NONE
-        return Remedy.REBASE
+            return Repair.NONE
+        return Repair.REBASE
 
-    def _judge(self, candidate: fold_lib.Fold) -> list[Event]:
+    def _adopt_or_refuse(self, candidate: fold_lib.Fold) -> list[Event]:
         """Compares what the log shows with what is in force."""
         fold = self._fold
         self._candidate = None
         if fold is not None:
             older = candidate.revision < fold.revision
-            if older or unknown_changes(fold, candidate):
+            if older or missing_changes(fold, candidate):
                 detail = (
                     f"the log shows revision {candidate.revision},"
                     f" {fold.revision} is in force"
                 )
                 reason = RefuseReason.OLDER if older else RefuseReason.REPLACED
-                return self._refuse(reason, detail, Remedy.RESTORE)
+                return self._refuse(reason, detail, Repair.RESTORE)
         self._fold = candidate
         self._refused = None
         self._allow_rebase = False
@@ -316,7 +318,9 @@
         assert fold is not None
         problem = _pages.check(fold, page)
         if problem is not None:
-            return self._distrust(problem, _pages.describe(fold, page))
+            return self._refuse_continuation(
+                problem, _pages.describe(fold, page)
+            )
         self._refused = None
         events: list[Event] = [
             self.fold_record(record.offset, record.time, record.value)
@@ -326,7 +330,9 @@
             self._mode = Mode.FOLLOW
         return events
 
-    def _distrust(self, reason: RefuseReason, detail: str) -> list[Event]:
+    def _refuse_continuation(
+        self, reason: RefuseReason, detail: str
+    ) -> list[Event]:
         """Reports what is wrong and looks at the whole log."""
         repeated = self._refused is not None
         self._mode = Mode.SURVEY
@@ -337,20 +343,20 @@
         self,
         reason: RefuseReason,
         detail: str,
-        remedy: Remedy = Remedy.NONE,
+        repair: Repair = Repair.NONE,
     ) -> list[Event]:
         self._mode = Mode.SURVEY
         self._search = None
         self._candidate = None
         self._refused = reason
-        return [Refused(reason, detail, remedy)]
+        return [Refused(reason, detail, repair)]
 
 
 def _overlapping(fold: fold_lib.Fold) -> Read:
     return Read(max(fold.position - 1, 1), PAGE_RECORDS)
 
 
-def unknown_changes(
+def missing_changes(
     before: fold_lib.Fold, after: fold_lib.Fold
 ) -> tuple[str, ...]:
     """Returns the changes accepted by one fold that another has not met."""
@@ -363,10 +369,10 @@
 
 
 def _continues(
-    before: fold_lib.Fold, after: fold_lib.Fold, take_place: bool
+    before: fold_lib.Fold, after: fold_lib.Fold, adopt_position: bool
 ) -> bool:
     """Returns whether a peer's fold is newer, or only further in the log."""
-    if after.revision != before.revision or not take_place:
+    if after.revision != before.revision or not adopt_position:
         return after.revision > before.revision
     return after.position > before.position and after.digest == before.digest
 
--- a/src/clementinegw/settings/exchange.py
+++ b/src/clementinegw/settings/exchange.py
@@ -10,7 +10,7 @@
 from clementinegw.settings import fold as fold_lib
 from clementinegw.wire.gen.settings import ttypes
 
-RECORDS_KEPT = 256
+MAX_TAIL_RECORDS = 256
 
 
 class Peers(Protocol):
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Kept:
+class _TailRecord:
     offset: int
     time: float
     value: bytes
@@ -79,8 +79,8 @@
 
     def __init__(self) -> None:
         """Starts with none."""
-        self._kept: collections.deque[_Kept] = collections.deque(
-            maxlen=RECORDS_KEPT
+        self._records: collections.deque[_TailRecord] = collections.deque(
+            maxlen=MAX_TAIL_RECORDS
         )
 
     def add(
@@ -94,15 +94,15 @@
           value: The record.
           before: The fingerprint of the record before it.
         """
-        if self._kept and self._kept[-1].offset + 1 != offset:
-            self._kept.clear()
-        self._kept.append(_Kept(offset, time, value, before))
+        if self._records and self._records[-1].offset + 1 != offset:
+            self._records.clear()
+        self._records.append(_TailRecord(offset, time, value, before))
 
     def clear(self) -> None:
         """Forgets all, when the fold was replaced."""
-        self._kept.clear()
+        self._records.clear()
 
-    def after(
+    def records_from(
         self, position: int, fingerprint: bytes
     ) -> list[ttypes.LogRecord] | None:
         """Returns the records from a position on.
@@ -111,9 +111,9 @@
           The records; None when they are not kept or do not continue what the
           asker folded.
         """
-        if not self._kept or position < self._kept[0].offset:
+        if not self._records or position < self._records[0].offset:
             return None
-        wanted = list(self._kept)[position - self._kept[0].offset :]
+        wanted = list(self._records)[position - self._records[0].offset :]
         if not wanted or wanted[0].fingerprint_before != fingerprint:
             return None
         return [
@@ -122,7 +122,7 @@
         ]
 
 
-def pull_of(
+def make_pull(
     fold: fold_lib.Fold | None, wait_s: float = 0.0
 ) -> ttypes.SettingsPull:
     """Returns the question of a process that has a fold, or none."""
@@ -134,7 +134,7 @@
     )
 
 
-def has_news(fold: fold_lib.Fold | None, pull: ttypes.SettingsPull) -> bool:
+def is_ahead(fold: fold_lib.Fold | None, pull: ttypes.SettingsPull) -> bool:
     """Returns whether there is something to answer at once."""
     if fold is None:
         return False
@@ -150,10 +150,10 @@
     state = ttypes.SettingsState(fold.revision, b"", b"", fold.position, [])
     following = None
     if pull.revision >= 0:
-        following = tail.after(pull.position, pull.fingerprint)
+        following = tail.records_from(pull.position, pull.fingerprint)
     if following is not None:
         state.records = following
-    elif has_news(fold, pull) and fold.revision >= pull.revision:
+    elif is_ahead(fold, pull) and fold.revision >= pull.revision:
         # Also at the same revision: after a log that went back the asker has
         # the settings but not the place in the log, and would ask for ever.
         state.snapshot = fold.snapshot()
@@ -162,7 +162,7 @@
     return state
 
 
-class Taken(enum.StrEnum):
+class PullResult(enum.StrEnum):
     """What came of a peer's answer; each but the first two has a counter."""
 
     NOTHING_NEW = "nothing_new"
@@ -175,19 +175,19 @@
     NOT_CONTINUED = "not_continued"
 
 
-_TAKEN_BY_ADOPTION = {
-    cursor_lib.Adoption.ADOPTED: Taken.ADOPTED,
-    cursor_lib.Adoption.NOT_NEWER: Taken.NOTHING_NEW,
-    cursor_lib.Adoption.LACKS_CHANGES: Taken.LACKS_CHANGES,
+_RESULT_BY_ADOPTION = {
+    cursor_lib.Adoption.ADOPTED: PullResult.ADOPTED,
+    cursor_lib.Adoption.NOT_NEWER: PullResult.NOTHING_NEW,
+    cursor_lib.Adoption.LACKS_CHANGES: PullResult.LACKS_CHANGES,
 }
 
 
-def take(
+def apply_answer(
     cursor: cursor_lib.Cursor,
     state: ttypes.SettingsState,
     newest: int,
-    take_place: bool = True,
-) -> tuple[Taken, list[cursor_lib.Folded]]:
+    adopt_position: bool = True,
+) -> tuple[PullResult, list[cursor_lib.Folded]]:
     """Takes a peer's answer into the fold in force.
 
     Args:
@@ -196,35 +196,35 @@
       newest: The newest revision that live members are known to have. A
         snapshot below it is refused: the log may be down for hours, and who
         started from a peer that was cut off would go back to its settings.
-      take_place: Whether the peer knows the log better than this process, so
-        that its place there is taken also at the same revision.
+      adopt_position: Whether the peer knows the log better than this
+        process, so that its place there is taken also at the same revision.
 
     Returns:
       What came of it, and the records that were folded.
     """
     fold = cursor.fold
     if state.records and fold is not None:
-        return _take_records(cursor, fold, state)
+        return _fold_records(cursor, fold, state)
     if not state.snapshot:
-        return _compare(fold, state, take_place), []
+        return _compare(fold, state, adopt_position), []
     own = -1 if fold is None else fold.revision
     if own < state.revision < newest:
-        return Taken.OLDER, []
+        return PullResult.OLDER, []
     try:
         theirs = fold_lib.Fold.from_snapshot(state.snapshot)
     except exceptions.DecodeError:
-        return Taken.DAMAGED, []
-    taken = _TAKEN_BY_ADOPTION[cursor.adopt(theirs, take_place)]
-    if taken is Taken.NOTHING_NEW:
-        return _compare(fold, state, take_place), []
+        return PullResult.DAMAGED, []
+    taken = _RESULT_BY_ADOPTION[cursor.adopt(theirs, adopt_position)]
+    if taken is PullResult.NOTHING_NEW:
+        return _compare(fold, state, adopt_position), []
     return taken, []
 
 
-def _take_records(
+def _fold_records(
     cursor: cursor_lib.Cursor,
     fold: fold_lib.Fold,
     state: ttypes.SettingsState,
-) -> tuple[Taken, list[cursor_lib.Folded]]:
+) -> tuple[PullResult, list[cursor_lib.Folded]]:
     folded = []
     for record in state.records:
         # Another answer may have been faster with the same records.
@@ -232,20 +232,22 @@
             folded.append(
                 cursor.fold_record(record.offset, record.time, record.value)
             )
-    return (Taken.FOLDED if folded else Taken.NOTHING_NEW), folded
+    return (PullResult.FOLDED if folded else PullResult.NOTHING_NEW), folded
 
 
 def _compare(
-    fold: fold_lib.Fold | None, state: ttypes.SettingsState, take_place: bool
-) -> Taken:
+    fold: fold_lib.Fold | None,
+    state: ttypes.SettingsState,
+    adopt_position: bool,
+) -> PullResult:
     further = fold is not None and (state.position or 0) > fold.position
-    if further and take_place:
+    if further and adopt_position:
         # The peer is further but cannot pass on what lies between, as after
         # a log that went back. It answers at once each time: asked again, the
         # two would spin. One would notice a core that is busy with pulls.
-        return Taken.NOT_CONTINUED
+        return PullResult.NOT_CONTINUED
     if fold is None or not state.digest or state.revision != fold.revision:
-        return Taken.NOTHING_NEW
+        return PullResult.NOTHING_NEW
     if state.digest.hex() != fold.digest:
-        return Taken.DIVERGED
-    return Taken.NOTHING_NEW
+        return PullResult.DIVERGED
+    return PullResult.NOTHING_NEW
--- a/src/clementinegw/settings/fold.py
+++ b/src/clementinegw/settings/fold.py
@@ -17,8 +17,8 @@
 from clementinegw.settings import records
 from clementinegw.settings import results
 
-VERDICTS_KEPT = _state.VERDICTS_KEPT
-HISTORY_KEPT = _state.HISTORY_KEPT
+MAX_VERDICTS = _state.MAX_VERDICTS
+MAX_HISTORY_ENTRIES = _state.MAX_HISTORY_ENTRIES
 
 HistoryEntry = _state.HistoryEntry
 
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         """Starts before the first record."""
         self._state = _state.State()
-        self._checked = model.Tree()
+        self._checked_tree = model.Tree()
         self._refused: collections.OrderedDict[str, _state.Verdict] = (
             collections.OrderedDict()
         )
@@ -78,7 +78,7 @@
     @property
     def tree(self) -> model.Tree:
         """The checked tree."""
-        return self._checked
+        return self._checked_tree
 
     @property
     def raw(self) -> changes.Json:
@@ -136,7 +136,7 @@
         if isinstance(parsed, records.Unusable):
             return results.Skipped(parsed.reason)
         if isinstance(parsed, records.Snapshot):
-            return self._meet_snapshot(parsed, time)
+            return self._fold_snapshot(parsed, time)
         return self._decide(parsed, offset, time)
 
     def result_of(
@@ -159,10 +159,10 @@
         self, change: changes.Change
     ) -> results.Accepted | results.Rejected:
         """Returns what would come of a change if it were the next record."""
-        rejected = _check.conflict(self._state, change)
+        rejected = _check.find_conflict(self._state, change)
         if rejected is not None:
             return rejected
-        checked = _check.check(self._state.tree, self._checked, change)
+        checked = _check.check(self._state.tree, self._checked_tree, change)
         if isinstance(checked, results.Rejected):
             return checked
         return results.Accepted(self._next_revision(self._position))
@@ -235,10 +235,10 @@
             ) from None
         self._state = state
         self._refused = refused
-        self._checked = checked
+        self._checked_tree = checked
         self._digest = snapshot.digest
 
-    def _meet_snapshot(
+    def _fold_snapshot(
         self, snapshot: records.Snapshot, time: float
     ) -> results.Result:
         if (snapshot.revision, snapshot.digest) == (self.revision, self.digest):
@@ -263,7 +263,7 @@
             if snapshot.revision < self.revision:
                 return results.Skipped(records.SkipReason.SNAPSHOT_OLDER)
             return results.Skipped(records.SkipReason.SNAPSHOT_DIVERGES)
-        self._state, self._checked = merged.state, merged.tree
+        self._state, self._checked_tree = merged.state, merged.tree
         self._refused = merged.refused
         self._digest = None
         # So that starters need not go back to before this record.
@@ -287,21 +287,21 @@
         known = self._verdict(change.change_id)
         if known is not None:
             return results.Duplicate(_to_result(known))
-        refusal = _check.conflict(self._state, change)
+        refusal = _check.find_conflict(self._state, change)
         checked = refusal or _check.check(
-            self._state.tree, self._checked, change
+            self._state.tree, self._checked_tree, change
         )
         if isinstance(checked, results.Rejected):
-            self._refuse(change, checked)
+            self._record_rejection(change, checked)
             return checked
-        raw, self._checked = checked
+        raw, self._checked_tree = checked
         revision = self._next_revision(offset)
         self._state.accept(change, raw, revision, time, self._refused)
         self._accepted_since_snapshot += 1
         self._digest = None
         return results.Accepted(self.revision)
 
-    def _refuse(
+    def _record_rejection(
         self, change: changes.Change, rejected: results.Rejected
     ) -> None:
         self._refused[change.change_id] = _state.Verdict(
@@ -310,7 +310,7 @@
             rejected.conflicting_change,
             rejected.conflicting_revision,
         )
-        if len(self._refused) > VERDICTS_KEPT:
+        if len(self._refused) > MAX_VERDICTS:
             self._refused.popitem(last=False)
 
 
--- a/src/clementinegw/settings/follower.py
+++ b/src/clementinegw/settings/follower.py
@@ -27,12 +27,12 @@
 from clementinegw.telemetry import logs
 from clementinegw.wire.gen.settings import ttypes
 
-_PEER_MARGIN_S = 1.0
-_PEERS_AT_START = 2
-_START_PATIENCE_S = 10.0
-_START_PAUSE_S = 0.5
-_DEFECT_PAUSE_S = 1.0
-_BACKSTOP_KNOBS = knobs.Replication()
+_PULL_TIMEOUT_MARGIN_S = 1.0
+_START_PEERS = 2
+_START_TIMEOUT_S = 10.0
+_START_RETRY_S = 0.5
+_DEFECT_RETRY_S = 1.0
+_DEFAULT_REPLICATION = knobs.Replication()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
         counters: counters_lib.Counters | None = None,
         log: logs.Log | None = None,
         settings: knobs.Replication | None = None,
-        check_s: float = _polls.CHECK_S,
+        check_interval_s: float = _polls.CHECK_INTERVAL_S,
     ):
         """Prepares a follower without settings.
 
@@ -79,8 +79,8 @@
           counters: Where refusals and retries are counted.
           log: Where events go.
           settings: How to follow until the first settings are there.
-          check_s: Seconds between two looks at what the members know while a
-            long poll waits.
+          check_interval_s: Seconds between two looks at what the members know
+            while a long poll waits.
         """
         super().__init__()
         rng = rng or random.Random(instance_id)
@@ -89,14 +89,16 @@
         self._clock = clock or clocks.SystemClock()
         self._counters = counters or counters_lib.Counters()
         self._log = log or logs.Log(instance=instance_id)
-        self._first_settings = settings or _BACKSTOP_KNOBS
+        self._initial_replication = settings or _DEFAULT_REPLICATION
         self._cursor = cursor_lib.Cursor()
         self._tail = exchange.Tail()
-        self._duty = snapshots.Duty(rng)
+        self._snapshot_schedule = snapshots.SnapshotSchedule(rng)
         self._backoff = _source.Backoff(rng)
         self._reporter = _reporter.Reporter(self._log, self._counters)
-        self._polls = _polls.Polls(self._peers, self._clock, check_s)
-        self._mender = _source.Mender(rng)
+        self._polls = _polls.LongPolls(
+            self._peers, self._clock, check_interval_s
+        )
+        self._repair_schedule = _source.RepairSchedule(rng)
         self._sources = _source.Sources(instance_id, rng)
         self._started_at: float | None = None
         self._was_relay: bool | None = None
@@ -130,15 +132,15 @@
         if self._state is not None:
             callback(self._state)
 
-    def hear(self, revision: int) -> None:
+    def receive_revision(self, revision: int) -> None:
         """Takes a revision that a member was heard to have."""
-        self._polls.hear(revision)
+        self._polls.receive_revision(revision)
 
     async def answer(self, pull: ttypes.SettingsPull) -> ttypes.SettingsState:
         """Answers a peer, at most `pull.wait_ms` later."""
         loop = asyncio.get_running_loop()
         end = loop.time() + (pull.wait_ms or 0) / 1000
-        while not exchange.has_news(self.fold, pull):
+        while not exchange.is_ahead(self.fold, pull):
             progress = self._progress
             try:
                 async with asyncio.timeout_at(end):
@@ -161,11 +163,11 @@
                     events.TASK_FAILED, task="settings", error=repr(error)
                 )
                 self._counters.add("settings.defects")
-                await asyncio.sleep(_DEFECT_PAUSE_S)
+                await asyncio.sleep(_DEFECT_RETRY_S)
 
     def _replication(self) -> knobs.Replication:
         if self._state is None:
-            return self._first_settings
+            return self._initial_replication
         return self._state.tree.defaults.replication
 
     async def _step(self) -> None:
@@ -186,7 +188,7 @@
         if is_relay or upstream is None:
             await self._step_log()
         else:
-            await self._ask(upstream, self._replication().peer_period_s)
+            await self._pull_from(upstream, self._replication().peer_period_s)
 
     async def _step_log(self) -> None:
         read = self._cursor.next_read()
@@ -196,22 +198,22 @@
             await self._on_unreachable(error)
             return
         if page is None:
-            self._cursor.on_disturbance()
-            await self._ask_anyone()
+            self._cursor.require_verification()
+            await self._pull_from_any_peer()
             return
         if self._backoff.failures:
             self._log.write(_events.LOG_REACHABLE)
-        self._backoff.succeed()
+        self._backoff.record_success()
         refused_before = self._cursor.refused
         for event in self._cursor.on_page(page):
             await self._on_event(event)
         if refused_before and not self._cursor.refused:
             self._log.write(_events.LOG_BELIEVED, revision=self.revision)
-        await self._confirm_start()
+        await self._confirm_first_settings()
         self._publish()
-        await self._do_duty()
+        await self._append_snapshot_if_due()
 
-    async def _confirm_start(self) -> None:
+    async def _confirm_first_settings(self) -> None:
         """Asks peers before the first settings are taken from the log.
 
         A log that came back without its last records looks whole to a process
@@ -220,26 +222,28 @@
         """
         if self._state is not None or self._cursor.fold is None:
             return
-        for _ in range(_PEERS_AT_START):
-            await self._ask_anyone()
+        for _ in range(_START_PEERS):
+            await self._pull_from_any_peer()
         newest = self._peers.newest_revision()
         now = self._clock.now()
         if self._started_at is None:
             self._started_at = now
         while (
             self._cursor.fold.revision < newest
-            and now < self._started_at + _START_PATIENCE_S
+            and now < self._started_at + _START_TIMEOUT_S
         ):
             self._counters.add("settings.start_held_back")
-            await self._ask_anyone()
-            await asyncio.sleep(_START_PAUSE_S)
+            await self._pull_from_any_peer()
+            await asyncio.sleep(_START_RETRY_S)
             now = self._clock.now()
 
     async def _read(self, read: cursor_lib.Read) -> log_lib.Page | None:
         """Reads; returns None when the read hangs while others know more."""
         wait_s = 0.0
         if read.wait:
-            remaining = self._duty.remaining(self._clock.now())
+            remaining = self._snapshot_schedule.seconds_until_due(
+                self._clock.now()
+            )
             wait_s = min(self._replication().poll_wait_s, remaining)
             await self._polls.pace()
         self._counters.add("settings.log_reads")
@@ -257,9 +261,9 @@
         self._counters.add("settings.log_unreachable")
         if not self._backoff.failures:
             self._log.write(_events.LOG_UNREACHABLE, error=error.message)
-        wait_s = self._backoff.fail(self._replication())
-        self._cursor.on_disturbance()
-        await self._ask_anyone()
+        wait_s = self._backoff.record_failure(self._replication())
+        self._cursor.require_verification()
+        await self._pull_from_any_peer()
         await asyncio.sleep(wait_s)
 
     async def _on_event(self, event: cursor_lib.Event) -> None:
@@ -268,7 +272,7 @@
         elif isinstance(event, cursor_lib.Adopted):
             self._tail.clear()
             if event.diverged:
-                self._reporter.diverged("log", self.revision)
+                self._reporter.report_divergence("log", self.revision)
         else:
             await self._on_refused(event)
 
@@ -276,27 +280,27 @@
         self._tail.add(
             folded.offset, folded.time, folded.value, folded.fingerprint_before
         )
-        self._reporter.folded(folded, self.revision)
+        self._reporter.report_folded(folded, self.revision)
 
     async def _on_refused(self, refused: cursor_lib.Refused) -> None:
         self._counters.add(f"settings.log_refused.{refused.reason}")
         self._log.write(
             _events.LOG_REFUSED, reason=refused.reason, detail=refused.detail
         )
-        wait_s, remedy = self._mender.on_refused(
-            refused.remedy, self._clock.now()
+        wait_s, repair = self._repair_schedule.on_refused(
+            refused.repair, self._clock.now()
         )
-        if remedy is not cursor_lib.Remedy.NONE:
-            await self._append_snapshot(remedy is cursor_lib.Remedy.REBASE)
+        if repair is not cursor_lib.Repair.NONE:
+            await self._append_snapshot(repair is cursor_lib.Repair.REBASE)
         else:
-            await self._ask_anyone()
+            await self._pull_from_any_peer()
         await asyncio.sleep(wait_s)
 
-    async def _do_duty(self) -> None:
+    async def _append_snapshot_if_due(self) -> None:
         fold = self._cursor.fold
         if fold is None or not self._cursor.at_end:
             return
-        if self._duty.due(
+        if self._snapshot_schedule.due(
             fold,
             self._cursor.first_offset,
             self._replication(),
@@ -318,7 +322,7 @@
             return
         self._log.write(_events.SNAPSHOT_APPENDED, revision=fold.revision)
 
-    async def _ask_anyone(self) -> None:
+    async def _pull_from_any_peer(self) -> None:
         """Asks some peer once, without waiting for news.
 
         One that told of a newer revision, if there is any: in a failure domain
@@ -326,39 +330,41 @@
         """
         now = self._clock.now()
         ahead = self._peers.ahead_of(self.revision)
-        peer = self._sources.any_peer(ahead, now)
+        peer = self._sources.random_peer(ahead, now)
         if peer is None:
-            peer = self._sources.any_peer(self._peers.others(), now)
+            peer = self._sources.random_peer(self._peers.others(), now)
         if peer is not None:
-            await self._ask(peer, 0.0)
+            await self._pull_from(peer, 0.0)
 
-    async def _ask(self, peer: str, wait_s: float) -> None:
+    async def _pull_from(self, peer: str, wait_s: float) -> None:
         """Asks a peer and takes what it answers."""
         if wait_s > 0:
             await self._polls.pace()
-        pull = exchange.pull_of(self._cursor.fold, wait_s)
+        pull = exchange.make_pull(self._cursor.fold, wait_s)
         self._counters.add("settings.peer_pulls")
         try:
-            state = await self._pull(peer, pull, wait_s + _PEER_MARGIN_S)
+            state = await self._pull(
+                peer, pull, wait_s + _PULL_TIMEOUT_MARGIN_S
+            )
         except (exceptions.ClementineError, TimeoutError):
             self._counters.add("settings.peer_unreachable")
-            self._sources.blame(peer, self._clock.now())
+            self._sources.penalize(peer, self._clock.now())
             return
         if state is None:
             # Not the peer's fault: it may not have been told either.
             self._counters.add("settings.peer_pulls_given_up")
             if wait_s > 0:
-                await self._ask_anyone()
+                await self._pull_from_any_peer()
             return
         newest = self._peers.newest_revision()
         # Only a relay is known to follow the log; any other member may still
         # stand where the log was before it went back.
-        taken, folded = exchange.take(
-            self._cursor, state, newest, take_place=wait_s > 0
+        taken, folded = exchange.apply_answer(
+            self._cursor, state, newest, adopt_position=wait_s > 0
         )
         for event in folded:
             self._on_folded(event)
-        self._on_taken(peer, taken, state.revision)
+        self._on_pull_result(peer, taken, state.revision)
         self._publish()
 
     async def _pull(
@@ -370,24 +376,24 @@
             return pulling.result()
         return None
 
-    def _on_taken(
-        self, peer: str, taken: exchange.Taken, revision: int
+    def _on_pull_result(
+        self, peer: str, taken: exchange.PullResult, revision: int
     ) -> None:
         self._counters.add(f"settings.from_peer.{taken}")
-        if taken is exchange.Taken.ADOPTED:
+        if taken is exchange.PullResult.ADOPTED:
             self._tail.clear()
             self._log.write(_events.FROM_PEER, peer=peer, revision=revision)
-        elif taken is exchange.Taken.DIVERGED:
-            self._reporter.diverged(peer, self.revision)
-            self._sources.go_direct(self._clock.now())
+        elif taken is exchange.PullResult.DIVERGED:
+            self._reporter.report_divergence(peer, self.revision)
+            self._sources.follow_log_directly(self._clock.now())
         elif taken in (
-            exchange.Taken.LACKS_CHANGES,
-            exchange.Taken.NOT_CONTINUED,
+            exchange.PullResult.LACKS_CHANGES,
+            exchange.PullResult.NOT_CONTINUED,
         ):
-            self._sources.go_direct(self._clock.now())
-        elif taken in (exchange.Taken.OLDER, exchange.Taken.DAMAGED):
+            self._sources.follow_log_directly(self._clock.now())
+        elif taken in (exchange.PullResult.OLDER, exchange.PullResult.DAMAGED):
             self._log.write(_events.PEER_REFUSED, peer=peer, reason=taken)
-            self._sources.blame(peer, self._clock.now())
+            self._sources.penalize(peer, self._clock.now())
 
     def _publish(self) -> None:
         """Tells the subscribers and the peers that wait."""
--- a/src/clementinegw/settings/model.py
+++ b/src/clementinegw/settings/model.py
@@ -283,7 +283,7 @@
             raise ValueError(f'backend: not expected for role "{self.role}"')
         return self
 
-    def type_place(self) -> types.Place:
+    def to_place(self) -> types.Place:
         """Returns the place as the rest of the system holds it."""
         return types.Place(self.place.region, self.place.failure_domain)
 
--- a/src/clementinegw/settings/page.py
+++ b/src/clementinegw/settings/page.py
@@ -14,7 +14,7 @@
 from clementinegw.settings import knobs
 from clementinegw.settings import model
 
-_HEAD = """# Settings
+_HEADER = """# Settings
 
 This page is written by `python -m clementinegw.settings.page`; do not edit it.
 
@@ -88,11 +88,11 @@
         for name, words in _BOUNDS:
             value = getattr(constraint, name, None)
             if value is not None:
-                found.append(f"{words} {_plain(value)}")
+                found.append(f"{words} {_format_number(value)}")
     return ", ".join(found)
 
 
-def _plain(value: float) -> str:
+def _format_number(value: float) -> str:
     return str(int(value)) if value == int(value) else str(value)
 
 
@@ -135,7 +135,7 @@
 
 def render() -> str:
     """Returns the page."""
-    lines = [_HEAD, "## Knobs", ""]
+    lines = [_HEADER, "## Knobs", ""]
     for name, field in knobs.Knobs.model_fields.items():
         group = typing.cast(type[knobs.Model], field.annotation)
         lines += _section(f"`{name}`", group)
--- a/src/clementinegw/settings/publisher.py
+++ b/src/clementinegw/settings/publisher.py
@@ -15,8 +15,8 @@
 from clementinegw.settings import results
 
 DEADLINE_S = 30.0
-_PAUSE_S = 0.2
-_LONGEST_PAUSE_S = 2.0
+_FIRST_PAUSE_S = 0.2
+_MAX_PAUSE_S = 2.0
 
 
 def new_change(
@@ -60,7 +60,7 @@
         program.
     """
     cursor = cursor or cursor_lib.Cursor()
-    cursor.on_disturbance()
+    cursor.require_verification()
     refusals = 0
     while not cursor.at_end:
         read = cursor.next_read()
@@ -118,7 +118,7 @@
     rng = rng or random.Random()
     cursor = cursor or cursor_lib.Cursor()
     end = clock.now() + deadline_s
-    pause_s = _PAUSE_S
+    pause_s = _FIRST_PAUSE_S
     attempt = _Attempt(log, cursor, change.change_id, _encode(change))
     while True:
         result = await attempt.run()
@@ -131,7 +131,7 @@
                 f" {attempt.problem}"
             )
         await asyncio.sleep(rng.uniform(pause_s / 2, pause_s))
-        pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
+        pause_s = min(pause_s * 2, _MAX_PAUSE_S)
 
 
 def _encode(change: changes.Change) -> bytes:
--- a/src/clementinegw/settings/records.py
+++ b/src/clementinegw/settings/records.py
@@ -37,7 +37,7 @@
     value: Any = None
 
     @pydantic.model_validator(mode="after")
-    def _is_one(self) -> "_Operation":
+    def _check_set_or_unset(self) -> "_Operation":
         named = self.model_fields_set
         sets = named == {"set", "value"} and self.set is not None
         unsets = named == {"unset"} and self.unset is not None
@@ -158,10 +158,10 @@
         return Unusable(SkipReason.MALFORMED)
     if schema > SCHEMA:
         return UnknownSchema(schema)
-    reader = _READERS.get(str(data.get("kind")))
-    if reader is None:
+    parser = _PARSERS.get(str(data.get("kind")))
+    if parser is None:
         return Unusable(SkipReason.UNKNOWN_KIND)
-    return reader(value, data)
+    return parser(value, data)
 
 
 def describe_problem(value: bytes) -> str:
@@ -185,14 +185,14 @@
     return str(parsed.reason)
 
 
-def _read_change(value: bytes, data: dict[str, Any]) -> Parsed:
+def _parse_change(value: bytes, data: dict[str, Any]) -> Parsed:
     if len(value) > MAX_CHANGE_BYTES:
         return Unusable(SkipReason.TOO_LARGE)
     try:
         record = _Change.model_validate(data)
     except pydantic.ValidationError:
         return Unusable(SkipReason.MALFORMED)
-    operations = tuple(_operation(o) for o in record.operations)
+    operations = tuple(_to_operation(o) for o in record.operations)
     return changes.Change(
         change_id=record.id,
         base=record.base,
@@ -204,14 +204,14 @@
     )
 
 
-def _operation(operation: _Operation) -> changes.Operation:
+def _to_operation(operation: _Operation) -> changes.Operation:
     if operation.unset is not None:
         return changes.Unset(operation.unset)
     assert operation.set is not None
     return changes.Set(operation.set, operation.value)
 
 
-def _read_snapshot(value: bytes, data: dict[str, Any]) -> Parsed:
+def _parse_snapshot(value: bytes, data: dict[str, Any]) -> Parsed:
     del value
     try:
         record = _Snapshot.model_validate(data)
@@ -229,4 +229,4 @@
     )
 
 
-_READERS = {"change": _read_change, "snapshot": _read_snapshot}
+_PARSERS = {"change": _parse_change, "snapshot": _parse_snapshot}
--- a/src/clementinegw/settings/relays.py
+++ b/src/clementinegw/settings/relays.py
@@ -14,10 +14,10 @@
 import xxhash
 
 # One entry a member of the failure domain; more would be another deployment.
-_RANKS_KEPT = 4096
+_RANK_CACHE_SIZE = 4096
 
 
-@functools.lru_cache(maxsize=_RANKS_KEPT)
+@functools.lru_cache(maxsize=_RANK_CACHE_SIZE)
 def _rank(salt: str, instance_id: str) -> int:
     return xxhash.xxh64_intdigest(f"{salt}/{instance_id}".encode())
 
@@ -27,12 +27,12 @@
     return sorted(members, key=lambda member: (_rank(salt, member), member))
 
 
-def _first(members: Iterable[str], count: int) -> list[str]:
-    return _first_of(tuple(members), count)
+def _top_ranked(members: Iterable[str], count: int) -> list[str]:
+    return _cached_top_ranked(tuple(members), count)
 
 
 @functools.lru_cache(maxsize=8)
-def _first_of(members: tuple[str, ...], count: int) -> list[str]:
+def _cached_top_ranked(members: tuple[str, ...], count: int) -> list[str]:
     return heapq.nsmallest(
         count, members, key=lambda member: (_rank("relay", member), member)
     )
@@ -48,7 +48,7 @@
     """
     if count == 0:
         return True
-    return instance_id in _first(members, count)
+    return instance_id in _top_ranked(members, count)
 
 
 def upstreams(
@@ -58,5 +58,5 @@
 
     The order differs between processes, so that the relays share the load.
     """
-    relays = [m for m in _first(members, count) if m != instance_id]
+    relays = [m for m in _top_ranked(members, count) if m != instance_id]
     return ranked(relays, instance_id)
--- a/src/clementinegw/settings/snapshots.py
+++ b/src/clementinegw/settings/snapshots.py
@@ -16,13 +16,13 @@
 from clementinegw.settings import knobs
 from clementinegw.settings import records
 
-_CANDIDATES_KEPT = 8
+_MAX_CANDIDATES = 8
 # Spares parsing every change; a snapshot that is written otherwise is no
 # candidate, which costs nothing.
-_MARK = b'"kind":"snapshot"'
+_SNAPSHOT_MARKER = b'"kind":"snapshot"'
 
 
-class Duty:
+class SnapshotSchedule:
     """Decides when this process puts a snapshot into the log."""
 
     def __init__(self, rng: random.Random):
@@ -32,15 +32,17 @@
           rng: The source of the wait.
         """
         self._rng = rng
-        self._at: float | None = None
+        self._due_at: float | None = None
 
-    def remaining(self, now: float) -> float:
+    def seconds_until_due(self, now: float) -> float:
         """Returns seconds until `due` should be asked again; may be inf.
 
         Were it asked only when a long poll ends, all that follow the log
         would append at that moment.
         """
-        return math.inf if self._at is None else max(self._at - now, 0.0)
+        return (
+            math.inf if self._due_at is None else max(self._due_at - now, 0.0)
+        )
 
     def due(
         self,
@@ -60,15 +62,17 @@
           wall: Epoch seconds.
         """
         if not _is_needed(fold, first_offset, settings, wall):
-            self._at = None
+            self._due_at = None
             return False
-        if self._at is None:
-            self._at = now + self._rng.uniform(0, settings.snapshot_jitter_s)
-        if now < self._at:
+        if self._due_at is None:
+            self._due_at = now + self._rng.uniform(
+                0, settings.snapshot_jitter_s
+            )
+        if now < self._due_at:
             return False
         # The append may be lost; until the snapshot is seen in the log it is
         # tried again, no faster than this.
-        self._at = now + settings.snapshot_jitter_s
+        self._due_at = now + settings.snapshot_jitter_s
         return True
 
 
@@ -108,8 +112,8 @@
         """
         self._start = start
         self._fingerprints: dict[int, bytes] = {}
-        self._found: collections.deque[_Candidate] = collections.deque(
-            maxlen=_CANDIDATES_KEPT
+        self._candidates: collections.deque[_Candidate] = collections.deque(
+            maxlen=_MAX_CANDIDATES
         )
 
     @property
@@ -120,11 +124,11 @@
     def add(self, offset: int, value: bytes) -> None:
         """Takes a record, in order of offsets."""
         self._fingerprints[offset] = records.fingerprint(value)
-        if _MARK not in value:
+        if _SNAPSHOT_MARKER not in value:
             return
         parsed = records.parse(value)
         if isinstance(parsed, records.Snapshot):
-            self._found.append(_Candidate(offset, value, parsed))
+            self._candidates.append(_Candidate(offset, value, parsed))
 
     def best(self, allow_rebase: bool) -> fold_lib.Fold | None:
         """Returns the fold of the newest usable snapshot.
@@ -138,8 +142,8 @@
           allow_rebase: Whether a rebasing snapshot goes first; one may be
             used in any case where there is no other.
         """
-        usable = [self._start_from(c) for c in reversed(self._found)]
-        rebasing = [self._rebase_from(c) for c in reversed(self._found)]
+        usable = [self._start_from(c) for c in reversed(self._candidates)]
+        rebasing = [self._rebase_from(c) for c in reversed(self._candidates)]
         choices = rebasing + usable if allow_rebase else usable + rebasing
         return next((fold for fold in choices if fold is not None), None)
 
--- a/src/clementinegw/settings/tree.py
+++ b/src/clementinegw/settings/tree.py
@@ -126,16 +126,16 @@
     group, _, name = path.partition(".")
     if group not in knobs.GROUPS:
         raise exceptions.SettingsError(
-            _unknown(path, group, list(knobs.GROUPS))
+            _describe_unknown(path, group, list(knobs.GROUPS))
         )
     known = list(type(getattr(knobs.Knobs(), group)).model_fields)
     if name not in known:
-        raise exceptions.SettingsError(_unknown(path, name, known))
+        raise exceptions.SettingsError(_describe_unknown(path, name, known))
     return group, name
 
 
-def _unknown(path: str, part: str, known: list[str]) -> str:
-    guess = _errors.nearest(part, known)
+def _describe_unknown(path: str, part: str, known: list[str]) -> str:
+    guess = _errors.closest_match(part, known)
     hint = f'; did you mean "{guess}"?' if guess else ""
     return f'{path}: expected one of {", ".join(known)}, found "{part}"{hint}'
 
--- a/tests/settings_world.py
+++ b/tests/settings_network.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass
-class Net:
+class Members:
     """Followers that reach one another without sockets."""
 
     followers: dict = dataclasses.field(default_factory=dict)
@@ -23,58 +23,58 @@
     silent: set = dataclasses.field(default_factory=set)
 
 
-class Link:
-    def __init__(self, net, name):
-        self._net = net
+class MemberPeers:
+    def __init__(self, members, name):
+        self._members = members
         self._name = name
 
     def domain(self):
-        own = self._net.domains[self._name]
-        return [n for n, d in self._net.domains.items() if d == own]
+        own = self._members.domains[self._name]
+        return [n for n, d in self._members.domains.items() if d == own]
 
     def others(self):
-        return [n for n in self._net.domains if n != self._name]
+        return [n for n in self._members.domains if n != self._name]
 
     def newest_revision(self):
-        return max(f.revision for f in self._net.followers.values())
+        return max(f.revision for f in self._members.followers.values())
 
     def ahead_of(self, revision):
         return [
             name
-            for name, follower in self._net.followers.items()
+            for name, follower in self._members.followers.items()
             if follower.revision > revision
         ]
 
     async def pull(self, peer, request, timeout_s):
-        if peer in self._net.silent or self._name in self._net.silent:
+        if peer in self._members.silent or self._name in self._members.silent:
             await asyncio.sleep(timeout_s)
             raise TimeoutError
         async with asyncio.timeout(timeout_s):
-            return await self._net.followers[peer].answer(request)
+            return await self._members.followers[peer].answer(request)
 
 
-class World:
-    def __init__(self, clock, retention_s=None, check_s=0.5):
+class Network:
+    def __init__(self, clock, retention_s=None, check_interval_s=0.5):
         self.clock = clock
-        self.check_s = check_s
+        self.check_interval_s = check_interval_s
         self.log = memory.MemoryLog(clock, retention_s)
-        self.net = Net()
+        self.members = Members()
         self.counters = {}
 
     async def add(self, name, domain="hal", log=None, wait=True):
         counters = counters_lib.Counters()
         self.counters[name] = counters
-        self.net.domains[name] = domain
+        self.members.domains[name] = domain
         follower = follower_lib.Follower(
             log or self.log,
             name,
-            Link(self.net, name),
+            MemberPeers(self.members, name),
             self.clock,
             random.Random(name),
             counters,
-            check_s=self.check_s,
+            check_interval_s=self.check_interval_s,
         )
-        self.net.followers[name] = follower
+        self.members.followers[name] = follower
         await follower.start()
         if wait:
             await self.until(lambda: follower.fold is not None)
@@ -108,25 +108,25 @@
         )
 
     async def converge(self, revision, within_s=60.0):
-        followers = self.net.followers.values()
+        followers = self.members.followers.values()
         await self.until(
             lambda: all(f.revision >= revision for f in followers), within_s
         )
         assert len({f.fold.digest for f in followers}) == 1
 
     async def stop(self):
-        for follower in self.net.followers.values():
+        for follower in self.members.followers.values():
             await follower.stop()
 
 
-def scenario(body, **options):
+def run_scenario(body, **options):
     clock = virtual.VirtualClock()
 
     async def main():
-        world = World(clock, **options)
+        network = Network(clock, **options)
         try:
-            await body(world)
+            await body(network)
         finally:
-            await world.stop()
+            await network.stop()
 
     virtual.run(main(), clock)
--- a/tests/test_settings_fold.py
+++ b/tests/test_settings_fold.py
@@ -174,7 +174,7 @@
     put(fold, make("start-00", 0, changes.Set(RATE, 1.0)))
     late = make("late-000", 1, changes.Set(BURST, "wrong"))
     assert put(fold, late).reason is results.RejectReason.INVALID
-    for number in range(fold_lib.VERDICTS_KEPT + 1):
+    for number in range(fold_lib.MAX_VERDICTS + 1):
         change = changes.Set(RATE, float(number))
         put(fold, make(f"next-{number:04}", fold.revision, change))
     assert fold.result_of("late-000") is None
@@ -187,7 +187,7 @@
 def test_flood_of_refused_changes_stops_nobody():
     fold = fold_lib.Fold()
     put(fold, make("start-00", 0, changes.Set(RATE, 1.0)))
-    for number in range(fold_lib.VERDICTS_KEPT * 2):
+    for number in range(fold_lib.MAX_VERDICTS * 2):
         put(fold, make(f"bad-{number:05}", 1, changes.Set("nonsense", 1)))
     good = make("good-000", 1, changes.Set(RATE, 2.0))
     assert isinstance(put(fold, good), results.Accepted)
--- a/tests/test_settings_follower.py
+++ b/tests/test_settings_follower.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-import settings_world
+import settings_network
 
 from clementinegw import exceptions
 from clementinegw.settings import changes
@@ -18,53 +18,53 @@
 from clementinegw.settings import relays
 from clementinegw.settings import results
 
-RATE = settings_world.RATE
+RATE = settings_network.RATE
 
 
 def test_change_is_in_force_everywhere_through_few_polls():
-    async def body(world):
+    async def body(network):
         for number in range(12):
-            await world.add(f"m{number}")
+            await network.add(f"m{number}")
         await asyncio.sleep(60.0)
-        before = world.log_reads()
-        accepted = await world.publish(5.0)
-        await world.converge(accepted.revision, within_s=0.2)
-        after = world.log_reads()
+        before = network.log_reads()
+        accepted = await network.publish(5.0)
+        await network.converge(accepted.revision, within_s=0.2)
+        after = network.log_reads()
         direct = [name for name in after if after[name] > before[name]]
         assert len(direct) == knobs.Replication().relays
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_relay_that_stalls_is_replaced():
     # Symptom: some processes keep old settings for minutes while nothing is
     # reported down. Sequence: the relay's link stalls without closing. Cause:
     # a poll that waits for as long as the link seems open.
-    async def body(world):
+    async def body(network):
         for number in range(8):
-            await world.add(f"m{number}")
-        stalled = relays.ranked(world.net.domains)[0]
-        world.net.silent.add(stalled)
-        accepted = await world.publish(5.0)
-        await world.converge(accepted.revision, within_s=10.0)
+            await network.add(f"m{number}")
+        stalled = relays.ranked(network.members.domains)[0]
+        network.members.silent.add(stalled)
+        accepted = await network.publish(5.0)
+        await network.converge(accepted.revision, within_s=10.0)
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_revision_heard_from_gossip_breaks_a_stalled_read():
-    async def body(world):
-        stalled = world.log.client()
-        await world.add("m0", "one", stalled)
-        await world.add("m1", "two")
+    async def body(network):
+        stalled = network.log.client()
+        await network.add("m0", "one", stalled)
+        await network.add("m1", "two")
         stalled.faults.stalled = True
         stalled.faults.timeout_s = 100.0
-        follower = world.net.followers["m0"]
-        await world.until(lambda: follower.fold is not None)
-        accepted = await world.publish(5.0)
-        await world.converge(accepted.revision, within_s=2.0)
-        assert world.counters["m0"].value("settings.log_reads_given_up") == 1
+        follower = network.members.followers["m0"]
+        await network.until(lambda: follower.fold is not None)
+        accepted = await network.publish(5.0)
+        await network.converge(accepted.revision, within_s=2.0)
+        assert network.counters["m0"].value("settings.log_reads_given_up") == 1
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 @pytest.mark.parametrize("fault", ["answer_lost", "refused"])
@@ -72,45 +72,45 @@
     # Symptom: a change is in force twice or not at all, though the command
     # named it accepted. Sequence: the append takes effect (or not) and its
     # answer is lost. Cause: the same error for both.
-    async def body(world):
-        await world.add("m0")
-        operator = world.log.client()
+    async def body(network):
+        await network.add("m0")
+        operator = network.log.client()
         setattr(operator.faults, fault, 1)
         change = publisher.new_change(
             0,
             "ana",
             "test",
             (changes.Set(RATE, 5.0),),
-            world.clock,
+            network.clock,
         )
         result = await publisher.publish(
-            operator, change, clock=world.clock, rng=random.Random(1)
+            operator, change, clock=network.clock, rng=random.Random(1)
         )
         assert result == results.Accepted(1)
-        await world.converge(1)
-        assert len(world.log.all(records.STREAM)) == 1
+        await network.converge(1)
+        assert len(network.log.all(records.STREAM)) == 1
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_publisher_gives_up_when_the_log_stays_down():
-    async def body(world):
-        world.log.faults.down = True
+    async def body(network):
+        network.log.faults.down = True
         change = publisher.new_change(
             0,
             "ana",
             "test",
             (changes.Set(RATE, 5.0),),
-            world.clock,
+            network.clock,
         )
         with pytest.raises(
             exceptions.PlatformUnavailable, match=change.change_id
         ):
             await publisher.publish(
-                world.log, change, clock=world.clock, rng=random.Random(1)
+                network.log, change, clock=network.clock, rng=random.Random(1)
             )
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 @pytest.mark.parametrize(
@@ -127,35 +127,35 @@
     # many times. Sequence: a change is published whose record does not fit,
     # such as one with too long a reason. Cause: the fold skips it, so its id
     # is never met, which was taken for a lost append.
-    async def body(world):
+    async def body(network):
         change = publisher.new_change(
-            0, "ana", "test", (changes.Set(RATE, 5.0),), world.clock
+            0, "ana", "test", (changes.Set(RATE, 5.0),), network.clock
         )
         change = dataclasses.replace(change, **fields)
-        began = world.clock.now()
+        began = network.clock.now()
         with pytest.raises(exceptions.SettingsError) as caught:
             await publisher.publish(
-                world.log, change, clock=world.clock, rng=random.Random(1)
+                network.log, change, clock=network.clock, rng=random.Random(1)
             )
         assert part in caught.value.message
         assert "\n" not in caught.value.message
-        assert world.clock.now() == began
-        assert world.log.all(records.STREAM) == ()
+        assert network.clock.now() == began
+        assert network.log.all(records.STREAM) == ()
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_starts_from_peers_while_the_log_is_down():
-    async def body(world):
-        await world.add("m0")
-        accepted = await world.publish(5.0)
-        await world.converge(accepted.revision)
-        world.log.faults.down = True
+    async def body(network):
+        await network.add("m0")
+        accepted = await network.publish(5.0)
+        await network.converge(accepted.revision)
+        network.log.faults.down = True
         for number in range(1, 6):
-            await world.add(f"m{number}", domain=f"d{number}", wait=False)
-        await world.converge(accepted.revision, within_s=10.0)
+            await network.add(f"m{number}", domain=f"d{number}", wait=False)
+        await network.converge(accepted.revision, within_s=10.0)
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_peer_that_was_cut_off_is_not_believed():
@@ -167,9 +167,9 @@
         "change-1", 0, "ana", "", 1.0, (changes.Set(RATE, 5.0),)
     )
     fold.apply(1, change.encode(), 1.0)
-    answer = exchange.answer(fold, exchange.Tail(), exchange.pull_of(None))
+    answer = exchange.answer(fold, exchange.Tail(), exchange.make_pull(None))
     cursor = cursor_lib.Cursor()
-    taken, _ = exchange.take(cursor, answer, newest=2)
-    assert (taken, cursor.fold) == (exchange.Taken.OLDER, None)
-    taken, _ = exchange.take(cursor, answer, newest=1)
-    assert (taken, cursor.fold.revision) == (exchange.Taken.ADOPTED, 1)
+    taken, _ = exchange.apply_answer(cursor, answer, newest=2)
+    assert (taken, cursor.fold) == (exchange.PullResult.OLDER, None)
+    taken, _ = exchange.apply_answer(cursor, answer, newest=1)
+    assert (taken, cursor.fold.revision) == (exchange.PullResult.ADOPTED, 1)
--- a/tests/test_settings_log.py
+++ b/tests/test_settings_log.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-import settings_world
+import settings_network
 
 from clementinegw import exceptions
 from clementinegw.settings import changes
@@ -12,7 +12,7 @@
 from clementinegw.settings import records
 from clementinegw.settings import results
 
-RATE = settings_world.RATE
+RATE = settings_network.RATE
 
 
 @pytest.mark.parametrize("regrown", [0, 1, 5])
@@ -21,15 +21,15 @@
     # log. Sequence: the log comes back without its last records and grows
     # again, perhaps beyond where it was. Cause: offsets alone do not tell that
     # the records are others.
-    async def body(world):
+    async def body(network):
         for number in range(4):
-            await world.add(f"m{number}")
-        await world.publish(1.0)
-        accepted = await world.publish(5.0)
-        await world.publish(2, "defaults.retries.max_attempts")
-        await world.converge(accepted.revision + 1)
-        world.log.faults.down = True
-        world.log.roll_back(records.STREAM, 2)
+            await network.add(f"m{number}")
+        await network.publish(1.0)
+        accepted = await network.publish(5.0)
+        await network.publish(2, "defaults.retries.max_attempts")
+        await network.converge(accepted.revision + 1)
+        network.log.faults.down = True
+        network.log.roll_back(records.STREAM, 2)
         for number in range(regrown):
             change = changes.Change(
                 f"regrown-{number}",
@@ -39,47 +39,47 @@
                 1.0,
                 (changes.Set("defaults.limits.max_concurrent", number + 1),),
             )
-            world.log.put(records.STREAM, change.encode())
+            network.log.put(records.STREAM, change.encode())
         await asyncio.sleep(3.0)
-        world.log.faults.down = False
+        network.log.faults.down = False
         await asyncio.sleep(20.0)
-        late = await world.add("late", "other")
-        await world.converge(accepted.revision + 1)
-        for follower in world.net.followers.values():
+        late = await network.add("late", "other")
+        await network.converge(accepted.revision + 1)
+        for follower in network.members.followers.values():
             tree = follower.current.tree
             assert tree.defaults.limits.requests_per_s == 5.0
             assert tree.defaults.retries.max_attempts == 2
             if regrown:
                 assert tree.defaults.limits.max_concurrent == regrown
         assert late.refused is None
-        after = await world.publish(6.0)
+        after = await network.publish(6.0)
         assert isinstance(after, results.Accepted)
-        await world.converge(after.revision)
+        await network.converge(after.revision)
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_empty_log_in_place_of_the_old_one_reverts_nothing():
-    async def body(world):
+    async def body(network):
         for number in range(3):
-            await world.add(f"m{number}")
-        await world.publish(1.0)
-        accepted = await world.publish(5.0)
-        await world.converge(accepted.revision)
-        world.log.roll_back(records.STREAM, 1)
+            await network.add(f"m{number}")
+        await network.publish(1.0)
+        accepted = await network.publish(5.0)
+        await network.converge(accepted.revision)
+        network.log.roll_back(records.STREAM, 1)
         await asyncio.sleep(10.0)
         refused = sum(
             c.value("settings.log_refused.older")
-            for c in world.counters.values()
+            for c in network.counters.values()
         )
         assert refused >= 1
-        fold = await publisher.read_fold(world.log)
+        fold = await publisher.read_fold(network.log)
         assert fold.revision == accepted.revision
-        after = await world.publish(6.0)
+        after = await network.publish(6.0)
         assert after.revision > accepted.revision
-        await world.converge(after.revision)
+        await network.converge(after.revision)
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_start_on_a_log_that_went_back_asks_peers_first():
@@ -87,24 +87,24 @@
     # that were overridden; 3 to 16 times in three of four seeds. Sequence: the
     # log comes back without its end, an instance starts before that is mended.
     # Cause: to someone who has just started the shortened log looks whole.
-    async def body(world):
-        await world.add("m0")
+    async def body(network):
+        await network.add("m0")
         for value in range(4):
-            accepted = await world.publish(float(value))
-        await world.converge(accepted.revision)
-        world.log.faults.down = True
-        world.log.roll_back(records.STREAM, 2)
-        world.net.silent.add("m0")
-        other = world.log.client()
-        late = await world.add("late", "other", other, wait=False)
+            accepted = await network.publish(float(value))
+        await network.converge(accepted.revision)
+        network.log.faults.down = True
+        network.log.roll_back(records.STREAM, 2)
+        network.members.silent.add("m0")
+        other = network.log.client()
+        late = await network.add("late", "other", other, wait=False)
         seen = []
         late.subscribe(lambda state: seen.append(state.revision))
         await asyncio.sleep(3.0)
-        world.net.silent.clear()
-        await world.until(lambda: seen)
+        network.members.silent.clear()
+        await network.until(lambda: seen)
         assert seen[0] == accepted.revision
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_followers_get_their_place_in_a_log_that_went_back():
@@ -112,35 +112,35 @@
     # Sequence: the log loses its end and is mended; relays stand further in it
     # than the others, at the same revision. Cause: an answer without records
     # and without a snapshot is given at once, and asked for again at once.
-    async def body(world):
+    async def body(network):
         for number in range(8):
-            await world.add(f"m{number}")
+            await network.add(f"m{number}")
         for value in range(6):
-            accepted = await world.publish(float(value))
-        await world.converge(accepted.revision)
-        world.log.roll_back(records.STREAM, 3)
+            accepted = await network.publish(float(value))
+        await network.converge(accepted.revision)
+        network.log.roll_back(records.STREAM, 3)
         await asyncio.sleep(30.0)
         for number in range(4):
-            world.log.put(records.STREAM, b"no change %d" % number)
-        before = world.log_reads()
-        pulls = world.total("settings.peer_pulls")
+            network.log.put(records.STREAM, b"no change %d" % number)
+        before = network.log_reads()
+        pulls = network.total("settings.peer_pulls")
         await asyncio.sleep(60.0)
-        after = world.log_reads()
+        after = network.log_reads()
         assert sum(after[name] > before[name] for name in after) == 3
-        assert world.total("settings.peer_pulls") - pulls < 5 * 60
+        assert network.total("settings.peer_pulls") - pulls < 5 * 60
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_gap_is_refused_and_reported():
     # Symptom: one process misses a change for ever. Sequence: the log answers
     # with records that do not follow one another. Cause: folding on from the
     # next record that came.
-    async def body(world):
-        follower = await world.add("m0")
-        accepted = await world.publish(5.0)
-        await world.converge(accepted.revision)
-        world.log.skip(records.STREAM, 2)
+    async def body(network):
+        follower = await network.add("m0")
+        accepted = await network.publish(5.0)
+        await network.converge(accepted.revision)
+        network.log.skip(records.STREAM, 2)
         lost = changes.Change(
             "after-gap",
             1,
@@ -149,7 +149,7 @@
             1.0,
             (changes.Set(RATE, 6.0),),
         )
-        world.log.put(records.STREAM, lost.encode())
+        network.log.put(records.STREAM, lost.encode())
         await asyncio.sleep(5.0)
         assert follower.revision == accepted.revision
         assert follower.refused is cursor_lib.RefuseReason.GAP
@@ -159,96 +159,98 @@
         await asyncio.sleep(120.0)
         assert follower.refused is None
         assert follower.revision == accepted.revision
-        after = await world.publish(7.0)
+        after = await network.publish(7.0)
         assert isinstance(after, results.Accepted)
-        await world.add("late", "other")
-        await world.converge(after.revision)
+        await network.add("late", "other")
+        await network.converge(after.revision)
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_log_that_expired_and_went_back_is_given_a_new_start():
     # Symptom: no process believes the log any more, and none can start.
     # Sequence: old records expire, then the log loses its end with the only
     # snapshot. Cause: nothing in the log is a place to start from.
-    async def body(world):
+    async def body(network):
         for number in range(3):
-            await world.add(f"m{number}")
+            await network.add(f"m{number}")
         for value in range(6):
-            accepted = await world.publish(float(value))
-        await world.converge(accepted.revision)
-        world.log.truncate(records.STREAM, 5)
-        world.log.roll_back(records.STREAM, 6)
+            accepted = await network.publish(float(value))
+        await network.converge(accepted.revision)
+        network.log.truncate(records.STREAM, 5)
+        network.log.roll_back(records.STREAM, 6)
         await asyncio.sleep(120.0)
-        fresh = await world.add("fresh", "other")
-        await world.converge(accepted.revision)
+        fresh = await network.add("fresh", "other")
+        await network.converge(accepted.revision)
         assert fresh.current.tree.defaults.limits.requests_per_s == 5.0
-        after = await world.publish(9.0)
-        await world.converge(after.revision)
+        after = await network.publish(9.0)
+        await network.converge(after.revision)
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_snapshot_is_put_back_before_records_expire():
     # Symptom: after a restart of everything nobody has settings. Sequence: a
     # quiet week; the records expire; all processes are replaced. Cause: the
     # only copy of the settings was in records older than the log keeps.
-    async def body(world):
+    async def body(network):
         for number in range(5):
-            await world.add(f"m{number}")
+            await network.add(f"m{number}")
         slow = {"poll_wait_s": 900.0, "peer_period_s": 900.0}
-        accepted = await world.publish(slow, "defaults.replication")
-        await world.converge(accepted.revision)
+        accepted = await network.publish(slow, "defaults.replication")
+        await network.converge(accepted.revision)
         await asyncio.sleep(10 * 86_400)
         appended = sum(
             c.value("settings.snapshots_appended")
-            for c in world.counters.values()
+            for c in network.counters.values()
         )
         assert 30 <= appended <= 60
-        for follower in world.net.followers.values():
+        for follower in network.members.followers.values():
             await follower.stop()
-        world.net = settings_world.Net()
-        await world.add("fresh")
-        await world.converge(accepted.revision)
-        after = await world.publish(6.0)
+        network.members = settings_network.Members()
+        await network.add("fresh")
+        await network.converge(accepted.revision)
+        after = await network.publish(6.0)
         assert isinstance(after, results.Accepted)
 
-    settings_world.scenario(body, retention_s=86_400.0, check_s=900.0)
+    settings_network.run_scenario(
+        body, retention_s=86_400.0, check_interval_s=900.0
+    )
 
 
 def test_snapshots_that_race_change_nothing():
-    async def body(world):
-        first = await world.add("m0", "one")
-        accepted = await world.publish(5.0)
-        await world.converge(accepted.revision)
+    async def body(network):
+        first = await network.add("m0", "one")
+        accepted = await network.publish(5.0)
+        await network.converge(accepted.revision)
         stale = first.fold.snapshot()
-        accepted = await world.publish(6.0)
+        accepted = await network.publish(6.0)
         for value in (stale, first.fold.snapshot(), stale):
-            world.log.put(records.STREAM, value)
-        await world.add("m1", "two")
-        accepted = await world.publish(7.0)
-        await world.converge(accepted.revision)
+            network.log.put(records.STREAM, value)
+        await network.add("m1", "two")
+        accepted = await network.publish(7.0)
+        await network.converge(accepted.revision)
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_everything_expired_and_nobody_left_is_reported():
-    async def body(world):
-        await world.publish(5.0)
-        world.log.truncate(records.STREAM)
-        follower = await world.add("m0", wait=False)
+    async def body(network):
+        await network.publish(5.0)
+        network.log.truncate(records.STREAM)
+        follower = await network.add("m0", wait=False)
         await asyncio.sleep(5.0)
         assert follower.current is None
         assert follower.refused is cursor_lib.RefuseReason.NO_SNAPSHOT
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
 
 
 def test_halted_process_keeps_what_it_has():
-    async def body(world):
-        follower = await world.add("m0")
-        accepted = await world.publish(5.0)
-        await world.converge(accepted.revision)
+    async def body(network):
+        follower = await network.add("m0")
+        accepted = await network.publish(5.0)
+        await network.converge(accepted.revision)
         later = changes.Change(
             "later-00",
             1,
@@ -258,12 +260,12 @@
             (changes.Set(RATE, 6.0),),
             2,
         )
-        world.log.put(records.STREAM, later.encode())
+        network.log.put(records.STREAM, later.encode())
         await asyncio.sleep(60.0)
         assert follower.revision == accepted.revision
         assert follower.fold.halted == 2
         with pytest.raises(exceptions.PlatformError, match="schema 2"):
-            await publisher.read_fold(world.log)
-        assert world.counters["m0"].value("settings.log_reads") < 30
+            await publisher.read_fold(network.log)
+        assert network.counters["m0"].value("settings.log_reads") < 30
 
-    settings_world.scenario(body)
+    settings_network.run_scenario(body)
--- a/tests/test_settings_model.py
+++ b/tests/test_settings_model.py
@@ -150,7 +150,7 @@
         types.Address("10.0.0.1", 8),
     )
     assert parsed.platform.log == "http://127.0.0.1:1"
-    assert parsed.type_place() == PLACE
+    assert parsed.to_place() == PLACE
     with pytest.raises(exceptions.SettingsError, match="cannot be read"):
         model.parse_instance_file(tmp_path / "none.json")
 
--- a/tests/test_settings_polls.py
+++ b/tests/test_settings_polls.py
@@ -26,7 +26,7 @@
     """
 
     async def main(clock):
-        polls = _polls.Polls(_Ahead(), clock, 0.5)
+        polls = _polls.LongPolls(_Ahead(), clock, 0.5)
         began = clock.now()
         for _ in range(2):
             hanging = asyncio.ensure_future(asyncio.sleep(HANG_S))
