--- a/src/clementinegw/settings/__init__.py
+++ b/src/clementinegw/settings/__init__.py
@@ -1,8 +1,9 @@
-"""The operators' settings: tree, changes, fold of the log, spread.
+"""The operators' settings: tree, changes, fold of the log, distribution.
 
-In the order in which a change travels: `publisher` appends it to the log,
-`cursor` reads it there, `fold` decides on it, `follower` brings it to every
-process (by `exchange` from peer to peer), and `tree` looks values up.
+A change passes through these modules in order: `publisher` appends it to the
+log, `cursor` reads it from the log, `fold` accepts or rejects it, `follower`
+distributes it to every process (between peers through `exchange`), and `tree`
+looks up values.
 """
 
 from clementinegw.settings import changes as changes
--- a/src/clementinegw/settings/_check.py
+++ b/src/clementinegw/settings/_check.py
@@ -1,4 +1,4 @@
-"""Whether a change may be accepted: its base, and the tree after it."""
+"""Checks whether a change can be accepted: its base and the resulting tree."""
 
 from clementinegw import exceptions
 from clementinegw.settings import _recheck
@@ -12,28 +12,32 @@
 def find_conflict(
     state: _state.State, change: changes.Change
 ) -> results.Rejected | None:
-    """Returns a refusal if what a change touches moved since its base."""
+    """Returns a rejection if a change conflicts with changes after its base.
+
+    A change is also rejected if its base is unknown, or too old to tell.
+    """
     revision = state.revision
     if change.base > revision:
         return results.Rejected(
             results.RejectReason.UNKNOWN_BASE,
-            detail=f"made for revision {change.base}, newest is {revision}",
+            detail=f"based on revision {change.base}, newest is {revision}",
         )
     if change.base < revision and change.base <= state.floor:
         return results.Rejected(
             results.RejectReason.STALE_BASE,
-            detail=f"made for revision {change.base}, too long ago",
+            detail=f"based on revision {change.base}, which is too old",
         )
     paths = [operation.path for operation in change.operations]
-    moved = [
+    conflicting = [
         (revision, path, other)
         for path, (revision, other) in state.touched.items()
         if revision > change.base and _overlaps_any(path, paths)
     ]
-    if not moved:
+    if not conflicting:
         return None
-    # The newest, whatever the order in which this process learned of them.
-    latest, path, other = max(moved)
+    # Reports the newest one, so that the result does not depend on the order in
+    # which this process received the changes.
+    latest, path, other = max(conflicting)
     return results.Rejected(
         results.RejectReason.CONFLICT,
         other,
@@ -49,15 +53,16 @@
 def check(
     tree: changes.Json, checked: model.Tree, change: changes.Change
 ) -> results.Rejected | tuple[changes.Json, model.Tree]:
-    """Applies a change's operations and checks the tree that results.
+    """Applies a change's operations and checks the resulting tree.
 
     Args:
-      tree: The tree before, as JSON.
-      checked: The tree before, checked.
-      change: What to apply.
+      tree: The tree before the change, as JSON.
+      checked: The same tree, checked.
+      change: The change to apply.
 
     Returns:
-      The tree after, as JSON and checked; or why it does not fit.
+      The tree after the change, as JSON and checked, or a rejection if the
+      change is invalid.
     """
     try:
         _refuse_newer_knobs(change)
@@ -71,8 +76,12 @@
 def _refuse_newer_knobs(change: changes.Change) -> None:
     """Refuses knobs that the change's schema does not have.
 
-    Processes of the version that wrote the schema refuse them as unknown. One
-    of a later version that took them would diverge from those.
+    Processes of the version that introduced the schema refuse such knobs as
+    unknown. If a process of a later version accepted them, its settings would
+    diverge from those.
+
+    Raises:
+      exceptions.SettingsError: The change sets such a knob.
     """
     newer = knobs.newer_than(change.schema)
     if not newer:
--- a/src/clementinegw/settings/_errors.py
+++ b/src/clementinegw/settings/_errors.py
@@ -1,4 +1,4 @@
-"""Validation errors as one line: JSON path, expected, found."""
+"""Formats validation errors as one line: JSON path, expected, found."""
 
 import difflib
 import json
@@ -11,7 +11,7 @@
 
 
 def dump_json(value: Any) -> bytes:
-    """Returns the one JSON text of a value: sorted keys, no spaces.
+    """Returns the canonical JSON text of a value: sorted keys, no spaces.
 
     Raises:
       ValueError: A float is not finite.
@@ -36,13 +36,13 @@
 
 
 def closest_match(name: str, known: list[str]) -> str | None:
-    """Returns the known name that a mistyped one most likely meant."""
+    """Returns the known name closest to a mistyped one, or None."""
     close = difflib.get_close_matches(name, known, n=1, cutoff=0.5)
     return close[0] if close else None
 
 
 def _find_model(annotation: Any) -> type[pydantic.BaseModel] | None:
-    """Finds the model in an annotation such as `Service | None`."""
+    """Returns the model in an annotation such as `Service | None`."""
     if isinstance(annotation, type) and issubclass(
         annotation, pydantic.BaseModel
     ):
@@ -64,7 +64,7 @@
 def known_keys(
     model: type[pydantic.BaseModel], parent: tuple[int | str, ...]
 ) -> list[str]:
-    """Returns the keys that the model at a location has."""
+    """Returns the keys of the model at a location."""
     current: type[pydantic.BaseModel] | None = model
     for step in parent:
         if current is None:
@@ -114,10 +114,10 @@
 def describe(
     error: pydantic.ValidationError, model: type[pydantic.BaseModel]
 ) -> str:
-    """Returns the first mistake as one line, and how many more there are."""
+    """Returns the first error as one line, and the number of other errors."""
     details = error.errors(include_url=False)
-    # A mistyped key is also reported as a missing one; the typing error is
-    # what the operator has to mend.
+    # A mistyped key is also reported as a missing one; the operator has to
+    # correct the mistyped one.
     details.sort(key=lambda detail: detail["type"] != "extra_forbidden")
     first = details[0]
     if first["type"] == "extra_forbidden":
--- a/src/clementinegw/settings/_events.py
+++ b/src/clementinegw/settings/_events.py
@@ -1,4 +1,4 @@
-"""The numbered events of the settings, 200 to 299."""
+"""Log events 200 to 299: settings."""
 
 from clementinegw.telemetry import events
 
@@ -12,30 +12,30 @@
     201,
     "settings_change_rejected",
     events.Level.INFO,
-    "A change in the log was refused, as it is by every process.",
-    "The operator who made it was told; nothing else to do.",
+    "A change in the log was rejected; every process rejects it.",
+    "None: the command of the operator who published it reports the result.",
 )
 RECORD_SKIPPED = events.define(
     202,
     "settings_record_skipped",
     events.Level.WARNING,
-    "A record in the `settings` stream is no change and no snapshot.",
-    "Find out who writes to the stream besides `clementinegw settings`.",
+    "A record in the `settings` stream is neither a change nor a snapshot.",
+    "Find out what writes to the stream besides `clementinegw settings`.",
 )
 HALTED = events.define(
     203,
     "settings_halted",
     events.Level.ERROR,
-    "A record has a schema that this version does not know; the settings"
-    " stay as they are.",
-    "Install the version that the operators' command has.",
+    "A record has a schema that this version does not know; later changes are"
+    " not applied.",
+    "Install the version of the operators' command.",
 )
 LOG_REFUSED = events.define(
     210,
     "settings_log_refused",
     events.Level.ERROR,
     "The log is older than the settings in force, was replaced, or lacks"
-    " records; the settings in force stay.",
+    " records; the settings in force are kept.",
     "See docs/operators/settings.md, alarm 210, for each reason.",
 )
 LOG_BELIEVED = events.define(
@@ -48,29 +48,29 @@
     212,
     "settings_restored",
     events.Level.WARNING,
-    "Accepted changes that the log had lost were put back from a snapshot.",
-    "Compare `settings history` with what was declared; repeat the changes"
-    " named as lost.",
+    "Accepted changes that the log had lost were restored from a snapshot.",
+    "Compare `settings history` with what was declared; publish the changes"
+    " listed in `lost` again.",
 )
 SNAPSHOT_APPENDED = events.define(
     213,
     "settings_snapshot_appended",
     events.Level.INFO,
-    "This process put a snapshot into the log.",
+    "This process appended a snapshot to the log.",
 )
 DIVERGED = events.define(
     214,
     "settings_diverged",
     events.Level.ERROR,
-    "Two processes have the same revision with different content.",
-    "Report it with the log line: this is a defect.",
+    "Two processes have different settings under the same revision.",
+    "This is a defect: report it with the log line.",
 )
 LOG_UNREACHABLE = events.define(
     220,
     "settings_log_unreachable",
     events.Level.WARNING,
-    "The log cannot be read; the settings are kept, peers are asked.",
-    "Look at the platform's log service.",
+    "The log cannot be read; the settings are kept and peers are queried.",
+    "Check the platform's log service.",
 )
 LOG_REACHABLE = events.define(
     221,
@@ -82,17 +82,17 @@
     222,
     "settings_from_peer",
     events.Level.INFO,
-    "The settings were taken from a peer's snapshot.",
+    "The settings were adopted from a peer's snapshot.",
 )
 PEER_REFUSED = events.define(
     223,
     "settings_peer_refused",
     events.Level.WARNING,
-    "A peer's settings were refused: older than what is known, or damaged.",
+    "A peer's settings were refused: older than a known revision, or damaged.",
 )
 RELAY_CHANGED = events.define(
     224,
     "settings_relay_changed",
     events.Level.INFO,
-    "This process began or stopped following the log directly.",
+    "This process started or stopped following the log directly.",
 )
--- a/src/clementinegw/settings/_merge.py
+++ b/src/clementinegw/settings/_merge.py
@@ -1,15 +1,15 @@
-"""Brings accepted changes back that the log has lost.
-
-In a whole log a snapshot is never ahead of the fold, and knows no accepted
-change that the fold does not know. One that does proves that the log went back
-to an older state: whoever starts from it alone would run with settings that
-were overridden long ago.
-
-What the snapshot holds was accepted, and in force, before the log went back;
-what the fold has besides came after. So the fold becomes the snapshot's with
-its own later changes on top. A later change that would have been rejected, had
-the log been whole, overrides what it touches; both operators were told that
-theirs is accepted, and the later one holds.
+"""Restores accepted changes that the log has lost.
+
+In a complete log, a snapshot is never ahead of the fold and contains no
+accepted change that the fold does not have. A snapshot that does proves that
+the log was rolled back to an older state: a process that started from that log
+alone would run with settings that were overridden long ago.
+
+The changes in the snapshot were accepted and in force before the rollback.
+The fold's other changes came after it. So the merged state is the snapshot's
+state with the fold's later changes applied on top. A later change that would
+have been rejected in a complete log overrides what it touches: both operators
+received the result "accepted", and the later change wins.
 """
 
 import dataclasses
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Merged:
-    """What came of a merge.
+    """The result of a merge.
 
     Attributes:
-      state: The state after it.
+      state: The merged state.
       tree: Its checked tree.
-      refused: The refused changes that belong to it.
+      refused: The changes rejected since the revision of the state.
       kept: Ids of the changes that were applied again.
-      lost: Ids of those that no longer fit.
+      lost: Ids of the changes that could not be applied again.
     """
 
     state: _state.State
@@ -42,18 +42,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Side:
-    """A state and the changes refused since its revision.
+    """A state and the changes rejected since its revision.
 
     Attributes:
       state: The state.
-      refused: Those changes.
+      refused: The rejected changes.
     """
 
     state: _state.State
     refused: _state.Verdicts
 
     def has_decided(self, entry: _state.HistoryEntry) -> bool:
-        """Returns whether a change was decided on, or is too long ago."""
+        """Returns whether a change is decided here or is too old to be."""
         return (
             entry.revision <= self.state.floor
             or entry.change_id in self.state.verdicts
@@ -62,36 +62,37 @@
 
 
 def merge(own: Side, snapshot: Side) -> Merged | None:
-    """Returns what a fold becomes by a snapshot that it meets.
+    """Merges a snapshot read from the log into a fold.
 
     Args:
-      own: The fold's side; it may be changed.
-      snapshot: The snapshot's side; it may be changed.
+      own: The fold's side; it may be modified.
+      snapshot: The snapshot's side; it may be modified.
 
     Returns:
-      The merged state; None when the snapshot holds nothing new.
+      The merged state; None if the snapshot contains nothing new.
 
     Raises:
-      exceptions.SettingsError: The snapshot's tree does not fit.
+      exceptions.SettingsError: The snapshot's tree is invalid.
     """
     ahead = snapshot.state.revision > own.state.revision
     if not ahead and all(own.has_decided(e) for e in snapshot.state.history):
         return None
     if not _is_complete(own.state, snapshot.state):
-        moved = _changed_paths(own.state, snapshot.state)
-        return _apply(own, snapshot.state, moved)
+        changed = _changed_paths(own.state, snapshot.state)
+        return _apply(own, snapshot.state, changed)
     newest = own.state.revision
     merged = _apply(snapshot, own.state, ())
     if not merged.kept and not ahead:
-        # The content of the present revision changes, so it needs a new one.
+        # The content of the current revision changes, so it needs a new one.
         merged.state.revision = newest + 1
     return merged
 
 
 def _is_complete(own: _state.State, snapshot: _state.State) -> bool:
-    """Returns whether all that only the fold has is in its history.
+    """Returns whether the history has every change that only the fold has.
 
-    What the history forgot could not be applied again and would be undone.
+    A change that was removed from the history cannot be applied again, so the
+    merge would undo it.
     """
     if len(own.history) < _state.MAX_HISTORY_ENTRIES:
         return True
@@ -104,7 +105,7 @@
 def _changed_paths(
     own: _state.State, snapshot: _state.State
 ) -> tuple[str, ...]:
-    """Returns the paths touched after the last change that both know."""
+    """Returns the paths touched after the last change that both sides have."""
     common = max(
         (
             own.verdicts[entry.change_id].revision
@@ -113,13 +114,13 @@
         ),
         default=0,
     )
-    return tuple(p for p, (moved, _) in own.touched.items() if moved > common)
+    return tuple(p for p, (at, _) in own.touched.items() if at > common)
 
 
 def _apply(
     earlier: Side, later: _state.State, protected_paths: tuple[str, ...]
 ) -> Merged:
-    """Applies the changes that only one side has on top of the other."""
+    """Applies the changes that only `later` has on top of `earlier`."""
     state = earlier.state
     tree = model.parse_tree(state.tree)
     revision = max(state.revision, later.revision)
--- a/src/clementinegw/settings/_pages.py
+++ b/src/clementinegw/settings/_pages.py
@@ -1,4 +1,4 @@
-"""Whether a page of the log continues a fold."""
+"""Checks whether a page of the log continues a fold."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class RefuseReason(enum.StrEnum):
-    """Why the log is not believed; each has an event and a counter."""
+    """Why the log is refused; each reason has an event and a counter."""
 
     OLDER = "older"
     REPLACED = "replaced"
@@ -19,9 +19,13 @@
 def check(fold: fold_lib.Fold, page: log_lib.Page) -> RefuseReason | None:
     """Returns why a page read with an overlap does not continue a fold.
 
-    A log that went back and grew again shows the same offsets with other
-    records. Reading on from the position alone, a process would never notice
-    that it missed some and would keep settings that no other has.
+    A log that was rolled back and has grown again has other records at the
+    same offsets. A process that read on from its position alone would not
+    notice that it missed records, and would keep settings that no other
+    process has.
+
+    Returns:
+      The reason; None if the page continues the fold.
     """
     if page.next_offset < fold.position:
         return RefuseReason.OLDER
@@ -38,7 +42,7 @@
             return RefuseReason.GAP
         expected += 1
     if expected == fold.position < page.next_offset:
-        # Offsets that no record has: reading on would never end.
+        # No record has these offsets, so reading on would never end.
         return RefuseReason.GAP
     return None
 
@@ -46,12 +50,12 @@
 def new_records(
     fold: fold_lib.Fold, page: log_lib.Page
 ) -> list[log_lib.Record]:
-    """Returns the records that the fold has not met."""
+    """Returns the records that the fold has not read."""
     return [r for r in page.records if r.offset >= fold.position]
 
 
 def describe(fold: fold_lib.Fold, page: log_lib.Page) -> str:
-    """Returns what was expected and found, for the log line."""
+    """Returns the expected and the found offsets, for the log line."""
     found = ",".join(str(record.offset) for record in page.records[:2])
     return (
         f"expected offset {fold.position}, the log has {page.first_offset}"
--- a/src/clementinegw/settings/_polls.py
+++ b/src/clementinegw/settings/_polls.py
@@ -1,4 +1,4 @@
-"""Long polls that do not hang while others know more, and keep a distance."""
+"""Limits the rate of long polls and gives up ones that miss a revision."""
 
 import asyncio
 
@@ -7,16 +7,16 @@
 
 CHECK_INTERVAL_S = 0.5
 _GRACE_S = 0.5
-# What the members know may not be to be had: without a pause, a process that
-# cannot get it would do nothing but ask.
+# A revision that members advertise may be unreachable. Without this interval, a
+# process that cannot get it would poll without a pause.
 _GIVE_UP_INTERVAL_S = 2.0
-# In a burst of changes, each would else cost every process an exchange of its
-# own; so they are taken together. A lone change is not held back.
+# Batches the changes of a burst: otherwise each change would cost every process
+# an exchange of its own. A single change is not delayed.
 _MIN_POLL_INTERVAL_S = 0.2
 
 
 class LongPolls:
-    """Waits for the long polls of one process."""
+    """Paces the long polls of one process and gives up ones that stall."""
 
     def __init__(
         self,
@@ -24,12 +24,13 @@
         clock: clocks.Clock,
         check_interval_s: float,
     ):
-        """Starts without any.
+        """Initializes the state without a poll.
 
         Args:
-          peers: Tell of newer revisions.
+          peers: The other processes, which advertise newer revisions.
           clock: The source of time.
-          check_interval_s: Seconds between two looks at what they tell.
+          check_interval_s: Seconds between two checks of the newest revision
+            that the peers advertise.
         """
         self._peers = peers
         self._clock = clock
@@ -40,31 +41,31 @@
         self._next_give_up_at = 0.0
 
     def receive_revision(self, revision: int) -> None:
-        """Takes a revision that a member was heard to have."""
+        """Records a revision that a member advertised."""
         self._reported_revision = max(self._reported_revision, revision)
 
     async def pace(self) -> None:
-        """Keeps a distance between two long polls."""
-        ahead_s = self._next_poll_at - self._clock.now()
-        if ahead_s > 0:
-            await asyncio.sleep(ahead_s)
+        """Waits until the minimum interval since the last poll has passed."""
+        wait_s = self._next_poll_at - self._clock.now()
+        if wait_s > 0:
+            await asyncio.sleep(wait_s)
         self._next_poll_at = self._clock.now() + _MIN_POLL_INTERVAL_S
 
     async def wait(self, task: asyncio.Future, revision: int) -> bool:
         """Waits for a long poll.
 
-        A link that stalls without closing would hold it for as long as its
-        timeout; one would notice a process that keeps old settings for that
-        long. So it is given up once the members have known a newer revision
-        for a moment, and again every two seconds while they do: the first peer
-        that is asked may be behind as well.
+        On a connection that stalls without closing, the poll would last until
+        its timeout, and the process would keep old settings for that time. So
+        the poll is given up after a short grace time if members advertise a
+        newer revision. While they do, a poll is given up again every two
+        seconds, because the first peer queried instead may be behind as well.
 
         Args:
-          task: The poll; it is cancelled unless it is done in time.
+          task: The poll; it is cancelled unless it completes.
           revision: The revision in force.
 
         Returns:
-          Whether the poll is done.
+          Whether the poll completed.
         """
         try:
             while not task.done():
@@ -90,5 +91,5 @@
             task.cancel()
 
     def _is_too_early(self, newest: int) -> bool:
-        again = newest <= self._given_up_revision
-        return again and self._clock.now() < self._next_give_up_at
+        repeated = newest <= self._given_up_revision
+        return repeated and self._clock.now() < self._next_give_up_at
--- a/src/clementinegw/settings/_recheck.py
+++ b/src/clementinegw/settings/_recheck.py
@@ -1,7 +1,7 @@
 """Checks only the parts of a tree that a change touches.
 
 A tree has hundreds of parts and a change touches one or two. Checking all of
-them took a process 1.4 ms a change.
+them took 1.4 ms per change.
 """
 
 from collections.abc import Iterable
@@ -31,28 +31,29 @@
     """Returns the checked tree after a change.
 
     Args:
-      before: The checked tree before it.
-      raw: The tree after it, as JSON.
-      paths: What the change touched.
+      before: The checked tree before the change.
+      raw: The tree after the change, as JSON.
+      paths: The paths that the change touched.
 
     Returns:
-      What `model.parse_tree(raw)` returns.
+      The same as `model.parse_tree(raw)`.
 
     Raises:
-      exceptions.SettingsError: The tree does not fit.
+      exceptions.SettingsError: The tree is invalid.
     """
     try:
         tree = _recheck(before, raw, paths)
     except ValueError:
         tree = None
-    # The whole tree is also checked for the message, which names the path.
+    # After an error the whole tree is checked too, because the message of that
+    # check has the full path.
     return tree if tree is not None else model.parse_tree(raw)
 
 
 def _recheck(
     before: model.Tree, raw: changes.Json, paths: Iterable[changes.Path]
 ) -> model.Tree | None:
-    """Returns the tree; None when its parts cannot be told apart."""
+    """Returns the tree; None if a path does not lie in a single part."""
     update: dict[str, object] = {}
     for path in paths:
         section = path[0]
@@ -78,9 +79,9 @@
 def _replace_entry(
     section: str, entries: dict, raw: changes.Json, name: str
 ) -> dict:
-    kept = {key: entry for key, entry in entries.items() if key != name}
+    updated = {key: entry for key, entry in entries.items() if key != name}
     if name in raw[section]:
-        one = {name: raw[section][name]}
-        text = _errors.dump_json(one)
-        kept.update(_SECTIONS[section].validate_json(text))
-    return kept
+        entry = {name: raw[section][name]}
+        text = _errors.dump_json(entry)
+        updated.update(_SECTIONS[section].validate_json(text))
+    return updated
--- a/src/clementinegw/settings/_reporter.py
+++ b/src/clementinegw/settings/_reporter.py
@@ -1,4 +1,4 @@
-"""Counts and logs what comes of the records."""
+"""Counts and logs the results of folding records."""
 
 from clementinegw.settings import _events
 from clementinegw.settings import cursor as cursor_lib
@@ -9,20 +9,20 @@
 
 
 class Reporter:
-    """Reports for one process."""
+    """Writes the counters and log events of one process's fold."""
 
     def __init__(self, log: logs.Log, counters: counters_lib.Counters):
-        """Keeps both.
+        """Initializes the reporter.
 
         Args:
-          log: Where events go.
-          counters: Where results are counted.
+          log: Receives the events.
+          counters: Count the results.
         """
         self._log = log
         self._counters = counters
 
     def report_folded(self, folded: cursor_lib.Folded, revision: int) -> None:
-        """Reports a record.
+        """Reports the result of a folded record.
 
         Args:
           folded: The record and its result.
@@ -51,7 +51,7 @@
             self._log.write(_events.HALTED, schema=result.schema)
 
     def report_divergence(self, source: str, revision: int) -> None:
-        """Reports that another process has other content at a revision."""
+        """Reports that another process has different settings at a revision."""
         self._counters.add("settings.diverged")
         self._log.write(_events.DIVERGED, source=source, revision=revision)
 
--- a/src/clementinegw/settings/_source.py
+++ b/src/clementinegw/settings/_source.py
@@ -1,4 +1,4 @@
-"""Decides where a process takes the settings from, and how long it waits."""
+"""Chooses where a process gets the settings from and how long it waits."""
 
 import dataclasses
 import random
@@ -15,10 +15,13 @@
 
 
 class Backoff:
-    """Growing waits with jitter, so that a log that is back is not stormed."""
+    """Computes exponential waits with jitter after failed reads of the log.
+
+    The jitter prevents that all processes read at once when the log recovers.
+    """
 
     def __init__(self, rng: random.Random):
-        """Starts with no failure.
+        """Initializes the backoff without a failure.
 
         Args:
           rng: The source of the jitter.
@@ -28,35 +31,35 @@
 
     @property
     def failures(self) -> int:
-        """Failures since the last success."""
+        """The number of failures since the last success."""
         return self._failures
 
     def record_success(self) -> None:
-        """Notes a success."""
+        """Resets the number of failures."""
         self._failures = 0
 
     def record_failure(self, settings: knobs.Replication) -> float:
-        """Notes a failure and returns how long to wait, in seconds."""
+        """Counts a failure and returns how long to wait, in seconds."""
         exponent = min(self._failures, 16)
         self._failures += 1
-        longest = min(
+        max_wait_s = min(
             settings.backoff_base_s * 2**exponent, settings.backoff_max_s
         )
-        return self._rng.uniform(longest / 2, longest)
+        return self._rng.uniform(max_wait_s / 2, max_wait_s)
 
 
 class RepairSchedule:
-    """Decides when to put a snapshot into a log that is not believed.
+    """Decides when to append a snapshot to a log that is refused.
 
-    The first refusals only start a wait, partly random: another process may
-    come first, and its record is seen in the meantime.
+    The first refusals only start a wait of partly random length: another
+    process may repair the log first, and its record is read in the meantime.
     """
 
     def __init__(self, rng: random.Random):
-        """Starts with nothing to mend.
+        """Initializes the schedule without a repair.
 
         Args:
-          rng: The source of the wait.
+          rng: The source of the random wait.
         """
         self._rng = rng
         self._repair = cursor_lib.Repair.NONE
@@ -65,11 +68,15 @@
     def on_refused(
         self, repair: cursor_lib.Repair, now: float
     ) -> tuple[float, cursor_lib.Repair]:
-        """Takes a refusal.
+        """Handles a refusal of the log.
+
+        Args:
+          repair: The repair that the refusal allows.
+          now: The current time, monotonic seconds.
 
         Returns:
-          How long to wait before the log is read again, and what to append
-          before that.
+          How long to wait before the log is read again, in seconds, and which
+          repair to do before that.
         """
         pause_s = self._rng.uniform(0.2, 1.0) * REFUSED_PAUSE_S
         if repair is not self._repair:
@@ -86,7 +93,7 @@
     def _wait_s(self, repair: cursor_lib.Repair) -> float:
         if repair is cursor_lib.Repair.RESTORE:
             return self._rng.uniform(0.0, RESTORE_JITTER_S)
-        # Someone who can follow the log puts an ordinary snapshot in sooner.
+        # A process that can follow the log appends an ordinary snapshot sooner.
         return REBASE_AFTER_S * self._rng.uniform(1.0, 1.5)
 
 
@@ -95,7 +102,7 @@
     """Chooses between the log and the peers.
 
     Attributes:
-      instance_id: This process.
+      instance_id: The id of this process.
       rng: The source of random choices.
     """
 
@@ -105,27 +112,35 @@
     _follow_log_until: float = 0.0
 
     def follow_log_directly(self, now: float) -> None:
-        """Follows the log for a while, whatever the members say."""
+        """Makes this process follow the log for now, even if it is no relay."""
         self._follow_log_until = now + FOLLOW_LOG_S
 
     def penalize(self, peer: str, now: float) -> None:
-        """Avoids a peer that did not answer for a while."""
+        """Excludes a peer from the choice for `PEER_PENALTY_S`."""
         self._avoided_until[peer] = now + PEER_PENALTY_S
 
     def follows_log(self, domain: list[str], count: int, now: float) -> bool:
-        """Returns whether this process reads the log itself."""
+        """Returns whether this process reads the log itself.
+
+        Args:
+          domain: The live members of its failure domain.
+          count: The number of relays in a failure domain.
+          now: The current time, monotonic seconds.
+        """
         if now < self._follow_log_until:
             return True
         return relays.is_relay(self.instance_id, domain, count)
 
     def upstream(self, domain: list[str], count: int, now: float) -> str | None:
-        """Returns the relay to ask; None when none answered lately."""
+        """Returns the relay to pull from; None if all are excluded."""
         for peer in relays.upstreams(self.instance_id, domain, count):
             if self._avoided_until.get(peer, 0.0) <= now:
                 return peer
         return None
 
     def random_peer(self, others: list[str], now: float) -> str | None:
-        """Returns any member that answered lately; None without one."""
-        good = [p for p in others if self._avoided_until.get(p, 0.0) <= now]
-        return self.rng.choice(good) if good else None
+        """Returns a random member that is not excluded; None without one."""
+        available = [
+            p for p in others if self._avoided_until.get(p, 0.0) <= now
+        ]
+        return self.rng.choice(available) if available else None
--- a/src/clementinegw/settings/_state.py
+++ b/src/clementinegw/settings/_state.py
@@ -1,4 +1,4 @@
-"""What the fold remembers, as one JSON text that is fixed by the revision."""
+"""The persistent state of a fold, as JSON text determined by the revision."""
 
 import base64
 import binascii
@@ -23,16 +23,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of a change.
+    """The result of a change.
 
-    It holds no text for people: texts come from libraries and differ between
-    their versions, and the digest of the state must not.
+    It contains no message texts. They come from libraries and differ between
+    versions, and the digest of the state must not.
 
     Attributes:
-      revision: The revision it made; for a refused one the revision then.
-      reason: Empty when it was accepted, else why not.
-      conflict: The id of the change that it conflicted with, if any.
-      conflict_revision: That change's revision.
+      revision: The revision that the change made; for a rejected change, the
+        revision at that time.
+      reason: Why the change was rejected; empty if it was accepted.
+      conflict: The id of the change that it conflicted with, or empty.
+      conflict_revision: The revision of that change, or 0.
     """
 
     revision: int
@@ -41,22 +42,22 @@
     conflict_revision: int = 0
 
     def to_json(self, change_id: str) -> list[Any]:
-        """Returns the verdict as JSON, with the change it is about."""
+        """Returns the verdict and the id of its change as JSON."""
         return [change_id, *dataclasses.astuple(self)]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """An accepted change, as the history shows it.
+    """An accepted change in the history.
 
     Attributes:
-      revision: The revision it made.
-      change_id: Its id.
+      revision: The revision that the change made.
+      change_id: The id of the change.
       who: The operator.
-      why: The reason given.
-      time: When the log took it, epoch seconds.
-      operations: What it did.
-      inverse: What would undo it.
+      why: The reason that the operator gave.
+      time: When the log accepted the record, epoch seconds.
+      operations: The operations of the change.
+      inverse: The operations that undo the change.
     """
 
     revision: int
@@ -94,16 +95,17 @@
 
 @dataclasses.dataclass(slots=True)
 class State:
-    """The part of the fold that is fixed by the revision.
+    """The part of the fold that is determined by the revision.
 
     Attributes:
-      schema: The highest schema folded.
+      schema: The highest schema of the folded records.
       revision: The offset of the newest accepted change; 0 before the first.
-      floor: Changes made for a revision up to this one are refused, since it
-        is no longer known what moved after it.
+      floor: A change based on a revision up to this one is rejected, unless
+        that is the current revision: the paths touched since are no longer
+        known.
       tree: The settings tree as JSON.
-      touched: The newest revision and change id, by path that was touched.
-      verdicts: What became of the latest changes, by id, oldest first.
+      touched: The newest revision and change id for each touched path.
+      verdicts: The results of the latest changes by id, oldest first.
       history: The latest accepted changes, oldest first.
     """
 
@@ -129,15 +131,15 @@
         time: float,
         refused: Verdicts,
     ) -> None:
-        """Takes an accepted change in and forgets the oldest.
+        """Adds an accepted change and removes the oldest entries.
 
         Args:
           change: The change.
-          tree: The tree after it.
-          revision: The revision that it makes.
-          time: When the log took it, epoch seconds.
-          refused: The changes refused since the last accepted one; only now
-            are they part of what is fixed by the revision.
+          tree: The tree after the change.
+          revision: The revision that the change makes.
+          time: When the log accepted the record, epoch seconds.
+          refused: The changes rejected since the last accepted one. They
+            become part of the state now and are removed from `refused`.
         """
         inverse = changes.inverse(self.tree, change.operations)
         self.history.append(
@@ -168,21 +170,22 @@
         while len(self.history) > MAX_HISTORY_ENTRIES:
             self.history.popleft()
         while len(self.verdicts) > MAX_VERDICTS:
-            # A forgotten change that came again would be decided anew. It is
-            # made for this revision or an earlier one, so the floor stops it.
-            _, forgotten = self.verdicts.popitem(last=False)
-            self.floor = max(self.floor, forgotten.revision)
-        for path, (moved, _) in list(self.touched.items()):
-            if moved <= self.floor:
+            # If a change whose verdict was removed came again, it would be
+            # decided again. It is based on this revision or an earlier one, so
+            # the floor rejects it.
+            _, removed = self.verdicts.popitem(last=False)
+            self.floor = max(self.floor, removed.revision)
+        for path, (revision, _) in list(self.touched.items()):
+            if revision <= self.floor:
                 del self.touched[path]
 
     def accepted(self, change_id: str) -> bool:
-        """Returns whether a change is known to be accepted."""
+        """Returns whether the state has a change as accepted."""
         verdict = self.verdicts.get(change_id)
         return verdict is not None and not verdict.reason
 
     def encode(self) -> bytes:
-        """Returns the state as its one JSON text."""
+        """Returns the state as canonical JSON text."""
         return _errors.dump_json(
             {
                 "schema": self.schema,
@@ -197,10 +200,10 @@
 
 
 def decode(text: bytes) -> State:
-    """Returns the state that `State.encode` wrote.
+    """Returns the state that `State.encode` encoded.
 
     Raises:
-      exceptions.DecodeError: It is something else.
+      exceptions.DecodeError: The text is not an encoded state.
     """
     try:
         data = json.loads(text)
@@ -220,7 +223,7 @@
 
 
 def verdicts_from_json(rows: Any) -> Verdicts:
-    """Returns verdicts by change id."""
+    """Returns verdicts by change id, decoded from JSON."""
     return collections.OrderedDict((row[0], Verdict(*row[1:])) for row in rows)
 
 
@@ -230,15 +233,16 @@
 
 
 def pack(text: bytes) -> str:
-    """Returns an encoded state as it stands in a record."""
+    """Returns an encoded state compressed and as text, for a record."""
     return base64.b64encode(zlib.compress(text, 6)).decode()
 
 
 def unpack(packed: str, expected_digest: str) -> bytes:
-    """Returns the encoded state that `pack` wrote.
+    """Returns the encoded state that was given to `pack`.
 
     Raises:
-      exceptions.DecodeError: It is damaged, too large or has another digest.
+      exceptions.DecodeError: The text is damaged, too large or has another
+        digest.
     """
     try:
         inflater = zlib.decompressobj()
--- a/src/clementinegw/settings/changes.py
+++ b/src/clementinegw/settings/changes.py
@@ -1,7 +1,7 @@
-"""Typed changes of the settings tree, and what they do to it.
+"""Typed changes of the settings tree and their application.
 
-A tree is held here as decoded JSON. It is never changed in place: an operation
-copies the objects on its path, so that older trees stay whole.
+This module represents a tree as decoded JSON. It never modifies a tree in
+place: an operation copies the objects on its path, so older trees stay valid.
 """
 
 import dataclasses
@@ -11,7 +11,8 @@
 from clementinegw import exceptions
 from clementinegw.settings import _errors
 
-# Far more than the tree has; a bound keeps each process's stack out of it.
+# Far more than the depth of the tree. The limit bounds the recursion, so that
+# the result does not depend on a process's stack.
 MAX_DEPTH = 16
 
 Json = Any
@@ -20,11 +21,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Set:
-    """Gives the value at a path; missing objects above it are made.
+    """Sets the value at a path; missing objects above it are created.
 
     Attributes:
-      path: Dotted, such as `defaults.limits.requests_per_s`.
-      value: Decoded JSON.
+      path: A dotted path such as `defaults.limits.requests_per_s`.
+      value: The value, as decoded JSON.
     """
 
     path: str
@@ -33,10 +34,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unset:
-    """Takes away what is at a path, with all below it.
+    """Removes the value at a path and everything below it.
 
     Attributes:
-      path: Dotted.
+      path: A dotted path.
     """
 
     path: str
@@ -47,17 +48,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """One change as an operator publishes it.
+    """A change that an operator publishes.
 
     Attributes:
-      change_id: Chosen at random by the publisher; the same id is never
-        applied twice.
-      base: The revision it was made for.
+      change_id: The id that the publisher chose at random; a change with the
+        same id is never applied twice.
+      base: The revision that the change is based on.
       who: The operator.
       why: The reason, for the history.
-      time: When it was made, epoch seconds by the operator's clock.
-      operations: Applied in order, all or none.
-      schema: The records' schema it is written in; see `records`.
+      time: When the change was made, epoch seconds by the operator's clock.
+      operations: The operations, applied in order, either all or none.
+      schema: The schema of the change's record; see `records`.
     """
 
     change_id: str
@@ -69,7 +70,7 @@
     schema: int = 1
 
     def encode(self) -> bytes:
-        """Returns the record that stands for the change in the log."""
+        """Returns the change as a record of the log."""
         return _errors.dump_json(
             {
                 "schema": self.schema,
@@ -92,7 +93,7 @@
 
 
 def decode_operation(data: dict[str, Json]) -> Operation:
-    """Returns the operation that `encode_operation` wrote."""
+    """Returns the operation that `encode_operation` encoded."""
     if "set" in data:
         return Set(data["set"], data["value"])
     return Unset(data["unset"])
@@ -102,7 +103,7 @@
     """Returns the keys of a dotted path.
 
     Raises:
-      exceptions.SettingsError: A key is empty, or there are too many.
+      exceptions.SettingsError: A key is empty, or there are too many keys.
     """
     keys = tuple(path.split("."))
     if not all(keys) or len(keys) > MAX_DEPTH:
@@ -114,7 +115,7 @@
 
 
 def overlap(one: str, other: str) -> bool:
-    """Returns whether one path lies at, above or below the other."""
+    """Returns whether one path is equal to, above or below the other."""
     if len(one) > len(other):
         one, other = other, one
     if not other.startswith(one):
@@ -123,10 +124,10 @@
 
 
 def lookup(tree: Json, path: Path) -> Json:
-    """Returns what is at a path.
+    """Returns the value at a path.
 
     Raises:
-      KeyError: Nothing is there.
+      KeyError: The path has no value.
     """
     for key in path:
         if not isinstance(tree, dict):
@@ -136,10 +137,11 @@
 
 
 def apply(tree: Json, operations: tuple[Operation, ...]) -> Json:
-    """Returns the tree after all operations; the one given stays as it was.
+    """Returns the tree after all operations; the given tree is not modified.
 
     Raises:
-      exceptions.SettingsError: A path leads through a plain value.
+      exceptions.SettingsError: A path leads through a value that is not an
+        object.
     """
     for operation in operations:
         tree = _apply_at(tree, split(operation.path), operation)
@@ -171,15 +173,15 @@
 
     Args:
       tree: The tree before `operations`.
-      operations: What shall be undone.
+      operations: The operations to undo.
     """
-    undoing: list[Operation] = []
+    undo_operations: list[Operation] = []
     for operation in operations:
         undo = _inverse_of(tree, operation)
         if undo is not None:
-            undoing.append(undo)
+            undo_operations.append(undo)
         tree = apply(tree, (operation,))
-    return tuple(reversed(undoing))
+    return tuple(reversed(undo_operations))
 
 
 def _inverse_of(tree: Json, operation: Operation) -> Operation | None:
@@ -195,7 +197,7 @@
 
 
 class DiffKind(enum.StrEnum):
-    """How a leaf differs."""
+    """How a leaf differs between two trees."""
 
     ADDED = "+"
     REMOVED = "-"
@@ -207,10 +209,10 @@
     """A leaf that differs between two trees.
 
     Attributes:
-      kind: How.
-      path: Dotted.
-      before: The value in the first tree; None when added.
-      after: The value in the second; None when removed.
+      kind: How it differs.
+      path: Its dotted path.
+      before: The value in the first tree; None if it was added.
+      after: The value in the second tree; None if it was removed.
     """
 
     kind: DiffKind
@@ -232,7 +234,7 @@
 
 
 def leaves(tree: Json, prefix: str = "") -> dict[str, Json]:
-    """Returns the plain values of a tree by dotted path."""
+    """Returns the leaf values of a tree by dotted path."""
     if not isinstance(tree, dict) or (prefix and not tree):
         return {prefix: tree}
     found: dict[str, Json] = {}
@@ -242,7 +244,7 @@
 
 
 def diff(before: Json, after: Json) -> list[Difference]:
-    """Returns what differs between two trees, in the order of paths."""
+    """Returns the leaves that differ between two trees, sorted by path."""
     old, new = leaves(before), leaves(after)
     found = []
     for path in sorted(old.keys() | new.keys()):
--- a/src/clementinegw/settings/cursor.py
+++ b/src/clementinegw/settings/cursor.py
@@ -1,9 +1,9 @@
-"""Decides what to read from the log next, and whether to believe it.
+"""Decides what to read from the log next and whether to accept it.
 
-A state machine without I/O: `next_read` says what to read, `on_page` takes the
-answer. The fold that is in force never goes back: what the log shows is
-refused and reported when it is older than that, was replaced, or lacks
-records, and the fold stays until the log (or a peer) shows its continuation.
+A state machine without I/O: `next_read` returns what to read, and `on_page`
+handles the page that was read. The fold in force never goes back. If the log
+is older than the fold, was replaced, or lacks records, it is refused and the
+refusal is reported; the fold is kept until the log or a peer continues it.
 """
 
 import dataclasses
@@ -24,7 +24,13 @@
 
 
 class Mode(enum.StrEnum):
-    """What the cursor is doing."""
+    """The phase of reading that a cursor is in.
+
+    SURVEY: determine which offsets the log has. SEARCH: look for a snapshot to
+    start from. CATCH_UP: fold a candidate up to the end of the log. FOLLOW:
+    wait for a new record. VERIFY: read on, starting with the last folded
+    record, to check that the log still has it.
+    """
 
     SURVEY = "survey"
     SEARCH = "search"
@@ -34,11 +40,11 @@
 
 
 class Repair(enum.StrEnum):
-    """What mends a log that is not believed.
+    """How a refused log can be repaired.
 
-    RESTORE: its fold lacks accepted changes that this process holds; a
-    snapshot brings them back. REBASE: nobody who lacks settings can fold it;
-    when that lasts, a snapshot to start from is put at its end.
+    RESTORE: the fold of the log lacks accepted changes that this process has;
+    a snapshot restores them. REBASE: no process without settings can fold the
+    log; if that lasts, a snapshot to start from is appended.
     """
 
     NONE = "none"
@@ -47,7 +53,7 @@
 
 
 class Adoption(enum.StrEnum):
-    """What came of a peer's fold."""
+    """The result of offering a peer's fold to the cursor."""
 
     ADOPTED = "adopted"
     NOT_NEWER = "not_newer"
@@ -56,12 +62,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
-    """What to read next.
+    """A read of the log.
 
     Attributes:
-      offset: The first offset wanted.
-      limit: The most records wanted.
-      wait: Whether the log may hold the answer back until there is a record.
+      offset: The first offset to read.
+      limit: The maximum number of records to read.
+      wait: Whether the log may delay its answer until there is a record.
     """
 
     offset: int
@@ -74,11 +80,11 @@
     """A record was folded into the settings in force.
 
     Attributes:
-      offset: Its offset.
-      time: When the log took it, epoch seconds.
+      offset: The offset of the record.
+      time: When the log accepted the record, epoch seconds.
       value: The record.
-      fingerprint_before: Tells the record before it.
-      result: What came of it.
+      fingerprint_before: The fingerprint of the record before it.
+      result: The result of folding it.
     """
 
     offset: int
@@ -90,12 +96,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Adopted:
-    """A fold that was rebuilt from the log is in force now.
+    """A fold that was rebuilt from the log came into force.
 
     Attributes:
       revision: Its revision.
-      diverged: Whether the fold before had the same revision with another
-        content, which is a defect.
+      diverged: Whether the previous fold had different settings under the
+        same revision, which is a defect.
     """
 
     revision: int
@@ -104,12 +110,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The log is not believed; the settings in force stay.
+    """The log was refused; the settings in force are kept.
 
     Attributes:
-      reason: Why.
+      reason: Why it was refused.
       detail: Offsets and revisions, for the log line.
-      repair: What this process may put into the log to mend it.
+      repair: How this process may repair the log.
     """
 
     reason: RefuseReason
@@ -124,7 +130,7 @@
     """Follows the `settings` stream and keeps the fold in force."""
 
     def __init__(self) -> None:
-        """Starts with no settings."""
+        """Initializes the cursor without settings."""
         self._fold: fold_lib.Fold | None = None
         self._candidate: fold_lib.Fold | None = None
         self._search: snapshots.Search | None = None
@@ -148,22 +154,22 @@
 
     @property
     def mode(self) -> Mode:
-        """What the cursor is doing."""
+        """The phase of reading that the cursor is in."""
         return self._mode
 
     @property
     def refused(self) -> RefuseReason | None:
-        """Why the log is not believed at present; None when it is."""
+        """Why the log is refused at present; None if it is not."""
         return self._refused
 
     @property
     def first_offset(self) -> int:
-        """The oldest offset that the log kept when it was last read."""
+        """The oldest offset that the log had when it was last read."""
         return self._first_offset
 
     @property
     def at_end(self) -> bool:
-        """Whether the fold had the whole log when it was last read."""
+        """Whether the fold had all records when the log was last read."""
         return self._mode is Mode.FOLLOW and self._refused is None
 
     def next_read(self) -> Read:
@@ -181,31 +187,31 @@
         return _overlapping(self._fold)
 
     def on_page(self, page: log_lib.Page) -> list[Event]:
-        """Takes the answer to `next_read`."""
+        """Handles the page that was read for `next_read`."""
         self._first_offset = page.first_offset
         return self._handlers[self._mode](page)
 
     def require_verification(self) -> None:
-        """Checks the log again before it is followed, after a failed read."""
+        """Verifies the log before it is followed again after a failed read."""
         if self._mode is Mode.FOLLOW:
             self._mode = Mode.VERIFY
 
     def adopt(
         self, fold: fold_lib.Fold, adopt_position: bool = True
     ) -> Adoption:
-        """Takes a peer's fold when it continues the one in force.
+        """Adopts a peer's fold if it continues the one in force.
 
         Args:
-          fold: The peer's.
-          adopt_position: Whether one of the same revision is taken when it is
-            further in the log.
+          fold: The peer's fold.
+          adopt_position: Whether a fold of the same revision is adopted if
+            its position in the log is later.
         """
         if self._fold is not None:
             if not _continues(self._fold, fold, adopt_position):
                 return Adoption.NOT_NEWER
             if missing_changes(self._fold, fold):
-                # The peer follows a log that lost what is in force here. The
-                # two are brought together in the log, see `fold.Fold`.
+                # The peer follows a log that lost changes which are in force
+                # here. A snapshot in the log merges the two; see `fold.Fold`.
                 return Adoption.LACKS_CHANGES
         self._fold = fold
         self._refused = None
@@ -213,7 +219,7 @@
         return Adoption.ADOPTED
 
     def fold_record(self, offset: int, time: float, value: bytes) -> Folded:
-        """Folds a record that a peer passed on; it must be the next."""
+        """Folds a record that a peer forwarded; it must be the next one."""
         assert self._fold is not None
         before = self._fold.fingerprint
         result = self._fold.apply(offset, value, time)
@@ -279,10 +285,10 @@
         return self._adopt_or_refuse(candidate)
 
     def _rebase_repair(self, page: log_lib.Page) -> Repair:
-        """Returns whether a snapshot of this process may stand for the log.
+        """Returns whether a snapshot of this process may rebase the log.
 
-        Not if records expired that it has never seen: a change may have been
-        accepted in them.
+        It may not if records expired that this process has never read, because
+        one of them may be a change that was accepted.
         """
         fold = self._fold
         if fold is None or fold.position < page.first_offset:
@@ -290,14 +296,14 @@
         return Repair.REBASE
 
     def _adopt_or_refuse(self, candidate: fold_lib.Fold) -> list[Event]:
-        """Compares what the log shows with what is in force."""
+        """Puts the fold of the log in force unless it lacks changes."""
         fold = self._fold
         self._candidate = None
         if fold is not None:
             older = candidate.revision < fold.revision
             if older or missing_changes(fold, candidate):
                 detail = (
-                    f"the log shows revision {candidate.revision},"
+                    f"the log has revision {candidate.revision},"
                     f" {fold.revision} is in force"
                 )
                 reason = RefuseReason.OLDER if older else RefuseReason.REPLACED
@@ -309,7 +315,7 @@
         return [Adopted(candidate.revision, _diverges(fold, candidate))]
 
     def _on_follow(self, page: log_lib.Page) -> list[Event]:
-        """Wakes up: the records are read with the one before them."""
+        """Reads the new records again, with the record before them."""
         self._mode = Mode.VERIFY
         return []
 
@@ -333,7 +339,7 @@
     def _refuse_continuation(
         self, reason: RefuseReason, detail: str
     ) -> list[Event]:
-        """Reports what is wrong and looks at the whole log."""
+        """Refuses a log that does not continue the fold, and surveys it."""
         repeated = self._refused is not None
         self._mode = Mode.SURVEY
         self._refused = reason
@@ -359,7 +365,7 @@
 def missing_changes(
     before: fold_lib.Fold, after: fold_lib.Fold
 ) -> tuple[str, ...]:
-    """Returns the changes accepted by one fold that another has not met."""
+    """Returns the changes accepted by one fold that another has not read."""
     return tuple(
         entry.change_id
         for entry in before.history()
@@ -371,7 +377,7 @@
 def _continues(
     before: fold_lib.Fold, after: fold_lib.Fold, adopt_position: bool
 ) -> bool:
-    """Returns whether a peer's fold is newer, or only further in the log."""
+    """Returns whether a peer's fold is newer or at a later position."""
     if after.revision != before.revision or not adopt_position:
         return after.revision > before.revision
     return after.position > before.position and after.digest == before.digest
