--- a/src/clementinegw/settings/cursor.py
+++ b/src/clementinegw/settings/cursor.py
@@ -1,9 +1,9 @@
 """Decides what to read from the log next and whether to accept it.
 
 A state machine without I/O: `next_read` returns what to read, and `on_page`
-handles the page that was read. The fold in force never goes back. If the log
-is older than the fold, was replaced, or lacks records, it is refused and the
-refusal is reported; the fold is kept until the log or a peer continues it.
+handles the page that was read. The revision in force never decreases. If the
+log is older than the fold, was replaced, or lacks records, it is refused and
+the refusal is reported; the fold is kept until the log or a peer continues it.
 """
 
 import dataclasses
--- a/src/clementinegw/settings/exchange.py
+++ b/src/clementinegw/settings/exchange.py
@@ -1,4 +1,4 @@
-"""Settings between peers: what to answer, and what to believe of an answer."""
+"""Exchanges settings between peers: pulls, answers and their application."""
 
 import collections
 import dataclasses
@@ -14,55 +14,60 @@
 
 
 class Peers(Protocol):
-    """The other processes, as the follower needs them."""
+    """The other processes, as the follower accesses them."""
 
     def domain(self) -> list[str]:
         """Returns the live members of the failure domain, with this one."""
 
     def others(self) -> list[str]:
-        """Returns live members anywhere, without this one."""
+        """Returns the live members of all failure domains except this one."""
 
     def newest_revision(self) -> int:
-        """Returns the newest revision that a live member told of."""
+        """Returns the newest revision that a live member advertised."""
 
     def ahead_of(self, revision: int) -> list[str]:
-        """Returns the live members that told of a newer revision."""
+        """Returns the live members that advertised a newer revision."""
 
     async def pull(
         self, peer: str, request: ttypes.SettingsPull, timeout_s: float
     ) -> ttypes.SettingsState:
-        """Asks a peer.
+        """Requests settings from a peer and returns its answer.
+
+        Args:
+          peer: The peer's instance id.
+          request: The state of this process.
+          timeout_s: How long to wait for the answer, in seconds.
 
         Raises:
-          exceptions.ConnectionLost: It cannot be reached.
-          exceptions.DecodeError: It sent something else.
-          TimeoutError: It did not answer in time.
+          exceptions.ConnectionLost: The peer cannot be reached.
+          exceptions.DecodeError: The peer sent an invalid answer.
+          TimeoutError: The peer did not answer in time.
         """
 
 
 class NoPeers:
-    """A process without peers: it follows the log itself."""
+    """The peers of a process without any, which follows the log itself."""
 
     def domain(self) -> list[str]:
-        """Returns nobody."""
+        """Returns an empty list."""
         return []
 
     def others(self) -> list[str]:
-        """Returns nobody."""
+        """Returns an empty list."""
         return []
 
     def newest_revision(self) -> int:
-        """Returns that nobody told of any."""
+        """Returns 0: no member advertised a revision."""
         return 0
 
     def ahead_of(self, revision: int) -> list[str]:
-        """Returns nobody."""
+        """Returns an empty list."""
         return []
 
     async def pull(
         self, peer: str, request: ttypes.SettingsPull, timeout_s: float
     ) -> ttypes.SettingsState:
-        """Fails; there is nobody to ask."""
+        """Raises ConnectionLost, because there are no peers."""
         raise exceptions.ConnectionLost(f"no peer {peer}")
 
 
@@ -75,10 +80,10 @@
 
 
 class Tail:
-    """The latest records folded, to pass them on without a snapshot."""
+    """Keeps the latest folded records, to send them instead of a snapshot."""
 
     def __init__(self) -> None:
-        """Starts with none."""
+        """Initializes the tail without records."""
         self._records: collections.deque[_TailRecord] = collections.deque(
             maxlen=MAX_TAIL_RECORDS
         )
@@ -86,11 +91,11 @@
     def add(
         self, offset: int, time: float, value: bytes, before: bytes
     ) -> None:
-        """Takes a record that was folded.
+        """Adds a record that was folded.
 
         Args:
-          offset: Its offset.
-          time: When the log took it.
+          offset: The offset of the record.
+          time: When the log accepted the record, epoch seconds.
           value: The record.
           before: The fingerprint of the record before it.
         """
@@ -99,7 +104,7 @@
         self._records.append(_TailRecord(offset, time, value, before))
 
     def clear(self) -> None:
-        """Forgets all, when the fold was replaced."""
+        """Removes all records, as when the fold was replaced."""
         self._records.clear()
 
     def records_from(
@@ -107,9 +112,13 @@
     ) -> list[ttypes.LogRecord] | None:
         """Returns the records from a position on.
 
+        Args:
+          position: The offset of the first record.
+          fingerprint: The fingerprint of the record before it.
+
         Returns:
-          The records; None when they are not kept or do not continue what the
-          asker folded.
+          The records; None if they are no longer kept or do not continue the
+          fold of the process that requests them.
         """
         if not self._records or position < self._records[0].offset:
             return None
@@ -117,15 +126,15 @@
         if not wanted or wanted[0].fingerprint_before != fingerprint:
             return None
         return [
-            ttypes.LogRecord(kept.offset, kept.time, kept.value)
-            for kept in wanted
+            ttypes.LogRecord(record.offset, record.time, record.value)
+            for record in wanted
         ]
 
 
 def make_pull(
     fold: fold_lib.Fold | None, wait_s: float = 0.0
 ) -> ttypes.SettingsPull:
-    """Returns the question of a process that has a fold, or none."""
+    """Returns the pull request of a process with a fold, or without one."""
     wait_ms = round(wait_s * 1000)
     if fold is None:
         return ttypes.SettingsPull(-1, 1, b"", wait_ms)
@@ -135,7 +144,7 @@
 
 
 def is_ahead(fold: fold_lib.Fold | None, pull: ttypes.SettingsPull) -> bool:
-    """Returns whether there is something to answer at once."""
+    """Returns whether a fold is newer than that of a pull request."""
     if fold is None:
         return False
     return fold.revision > pull.revision or fold.position > pull.position
@@ -144,7 +153,7 @@
 def answer(
     fold: fold_lib.Fold | None, tail: Tail, pull: ttypes.SettingsPull
 ) -> ttypes.SettingsState:
-    """Returns the answer to a peer: records if they do, else a snapshot."""
+    """Returns the answer to a peer: records if possible, else a snapshot."""
     if fold is None:
         return ttypes.SettingsState(-1, b"", b"")
     state = ttypes.SettingsState(fold.revision, b"", b"", fold.position, [])
@@ -154,8 +163,9 @@
     if following is not None:
         state.records = following
     elif is_ahead(fold, pull) and fold.revision >= pull.revision:
-        # Also at the same revision: after a log that went back the asker has
-        # the settings but not the place in the log, and would ask for ever.
+        # Also at the same revision: after a rollback of the log, the requesting
+        # process has the settings but not the position in the log, and would
+        # send requests for ever.
         state.snapshot = fold.snapshot()
     if pull.revision == fold.revision and pull.position == fold.position:
         state.digest = bytes.fromhex(fold.digest)
@@ -163,7 +173,7 @@
 
 
 class PullResult(enum.StrEnum):
-    """What came of a peer's answer; each but the first two has a counter."""
+    """The result of applying a peer's answer; each result has a counter."""
 
     NOTHING_NEW = "nothing_new"
     FOLDED = "folded"
@@ -188,19 +198,19 @@
     newest: int,
     adopt_position: bool = True,
 ) -> tuple[PullResult, list[cursor_lib.Folded]]:
-    """Takes a peer's answer into the fold in force.
+    """Applies a peer's answer to the fold in force.
 
     Args:
-      cursor: Holds the fold.
+      cursor: The cursor that has the fold.
       state: The answer.
-      newest: The newest revision that live members are known to have. A
-        snapshot below it is refused: the log may be down for hours, and who
-        started from a peer that was cut off would go back to its settings.
-      adopt_position: Whether the peer knows the log better than this
-        process, so that its place there is taken also at the same revision.
+      newest: The newest revision that live members advertised. An older
+        snapshot is refused: the log may be down for hours, and a process that
+        started from a peer that was cut off would run with its old settings.
+      adopt_position: Whether the peer is known to follow the log, so that its
+        position in the log is adopted even at the same revision.
 
     Returns:
-      What came of it, and the records that were folded.
+      The result, and the records that were folded.
     """
     fold = cursor.fold
     if state.records and fold is not None:
@@ -214,10 +224,10 @@
         theirs = fold_lib.Fold.from_snapshot(state.snapshot)
     except exceptions.DecodeError:
         return PullResult.DAMAGED, []
-    taken = _RESULT_BY_ADOPTION[cursor.adopt(theirs, adopt_position)]
-    if taken is PullResult.NOTHING_NEW:
+    result = _RESULT_BY_ADOPTION[cursor.adopt(theirs, adopt_position)]
+    if result is PullResult.NOTHING_NEW:
         return _compare(fold, state, adopt_position), []
-    return taken, []
+    return result, []
 
 
 def _fold_records(
@@ -227,7 +237,7 @@
 ) -> tuple[PullResult, list[cursor_lib.Folded]]:
     folded = []
     for record in state.records:
-        # Another answer may have been faster with the same records.
+        # The same records may have arrived in another answer before.
         if record.offset == fold.position:
             folded.append(
                 cursor.fold_record(record.offset, record.time, record.value)
@@ -240,11 +250,11 @@
     state: ttypes.SettingsState,
     adopt_position: bool,
 ) -> PullResult:
-    further = fold is not None and (state.position or 0) > fold.position
-    if further and adopt_position:
-        # The peer is further but cannot pass on what lies between, as after
-        # a log that went back. It answers at once each time: asked again, the
-        # two would spin. One would notice a core that is busy with pulls.
+    is_later = fold is not None and (state.position or 0) > fold.position
+    if is_later and adopt_position:
+        # The peer's position is later, but it cannot send the records between,
+        # as after a rollback of the log. It answers each request at once, so
+        # repeated requests would keep a core busy.
         return PullResult.NOT_CONTINUED
     if fold is None or not state.digest or state.revision != fold.revision:
         return PullResult.NOTHING_NEW
--- a/src/clementinegw/settings/fold.py
+++ b/src/clementinegw/settings/fold.py
@@ -1,6 +1,6 @@
 """The deterministic fold of the log's `settings` stream.
 
-Every process that folds the same records has the same tree, revision and
+Every process that folds the same records gets the same tree, revision and
 verdicts. A revision is the offset of the change that made it.
 """
 
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SeenSnapshot:
-    """The newest snapshot that the fold met.
+    """The newest snapshot that the fold has read.
 
     Attributes:
       revision: Its revision.
-      position: The offset that a fold started from it folds first.
-      time: When the log took it, epoch seconds.
+      position: The first offset that is folded by a fold started from it.
+      time: When the log accepted the record, epoch seconds.
     """
 
     revision: int
@@ -39,10 +39,10 @@
 
 
 class Fold:
-    """The settings as the records up to a position make them."""
+    """The settings that result from the records up to a position."""
 
     def __init__(self) -> None:
-        """Starts before the first record."""
+        """Initializes the fold before the first record."""
         self._state = _state.State()
         self._checked_tree = model.Tree()
         self._refused: collections.OrderedDict[str, _state.Verdict] = (
@@ -67,12 +67,15 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """Tells the record before `position`; empty at the start."""
+        """The fingerprint of the record before `position`, or empty."""
         return self._fingerprint
 
     @property
     def floor(self) -> int:
-        """Changes made for a revision up to this one are refused."""
+        """Changes based on a revision up to this one are rejected.
+
+        The current revision is an exception.
+        """
         return self._state.floor
 
     @property
@@ -87,22 +90,22 @@
 
     @property
     def halted(self) -> int | None:
-        """The unknown schema that the fold stopped at."""
+        """The unknown schema that the fold halted at, if any."""
         return self._halted
 
     @property
     def seen_snapshot(self) -> SeenSnapshot | None:
-        """The newest snapshot met in the log."""
+        """The newest snapshot read from the log, if any."""
         return self._seen_snapshot
 
     @property
     def accepted_since_snapshot(self) -> int:
-        """How many changes were accepted after the newest snapshot met."""
+        """The number of changes accepted after the newest snapshot read."""
         return self._accepted_since_snapshot
 
     @property
     def digest(self) -> str:
-        """The digest of the state, the same wherever the revision is."""
+        """The digest of the state, equal in all processes at the revision."""
         if self._digest is None:
             self._digest = _state.digest(self._state.encode())
         return self._digest
@@ -113,17 +116,17 @@
         Args:
           offset: The record's offset.
           value: The record.
-          time: When the log took it, epoch seconds.
+          time: When the log accepted the record, epoch seconds.
 
         Returns:
-          What came of it.
+          The result of folding it.
 
         Raises:
           exceptions.InvariantError: The offset is not `position`.
         """
         if offset != self._position:
             raise exceptions.InvariantError(
-                f"settings fold is at {self._position}, was given {offset}"
+                f"settings fold is at offset {self._position}, got {offset}"
             )
         if self._halted is not None:
             return results.Halted(self._halted)
@@ -142,12 +145,12 @@
     def result_of(
         self, change_id: str
     ) -> results.Accepted | results.Rejected | None:
-        """Returns what became of a change; None when it was not met."""
+        """Returns the result of a change; None if the change is not known."""
         verdict = self._verdict(change_id)
         return _to_result(verdict) if verdict else None
 
     def history(self, path: str = "") -> list[HistoryEntry]:
-        """Returns the kept accepted changes at, above or below a path."""
+        """Returns the accepted changes in the history that touch a path."""
         return [
             entry
             for entry in self._state.history
@@ -158,7 +161,7 @@
     def preview(
         self, change: changes.Change
     ) -> results.Accepted | results.Rejected:
-        """Returns what would come of a change if it were the next record."""
+        """Returns the result that a change would have as the next record."""
         rejected = _check.find_conflict(self._state, change)
         if rejected is not None:
             return rejected
@@ -168,10 +171,10 @@
         return results.Accepted(self._next_revision(self._position))
 
     def snapshot(self, rebase: bool = False) -> bytes:
-        """Returns the fold as a record.
+        """Returns the fold as a snapshot record.
 
         Args:
-          rebase: See `records.Snapshot`.
+          rebase: Whether the snapshot rebases the log; see `records.Snapshot`.
         """
         text = self._state.encode()
         self._digest = _state.digest(text)
@@ -194,8 +197,8 @@
         """Returns the fold that wrote a snapshot, at the same position.
 
         Raises:
-          exceptions.DecodeError: It is no snapshot, damaged, or of a schema
-            that this version does not know.
+          exceptions.DecodeError: The value is not a snapshot, is damaged, or
+            has a schema that this version does not know.
         """
         parsed = records.parse(value)
         if not isinstance(parsed, records.Snapshot):
@@ -208,7 +211,7 @@
 
     @classmethod
     def rebased(cls, offset: int, value: bytes) -> "Fold":
-        """Returns the fold of a rebasing snapshot, at the record after it.
+        """Returns the fold of a rebasing snapshot, at the offset after it.
 
         Args:
           offset: The snapshot's offset.
@@ -266,14 +269,14 @@
         self._state, self._checked_tree = merged.state, merged.tree
         self._refused = merged.refused
         self._digest = None
-        # So that starters need not go back to before this record.
+        # A process that starts must not go back to before this record.
         self._seen_snapshot = None
         return results.Restored(self.revision, merged.kept, merged.lost)
 
     def _next_revision(self, offset: int) -> int:
         """Returns an accepted change's revision: its offset.
 
-        Only in a log that was restored is the revision ahead of the offsets.
+        The revision is ahead of the offsets only in a log that was restored.
         """
         return max(offset, self.revision + 1)
 
--- a/src/clementinegw/settings/follower.py
+++ b/src/clementinegw/settings/follower.py
@@ -41,8 +41,8 @@
 
     Attributes:
       revision: Their revision.
-      tree: The tree.
-      resolver: Looks knobs up in the tree.
+      tree: The settings tree.
+      resolver: Resolves knobs in the tree.
     """
 
     revision: int
@@ -51,9 +51,9 @@
 
 
 class Follower(mode.Service):
-    """Follows the log, or a relay that does, and peers where neither answers.
+    """Follows the log or a relay, and pulls from peers if neither answers.
 
-    The revision in `current` never falls.
+    The revision in `current` never decreases.
     """
 
     def __init__(
@@ -68,19 +68,19 @@
         settings: knobs.Replication | None = None,
         check_interval_s: float = _polls.CHECK_INTERVAL_S,
     ):
-        """Prepares a follower without settings.
+        """Initializes a follower without settings.
 
         Args:
-          log_client: The platform's log.
-          instance_id: This process.
+          log_client: The client of the platform's log.
+          instance_id: The id of this process.
           peers: The other processes.
           clock: The source of time.
           rng: The source of jitter.
-          counters: Where refusals and retries are counted.
-          log: Where events go.
-          settings: How to follow until the first settings are there.
-          check_interval_s: Seconds between two looks at what the members know
-            while a long poll waits.
+          counters: Count refusals and retries.
+          log: Receives the events.
+          settings: The replication knobs until the first settings are in force.
+          check_interval_s: Seconds between two checks of the revisions that
+            members advertise while a long poll waits.
         """
         super().__init__()
         rng = rng or random.Random(instance_id)
@@ -108,7 +108,7 @@
 
     @property
     def current(self) -> State | None:
-        """The settings in force; None before the first."""
+        """The settings in force; None before the first ones."""
         return self._state
 
     @property
@@ -123,21 +123,21 @@
 
     @property
     def refused(self) -> cursor_lib.RefuseReason | None:
-        """Why the log is not believed at present; None when it is."""
+        """Why the log is refused at present; None if it is not."""
         return self._cursor.refused
 
     def subscribe(self, callback: Callable[[State], None]) -> None:
-        """Calls back with each newer state, and at once with the present."""
+        """Calls back with each newer state, and now with the current one."""
         self._subscribers.append(callback)
         if self._state is not None:
             callback(self._state)
 
     def receive_revision(self, revision: int) -> None:
-        """Takes a revision that a member was heard to have."""
+        """Records a revision that a member advertised."""
         self._polls.receive_revision(revision)
 
     async def answer(self, pull: ttypes.SettingsPull) -> ttypes.SettingsState:
-        """Answers a peer, at most `pull.wait_ms` later."""
+        """Returns the answer to a peer after at most `pull.wait_ms`."""
         loop = asyncio.get_running_loop()
         end = loop.time() + (pull.wait_ms or 0) / 1000
         while not exchange.is_ahead(self.fold, pull):
@@ -157,8 +157,8 @@
             except asyncio.CancelledError:
                 raise
             except Exception as error:  # noqa: BLE001
-                # Without this, one defect would end the loop, and the process
-                # would serve with old settings without a word.
+                # Otherwise one defect would end the loop, and the process would
+                # serve with old settings unnoticed.
                 self._log.write(
                     events.TASK_FAILED, task="settings", error=repr(error)
                 )
@@ -173,7 +173,7 @@
     async def _step(self) -> None:
         fold = self._cursor.fold
         if fold is not None and fold.halted is not None:
-            # Only another version of the program gets past that record.
+            # Only a later version of the program can fold that record.
             await asyncio.sleep(self._replication().poll_wait_s)
             return
         domain = self._peers.domain()
@@ -214,11 +214,11 @@
         await self._append_snapshot_if_due()
 
     async def _confirm_first_settings(self) -> None:
-        """Asks peers before the first settings are taken from the log.
+        """Pulls from peers before the first settings from the log are in force.
 
-        A log that came back without its last records looks whole to a process
-        that has just started; it would run with settings that were overridden
-        until someone mends the log.
+        To a process that has just started, a log that lost its last records
+        looks complete. The process would run with overridden settings until
+        another process repairs the log.
         """
         if self._state is not None or self._cursor.fold is None:
             return
@@ -238,7 +238,7 @@
             now = self._clock.now()
 
     async def _read(self, read: cursor_lib.Read) -> log_lib.Page | None:
-        """Reads; returns None when the read hangs while others know more."""
+        """Reads the log; returns None if it stalls while members are ahead."""
         wait_s = 0.0
         if read.wait:
             remaining = self._snapshot_schedule.seconds_until_due(
@@ -317,16 +317,17 @@
         try:
             await self._log_client.append(records.STREAM, fold.snapshot(rebase))
         except exceptions.PlatformError:
-            # Lost or not, it is harmless twice; the log shows it.
+            # A second snapshot does no harm; the log shows if one was appended.
             self._counters.add("settings.snapshot_append_unanswered")
             return
         self._log.write(_events.SNAPSHOT_APPENDED, revision=fold.revision)
 
     async def _pull_from_any_peer(self) -> None:
-        """Asks some peer once, without waiting for news.
+        """Pulls once from a random peer, without waiting for a newer revision.
 
-        One that told of a newer revision, if there is any: in a failure domain
-        that is cut off, most others hang at the same place as this process.
+        A peer that advertised a newer revision is preferred: in a failure
+        domain that is cut off, most peers lack the same changes as this
+        process.
         """
         now = self._clock.now()
         ahead = self._peers.ahead_of(self.revision)
@@ -337,7 +338,7 @@
             await self._pull_from(peer, 0.0)
 
     async def _pull_from(self, peer: str, wait_s: float) -> None:
-        """Asks a peer and takes what it answers."""
+        """Pulls from a peer and applies its answer."""
         if wait_s > 0:
             await self._polls.pace()
         pull = exchange.make_pull(self._cursor.fold, wait_s)
@@ -351,52 +352,52 @@
             self._sources.penalize(peer, self._clock.now())
             return
         if state is None:
-            # Not the peer's fault: it may not have been told either.
+            # The peer is not penalized: it may lack the newer revision as well.
             self._counters.add("settings.peer_pulls_given_up")
             if wait_s > 0:
                 await self._pull_from_any_peer()
             return
         newest = self._peers.newest_revision()
-        # Only a relay is known to follow the log; any other member may still
-        # stand where the log was before it went back.
-        taken, folded = exchange.apply_answer(
+        # Only a relay is known to follow the log. The position of any other
+        # member may be from before a rollback of the log.
+        result, folded = exchange.apply_answer(
             self._cursor, state, newest, adopt_position=wait_s > 0
         )
         for event in folded:
             self._on_folded(event)
-        self._on_pull_result(peer, taken, state.revision)
+        self._on_pull_result(peer, result, state.revision)
         self._publish()
 
     async def _pull(
         self, peer: str, pull: ttypes.SettingsPull, timeout_s: float
     ) -> ttypes.SettingsState | None:
-        """Pulls; returns None when it hangs while others know more."""
+        """Sends a pull; returns None if it stalls while members are ahead."""
         pulling = asyncio.ensure_future(self._peers.pull(peer, pull, timeout_s))
         if await self._polls.wait(pulling, self.revision):
             return pulling.result()
         return None
 
     def _on_pull_result(
-        self, peer: str, taken: exchange.PullResult, revision: int
+        self, peer: str, result: exchange.PullResult, revision: int
     ) -> None:
-        self._counters.add(f"settings.from_peer.{taken}")
-        if taken is exchange.PullResult.ADOPTED:
+        self._counters.add(f"settings.from_peer.{result}")
+        if result is exchange.PullResult.ADOPTED:
             self._tail.clear()
             self._log.write(_events.FROM_PEER, peer=peer, revision=revision)
-        elif taken is exchange.PullResult.DIVERGED:
+        elif result is exchange.PullResult.DIVERGED:
             self._reporter.report_divergence(peer, self.revision)
             self._sources.follow_log_directly(self._clock.now())
-        elif taken in (
+        elif result in (
             exchange.PullResult.LACKS_CHANGES,
             exchange.PullResult.NOT_CONTINUED,
         ):
             self._sources.follow_log_directly(self._clock.now())
-        elif taken in (exchange.PullResult.OLDER, exchange.PullResult.DAMAGED):
-            self._log.write(_events.PEER_REFUSED, peer=peer, reason=taken)
+        elif result in (exchange.PullResult.OLDER, exchange.PullResult.DAMAGED):
+            self._log.write(_events.PEER_REFUSED, peer=peer, reason=result)
             self._sources.penalize(peer, self._clock.now())
 
     def _publish(self) -> None:
-        """Tells the subscribers and the peers that wait."""
+        """Notifies the subscribers and the peers whose pulls wait."""
         fold = self._cursor.fold
         if fold is None:
             return
--- a/src/clementinegw/settings/model.py
+++ b/src/clementinegw/settings/model.py
@@ -1,6 +1,6 @@
-"""The checked models at the border: the operators' tree and instance files.
+"""The checked models of external input: settings tree and instance files.
 
-Knobs are declared in `knobs`; a value is looked up with `tree.resolve`.
+Knobs are declared in `knobs`; their values are looked up with `tree.resolve`.
 """
 
 import ipaddress
@@ -25,10 +25,10 @@
 
 
 def parse_address(text: object) -> types.Address:
-    """Parses `HOST:PORT`, HOST being an IP number, IPv6 in brackets.
+    """Parses `HOST:PORT`, where HOST is an IP address, IPv6 in brackets.
 
     Raises:
-      ValueError: It is something else.
+      ValueError: The text is not such an address.
     """
     if isinstance(text, types.Address):
         return text
@@ -61,7 +61,7 @@
 
 
 class ModelVersion(knobs.Model):
-    """A model version as declared; its manifest is the root of trust."""
+    """A declared model version; its manifest is the root of trust."""
 
     name: knobs.Name = pydantic.Field(description="The model's name.")
     version: Version = pydantic.Field(description="The version's name.")
@@ -71,7 +71,7 @@
 
 
 class Adapter(knobs.Model):
-    """An adapter that the engines of a service load beside the model."""
+    """An adapter that the engines of a service load with the model."""
 
     name: knobs.Name = pydantic.Field(description="The adapter's name.")
     version: Version = pydantic.Field(description="The version's name.")
@@ -81,16 +81,17 @@
 
 
 class Operation(knobs.Model):
-    """What is known of one operation of a service."""
+    """Declared properties of one operation of a service."""
 
     method: str = pydantic.Field(
         pattern=r"^[A-Z]+$", description="The HTTP method."
     )
     path: str = pydantic.Field(
-        pattern=r"^/", description="The path; `*` at the end takes any rest."
+        pattern=r"^/",
+        description="The path; `*` at the end matches any suffix.",
     )
     idempotent: bool = pydantic.Field(
-        description="Whether a second run does no harm."
+        description="Whether running the operation twice does no harm."
     )
 
 
@@ -101,55 +102,55 @@
 
 
 class FailureDomain(knobs.Model):
-    """A failure domain and the region it lies in."""
+    """A failure domain and its region."""
 
     region: knobs.Name = pydantic.Field(description="Its region.")
     settings: knobs.Knobs = knobs.Knobs()
 
 
 class Service(knobs.Model):
-    """A service and the model version that its fleet shall serve."""
+    """A service and the model version that its fleet is to serve."""
 
     kind: types.ServiceKind = pydantic.Field(
-        description="What the backend servers are."
+        description="The kind of its backend servers."
     )
     model: ModelVersion | None = pydantic.Field(
-        default=None, description="The version to serve; for model engines."
+        default=None, description="The version to serve, for model engines."
     )
     previous: ModelVersion | None = pydantic.Field(
         default=None,
-        description="The version before, whose chunks may be kept.",
+        description="The previous version, whose chunks may be kept.",
     )
     workers: int | None = pydantic.Field(
         default=None,
         ge=1,
         le=100_000,
-        description="How many workers it has, for `max_out_share`; without"
-        " it, those that each agent sees are counted.",
+        description="Number of workers it has, for `max_out_share`; if absent,"
+        " each agent counts the workers that it sees.",
     )
     adapters: tuple[Adapter, ...] = pydantic.Field(
-        default=(), description="Adapters loaded beside the model."
+        default=(), description="Adapters loaded with the model."
     )
     operations: tuple[Operation, ...] = pydantic.Field(
         default=(),
-        description="Operations by path; one that is not listed counts as not"
-        " idempotent unless its method is GET or HEAD.",
+        description="Operations by path; one that is not listed is taken to be"
+        " idempotent only if its method is GET or HEAD.",
     )
     checks_fencing: bool = pydantic.Field(
         default=False,
-        description="Whether its servers refuse old fencing numbers.",
+        description="Whether its servers refuse outdated fencing numbers.",
     )
     settings: knobs.Knobs = knobs.Knobs()
 
 
 class Customer(knobs.Model):
-    """A customer's share and exceptions."""
+    """A customer's weight and settings."""
 
     weight: float = pydantic.Field(
         default=1.0,
         gt=0,
         le=1_000,
-        description="Its share when a service is full.",
+        description="Its relative share of a service at full load.",
     )
     settings: knobs.Knobs = knobs.Knobs()
 
@@ -178,10 +179,10 @@
 
 
 def check_references(tree: Tree) -> None:
-    """Checks what one part of a tree says about another.
+    """Checks the references between parts of a tree.
 
     Raises:
-      ValueError: A part names another that is not there.
+      ValueError: A part refers to another that does not exist.
     """
     for name, domain in sorted(tree.failure_domains.items()):
         if domain.region not in tree.regions:
@@ -192,41 +193,47 @@
 
 
 class Listen(knobs.Model):
-    """Where a process listens."""
+    """The addresses that a process listens on."""
 
     http: AddressText = pydantic.Field(
-        description="HTTP: callers of an entry; health of each."
+        description="HTTP: callers of an entry; health checks of each process."
     )
     peer: AddressText = pydantic.Field(
         description="Peers: connections (TCP) and membership (UDP)."
     )
     admin: AddressText | None = pydantic.Field(
         default=None,
-        description="The `/status` page for operators; none if absent.",
+        description="The `/status` page for operators; not served if absent.",
     )
 
 
 class Platform(knobs.Model):
-    """Where the platform's services are."""
+    """The base URLs of the platform's services."""
 
     log: Url = pydantic.Field(description="Base URL of the log service.")
-    instances: Url = pydantic.Field(description="Base URL of the list.")
+    instances: Url = pydantic.Field(
+        description="Base URL of the instance list."
+    )
     store: Url = pydantic.Field(description="Base URL of the weight store.")
     origin: Url = pydantic.Field(description="Base URL of the origin.")
 
 
 class Backend(knobs.Model):
-    """The backend server beside an agent."""
+    """The backend server of an agent."""
 
-    service: knobs.Name = pydantic.Field(description="The service it serves.")
-    kind: types.ServiceKind = pydantic.Field(description="What it is.")
+    service: knobs.Name = pydantic.Field(
+        description="The service that it serves."
+    )
+    kind: types.ServiceKind = pydantic.Field(description="Its kind.")
     url: Url = pydantic.Field(description="Its base URL.")
 
 
 class TlsFiles(knobs.Model):
-    """PEM files for TLS between our processes."""
+    """PEM files for TLS between the gateway's processes."""
 
-    certificate: str = pydantic.Field(description="This instance's own.")
+    certificate: str = pydantic.Field(
+        description="This instance's certificate."
+    )
     key: str = pydantic.Field(description="The key of the certificate.")
     authority: str = pydantic.Field(
         description="The authority that signs every instance's certificate."
@@ -234,7 +241,7 @@
 
 
 class PlaceModel(knobs.Model):
-    """Where an instance stands."""
+    """The place of an instance."""
 
     region: knobs.Name = pydantic.Field(description="Its region.")
     failure_domain: knobs.Name = pydantic.Field(
@@ -243,36 +250,41 @@
 
 
 class InstanceFile(knobs.Model):
-    """What one process is told at its start."""
+    """The configuration that one process reads at its start."""
 
     instance_id: knobs.Name = pydantic.Field(
         description="A name that no two live processes share."
     )
     role: types.Role = pydantic.Field(description="`entry` or `agent`.")
-    place: PlaceModel = pydantic.Field(description="Where it stands.")
-    listen: Listen = pydantic.Field(description="Where it listens.")
+    place: PlaceModel = pydantic.Field(
+        description="Its region and failure domain."
+    )
+    listen: Listen = pydantic.Field(
+        description="The addresses that it listens on."
+    )
     advertise: AddressText | None = pydantic.Field(
         default=None,
         description="Address that peers use; `listen.peer` if absent.",
     )
-    platform: Platform = pydantic.Field(description="The platform.")
+    platform: Platform = pydantic.Field(description="The platform's services.")
     seeds: tuple[AddressText, ...] = pydantic.Field(
         default=(),
-        description="Peers to ask first, besides the platform's list.",
+        description="Peers to contact first, besides the platform's list.",
     )
     key_file: str | None = pydantic.Field(
         default=None,
-        description="File with the deployment's keys; none: peers are not"
-        " asked for a proof, for tests only.",
+        description="File with the deployment's keys. If absent, peers need no"
+        " proof; for tests only.",
     )
     tls: TlsFiles | None = pydantic.Field(
-        None, description="TLS between our processes; plain TCP if absent."
+        None,
+        description="TLS between the gateway's processes; plain TCP if absent.",
     )
     statsd: AddressText | None = pydantic.Field(
-        default=None, description="Where metrics are sent."
+        default=None, description="The address to which metrics are sent."
     )
     backend: Backend | None = pydantic.Field(
-        default=None, description="The backend server; for an agent."
+        default=None, description="The backend server, for an agent."
     )
 
     @pydantic.model_validator(mode="after")
@@ -284,7 +296,7 @@
         return self
 
     def to_place(self) -> types.Place:
-        """Returns the place as the rest of the system holds it."""
+        """Returns the place as a `types.Place`."""
         return types.Place(self.place.region, self.place.failure_domain)
 
 
@@ -293,11 +305,12 @@
 
     Args:
       model: The model.
-      text: JSON.
-      source: What to call the text in an error.
+      text: The JSON text.
+      source: The name of the text in an error.
 
     Raises:
-      exceptions.SettingsError: One line: JSON path, expected, found.
+      exceptions.SettingsError: The text is invalid. The message is one line:
+        JSON path, expected, found.
     """
     try:
         return model.model_validate_json(text)
@@ -312,13 +325,13 @@
 
     Args:
       data: The tree as JSON text or as decoded JSON.
-      source: What to call it in an error.
+      source: The name of the tree in an error.
 
     Returns:
       A `Tree`.
 
     Raises:
-      exceptions.SettingsError: It does not fit.
+      exceptions.SettingsError: The tree is invalid.
     """
     if isinstance(data, dict):
         data = _errors.dump_json(data)
@@ -329,7 +342,7 @@
     """Reads and checks an instance file.
 
     Raises:
-      exceptions.SettingsError: It cannot be read or does not fit.
+      exceptions.SettingsError: The file cannot be read or is invalid.
     """
     try:
         text = pathlib.Path(path).read_bytes()
@@ -341,5 +354,5 @@
 
 
 def dump_tree(tree: Tree) -> dict[str, Any]:
-    """Returns the tree as JSON holds it: what was named, nothing more."""
+    """Returns the tree as JSON, with only the fields that were set."""
     return tree.model_dump(mode="json", by_alias=True, exclude_unset=True)
--- a/src/clementinegw/settings/publisher.py
+++ b/src/clementinegw/settings/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes a change and finds out what became of it."""
+"""Publishes a change and determines its result."""
 
 import asyncio
 import dataclasses
@@ -26,14 +26,14 @@
     operations: tuple[changes.Operation, ...],
     clock: clocks.Clock | None = None,
 ) -> changes.Change:
-    """Returns a change with a fresh id.
+    """Returns a change with a new random id.
 
     Args:
-      base: The revision that the operator saw.
+      base: The revision that the change is based on.
       who: The operator.
       why: The reason.
-      operations: What to do.
-      clock: The source of its time.
+      operations: The operations of the change.
+      clock: The source of the time of the change.
     """
     wall = (clock or clocks.SystemClock()).wall()
     return changes.Change(
@@ -44,19 +44,19 @@
 async def read_fold(
     log: log_lib.LogClient, cursor: cursor_lib.Cursor | None = None
 ) -> fold_lib.Fold:
-    """Reads the log to its end.
+    """Reads the log to its end and returns its fold.
 
     Args:
-      log: The log.
-      cursor: One that read it before; a new one by default.
+      log: The client of the log.
+      cursor: A cursor that has read the log before; a new one by default.
 
     Returns:
       The fold of all records.
 
     Raises:
-      exceptions.PlatformUnavailable: The log did not answer, or is not to be
-        believed at present.
-      exceptions.PlatformError: It holds a record of a later version of the
+      exceptions.PlatformUnavailable: The log did not answer, or is refused at
+        present.
+      exceptions.PlatformError: The log has a record of a later version of the
         program.
     """
     cursor = cursor or cursor_lib.Cursor()
@@ -67,7 +67,7 @@
         page = await log.read(records.STREAM, read.offset, read.limit, 0.0)
         for event in cursor.on_page(page):
             refusals += isinstance(event, cursor_lib.Refused)
-            # The second look also takes a snapshot that rebases the log.
+            # The second pass also accepts a snapshot that rebases the log.
             if isinstance(event, cursor_lib.Refused) and refusals > 1:
                 raise exceptions.PlatformUnavailable(
                     f"settings log refused, {event.reason}: {event.detail}"
@@ -77,7 +77,7 @@
     if fold.halted is not None:
         raise exceptions.PlatformError(
             f"settings log: record {fold.position} has schema {fold.halted},"
-            f" this version knows {records.SCHEMA}; install a later one"
+            f" this version knows {records.SCHEMA}; install a later version"
         )
     return fold
 
@@ -90,27 +90,29 @@
     rng: random.Random | None = None,
     deadline_s: float = DEADLINE_S,
 ) -> results.Accepted | results.Rejected:
-    """Appends a change and reads what became of it.
+    """Appends a change to the log and reads its result.
 
-    When the append's answer is lost, the record may be in the log or not, and
-    may even get there later. So the log is read; a change that is not there is
-    appended again under the same id, which the fold counts once.
+    If the answer to the append is lost, the record may or may not be in the
+    log, and may even appear there later. So the log is read. A change that is
+    not in it is appended again under the same id, which the fold counts once.
 
     Args:
-      log: The log.
+      log: The client of the log.
       change: The change.
-      cursor: One that read the log before; a new one by default.
+      cursor: A cursor that has read the log before; a new one by default.
       clock: The source of time.
-      rng: The source of the pauses' jitter.
-      deadline_s: When to give up, seconds.
+      rng: The source of the jitter of pauses.
+      deadline_s: The time after which to give up, in seconds.
 
     Returns:
-      What every process makes of the change.
+      The result of the change, which is the same in all processes.
 
     Raises:
-      exceptions.PlatformUnavailable: It could not be found out in time. The
-        message names the change's id; publishing it again is safe.
-      exceptions.PlatformError: The log holds a record of a later version.
+      exceptions.PlatformUnavailable: The result could not be determined in
+        time. The message has the id of the change; publishing it again is
+        safe.
+      exceptions.PlatformError: The log has a record of a later version of the
+        program.
       exceptions.SettingsError: The change is too large, or every process
         would skip its record. Nothing was appended.
     """
@@ -126,8 +128,8 @@
             return result
         if clock.now() + pause_s >= end:
             raise exceptions.PlatformUnavailable(
-                f"change {change.change_id}: not known whether it was"
-                " published, the same id may be published again:"
+                f"change {change.change_id}: unknown whether it was"
+                " published; it is safe to publish the same id again:"
                 f" {attempt.problem}"
             )
         await asyncio.sleep(rng.uniform(pause_s / 2, pause_s))
@@ -141,8 +143,8 @@
             f"change: expected at most {records.MAX_CHANGE_BYTES} bytes,"
             f" found {len(value)}"
         )
-    # Every fold skips such a record and never meets its id. In the log it
-    # would look like a lost append, and be appended again until the deadline.
+    # Every fold skips such a record and never records its id. The append would
+    # look lost, and be repeated until the deadline.
     problem = records.describe_problem(value)
     if problem:
         raise exceptions.SettingsError(f"change: {problem}")
@@ -151,15 +153,15 @@
 
 @dataclasses.dataclass(slots=True)
 class _Attempt:
-    """Appends a change unless it is in the log, and looks it up there.
+    """Appends a change unless it is in the log, and reads its result there.
 
     Attributes:
-      log: The log.
-      cursor: Reads it.
-      change_id: The change's id.
-      value: The change's record.
+      log: The client of the log.
+      cursor: The cursor that reads the log.
+      change_id: The id of the change.
+      value: The record of the change.
       appended: Whether an append was answered.
-      problem: Why the result is not known.
+      problem: Why the result is not known yet.
     """
 
     log: log_lib.LogClient
@@ -170,7 +172,7 @@
     problem: str = ""
 
     async def run(self) -> results.Accepted | results.Rejected | None:
-        """Returns the result; None when it is not known yet."""
+        """Returns the result; None if it is not known yet."""
         try:
             if not self.appended:
                 self.appended = await _append(self.log, self.value)
--- a/src/clementinegw/settings/records.py
+++ b/src/clementinegw/settings/records.py
@@ -1,9 +1,9 @@
-"""What may stand in the log's `settings` stream, and how it is read.
+"""The records of the log's `settings` stream and their parsing.
 
-Every process must read a record in the same way, also one of an older version
-of the program. So each carries the schema it is written in. A process that
-does not know the schema stops there; anything else that does not fit is
-skipped, by all alike.
+All processes must interpret a record in the same way, including those of an
+older version of the program. So each record has the schema it is written in. A
+process that does not know the schema halts there; every process skips any
+other record that is invalid.
 """
 
 import dataclasses
@@ -72,7 +72,7 @@
 
 
 class SkipReason(enum.StrEnum):
-    """Why a record has no effect; each has a counter."""
+    """Why a record has no effect; each reason has a counter."""
 
     NOT_JSON = "not_json"
     TOO_LARGE = "too_large"
@@ -86,18 +86,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A snapshot as it stands in the log; see `snapshots`.
+    """A snapshot in the log; see `snapshots`.
 
     Attributes:
-      schema: The highest schema of the records that went into it.
-      revision: Its revision; the content of `state` is fixed by it.
+      schema: The highest schema of the folded records.
+      revision: Its revision, which determines the content of `state`.
       position: The next offset to fold.
-      fingerprint: Of the record before `position`; empty at the log's start.
-      refused: Changes refused since the revision, up to `position`.
-      digest: Of the state.
-      state: The fold's state, compressed.
-      rebase: Whether a fold may start from it though it does not continue the
-        records before it: put into a log that nobody can follow any more.
+      fingerprint: The fingerprint of the record before `position`; empty at
+        the start of the log.
+      refused: The changes rejected since the revision, up to `position`.
+      digest: The digest of the state.
+      state: The state of the fold, compressed.
+      rebase: Whether a fold may start from the snapshot although it does not
+        continue the records before it. Such a snapshot is appended to a log
+        that no process can follow any more.
     """
 
     schema: int
@@ -115,7 +117,7 @@
     """A record that has no effect.
 
     Attributes:
-      reason: Why.
+      reason: Why it has none.
     """
 
     reason: SkipReason
@@ -136,18 +138,18 @@
 
 
 def fingerprint(value: bytes) -> bytes:
-    """Returns what tells a record from another at the same offset."""
+    """Returns a hash that identifies a record among those of one offset."""
     return blake3.blake3(value).digest(FINGERPRINT_BYTES)
 
 
 def parse(value: bytes) -> Parsed:
-    """Reads a record; the same bytes give the same result everywhere."""
+    """Parses a record; the result is the same in all processes."""
     if len(value) > MAX_SNAPSHOT_BYTES:
         return Unusable(SkipReason.TOO_LARGE)
     try:
-        # This parser's limit on nesting is fixed, that of the json module
-        # depends on the caller's stack: one process would refuse what another
-        # takes, and they would diverge without a word.
+        # The nesting limit of this parser is fixed. That of the json module
+        # depends on the caller's stack: one process would refuse a record that
+        # another accepts, and their settings would diverge unnoticed.
         data = pydantic_core.from_json(value, allow_inf_nan=False)
     except ValueError:
         return Unusable(SkipReason.NOT_JSON)
@@ -168,10 +170,10 @@
     """Returns why a change's record would be skipped, in one line.
 
     Args:
-      value: The record, as `changes.Change.encode` returns it.
+      value: The record, as returned by `changes.Change.encode`.
 
     Returns:
-      What is wrong with it; empty when it is not skipped.
+      The error in the record; empty if it would not be skipped.
     """
     parsed = parse(value)
     if not isinstance(parsed, Unusable):
@@ -181,7 +183,7 @@
     except pydantic.ValidationError as error:
         return _errors.describe(error, _Change)
     except ValueError:
-        pass  # Not JSON, which the reason says.
+        pass  # Not JSON; the reason says so.
     return str(parsed.reason)
 
 
--- a/src/clementinegw/settings/relays.py
+++ b/src/clementinegw/settings/relays.py
@@ -1,10 +1,11 @@
-"""Which processes follow the log directly, without a leader.
-
-Were all 1,180 processes to follow the log, it would hold as many long polls
-and send each change as often. So in each failure domain the first few by a
-hash of their names do, and the others take the records from one of those.
-Where views of the members differ, some more follow the log, or a process finds
-that its relay is none; both do no harm.
+"""Selects the processes that follow the log directly, without a leader.
+
+If all 1,180 processes followed the log, it would have as many long polls open
+and send each change as many times. So in each failure domain only the first
+few processes by a hash of their ids follow it, as relays; the others pull the
+records from one of them. Where views of the membership differ, a few more
+processes follow the log, or a process pulls from one that is not a relay.
+Neither does harm.
 """
 
 from collections.abc import Iterable
@@ -13,7 +14,8 @@
 
 import xxhash
 
-# One entry a member of the failure domain; more would be another deployment.
+# One entry per member of the failure domain. Larger failure domains are out of
+# scope.
 _RANK_CACHE_SIZE = 4096
 
 
@@ -23,7 +25,7 @@
 
 
 def ranked(members: Iterable[str], salt: str = "relay") -> list[str]:
-    """Returns the members in the order in which they become relays."""
+    """Returns the members in the order in which they are chosen as relays."""
     return sorted(members, key=lambda member: (_rank(salt, member), member))
 
 
@@ -43,8 +45,9 @@
 
     Args:
       instance_id: The process.
-      members: The live members of its failure domain, itself included.
-      count: How many relays a failure domain has; 0 makes each one a relay.
+      members: The live members of its failure domain, including itself.
+      count: The number of relays in a failure domain; with 0, every process
+        is a relay.
     """
     if count == 0:
         return True
@@ -54,7 +57,7 @@
 def upstreams(
     instance_id: str, members: Iterable[str], count: int
 ) -> list[str]:
-    """Returns the relays that a process asks, in the order of preference.
+    """Returns the relays that a process pulls from, in order of preference.
 
     The order differs between processes, so that the relays share the load.
     """
--- a/src/clementinegw/settings/results.py
+++ b/src/clementinegw/settings/results.py
@@ -1,4 +1,4 @@
-"""What comes of a record of the `settings` stream."""
+"""The results of folding records of the `settings` stream."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class RejectReason(enum.StrEnum):
-    """Why a change was not accepted; each has a counter."""
+    """Why a change was rejected; each reason has a counter."""
 
     CONFLICT = "conflict"
     STALE_BASE = "stale_base"
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """The change is in the tree.
+    """The change was applied to the tree.
 
     Attributes:
       revision: The revision that it made.
@@ -28,13 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """The change was refused, and is by every process.
+    """The change was rejected; every process rejects it.
 
     Attributes:
-      reason: Why.
-      conflicting_change: The id of the change it conflicted with, or empty.
-      conflicting_revision: The revision that that change made, or 0.
-      detail: One line for the operator.
+      reason: Why it was rejected.
+      conflicting_change: The id of the change it conflicts with, or empty.
+      conflicting_revision: The revision that the conflicting change made, or
+        0.
+      detail: An explanation of one line for the operator.
     """
 
     reason: RejectReason
@@ -45,10 +46,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Skipped:
-    """The record has no effect.
+    """The record was skipped and has no effect.
 
     Attributes:
-      reason: Why.
+      reason: Why it was skipped.
     """
 
     reason: records.SkipReason
@@ -56,10 +57,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Duplicate:
-    """The change stands in the log again; only the first counts.
+    """The change is in the log again; only the first record counts.
 
     Attributes:
-      first: What became of the first.
+      first: The result of the first record.
     """
 
     first: Accepted | Rejected
@@ -67,14 +68,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Restored:
-    """A snapshot from before the log lost accepted changes was taken over.
+    """A snapshot restored accepted changes that the log had lost.
 
     Attributes:
-      revision: The revision that holds again.
-      kept: The ids of changes that the shortened log had accepted and that
+      revision: The revision after the merge with the snapshot.
+      kept: The ids of changes that were accepted in the shortened log and
         were applied again on top.
-      lost: The ids of those that touch what the snapshot's own changes touch;
-        their operators have to repeat them.
+      lost: The ids of changes that could not be applied again, because they
+        are invalid now or overlap with changes of the other side; their
+        operators have to publish them again.
     """
 
     revision: int
@@ -84,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Halted:
-    """The record is of a later schema; nothing is folded from there on.
+    """The record has an unknown later schema; no record after it is folded.
 
     Attributes:
       schema: The record's schema.
--- a/src/clementinegw/settings/snapshots.py
+++ b/src/clementinegw/settings/snapshots.py
@@ -1,9 +1,9 @@
-"""When a snapshot is put into the log, and which one a fold may start from.
+"""Decides when to append a snapshot and which one a fold may start from.
 
-The log keeps records for a limited time. A snapshot has to be there before
-the records it stands for are gone, else nobody could start any more. Any
-process that follows the log may put it there; a random wait lets one of them
-come first, and the others see its record and keep still.
+The log keeps records for a limited time. A snapshot has to be appended before
+the records that it replaces expire, or no process could start any more. Any
+process that follows the log may append it. A random wait lets one of them be
+the first; the others read its record and do not append another.
 """
 
 import collections
@@ -17,28 +17,28 @@
 from clementinegw.settings import records
 
 _MAX_CANDIDATES = 8
-# Spares parsing every change; a snapshot that is written otherwise is no
-# candidate, which costs nothing.
+# Avoids parsing every change. A snapshot that is serialized differently is not
+# a candidate, which does no harm.
 _SNAPSHOT_MARKER = b'"kind":"snapshot"'
 
 
 class SnapshotSchedule:
-    """Decides when this process puts a snapshot into the log."""
+    """Decides when this process appends a snapshot to the log."""
 
     def __init__(self, rng: random.Random):
-        """Starts with nothing due.
+        """Initializes the schedule with no snapshot due.
 
         Args:
-          rng: The source of the wait.
+          rng: The source of the random wait.
         """
         self._rng = rng
         self._due_at: float | None = None
 
     def seconds_until_due(self, now: float) -> float:
-        """Returns seconds until `due` should be asked again; may be inf.
+        """Returns the seconds until `due` should be called again; may be inf.
 
-        Were it asked only when a long poll ends, all that follow the log
-        would append at that moment.
+        If it were called only when a long poll ends, all processes that follow
+        the log would append at that moment.
         """
         return (
             math.inf if self._due_at is None else max(self._due_at - now, 0.0)
@@ -56,10 +56,10 @@
 
         Args:
           fold: A fold that has reached the end of the log.
-          first_offset: The oldest offset that the log keeps.
-          settings: How often.
-          now: Monotonic seconds.
-          wall: Epoch seconds.
+          first_offset: The oldest offset that the log has.
+          settings: The knobs that determine how often to append.
+          now: The current time, monotonic seconds.
+          wall: The current time, epoch seconds.
         """
         if not _is_needed(fold, first_offset, settings, wall):
             self._due_at = None
@@ -70,8 +70,8 @@
             )
         if now < self._due_at:
             return False
-        # The append may be lost; until the snapshot is seen in the log it is
-        # tried again, no faster than this.
+        # The append may be lost. It is repeated at this interval until the
+        # snapshot has been read from the log.
         self._due_at = now + settings.snapshot_jitter_s
         return True
 
@@ -102,10 +102,10 @@
 
 
 class Search:
-    """Looks through the end of the log for a snapshot to start from."""
+    """Searches the end of the log for a snapshot to start from."""
 
     def __init__(self, start: int):
-        """Begins at an offset.
+        """Initializes the search.
 
         Args:
           start: The first offset that is read.
@@ -122,7 +122,7 @@
         return self._start
 
     def add(self, offset: int, value: bytes) -> None:
-        """Takes a record, in order of offsets."""
+        """Adds a record; records are added in the order of their offsets."""
         self._fingerprints[offset] = records.fingerprint(value)
         if _SNAPSHOT_MARKER not in value:
             return
@@ -133,14 +133,14 @@
     def best(self, allow_rebase: bool) -> fold_lib.Fold | None:
         """Returns the fold of the newest usable snapshot.
 
-        A snapshot is usable when the record before its position is still in
-        the log and is the very one that it was made after. Without that, one
-        made before the log lost its end could be taken, and its reader would
-        mix two histories.
+        A snapshot is usable if the record before its position is still in the
+        log and is the same record as when the snapshot was made. Without this
+        check, a fold could start from a snapshot made before the log lost its
+        end, and would mix two histories.
 
         Args:
-          allow_rebase: Whether a rebasing snapshot goes first; one may be
-            used in any case where there is no other.
+          allow_rebase: Whether a rebasing snapshot is preferred. If there is
+            no other, a rebasing snapshot is used in any case.
         """
         usable = [self._start_from(c) for c in reversed(self._candidates)]
         rebasing = [self._rebase_from(c) for c in reversed(self._candidates)]
--- a/src/clementinegw/settings/tree.py
+++ b/src/clementinegw/settings/tree.py
@@ -1,4 +1,4 @@
-"""Looks knobs up in a tree: later levels win."""
+"""Resolves knobs in a tree: later levels win."""
 
 import dataclasses
 import functools
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Effective:
-    """The knobs that hold at one place for one service and customer."""
+    """The knobs that apply at one place to one service and customer."""
 
     limits: knobs.Limits
     admission: knobs.Admission
@@ -36,7 +36,8 @@
     Attributes:
       value: The value.
       level: The level's path, such as `regions.noord.settings`, or `BUILT_IN`.
-      overridden: Levels that name it too but come before, as (level, value).
+      overridden: The earlier levels that set it too, the last one first, as
+        (level, value).
     """
 
     value: Any
@@ -47,7 +48,7 @@
 def levels(
     tree: model.Tree, place: types.Place, service: str, customer: str
 ) -> list[tuple[str, knobs.Knobs]]:
-    """Returns the levels that apply, the one that wins last."""
+    """Returns the levels that apply, in ascending order of precedence."""
     found = [("defaults", tree.defaults)]
     sections: tuple[tuple[str, dict[str, Any], str], ...] = (
         ("regions", tree.regions, place.region),
@@ -67,11 +68,11 @@
     service: str = "",
     customer: str = "",
 ) -> Effective:
-    """Returns the knobs that hold at a place for a service and a customer.
+    """Returns the knobs that apply at a place to a service and a customer.
 
     Args:
       tree: A checked tree.
-      place: Where; an unknown region or failure domain has no level.
+      place: The place; an unknown region or failure domain has no level.
       service: The service, or empty.
       customer: The customer, or empty.
     """
@@ -104,7 +105,7 @@
     Args:
       tree: A checked tree.
       path: The knob as `GROUP.NAME`, such as `limits.requests_per_s`.
-      place: Where.
+      place: The place.
       service: The service, or empty.
       customer: The customer, or empty.
 
@@ -141,11 +142,11 @@
 
 
 class Resolver:
-    """Keeps what `resolve` returned for one tree.
+    """Caches the results of `resolve` for one tree.
 
-    A request needs several lookups; this makes each but the first a dictionary
-    access. Names that the tree does not hold share one entry, so that callers
-    who make names up cannot fill the memory.
+    A request needs several lookups; the cache reduces each one but the first to
+    a dictionary access. Names that the tree does not have share one cache
+    entry, so that callers who invent names cannot exhaust the memory.
     """
 
     def __init__(self, tree: model.Tree):
@@ -154,13 +155,13 @@
 
     @property
     def tree(self) -> model.Tree:
-        """The tree that is looked up."""
+        """The tree in which knobs are resolved."""
         return self._tree
 
     def resolve(
         self, place: types.Place, service: str = "", customer: str = ""
     ) -> Effective:
-        """Returns what the function `resolve` returns for the tree."""
+        """Returns the result of the function `resolve` for the tree."""
         known_service = service if service in self._tree.services else ""
         known_customer = customer if customer in self._tree.customers else ""
         return self._resolve(place, known_service, known_customer)
