--- a/src/clementinegw/settings/cursor.py
+++ b/src/clementinegw/settings/cursor.py
@@ -211,7 +211,7 @@
                 return Adoption.NOT_NEWER
             if missing_changes(self._fold, fold):
                 # The peer follows a log that lost changes which are in force
-                # here. A snapshot in the log merges the two; see `fold.Fold`.
+                # here. A snapshot in the log merges the two; see `_merge`.
                 return Adoption.LACKS_CHANGES
         self._fold = fold
         self._refused = None
--- a/tests/settings_network.py
+++ b/tests/settings_network.py
@@ -1,4 +1,4 @@
-"""Followers and a log in virtual time, for the tests of the settings."""
+"""A network of followers and a log in virtual time, for settings tests."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass
 class Members:
-    """Followers that reach one another without sockets."""
+    """The followers by name, which reach one another without sockets."""
 
     followers: dict = dataclasses.field(default_factory=dict)
     domains: dict = dataclasses.field(default_factory=dict)
--- a/tests/test_settings_fold.py
+++ b/tests/test_settings_fold.py
@@ -1,4 +1,4 @@
-"""The fold of the settings stream: the same verdict on every process."""
+"""Tests that the fold of the settings stream is the same everywhere."""
 
 import json
 import random
@@ -18,34 +18,40 @@
 BURST = "defaults.limits.burst_s"
 
 
-def make(change_id, base, *operations, schema=1):
+def make_change(change_id, base, *operations, schema=1):
     return changes.Change(
         change_id, base, "ana", "test", 1.0, operations, schema
     )
 
 
-def put(fold, change):
+def apply_next(fold, change):
     value = change if isinstance(change, bytes) else change.encode()
     return fold.apply(fold.position, value, float(fold.position))
 
 
-def test_racing_operators_get_one_winner_and_its_name():
-    # Symptom: two volunteers set the same rate, both are told it took effect,
-    # one of them finds the other's value. Sequence: both read revision 1 and
-    # publish. Cause: a fold in which the last writer wins.
+def test_conflicting_change_is_rejected_with_the_id_of_the_other():
+    # Two operators read revision 1 and set the same rate. Both changes were
+    # reported as accepted, but only one value was in force, because in the fold
+    # the last writer won.
     fold = fold_lib.Fold()
-    assert put(fold, make("first-00", 0, changes.Set(RATE, 5.0))) == (
-        results.Accepted(1)
+    assert apply_next(
+        fold, make_change("first-00", 0, changes.Set(RATE, 5.0))
+    ) == (results.Accepted(1))
+    winner = apply_next(
+        fold, make_change("second-0", 1, changes.Set(RATE, 6.0))
     )
-    one = put(fold, make("second-0", 1, changes.Set(RATE, 6.0)))
-    other = put(fold, make("third-00", 1, changes.Set(RATE, 7.0)))
-    apart = put(fold, make("fourth-0", 1, changes.Set(BURST, 3.0)))
-
-    assert one == results.Accepted(2)
-    assert other.reason is results.RejectReason.CONFLICT
-    assert other.conflicting_change == "second-0"
-    assert other.conflicting_revision == 2
-    assert apart == results.Accepted(4)
+    conflicting = apply_next(
+        fold, make_change("third-00", 1, changes.Set(RATE, 7.0))
+    )
+    unrelated = apply_next(
+        fold, make_change("fourth-0", 1, changes.Set(BURST, 3.0))
+    )
+
+    assert winner == results.Accepted(2)
+    assert conflicting.reason is results.RejectReason.CONFLICT
+    assert conflicting.conflicting_change == "second-0"
+    assert conflicting.conflicting_revision == 2
+    assert unrelated == results.Accepted(4)
     assert fold.tree.defaults.limits.requests_per_s == 6.0
 
 
@@ -65,14 +71,14 @@
 
 
 def test_same_id_counts_once():
-    # Symptom: a change is in force twice, or is told as rejected though it is
-    # in force. Sequence: the append's answer is lost, the command appends
-    # again. Cause: a fold that decides on the second record anew.
+    # A change was in force twice, or was reported as rejected although it was
+    # in force. The answer to the append was lost, the command appended the
+    # change again, and the fold decided on the second record separately.
     fold = fold_lib.Fold()
-    change = make("only-one", 0, changes.Set(RATE, 5.0))
-    put(fold, change)
-    put(fold, make("another0", 1, changes.Set(RATE, 6.0)))
-    assert put(fold, change) == results.Duplicate(results.Accepted(1))
+    change = make_change("only-one", 0, changes.Set(RATE, 5.0))
+    apply_next(fold, change)
+    apply_next(fold, make_change("another0", 1, changes.Set(RATE, 6.0)))
+    assert apply_next(fold, change) == results.Duplicate(results.Accepted(1))
     assert fold.revision == 2
     assert fold.tree.defaults.limits.requests_per_s == 6.0
 
@@ -88,9 +94,9 @@
         (changes.Set("schema", 2), "expected 1"),
     ],
 )
-def test_change_that_breaks_the_tree_is_rejected(operation, part):
+def test_change_that_makes_the_tree_invalid_is_rejected(operation, part):
     fold = fold_lib.Fold()
-    result = put(fold, make("breaking", 0, operation))
+    result = apply_next(fold, make_change("breaking", 0, operation))
     assert result.reason is results.RejectReason.INVALID
     assert part in result.detail
     assert "\n" not in result.detail
@@ -112,103 +118,111 @@
 )
 def test_bad_record_is_skipped(value, reason):
     fold = fold_lib.Fold()
-    assert put(fold, value) == results.Skipped(reason)
-    assert put(fold, make("following", 0, changes.Set(RATE, 5.0))) == (
-        results.Accepted(2)
-    )
+    assert apply_next(fold, value) == results.Skipped(reason)
+    assert apply_next(
+        fold, make_change("following", 0, changes.Set(RATE, 5.0))
+    ) == (results.Accepted(2))
 
 
-def test_unknown_schema_halts_there():
-    # Symptom: after half of the fleet was upgraded, processes run with
-    # different settings under the same revision. Sequence: a record of the
-    # later version comes, the older one skips it and folds on. Cause: skipping
-    # what might have been a change.
+def test_fold_halts_at_an_unknown_schema():
+    # After half of the fleet was upgraded, processes ran with different
+    # settings under the same revision. Processes of the older version skipped a
+    # record of the later version, which may be a change, and folded on.
     fold = fold_lib.Fold()
-    put(fold, make("before-0", 0, changes.Set(RATE, 5.0)))
-    later = make("later-00", 1, changes.Set(RATE, 6.0), schema=2)
-    assert put(fold, later) == results.Halted(2)
-    after = make("after-00", 1, changes.Set(RATE, 7.0))
-    assert put(fold, after) == results.Halted(2)
+    apply_next(fold, make_change("before-0", 0, changes.Set(RATE, 5.0)))
+    later = make_change("later-00", 1, changes.Set(RATE, 6.0), schema=2)
+    assert apply_next(fold, later) == results.Halted(2)
+    after = make_change("after-00", 1, changes.Set(RATE, 7.0))
+    assert apply_next(fold, after) == results.Halted(2)
     assert (fold.revision, fold.position, fold.halted) == (1, 2, 2)
 
 
 def test_knob_of_a_later_schema_is_refused_in_an_older_record(monkeypatch):
-    # Symptom: the upgraded half accepts a change that the other half rejects.
-    # Sequence: an operator names a new knob in a record of the old schema.
-    # Cause: each half checks the tree against its own models.
+    # An operator sets a new knob in a record of the old schema. If each process
+    # checks the tree only against its own models, the upgraded processes accept
+    # a change that the others reject.
     newer = frozenset({("limits", "burst_s")})
     monkeypatch.setattr(
         "clementinegw.settings.knobs.newer_than", lambda _: newer
     )
     fold = fold_lib.Fold()
     for path, value in ((BURST, 3.0), ("defaults", {"limits": {"burst_s": 3}})):
-        result = put(
-            fold, make(f"newer-{len(path):03}", 0, changes.Set(path, value))
+        result = apply_next(
+            fold,
+            make_change(f"newer-{len(path):03}", 0, changes.Set(path, value)),
         )
         assert result.reason is results.RejectReason.INVALID
-    assert put(fold, make("old-knob", 0, changes.Set(RATE, 3.0))) == (
-        results.Accepted(3)
-    )
+    assert apply_next(
+        fold, make_change("old-knob", 0, changes.Set(RATE, 3.0))
+    ) == (results.Accepted(3))
 
 
-def test_undo_restores_and_is_itself_undone():
+def test_undo_restores_the_tree_and_can_be_undone():
     fold = fold_lib.Fold()
-    put(fold, make("first-00", 0, changes.Set("regions.noord", {})))
+    apply_next(
+        fold, make_change("first-00", 0, changes.Set("regions.noord", {}))
+    )
     before = fold.raw
     both = (changes.Set(RATE, 5.0), changes.Unset("regions.noord"))
-    put(fold, make("second-0", 1, *both))
+    apply_next(fold, make_change("second-0", 1, *both))
     changed = fold.raw
     entry = fold.history(RATE)[0]
-    put(fold, make("undo-000", entry.revision, *entry.inverse))
+    apply_next(fold, make_change("undo-000", entry.revision, *entry.inverse))
     assert fold.raw == before
     entry = fold.history()[-1]
-    put(fold, make("redo-000", entry.revision, *entry.inverse))
+    apply_next(fold, make_change("redo-000", entry.revision, *entry.inverse))
     assert fold.raw == changed
 
 
-def test_forgotten_change_is_not_applied_again():
-    # Symptom: a change refused weeks ago takes effect. Sequence: the platform
-    # delivers a delayed append after its id was forgotten. Cause: ids are
-    # kept in bounded memory; the floor has to stop what is older.
+def test_change_whose_verdict_was_removed_is_not_applied_again():
+    # A change rejected weeks ago took effect: the platform delivered a delayed
+    # append after the verdict of the change had been removed, because verdicts
+    # are kept in bounded memory. The floor has to reject such old changes.
     fold = fold_lib.Fold()
-    put(fold, make("start-00", 0, changes.Set(RATE, 1.0)))
-    late = make("late-000", 1, changes.Set(BURST, "wrong"))
-    assert put(fold, late).reason is results.RejectReason.INVALID
+    apply_next(fold, make_change("start-00", 0, changes.Set(RATE, 1.0)))
+    late = make_change("late-000", 1, changes.Set(BURST, "wrong"))
+    assert apply_next(fold, late).reason is results.RejectReason.INVALID
     for number in range(fold_lib.MAX_VERDICTS + 1):
         change = changes.Set(RATE, float(number))
-        put(fold, make(f"next-{number:04}", fold.revision, change))
+        apply_next(
+            fold, make_change(f"next-{number:04}", fold.revision, change)
+        )
     assert fold.result_of("late-000") is None
-    fixed = make("late-000", 1, changes.Set(BURST, 4.0))
-    assert put(fold, fixed).reason is results.RejectReason.STALE_BASE
-    current = make("current-0", fold.revision, changes.Set(BURST, 4.0))
-    assert isinstance(put(fold, current), results.Accepted)
+    fixed = make_change("late-000", 1, changes.Set(BURST, 4.0))
+    assert apply_next(fold, fixed).reason is results.RejectReason.STALE_BASE
+    current = make_change("current-0", fold.revision, changes.Set(BURST, 4.0))
+    assert isinstance(apply_next(fold, current), results.Accepted)
 
 
-def test_flood_of_refused_changes_stops_nobody():
+def test_many_rejected_changes_do_not_block_a_valid_one():
     fold = fold_lib.Fold()
-    put(fold, make("start-00", 0, changes.Set(RATE, 1.0)))
+    apply_next(fold, make_change("start-00", 0, changes.Set(RATE, 1.0)))
     for number in range(fold_lib.MAX_VERDICTS * 2):
-        put(fold, make(f"bad-{number:05}", 1, changes.Set("nonsense", 1)))
-    good = make("good-000", 1, changes.Set(RATE, 2.0))
-    assert isinstance(put(fold, good), results.Accepted)
-    replay = make("bad-00000", 1, changes.Set(BURST, 1.0))
-    assert put(fold, replay).reason is results.RejectReason.STALE_BASE
+        apply_next(
+            fold, make_change(f"bad-{number:05}", 1, changes.Set("nonsense", 1))
+        )
+    good = make_change("good-000", 1, changes.Set(RATE, 2.0))
+    assert isinstance(apply_next(fold, good), results.Accepted)
+    replay = make_change("bad-00000", 1, changes.Set(BURST, 1.0))
+    assert apply_next(fold, replay).reason is results.RejectReason.STALE_BASE
 
 
-def test_snapshot_continues_as_the_fold_would():
+def test_fold_from_a_snapshot_equals_the_original():
     fold = fold_lib.Fold()
-    put(fold, make("first-00", 0, changes.Set(RATE, 5.0)))
-    put(fold, make("refused0", 1, changes.Set("nonsense", 1)))
+    apply_next(fold, make_change("first-00", 0, changes.Set(RATE, 5.0)))
+    apply_next(fold, make_change("refused0", 1, changes.Set("nonsense", 1)))
     copy = fold_lib.Fold.from_snapshot(fold.snapshot())
     assert copy.snapshot() == fold.snapshot()
-    replayed = make("refused0", 1, changes.Set(BURST, 2.0))
-    assert put(fold, replayed) == put(copy, replayed)
-    assert isinstance(put(copy, make("x" * 8, 1)), results.Skipped)
+    replayed = make_change("refused0", 1, changes.Set(BURST, 2.0))
+    assert apply_next(fold, replayed) == apply_next(copy, replayed)
+    assert isinstance(
+        apply_next(copy, make_change("x" * 8, 1)), results.Skipped
+    )
 
 
 def test_damaged_snapshot_is_refused():
     fold = fold_lib.Fold()
-    put(fold, make("first-00", 0, changes.Set(RATE, 5.0)))
+    apply_next(fold, make_change("first-00", 0, changes.Set(RATE, 5.0)))
     data = json.loads(fold.snapshot())
     for key, value in (
         ("state", data["state"][:-8] + "AAAAAAA="),
@@ -221,23 +235,24 @@
             )
 
 
-def test_snapshot_brings_back_what_the_log_lost():
-    # Symptom: accepted settings are gone on every process that starts, while
-    # the others still have them. Sequence: the log comes back from an outage
-    # without its last records; two changes are accepted in it before a process
-    # that still has the lost ones puts its snapshot in. Cause: the log alone
-    # no longer knows what was accepted.
+def test_snapshot_restores_changes_that_the_log_lost():
+    # Accepted settings were missing on every process that started, while the
+    # other processes still had them. The log lost its last records in an
+    # outage, and two more changes were accepted in it before a process that had
+    # the lost changes appended its snapshot.
     whole, shortened = fold_lib.Fold(), fold_lib.Fold()
-    first = make("first-00", 0, changes.Set(RATE, 5.0))
-    put(whole, first)
-    put(shortened, first)
-    put(whole, make("lost-000", 1, changes.Set(RATE, 6.0)))
-    put(whole, make("lost-001", 2, changes.Set("regions.zuid", {})))
-    put(shortened, make("meanwhile", 1, changes.Set(BURST, 9.0)))
-    put(shortened, make("clashing", 1, changes.Set(RATE, 7.0)))
-    put(shortened, make("refused0", 1, changes.Set(RATE, 8.0)))
+    first = make_change("first-00", 0, changes.Set(RATE, 5.0))
+    apply_next(whole, first)
+    apply_next(shortened, first)
+    apply_next(whole, make_change("lost-000", 1, changes.Set(RATE, 6.0)))
+    apply_next(
+        whole, make_change("lost-001", 2, changes.Set("regions.zuid", {}))
+    )
+    apply_next(shortened, make_change("meanwhile", 1, changes.Set(BURST, 9.0)))
+    apply_next(shortened, make_change("clashing", 1, changes.Set(RATE, 7.0)))
+    apply_next(shortened, make_change("refused0", 1, changes.Set(RATE, 8.0)))
 
-    restored = put(shortened, whole.snapshot())
+    restored = apply_next(shortened, whole.snapshot())
 
     assert restored == results.Restored(5, ("meanwhile", "clashing"), ())
     limits = shortened.tree.defaults.limits
@@ -245,7 +260,7 @@
     assert "zuid" in shortened.tree.regions
     for change_id in ("lost-000", "lost-001", "meanwhile", "clashing"):
         assert shortened.result_of(change_id) is not None
-    again = put(shortened, whole.snapshot())
+    again = apply_next(shortened, whole.snapshot())
     assert again == results.Skipped(records.SkipReason.SNAPSHOT_OLDER)
 
 
@@ -275,19 +290,20 @@
         JSON,
     ),
 )
-def test_no_record_stops_a_fold(kind, fields):
-    # Symptom: every process stays at one revision for ever and logs the same
-    # defect each second. Sequence: someone appends a record of the right kind
-    # with odd contents. Cause: an error out of the fold; the record is met
-    # again at each try.
-    template = json.loads(make("template", 0, changes.Unset(RATE)).encode())
+def test_no_record_makes_a_fold_fail(kind, fields):
+    # Every process stayed at one revision and logged the same defect each
+    # second. A record of a valid kind had unexpected contents, folding it
+    # raised an error, and the record was folded again at each retry.
+    template = json.loads(
+        make_change("template", 0, changes.Unset(RATE)).encode()
+    )
     if kind == "snapshot":
         template = json.loads(fold_lib.Fold().snapshot())
     known = {k: v for k, v in fields.items() if k in template}
     value = json.dumps({**template, **known}).encode()
     fold = fold_lib.Fold()
-    put(fold, make("first-00", 0, changes.Set(RATE, 5.0)))
-    result = put(fold, value)
+    apply_next(fold, make_change("first-00", 0, changes.Set(RATE, 5.0)))
+    result = apply_next(fold, value)
     assert isinstance(
         result, results.Accepted | results.Rejected | results.Skipped
     )
@@ -323,24 +339,26 @@
 
 @hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
 @hypothesis.given(strategies.lists(STEPS, max_size=20), strategies.integers())
-def test_folds_agree_wherever_they_start(steps, seed):
-    """Two folds, one of them restarted from snapshots, never differ."""
+def test_folds_agree_from_any_start(steps, seed):
+    """A fold that is restarted from snapshots equals one that is not."""
     rng = random.Random(seed)
     fold, other = fold_lib.Fold(), fold_lib.Fold()
     revision = 0
     for number, lag, operations, snapshot in steps:
         if snapshot:
-            assert put(fold, value := fold.snapshot()) == put(other, value)
+            assert apply_next(fold, value := fold.snapshot()) == apply_next(
+                other, value
+            )
         base = max(fold.revision - lag, 0)
-        change = make(f"change-{number}", base, *operations)
+        change = make_change(f"change-{number}", base, *operations)
         preview = fold.preview(change)
         known = fold.result_of(change.change_id)
-        result = put(fold, change)
+        result = apply_next(fold, change)
         if known is None:
             assert result == preview
         if rng.random() < 0.5:
             other = fold_lib.Fold.from_snapshot(other.snapshot())
-        assert put(other, change) == result or known is not None
+        assert apply_next(other, change) == result or known is not None
         assert (fold.revision, fold.digest) == (other.revision, other.digest)
         assert fold.raw == other.raw
         assert fold.tree == model.parse_tree(fold.raw)
--- a/tests/test_settings_follower.py
+++ b/tests/test_settings_follower.py
@@ -1,4 +1,4 @@
-"""The follower: in force everywhere soon, from the log or from peers."""
+"""Tests that changes come into force on every process, by log or peers."""
 
 import asyncio
 import dataclasses
@@ -36,10 +36,10 @@
     settings_network.run_scenario(body)
 
 
-def test_relay_that_stalls_is_replaced():
-    # Symptom: some processes keep old settings for minutes while nothing is
-    # reported down. Sequence: the relay's link stalls without closing. Cause:
-    # a poll that waits for as long as the link seems open.
+def test_stalled_relay_is_replaced():
+    # Some processes kept old settings for minutes while nothing was reported
+    # down. The connection to the relay stalled without closing, and the poll
+    # waited for as long as the connection seemed open.
     async def body(network):
         for number in range(8):
             await network.add(f"m{number}")
@@ -51,7 +51,7 @@
     settings_network.run_scenario(body)
 
 
-def test_revision_heard_from_gossip_breaks_a_stalled_read():
+def test_revision_from_gossip_ends_a_stalled_read():
     async def body(network):
         stalled = network.log.client()
         await network.add("m0", "one", stalled)
@@ -68,10 +68,10 @@
 
 
 @pytest.mark.parametrize("fault", ["answer_lost", "refused"])
-def test_lost_append_answer_is_settled_from_the_log(fault):
-    # Symptom: a change is in force twice or not at all, though the command
-    # named it accepted. Sequence: the append takes effect (or not) and its
-    # answer is lost. Cause: the same error for both.
+def test_result_after_a_lost_append_answer_is_read_from_the_log(fault):
+    # A change was in force twice or not at all, although the command reported
+    # it as accepted. The answer to an append was lost, and the error was the
+    # same whether the append had result effect or not.
     async def body(network):
         await network.add("m0")
         operator = network.log.client()
@@ -122,30 +122,30 @@
         ({"base": -1, "who": "w" * 300}, "(and 1 more)"),
     ],
 )
-def test_unusable_change_ends_at_once_and_is_not_appended(fields, part):
-    # Symptom: the command hangs for 30 s and the log holds the same record
-    # many times. Sequence: a change is published whose record does not fit,
-    # such as one with too long a reason. Cause: the fold skips it, so its id
-    # is never met, which was taken for a lost append.
+def test_unusable_change_fails_at_once_and_is_not_appended(fields, part):
+    # The command hung for 30 s and the log had the same record many times. The
+    # record of the published change was invalid, for example because its reason
+    # was too long. The fold skipped it and never recorded its id, so the append
+    # was taken to be lost.
     async def body(network):
         change = publisher.new_change(
             0, "ana", "test", (changes.Set(RATE, 5.0),), network.clock
         )
         change = dataclasses.replace(change, **fields)
-        began = network.clock.now()
+        started_at = network.clock.now()
         with pytest.raises(exceptions.SettingsError) as caught:
             await publisher.publish(
                 network.log, change, clock=network.clock, rng=random.Random(1)
             )
         assert part in caught.value.message
         assert "\n" not in caught.value.message
-        assert network.clock.now() == began
+        assert network.clock.now() == started_at
         assert network.log.all(records.STREAM) == ()
 
     settings_network.run_scenario(body)
 
 
-def test_starts_from_peers_while_the_log_is_down():
+def test_process_starts_from_peers_while_the_log_is_down():
     async def body(network):
         await network.add("m0")
         accepted = await network.publish(5.0)
@@ -158,10 +158,10 @@
     settings_network.run_scenario(body)
 
 
-def test_peer_that_was_cut_off_is_not_believed():
-    # Symptom: a process that starts runs with settings overridden an hour
-    # ago. Sequence: the log is down; the first peer it asks was cut off before
-    # the last change. Cause: taking the first answer.
+def test_answer_of_a_peer_that_was_cut_off_is_refused():
+    # A process that started ran with settings that were overridden an hour ago.
+    # The log was down, and the process adopted the first answer, from a peer
+    # that had been cut off before the last change.
     fold = fold_lib.Fold()
     change = changes.Change(
         "change-1", 0, "ana", "", 1.0, (changes.Set(RATE, 5.0),)
@@ -169,7 +169,7 @@
     fold.apply(1, change.encode(), 1.0)
     answer = exchange.answer(fold, exchange.Tail(), exchange.make_pull(None))
     cursor = cursor_lib.Cursor()
-    taken, _ = exchange.apply_answer(cursor, answer, newest=2)
-    assert (taken, cursor.fold) == (exchange.PullResult.OLDER, None)
-    taken, _ = exchange.apply_answer(cursor, answer, newest=1)
-    assert (taken, cursor.fold.revision) == (exchange.PullResult.ADOPTED, 1)
+    result, _ = exchange.apply_answer(cursor, answer, newest=2)
+    assert (result, cursor.fold) == (exchange.PullResult.OLDER, None)
+    result, _ = exchange.apply_answer(cursor, answer, newest=1)
+    assert (result, cursor.fold.revision) == (exchange.PullResult.ADOPTED, 1)
--- a/tests/test_settings_log.py
+++ b/tests/test_settings_log.py
@@ -1,4 +1,4 @@
-"""A log that is older, shortened, gapped or expired reverts nothing."""
+"""Tests that a log which lost records does not revert settings."""
 
 import asyncio
 
@@ -16,11 +16,10 @@
 
 
 @pytest.mark.parametrize("regrown", [0, 1, 5])
-def test_log_that_went_back_reverts_nothing(regrown):
-    # Symptom: an accepted change is gone some time after an outage of the
-    # log. Sequence: the log comes back without its last records and grows
-    # again, perhaps beyond where it was. Cause: offsets alone do not tell that
-    # the records are others.
+def test_rollback_of_the_log_reverts_no_settings(regrown):
+    # An accepted change was lost some time after an outage of the log. The log
+    # lost its last records and grew again, in some cases beyond its earlier
+    # end. Offsets alone do not show that the records are different ones.
     async def body(network):
         for number in range(4):
             await network.add(f"m{number}")
@@ -59,7 +58,7 @@
     settings_network.run_scenario(body)
 
 
-def test_empty_log_in_place_of_the_old_one_reverts_nothing():
+def test_replacement_by_an_empty_log_reverts_no_settings():
     async def body(network):
         for number in range(3):
             await network.add(f"m{number}")
@@ -82,11 +81,11 @@
     settings_network.run_scenario(body)
 
 
-def test_start_on_a_log_that_went_back_asks_peers_first():
-    # Symptom: an instance that was replaced runs for seconds with settings
-    # that were overridden; 3 to 16 times in three of four seeds. Sequence: the
-    # log comes back without its end, an instance starts before that is mended.
-    # Cause: to someone who has just started the shortened log looks whole.
+def test_start_after_a_rollback_of_the_log_pulls_from_peers_first():
+    # An instance that was replaced ran for seconds with overridden settings, 3
+    # to 16 times in three of four seeds. It started after the log had lost its
+    # last records and before that was repaired. To a process that has just
+    # started, the shortened log looks complete.
     async def body(network):
         await network.add("m0")
         for value in range(4):
@@ -107,11 +106,11 @@
     settings_network.run_scenario(body)
 
 
-def test_followers_get_their_place_in_a_log_that_went_back():
-    # Symptom: a core is busy with pulls, or all processes poll the log.
-    # Sequence: the log loses its end and is mended; relays stand further in it
-    # than the others, at the same revision. Cause: an answer without records
-    # and without a snapshot is given at once, and asked for again at once.
+def test_followers_get_their_position_after_a_rollback_of_the_log():
+    # A core was busy with pulls, or all processes polled the log. After the log
+    # had lost its last records and was repaired, the position of the relays was
+    # later than that of the others, at the same revision. They answered pulls
+    # at once without records or a snapshot, and were pulled from again at once.
     async def body(network):
         for number in range(8):
             await network.add(f"m{number}")
@@ -133,9 +132,8 @@
 
 
 def test_gap_is_refused_and_reported():
-    # Symptom: one process misses a change for ever. Sequence: the log answers
-    # with records that do not follow one another. Cause: folding on from the
-    # next record that came.
+    # One process permanently lacked a change. The log returned records with a
+    # gap in the offsets, and the process folded the record after the gap.
     async def body(network):
         follower = await network.add("m0")
         accepted = await network.publish(5.0)
@@ -153,9 +151,9 @@
         await asyncio.sleep(5.0)
         assert follower.revision == accepted.revision
         assert follower.refused is cursor_lib.RefuseReason.GAP
-        # Nobody can get past it: after a while the log is given a snapshot to
-        # start from, and what was published meanwhile was named accepted to
-        # nobody.
+        # No process can fold past the gap. After some time a process appends a
+        # snapshot to start from. Changes published in between were not reported
+        # as accepted to any operator.
         await asyncio.sleep(120.0)
         assert follower.refused is None
         assert follower.revision == accepted.revision
@@ -167,10 +165,10 @@
     settings_network.run_scenario(body)
 
 
-def test_log_that_expired_and_went_back_is_given_a_new_start():
-    # Symptom: no process believes the log any more, and none can start.
-    # Sequence: old records expire, then the log loses its end with the only
-    # snapshot. Cause: nothing in the log is a place to start from.
+def test_expired_log_that_was_rolled_back_is_rebased():
+    # Every process refused the log, and none could start. Old records had
+    # expired, then the log lost its last records including the only snapshot,
+    # so it had no record to start from.
     async def body(network):
         for number in range(3):
             await network.add(f"m{number}")
@@ -189,10 +187,10 @@
     settings_network.run_scenario(body)
 
 
-def test_snapshot_is_put_back_before_records_expire():
-    # Symptom: after a restart of everything nobody has settings. Sequence: a
-    # quiet week; the records expire; all processes are replaced. Cause: the
-    # only copy of the settings was in records older than the log keeps.
+def test_snapshot_is_appended_before_records_expire():
+    # After a restart of all processes, none had settings. Without changes for a
+    # week, all records of the settings expired, and then all processes were
+    # replaced.
     async def body(network):
         for number in range(5):
             await network.add(f"m{number}")
@@ -218,7 +216,7 @@
     )
 
 
-def test_snapshots_that_race_change_nothing():
+def test_concurrent_snapshots_change_no_settings():
     async def body(network):
         first = await network.add("m0", "one")
         accepted = await network.publish(5.0)
@@ -234,7 +232,7 @@
     settings_network.run_scenario(body)
 
 
-def test_everything_expired_and_nobody_left_is_reported():
+def test_expired_log_without_peers_is_reported():
     async def body(network):
         await network.publish(5.0)
         network.log.truncate(records.STREAM)
@@ -246,7 +244,7 @@
     settings_network.run_scenario(body)
 
 
-def test_halted_process_keeps_what_it_has():
+def test_halted_process_keeps_its_settings():
     async def body(network):
         follower = await network.add("m0")
         accepted = await network.publish(5.0)
--- a/tests/test_settings_model.py
+++ b/tests/test_settings_model.py
@@ -1,4 +1,4 @@
-"""The checked models: one clear line for a mistake, later levels win."""
+"""Tests of the models: errors are one line, and later levels win."""
 
 import json
 import pathlib
@@ -83,7 +83,7 @@
     assert effective == tree.resolve(parsed, PLACE, service, customer)
 
 
-def test_names_made_up_by_callers_share_one_entry():
+def test_names_unknown_to_the_tree_share_one_entry():
     resolver = tree.Resolver(model.parse_tree(TREE))
     first = resolver.resolve(PLACE, "", "nobody-1")
     assert resolver.resolve(PLACE, "no-service", "nobody-2") is first
@@ -110,7 +110,7 @@
         ("{nope", ("expected JSON",)),
     ],
 )
-def test_mistake_in_the_tree_gets_one_line(data, parts):
+def test_error_in_the_tree_is_reported_in_one_line(data, parts):
     with pytest.raises(exceptions.SettingsError) as caught:
         model.parse_tree(data)
     assert all(part in caught.value.message for part in parts)
@@ -130,7 +130,9 @@
         ({"statsd": "127.0.0.1:99999"}, ("$.statsd", "port")),
     ],
 )
-def test_mistake_in_an_instance_file_gets_one_line(tmp_path, change, parts):
+def test_error_in_an_instance_file_is_reported_in_one_line(
+    tmp_path, change, parts
+):
     path = tmp_path / "e1.json"
     path.write_text(json.dumps({**INSTANCE, **change}))
     with pytest.raises(exceptions.SettingsError) as caught:
@@ -155,7 +157,7 @@
         model.parse_instance_file(tmp_path / "none.json")
 
 
-def test_every_knob_is_described_and_its_default_fits():
+def test_every_knob_has_a_description_and_a_valid_default():
     for group in knobs.GROUPS:
         declared = type(getattr(knobs.Knobs(), group))
         assert declared.__doc__
@@ -164,7 +166,7 @@
             assert field.description, f"{group}.{name}"
 
 
-def test_dump_holds_only_what_was_named():
+def test_dump_has_only_the_fields_that_were_set():
     assert model.dump_tree(model.parse_tree(TREE)) == TREE
 
 
