--- a/src/clementinegw/settings/_source.py
+++ b/src/clementinegw/settings/_source.py
@@ -17,7 +17,7 @@
 class Backoff:
     """Computes exponential waits with jitter after failed reads of the log.
 
-    The jitter prevents that all processes read at once when the log recovers.
+    The jitter keeps processes from reading all at once when the log recovers.
     """
 
     def __init__(self, rng: random.Random):
