--- a/src/clementinegw/requests/suspect.py
+++ b/src/clementinegw/requests/suspect.py
@@ -1,10 +1,10 @@
-"""Requests that crash backend servers: the fold of the stream `suspects`.
+"""Tracks requests that may crash backend servers, from the stream `suspects`.
 
-An agent names what was in flight when its backend server crashed. A request
-that was in flight at one crash since it last completed is a suspect: it runs
-alone, at one server at a time in the whole fleet. At its second crash it is
-refused everywhere. One that merely shared a batch is cleared by completing.
-See docs/design/suspects.md.
+An agent reports the requests that were in flight when its backend server
+crashed. A request that was in flight at one crash since it last completed is a
+suspect: it runs alone, on one server at a time in the whole fleet. After a
+second crash it is refused by all entries. A request that merely shared a batch
+is cleared when it completes. See docs/design/suspects.md.
 """
 
 import dataclasses
@@ -12,31 +12,33 @@
 from clementinegw.requests import types as request_types
 from clementinegw.wire.gen.requests import ttypes
 
-_REFUSE_AT = 2
-_MS = 1000.0
+_CRASHES_TO_REFUSE = 2
+_MS_PER_S = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """How long and how much is remembered.
+    """How long and how many requests are remembered.
 
     Attributes:
-      keep_s: Seconds a finding lasts after its latest crash.
-      fingerprints: Findings remembered at most.
+      retention_s: How long a request is remembered after its latest crash, in
+        seconds.
+      max_fingerprints: The maximum number of remembered requests.
     """
 
-    keep_s: float = 86_400.0
-    fingerprints: int = 10_000
+    retention_s: float = 86_400.0
+    max_fingerprints: int = 10_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashId:
-    """Names one crash.
+    """Identifies one crash.
 
     Attributes:
-      instance_id: The agent that saw it.
-      incarnation: That agent's incarnation.
-      sequence: Counts the crashes that this incarnation saw.
+      instance_id: The instance id of the agent that observed it.
+      incarnation: The incarnation of that agent.
+      sequence: The number of the crash among those that this incarnation
+        observed.
     """
 
     instance_id: str
@@ -45,107 +47,112 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Finding:
-    """Crashes that a request was in flight at, with their times in seconds."""
+class _RequestRecord:
+    """The crashes at which a request was in flight, by epoch seconds."""
 
     crashes: dict[CrashId, float] = dataclasses.field(default_factory=dict)
 
     @property
-    def latest(self) -> float:
+    def last_crash_at(self) -> float:
         return max(self.crashes.values())
 
 
-class Suspicions:
-    """What is held against requests, by fingerprint.
+class SuspectTracker:
+    """Tracks which requests were in flight at crashes, by fingerprint.
 
-    Records may come twice and in any order: by the log, and sooner by notices.
+    Records may arrive repeatedly and in any order: from the log, and earlier in
+    notices.
     """
 
     def __init__(self, limits: Limits | None = None):
-        """Starts without suspicion.
+        """Initializes the tracker without any suspects.
 
         Args:
-          limits: How long and how much is remembered.
+          limits: How long and how many requests are remembered.
         """
         self._limits = limits or Limits()
-        self._findings: dict[bytes, _Finding] = {}
-        # When a request last completed, for crashes that are told late.
-        self._cleared: dict[bytes, float] = {}
+        self._records: dict[bytes, _RequestRecord] = {}
+        # When a request last completed, for crashes that are reported late.
+        self._completed_at: dict[bytes, float] = {}
 
     def __len__(self) -> int:
-        return len(self._findings)
+        return len(self._records)
 
-    def knows(self, fingerprint: bytes) -> bool:
-        """Whether anything is held against a request."""
-        return fingerprint in self._findings
+    def is_suspected(self, fingerprint: bytes) -> bool:
+        """Returns whether a request is a suspect or refused."""
+        return fingerprint in self._records
 
-    def crashed(self, report: ttypes.CrashReport) -> tuple[bytes, ...]:
-        """Takes a crash.
+    def record_crash(self, report: ttypes.CrashReport) -> tuple[bytes, ...]:
+        """Records a crash.
 
         Returns:
-          The fingerprints to which it was news.
+          The fingerprints for which this crash was not known yet.
         """
         crash = CrashId(report.instance_id, report.incarnation, report.sequence)
-        time = report.time_ms / _MS
+        time = report.time_ms / _MS_PER_S
         self._expire(time)
-        news = []
+        new_fingerprints = []
         for fingerprint in report.fingerprints:
-            # A completion that is younger than the crash has cleared it.
-            if self._cleared.get(fingerprint, 0.0) >= time:
+            # The request completed after the crash, which cleared it.
+            if self._completed_at.get(fingerprint, 0.0) >= time:
                 continue
-            finding = self._findings.setdefault(fingerprint, _Finding())
-            if crash not in finding.crashes:
-                finding.crashes[crash] = time
-                news.append(fingerprint)
-        self._bound()
-        return tuple(news)
-
-    def cleared(self, message: ttypes.Cleared) -> None:
-        """Takes that requests completed."""
-        time = message.time_ms / _MS
+            record = self._records.setdefault(fingerprint, _RequestRecord())
+            if crash not in record.crashes:
+                record.crashes[crash] = time
+                new_fingerprints.append(fingerprint)
+        self._evict_excess()
+        return tuple(new_fingerprints)
+
+    def record_completion(self, message: ttypes.Cleared) -> None:
+        """Records that requests completed."""
+        time = message.time_ms / _MS_PER_S
         for fingerprint in message.fingerprints:
-            self._clear(fingerprint, time)
+            self._complete(fingerprint, time)
 
     def verdict(self, fingerprint: bytes) -> request_types.SuspectVerdict:
         """Returns how a request may run."""
-        finding = self._findings.get(fingerprint)
-        if finding is None:
+        record = self._records.get(fingerprint)
+        if record is None:
             return request_types.Clear()
-        if len(finding.crashes) >= _REFUSE_AT:
+        if len(record.crashes) >= _CRASHES_TO_REFUSE:
             return request_types.Refuse()
         return request_types.RunAlone()
 
-    def _clear(self, fingerprint: bytes, time: float) -> None:
-        self._cleared.pop(fingerprint, None)
-        self._cleared[fingerprint] = time
-        while len(self._cleared) > self._limits.fingerprints:
-            del self._cleared[next(iter(self._cleared))]
-        finding = self._findings.get(fingerprint)
-        if finding is None:
+    def _complete(self, fingerprint: bytes, time: float) -> None:
+        self._completed_at.pop(fingerprint, None)
+        self._completed_at[fingerprint] = time
+        while len(self._completed_at) > self._limits.max_fingerprints:
+            del self._completed_at[next(iter(self._completed_at))]
+        record = self._records.get(fingerprint)
+        if record is None:
             return
-        later = {c: t for c, t in finding.crashes.items() if t > time}
-        finding.crashes = later
+        later = {c: t for c, t in record.crashes.items() if t > time}
+        record.crashes = later
         if not later:
-            del self._findings[fingerprint]
+            del self._records[fingerprint]
 
     def _expire(self, time: float) -> None:
-        oldest = time - self._limits.keep_s
-        old = [f for f, it in self._findings.items() if it.latest < oldest]
-        for fingerprint in old:
-            del self._findings[fingerprint]
-
-    def _bound(self) -> None:
-        excess = len(self._findings) - self._limits.fingerprints
+        oldest = time - self._limits.retention_s
+        expired = [
+            f
+            for f, record in self._records.items()
+            if record.last_crash_at < oldest
+        ]
+        for fingerprint in expired:
+            del self._records[fingerprint]
+
+    def _evict_excess(self) -> None:
+        excess = len(self._records) - self._limits.max_fingerprints
         if excess <= 0:
             return
-        # Those that are refused go last: forgotten, they would crash two more
-        # servers, while a mere suspect costs one.
+        # Refused requests are evicted last: without their record they would
+        # crash two more servers, a suspect only one.
         order = sorted(
-            self._findings,
+            self._records,
             key=lambda f: (
-                len(self._findings[f].crashes) >= _REFUSE_AT,
-                self._findings[f].latest,
+                len(self._records[f].crashes) >= _CRASHES_TO_REFUSE,
+                self._records[f].last_crash_at,
             ),
         )
         for fingerprint in order[:excess]:
-            del self._findings[fingerprint]
+            del self._records[fingerprint]
--- a/tests/test_suspect.py
+++ b/tests/test_suspect.py
@@ -1,4 +1,4 @@
-"""Requests that crash backend servers: found soon, innocents go free."""
+"""Tests that requests that crash servers are refused and others are not."""
 
 import asyncio
 import random
@@ -38,58 +38,58 @@
     return ttypes.Cleared(fingerprints=fingerprints, time_ms=int(time * 1000))
 
 
-def test_second_crash_refuses_and_innocents_go_free():
-    """Symptom: one request takes down server after server.
+def test_second_crash_refuses_and_completed_requests_are_cleared():
+    """Guards against a request that crashes one server after another.
 
-    Sequence: it crashes a server with three others in its batch; all four run
-    alone from then on; the innocent ones complete, it crashes a second server.
-    Cause: its caller, or a retry, sends it again.
+    The request crashes a server with three others in its batch, and all four
+    run alone from then on. The others complete; the request is sent again by
+    its caller or as a retry, and crashes a second server.
     """
-    known = suspect.Suspicions()
+    tracker = suspect.SuspectTracker()
     batch = [b"poison", b"a", b"b", b"c"]
-    known.crashed(crash("agent-1", 1, batch))
-    assert {known.verdict(f) for f in batch} == {ALONE}
-    known.cleared(cleared([b"a", b"b"], 101.0))
-    known.crashed(crash("agent-2", 1, [b"poison"], 102.0))
-    verdicts = [known.verdict(f) for f in batch]
+    tracker.record_crash(crash("agent-1", 1, batch))
+    assert {tracker.verdict(f) for f in batch} == {ALONE}
+    tracker.record_completion(cleared([b"a", b"b"], 101.0))
+    tracker.record_crash(crash("agent-2", 1, [b"poison"], 102.0))
+    verdicts = [tracker.verdict(f) for f in batch]
     assert verdicts == [REFUSE, CLEAR, CLEAR, ALONE]
 
 
-def test_one_crash_that_is_told_twice_counts_once():
-    known = suspect.Suspicions()
+def test_crash_that_is_reported_twice_counts_once():
+    tracker = suspect.SuspectTracker()
     for _ in range(3):
-        known.crashed(crash("agent-1", 1, [b"a"]))
-    assert known.verdict(b"a") == ALONE
-    known.crashed(crash("agent-1", 1, [b"a"], incarnation=2))
-    assert known.verdict(b"a") == REFUSE
+        tracker.record_crash(crash("agent-1", 1, [b"a"]))
+    assert tracker.verdict(b"a") == ALONE
+    tracker.record_crash(crash("agent-1", 1, [b"a"], incarnation=2))
+    assert tracker.verdict(b"a") == REFUSE
 
 
-def test_crash_that_is_told_after_the_completion_does_not_accuse():
-    known = suspect.Suspicions()
-    known.cleared(cleared([b"a"], 101.0))
-    known.crashed(crash("agent-1", 1, [b"a"], 100.0))
-    assert known.verdict(b"a") == CLEAR
-    known.crashed(crash("agent-1", 2, [b"a"], 102.0))
-    assert known.verdict(b"a") == ALONE
+def test_crash_reported_after_a_later_completion_is_ignored():
+    tracker = suspect.SuspectTracker()
+    tracker.record_completion(cleared([b"a"], 101.0))
+    tracker.record_crash(crash("agent-1", 1, [b"a"], 100.0))
+    assert tracker.verdict(b"a") == CLEAR
+    tracker.record_crash(crash("agent-1", 2, [b"a"], 102.0))
+    assert tracker.verdict(b"a") == ALONE
 
 
-def test_memory_is_bounded_and_forgets_the_refused_last():
-    known = suspect.Suspicions(suspect.Limits(fingerprints=10))
-    known.crashed(crash("agent-1", 1, [b"poison"], 1.0))
-    known.crashed(crash("agent-2", 1, [b"poison"], 2.0))
+def test_memory_is_bounded_and_refused_requests_are_evicted_last():
+    tracker = suspect.SuspectTracker(suspect.Limits(max_fingerprints=10))
+    tracker.record_crash(crash("agent-1", 1, [b"poison"], 1.0))
+    tracker.record_crash(crash("agent-2", 1, [b"poison"], 2.0))
     for number in range(100):
         name = b"%d" % number
-        known.crashed(crash("agent-3", number, [name], 3.0 + number))
-    assert len(known) == 10
-    assert known.verdict(b"poison") == REFUSE
-    known.crashed(crash("agent-4", 1, [], 90_000.0))
-    assert known.verdict(b"poison") == CLEAR
+        tracker.record_crash(crash("agent-3", number, [name], 3.0 + number))
+    assert len(tracker) == 10
+    assert tracker.verdict(b"poison") == REFUSE
+    tracker.record_crash(crash("agent-4", 1, [], 90_000.0))
+    assert tracker.verdict(b"poison") == CLEAR
 
 
 @hypothesis.settings(max_examples=100, deadline=None, derandomize=True)
 @hypothesis.given(strategies.integers(0, 1 << 32))
-def test_records_in_any_order_and_number_end_the_same(seed):
-    """Entries hear by notices and by the log, in different orders."""
+def test_order_and_repetition_of_records_do_not_change_the_verdicts(seed):
+    """Entries receive notices and records of the log in different orders."""
     rng = random.Random(seed)
     names = [b"a", b"b", b"c"]
     records = [
@@ -99,18 +99,18 @@
     clears = [cleared([rng.choice(names)], rng.randrange(100))]
     verdicts = []
     for _ in range(4):
-        known = suspect.Suspicions()
-        steps = [(known.crashed, r) for r in records + records]
-        steps += [(known.cleared, c) for c in clears]
+        tracker = suspect.SuspectTracker()
+        steps = [(tracker.record_crash, r) for r in records + records]
+        steps += [(tracker.record_completion, c) for c in clears]
         rng.shuffle(steps)
         for take, record in steps:
             take(record)
-        verdicts.append([known.verdict(name) for name in names])
+        verdicts.append([tracker.verdict(name) for name in names])
     assert all(verdict == verdicts[0] for verdict in verdicts)
 
 
 class Endpoint(claims_fleet.Endpoint):
-    """An endpoint that agents notify."""
+    """An endpoint that also receives notices of agents."""
 
     def on_notice(self, kind, handler):
         self.handlers[kind] = handler
@@ -119,8 +119,8 @@
         return []
 
 
-class Site:
-    """Entries and agents before servers that a poisonous request crashes."""
+class SuspectFleet:
+    """Entries and agents whose servers crash on the request `poison`."""
 
     def __init__(self, clock, entries):
         self.clock = clock
@@ -129,7 +129,7 @@
         self.suspects = {}
         self.crashes = 0
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
         self.poison = request_types.fingerprint("s", "POST", "/", b"poison")
 
     async def __aenter__(self):
@@ -148,7 +148,7 @@
             await service.stop()
         await self.fleet.stop()
 
-    def tell(self, fingerprints, told):
+    def report_crash(self, fingerprints, notified):
         """Records a crash and notifies some entries, as an agent does."""
         self.crashes += 1
         record = ttypes.SuspectRecord(
@@ -157,25 +157,25 @@
             )
         )
         body = codec.encode(record)
-        for name in told:
+        for name in notified:
             handlers = self.suspects[name]._endpoint.handlers
             handlers[connection.Kind.CRASHED](None, body)
         self.fleet.log.put("suspects", body)
 
-    async def run(self, name, request, innocent_with=()):
+    async def run(self, name, request, batched_with=()):
         """Runs a request as the pipeline does; returns its outcome."""
         service = self.suspects[name]
         turn = await service.turn(request, 2.0)
         if isinstance(turn, types.NotRun):
             return turn
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         await asyncio.sleep(0.01)
         self.running -= 1
         if request.fingerprint == self.poison:
             alone = turn is not None
-            others = [] if alone else list(innocent_with)
-            self.tell([request.fingerprint, *others], [name])
+            others = [] if alone else list(batched_with)
+            self.report_crash([request.fingerprint, *others], [name])
             return types.Unknown(types.UnknownReason.BACKEND_CRASHED)
         if turn is not None:
             service.end_turn(turn)
@@ -183,80 +183,88 @@
         return types.Answered(200, (), b"")
 
 
-def request(site, body):
-    made = site.fleet.request("r", body=body)
+def request(suspect_fleet, body):
+    made = suspect_fleet.fleet.request("r", body=body)
     made.fingerprint = request_types.fingerprint("s", "POST", "/", body)
     return made
 
 
 @pytest.mark.parametrize("log_down", [False, True])
-def test_poison_from_many_entries_crashes_two_servers_at_most(log_down):
-    """Symptom: a caller's repetitions walk through the fleet, crash by crash.
+def test_crashing_request_at_many_entries_crashes_at_most_two_servers(log_down):
+    """Guards against repetitions that crash one server after the other.
 
-    Sequence: the caller sends the request again and again, each time through
-    another entry; with the log down the entries only have the notices. Cause:
-    no entry sees the crashes of the others by itself.
+    The caller repeats the request through different entries, and no entry
+    observes the crashes of the others itself. While the log is down, entries
+    know of them only from notices.
     """
     clock = clocks.VirtualClock()
 
     async def body():
-        async with Site(clock, ["e1", "e2", "e3"]) as site:
-            outcomes = [await site.run("e1", request(site, b"poison"), [b"x"])]
+        async with SuspectFleet(clock, ["e1", "e2", "e3"]) as suspect_fleet:
+            outcomes = [
+                await suspect_fleet.run(
+                    "e1", request(suspect_fleet, b"poison"), [b"x"]
+                )
+            ]
             await asyncio.sleep(0.5)
-            for entry in site.fleet.entries.values():
+            for entry in suspect_fleet.fleet.entries.values():
                 entry.log.faults.down = log_down
             for _ in range(4):
                 results = await asyncio.gather(
                     *(
-                        site.run(name, request(site, b"poison"))
-                        for name in site.names
+                        suspect_fleet.run(
+                            name, request(suspect_fleet, b"poison")
+                        )
+                        for name in suspect_fleet.names
                         for _ in range(3)
                     )
                 )
                 outcomes += results
                 await asyncio.sleep(1.0)
-            assert site.crashes <= 2
-            assert site.most_running == 1
+            assert suspect_fleet.crashes <= 2
+            assert suspect_fleet.max_running == 1
             refused = [o for o in outcomes if isinstance(o, types.NotRun)]
-            assert len(refused) == len(outcomes) - site.crashes
+            assert len(refused) == len(outcomes) - suspect_fleet.crashes
             assert {o.reason for o in refused} == {types.NotRunReason.SUSPECT}
 
     clocks.run(body(), clock)
 
 
-def test_innocent_of_the_same_batch_is_free_everywhere_after_one_answer():
+def test_other_request_of_the_batch_is_cleared_everywhere_by_one_answer():
     clock = clocks.VirtualClock()
 
     async def body():
-        async with Site(clock, ["e1", "e2"]) as site:
-            innocent = request(site, b"innocent")
-            shared = [innocent.fingerprint]
-            await site.run("e1", request(site, b"poison"), shared)
+        async with SuspectFleet(clock, ["e1", "e2"]) as suspect_fleet:
+            other = request(suspect_fleet, b"innocent")
+            shared = [other.fingerprint]
+            await suspect_fleet.run(
+                "e1", request(suspect_fleet, b"poison"), shared
+            )
             await asyncio.sleep(0.1)
-            assert site.suspects["e2"].check(innocent, 0.0) == ALONE
-            outcome = await site.run("e2", innocent)
+            assert suspect_fleet.suspects["e2"].check(other, 0.0) == ALONE
+            outcome = await suspect_fleet.run("e2", other)
             assert isinstance(outcome, types.Answered)
             await asyncio.sleep(0.1)
-            assert site.suspects["e1"].check(innocent, 0.0) == CLEAR
-            assert site.suspects["e2"].check(innocent, 0.0) == CLEAR
+            assert suspect_fleet.suspects["e1"].check(other, 0.0) == CLEAR
+            assert suspect_fleet.suspects["e2"].check(other, 0.0) == CLEAR
 
     clocks.run(body(), clock)
 
 
-def test_finding_outlives_every_entry_that_made_it():
+def test_refusal_outlives_the_entries_that_recorded_it():
     clock = clocks.VirtualClock()
 
     async def body():
-        async with Site(clock, ["e1"]) as site:
+        async with SuspectFleet(clock, ["e1"]) as suspect_fleet:
             for _ in range(2):
-                await site.run("e1", request(site, b"poison"))
+                await suspect_fleet.run("e1", request(suspect_fleet, b"poison"))
                 await asyncio.sleep(70.0)
-            assert site.crashes == 2
-        async with Site(clock, ["e9"]) as later:
-            later.fleet.log = site.fleet.log
+            assert suspect_fleet.crashes == 2
+        async with SuspectFleet(clock, ["e9"]) as later:
+            later.fleet.log = suspect_fleet.fleet.log
             service = suspects_service.SuspectsService(
                 Endpoint(later.fleet.network, "e10", 2, 1),
-                site.fleet.log.client(),
+                suspect_fleet.fleet.log.client(),
                 later.fleet.entries["e9"].claims,
                 clock=clock,
             )
@@ -268,7 +276,7 @@
     clocks.run(body(), clock)
 
 
-def test_fingerprint_is_of_the_request_and_not_of_its_caller():
+def test_fingerprint_depends_on_the_request_and_not_on_its_caller():
     one = request_types.fingerprint("s", "POST", "/v1", b"body")
     assert one == request_types.fingerprint("s", "POST", "/v1", b"body")
     assert one != request_types.fingerprint("s", "POST", "/v", b"1body")
