--- a/src/clementinegw/settings/follower.py
+++ b/src/clementinegw/settings/follower.py
@@ -27,12 +27,12 @@
 from clementinegw.telemetry import logs
 from clementinegw.wire.gen.settings import ttypes
 
-_PEER_MARGIN_S = 1.0
-_PEERS_AT_START = 2
-_START_PATIENCE_S = 10.0
-_START_PAUSE_S = 0.5
-_DEFECT_PAUSE_S = 1.0
-_BACKSTOP_KNOBS = knobs.Replication()
+_PULL_TIMEOUT_MARGIN_S = 1.0
+_START_PEERS = 2
+_START_TIMEOUT_S = 10.0
+_START_RETRY_S = 0.5
+_DEFECT_RETRY_S = 1.0
+_DEFAULT_REPLICATION = knobs.Replication()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -41,8 +41,8 @@
 
     Attributes:
       revision: Their revision.
-      tree: The tree.
-      resolver: Looks knobs up in the tree.
+      tree: The settings tree.
+      resolver: Resolves knobs in the tree.
     """
 
     revision: int
@@ -51,9 +51,9 @@
 
 
 class Follower(mode.Service):
-    """Follows the log, or a relay that does, and peers where neither answers.
+    """Follows the log or a relay, and pulls from peers if neither answers.
 
-    The revision in `current` never falls.
+    The revision in `current` never decreases.
     """
 
     def __init__(
@@ -66,21 +66,21 @@
         counters: counters_lib.Counters | None = None,
         log: logs.Log | None = None,
         settings: knobs.Replication | None = None,
-        check_s: float = _polls.CHECK_S,
+        check_interval_s: float = _polls.CHECK_INTERVAL_S,
     ):
-        """Prepares a follower without settings.
+        """Initializes a follower without settings.
 
         Args:
-          log_client: The platform's log.
-          instance_id: This process.
+          log_client: The client of the platform's log.
+          instance_id: The id of this process.
           peers: The other processes.
           clock: The source of time.
           rng: The source of jitter.
-          counters: Where refusals and retries are counted.
-          log: Where events go.
-          settings: How to follow until the first settings are there.
-          check_s: Seconds between two looks at what the members know while a
-            long poll waits.
+          counters: Count refusals and retries.
+          log: Receives the events.
+          settings: The replication knobs until the first settings are in force.
+          check_interval_s: Seconds between two checks of the revisions that
+            members advertise while a long poll waits.
         """
         super().__init__()
         rng = rng or random.Random(instance_id)
@@ -89,14 +89,16 @@
         self._clock = clock or clocks.SystemClock()
         self._counters = counters or counters_lib.Counters()
         self._log = log or logs.Log(instance=instance_id)
-        self._first_settings = settings or _BACKSTOP_KNOBS
+        self._initial_replication = settings or _DEFAULT_REPLICATION
         self._cursor = cursor_lib.Cursor()
         self._tail = exchange.Tail()
-        self._duty = snapshots.Duty(rng)
+        self._snapshot_schedule = snapshots.SnapshotSchedule(rng)
         self._backoff = _source.Backoff(rng)
         self._reporter = _reporter.Reporter(self._log, self._counters)
-        self._polls = _polls.Polls(self._peers, self._clock, check_s)
-        self._mender = _source.Mender(rng)
+        self._polls = _polls.LongPolls(
+            self._peers, self._clock, check_interval_s
+        )
+        self._repair_schedule = _source.RepairSchedule(rng)
         self._sources = _source.Sources(instance_id, rng)
         self._started_at: float | None = None
         self._was_relay: bool | None = None
@@ -106,7 +108,7 @@
 
     @property
     def current(self) -> State | None:
-        """The settings in force; None before the first."""
+        """The settings in force; None before the first ones."""
         return self._state
 
     @property
@@ -121,24 +123,24 @@
 
     @property
     def refused(self) -> cursor_lib.RefuseReason | None:
-        """Why the log is not believed at present; None when it is."""
+        """Why the log is refused at present; None if it is not."""
         return self._cursor.refused
 
     def subscribe(self, callback: Callable[[State], None]) -> None:
-        """Calls back with each newer state, and at once with the present."""
+        """Calls back with each newer state, and now with the current one."""
         self._subscribers.append(callback)
         if self._state is not None:
             callback(self._state)
 
-    def hear(self, revision: int) -> None:
-        """Takes a revision that a member was heard to have."""
-        self._polls.hear(revision)
+    def receive_revision(self, revision: int) -> None:
+        """Records a revision that a member advertised."""
+        self._polls.receive_revision(revision)
 
     async def answer(self, pull: ttypes.SettingsPull) -> ttypes.SettingsState:
-        """Answers a peer, at most `pull.wait_ms` later."""
+        """Returns the answer to a peer after at most `pull.wait_ms`."""
         loop = asyncio.get_running_loop()
         end = loop.time() + (pull.wait_ms or 0) / 1000
-        while not exchange.has_news(self.fold, pull):
+        while not exchange.is_ahead(self.fold, pull):
             progress = self._progress
             try:
                 async with asyncio.timeout_at(end):
@@ -155,23 +157,23 @@
             except asyncio.CancelledError:
                 raise
             except Exception as error:  # noqa: BLE001
-                # Without this, one defect would end the loop, and the process
-                # would serve with old settings without a word.
+                # Otherwise one defect would end the loop, and the process would
+                # serve with old settings unnoticed.
                 self._log.write(
                     events.TASK_FAILED, task="settings", error=repr(error)
                 )
                 self._counters.add("settings.defects")
-                await asyncio.sleep(_DEFECT_PAUSE_S)
+                await asyncio.sleep(_DEFECT_RETRY_S)
 
     def _replication(self) -> knobs.Replication:
         if self._state is None:
-            return self._first_settings
+            return self._initial_replication
         return self._state.tree.defaults.replication
 
     async def _step(self) -> None:
         fold = self._cursor.fold
         if fold is not None and fold.halted is not None:
-            # Only another version of the program gets past that record.
+            # Only a later version of the program can fold that record.
             await asyncio.sleep(self._replication().poll_wait_s)
             return
         domain = self._peers.domain()
@@ -186,7 +188,7 @@
         if is_relay or upstream is None:
             await self._step_log()
         else:
-            await self._ask(upstream, self._replication().peer_period_s)
+            await self._pull_from(upstream, self._replication().peer_period_s)
 
     async def _step_log(self) -> None:
         read = self._cursor.next_read()
@@ -196,50 +198,52 @@
             await self._on_unreachable(error)
             return
         if page is None:
-            self._cursor.on_disturbance()
-            await self._ask_anyone()
+            self._cursor.require_verification()
+            await self._pull_from_any_peer()
             return
         if self._backoff.failures:
             self._log.write(_events.LOG_REACHABLE)
-        self._backoff.succeed()
+        self._backoff.record_success()
         refused_before = self._cursor.refused
         for event in self._cursor.on_page(page):
             await self._on_event(event)
         if refused_before and not self._cursor.refused:
             self._log.write(_events.LOG_BELIEVED, revision=self.revision)
-        await self._confirm_start()
+        await self._confirm_first_settings()
         self._publish()
-        await self._do_duty()
+        await self._append_snapshot_if_due()
 
-    async def _confirm_start(self) -> None:
-        """Asks peers before the first settings are taken from the log.
+    async def _confirm_first_settings(self) -> None:
+        """Pulls from peers before the first settings from the log are in force.
 
-        A log that came back without its last records looks whole to a process
-        that has just started; it would run with settings that were overridden
-        until someone mends the log.
+        To a process that has just started, a log that lost its last records
+        looks complete. The process would run with overridden settings until
+        another process repairs the log.
         """
         if self._state is not None or self._cursor.fold is None:
             return
-        for _ in range(_PEERS_AT_START):
-            await self._ask_anyone()
+        for _ in range(_START_PEERS):
+            await self._pull_from_any_peer()
         newest = self._peers.newest_revision()
         now = self._clock.now()
         if self._started_at is None:
             self._started_at = now
         while (
             self._cursor.fold.revision < newest
-            and now < self._started_at + _START_PATIENCE_S
+            and now < self._started_at + _START_TIMEOUT_S
         ):
             self._counters.add("settings.start_held_back")
-            await self._ask_anyone()
-            await asyncio.sleep(_START_PAUSE_S)
+            await self._pull_from_any_peer()
+            await asyncio.sleep(_START_RETRY_S)
             now = self._clock.now()
 
     async def _read(self, read: cursor_lib.Read) -> log_lib.Page | None:
-        """Reads; returns None when the read hangs while others know more."""
+        """Reads the log; returns None if it stalls while members are ahead."""
         wait_s = 0.0
         if read.wait:
-            remaining = self._duty.remaining(self._clock.now())
+            remaining = self._snapshot_schedule.seconds_until_due(
+                self._clock.now()
+            )
             wait_s = min(self._replication().poll_wait_s, remaining)
             await self._polls.pace()
         self._counters.add("settings.log_reads")
@@ -257,9 +261,9 @@
         self._counters.add("settings.log_unreachable")
         if not self._backoff.failures:
             self._log.write(_events.LOG_UNREACHABLE, error=error.message)
-        wait_s = self._backoff.fail(self._replication())
-        self._cursor.on_disturbance()
-        await self._ask_anyone()
+        wait_s = self._backoff.record_failure(self._replication())
+        self._cursor.require_verification()
+        await self._pull_from_any_peer()
         await asyncio.sleep(wait_s)
 
     async def _on_event(self, event: cursor_lib.Event) -> None:
@@ -268,7 +272,7 @@
         elif isinstance(event, cursor_lib.Adopted):
             self._tail.clear()
             if event.diverged:
-                self._reporter.diverged("log", self.revision)
+                self._reporter.report_divergence("log", self.revision)
         else:
             await self._on_refused(event)
 
@@ -276,27 +280,27 @@
         self._tail.add(
             folded.offset, folded.time, folded.value, folded.fingerprint_before
         )
-        self._reporter.folded(folded, self.revision)
+        self._reporter.report_folded(folded, self.revision)
 
     async def _on_refused(self, refused: cursor_lib.Refused) -> None:
         self._counters.add(f"settings.log_refused.{refused.reason}")
         self._log.write(
             _events.LOG_REFUSED, reason=refused.reason, detail=refused.detail
         )
-        wait_s, remedy = self._mender.on_refused(
-            refused.remedy, self._clock.now()
+        wait_s, repair = self._repair_schedule.on_refused(
+            refused.repair, self._clock.now()
         )
-        if remedy is not cursor_lib.Remedy.NONE:
-            await self._append_snapshot(remedy is cursor_lib.Remedy.REBASE)
+        if repair is not cursor_lib.Repair.NONE:
+            await self._append_snapshot(repair is cursor_lib.Repair.REBASE)
         else:
-            await self._ask_anyone()
+            await self._pull_from_any_peer()
         await asyncio.sleep(wait_s)
 
-    async def _do_duty(self) -> None:
+    async def _append_snapshot_if_due(self) -> None:
         fold = self._cursor.fold
         if fold is None or not self._cursor.at_end:
             return
-        if self._duty.due(
+        if self._snapshot_schedule.due(
             fold,
             self._cursor.first_offset,
             self._replication(),
@@ -313,84 +317,87 @@
         try:
             await self._log_client.append(records.STREAM, fold.snapshot(rebase))
         except exceptions.PlatformError:
-            # Lost or not, it is harmless twice; the log shows it.
+            # A second snapshot does no harm; the log shows if one was appended.
             self._counters.add("settings.snapshot_append_unanswered")
             return
         self._log.write(_events.SNAPSHOT_APPENDED, revision=fold.revision)
 
-    async def _ask_anyone(self) -> None:
-        """Asks some peer once, without waiting for news.
+    async def _pull_from_any_peer(self) -> None:
+        """Pulls once from a random peer, without waiting for a newer revision.
 
-        One that told of a newer revision, if there is any: in a failure domain
-        that is cut off, most others hang at the same place as this process.
+        A peer that advertised a newer revision is preferred: in a failure
+        domain that is cut off, most peers lack the same changes as this
+        process.
         """
         now = self._clock.now()
         ahead = self._peers.ahead_of(self.revision)
-        peer = self._sources.any_peer(ahead, now)
+        peer = self._sources.random_peer(ahead, now)
         if peer is None:
-            peer = self._sources.any_peer(self._peers.others(), now)
+            peer = self._sources.random_peer(self._peers.others(), now)
         if peer is not None:
-            await self._ask(peer, 0.0)
+            await self._pull_from(peer, 0.0)
 
-    async def _ask(self, peer: str, wait_s: float) -> None:
-        """Asks a peer and takes what it answers."""
+    async def _pull_from(self, peer: str, wait_s: float) -> None:
+        """Pulls from a peer and applies its answer."""
         if wait_s > 0:
             await self._polls.pace()
-        pull = exchange.pull_of(self._cursor.fold, wait_s)
+        pull = exchange.make_pull(self._cursor.fold, wait_s)
         self._counters.add("settings.peer_pulls")
         try:
-            state = await self._pull(peer, pull, wait_s + _PEER_MARGIN_S)
+            state = await self._pull(
+                peer, pull, wait_s + _PULL_TIMEOUT_MARGIN_S
+            )
         except (exceptions.ClementineError, TimeoutError):
             self._counters.add("settings.peer_unreachable")
-            self._sources.blame(peer, self._clock.now())
+            self._sources.penalize(peer, self._clock.now())
             return
         if state is None:
-            # Not the peer's fault: it may not have been told either.
+            # The peer is not penalized: it may lack the newer revision as well.
             self._counters.add("settings.peer_pulls_given_up")
             if wait_s > 0:
-                await self._ask_anyone()
+                await self._pull_from_any_peer()
             return
         newest = self._peers.newest_revision()
-        # Only a relay is known to follow the log; any other member may still
-        # stand where the log was before it went back.
-        taken, folded = exchange.take(
-            self._cursor, state, newest, take_place=wait_s > 0
+        # Only a relay is known to follow the log. The position of any other
+        # member may be from before a rollback of the log.
+        result, folded = exchange.apply_answer(
+            self._cursor, state, newest, adopt_position=wait_s > 0
         )
         for event in folded:
             self._on_folded(event)
-        self._on_taken(peer, taken, state.revision)
+        self._on_pull_result(peer, result, state.revision)
         self._publish()
 
     async def _pull(
         self, peer: str, pull: ttypes.SettingsPull, timeout_s: float
     ) -> ttypes.SettingsState | None:
-        """Pulls; returns None when it hangs while others know more."""
+        """Sends a pull; returns None if it stalls while members are ahead."""
         pulling = asyncio.ensure_future(self._peers.pull(peer, pull, timeout_s))
         if await self._polls.wait(pulling, self.revision):
             return pulling.result()
         return None
 
-    def _on_taken(
-        self, peer: str, taken: exchange.Taken, revision: int
+    def _on_pull_result(
+        self, peer: str, result: exchange.PullResult, revision: int
     ) -> None:
-        self._counters.add(f"settings.from_peer.{taken}")
-        if taken is exchange.Taken.ADOPTED:
+        self._counters.add(f"settings.from_peer.{result}")
+        if result is exchange.PullResult.ADOPTED:
             self._tail.clear()
             self._log.write(_events.FROM_PEER, peer=peer, revision=revision)
-        elif taken is exchange.Taken.DIVERGED:
-            self._reporter.diverged(peer, self.revision)
-            self._sources.go_direct(self._clock.now())
-        elif taken in (
-            exchange.Taken.LACKS_CHANGES,
-            exchange.Taken.NOT_CONTINUED,
+        elif result is exchange.PullResult.DIVERGED:
+            self._reporter.report_divergence(peer, self.revision)
+            self._sources.follow_log_directly(self._clock.now())
+        elif result in (
+            exchange.PullResult.LACKS_CHANGES,
+            exchange.PullResult.NOT_CONTINUED,
         ):
-            self._sources.go_direct(self._clock.now())
-        elif taken in (exchange.Taken.OLDER, exchange.Taken.DAMAGED):
-            self._log.write(_events.PEER_REFUSED, peer=peer, reason=taken)
-            self._sources.blame(peer, self._clock.now())
+            self._sources.follow_log_directly(self._clock.now())
+        elif result in (exchange.PullResult.OLDER, exchange.PullResult.DAMAGED):
+            self._log.write(_events.PEER_REFUSED, peer=peer, reason=result)
+            self._sources.penalize(peer, self._clock.now())
 
     def _publish(self) -> None:
-        """Tells the subscribers and the peers that wait."""
+        """Notifies the subscribers and the peers whose pulls wait."""
         fold = self._cursor.fold
         if fold is None:
             return
--- a/src/clementinegw/settings/records.py
+++ b/src/clementinegw/settings/records.py
@@ -1,9 +1,9 @@
-"""What may stand in the log's `settings` stream, and how it is read.
+"""The records of the log's `settings` stream and their parsing.
 
-Every process must read a record in the same way, also one of an older version
-of the program. So each carries the schema it is written in. A process that
-does not know the schema stops there; anything else that does not fit is
-skipped, by all alike.
+All processes must interpret a record in the same way, including those of an
+older version of the program. So each record has the schema it is written in. A
+process that does not know the schema halts there; every process skips any
+other record that is invalid.
 """
 
 import dataclasses
@@ -37,7 +37,7 @@
     value: Any = None
 
     @pydantic.model_validator(mode="after")
-    def _is_one(self) -> "_Operation":
+    def _check_set_or_unset(self) -> "_Operation":
         named = self.model_fields_set
         sets = named == {"set", "value"} and self.set is not None
         unsets = named == {"unset"} and self.unset is not None
@@ -72,7 +72,7 @@
 
 
 class SkipReason(enum.StrEnum):
-    """Why a record has no effect; each has a counter."""
+    """Why a record has no effect; each reason has a counter."""
 
     NOT_JSON = "not_json"
     TOO_LARGE = "too_large"
@@ -86,18 +86,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A snapshot as it stands in the log; see `snapshots`.
+    """A snapshot in the log; see `snapshots`.
 
     Attributes:
-      schema: The highest schema of the records that went into it.
-      revision: Its revision; the content of `state` is fixed by it.
+      schema: The highest schema of the folded records.
+      revision: Its revision, which determines the content of `state`.
       position: The next offset to fold.
-      fingerprint: Of the record before `position`; empty at the log's start.
-      refused: Changes refused since the revision, up to `position`.
-      digest: Of the state.
-      state: The fold's state, compressed.
-      rebase: Whether a fold may start from it though it does not continue the
-        records before it: put into a log that nobody can follow any more.
+      fingerprint: The fingerprint of the record before `position`; empty at
+        the start of the log.
+      refused: The changes rejected since the revision, up to `position`.
+      digest: The digest of the state.
+      state: The state of the fold, compressed.
+      rebase: Whether a fold may start from the snapshot although it does not
+        continue the records before it. Such a snapshot is appended to a log
+        that no process can follow any more.
     """
 
     schema: int
@@ -115,7 +117,7 @@
     """A record that has no effect.
 
     Attributes:
-      reason: Why.
+      reason: Why it has none.
     """
 
     reason: SkipReason
@@ -136,18 +138,18 @@
 
 
 def fingerprint(value: bytes) -> bytes:
-    """Returns what tells a record from another at the same offset."""
+    """Returns a hash that identifies a record among those of one offset."""
     return blake3.blake3(value).digest(FINGERPRINT_BYTES)
 
 
 def parse(value: bytes) -> Parsed:
-    """Reads a record; the same bytes give the same result everywhere."""
+    """Parses a record; the result is the same in all processes."""
     if len(value) > MAX_SNAPSHOT_BYTES:
         return Unusable(SkipReason.TOO_LARGE)
     try:
-        # This parser's limit on nesting is fixed, that of the json module
-        # depends on the caller's stack: one process would refuse what another
-        # takes, and they would diverge without a word.
+        # The nesting limit of this parser is fixed. That of the json module
+        # depends on the caller's stack: one process would refuse a record that
+        # another accepts, and their settings would diverge unnoticed.
         data = pydantic_core.from_json(value, allow_inf_nan=False)
     except ValueError:
         return Unusable(SkipReason.NOT_JSON)
@@ -158,20 +160,20 @@
         return Unusable(SkipReason.MALFORMED)
     if schema > SCHEMA:
         return UnknownSchema(schema)
-    reader = _READERS.get(str(data.get("kind")))
-    if reader is None:
+    parser = _PARSERS.get(str(data.get("kind")))
+    if parser is None:
         return Unusable(SkipReason.UNKNOWN_KIND)
-    return reader(value, data)
+    return parser(value, data)
 
 
 def describe_problem(value: bytes) -> str:
     """Returns why a change's record would be skipped, in one line.
 
     Args:
-      value: The record, as `changes.Change.encode` returns it.
+      value: The record, as returned by `changes.Change.encode`.
 
     Returns:
-      What is wrong with it; empty when it is not skipped.
+      The error in the record; empty if it would not be skipped.
     """
     parsed = parse(value)
     if not isinstance(parsed, Unusable):
@@ -181,18 +183,18 @@
     except pydantic.ValidationError as error:
         return _errors.describe(error, _Change)
     except ValueError:
-        pass  # Not JSON, which the reason says.
+        pass  # Not JSON; the reason says so.
     return str(parsed.reason)
 
 
-def _read_change(value: bytes, data: dict[str, Any]) -> Parsed:
+def _parse_change(value: bytes, data: dict[str, Any]) -> Parsed:
     if len(value) > MAX_CHANGE_BYTES:
         return Unusable(SkipReason.TOO_LARGE)
     try:
         record = _Change.model_validate(data)
     except pydantic.ValidationError:
         return Unusable(SkipReason.MALFORMED)
-    operations = tuple(_operation(o) for o in record.operations)
+    operations = tuple(_to_operation(o) for o in record.operations)
     return changes.Change(
         change_id=record.id,
         base=record.base,
@@ -204,14 +206,14 @@
     )
 
 
-def _operation(operation: _Operation) -> changes.Operation:
+def _to_operation(operation: _Operation) -> changes.Operation:
     if operation.unset is not None:
         return changes.Unset(operation.unset)
     assert operation.set is not None
     return changes.Set(operation.set, operation.value)
 
 
-def _read_snapshot(value: bytes, data: dict[str, Any]) -> Parsed:
+def _parse_snapshot(value: bytes, data: dict[str, Any]) -> Parsed:
     del value
     try:
         record = _Snapshot.model_validate(data)
@@ -229,4 +231,4 @@
     )
 
 
-_READERS = {"change": _read_change, "snapshot": _read_snapshot}
+_PARSERS = {"change": _parse_change, "snapshot": _parse_snapshot}
