--- a/src/clementinegw/bench/tokens.py
+++ b/src/clementinegw/bench/tokens.py
@@ -121,7 +121,7 @@
         ) as response,
     ):
         answer = await response.read()
-        if response.status != 200 or not engine_lib.is_whole(answer):
+        if response.status != 200 or not engine_lib.is_complete(answer):
             raise exceptions.CheckFailed(
                 f"bench tokens: status {response.status} from {url}"
             )
--- a/src/clementinegw/demo/callers.py
+++ b/src/clementinegw/demo/callers.py
@@ -126,7 +126,7 @@
             json.dumps(body).encode(),
             expected=lambda version: self._expected(prompt, tokens, version),
             text_of=engine_lib.answer_text,
-            whole=engine_lib.is_whole if stream else None,
+            whole=engine_lib.is_complete if stream else None,
         )
 
     async def _look_up(self, service: str) -> Reply:
--- a/src/clementinegw/scenario/_callers.py
+++ b/src/clementinegw/scenario/_callers.py
@@ -174,7 +174,7 @@
         reason=headers.get("Clementine-Reason", ""),
         version=headers.get("Clementine-Version", ""),
         answer=_text(answer) if answered and asked.is_text else answer,
-        whole=not (answered and asked.stream) or engines.is_whole(answer),
+        whole=not (answered and asked.stream) or engines.is_complete(answer),
     )
 
 
--- a/src/clementinegw/testing/_engine_cache.py
+++ b/src/clementinegw/testing/_engine_cache.py
@@ -7,8 +7,8 @@
 from clementinegw.testing import _engine_faults
 from clementinegw.testing import _engine_text
 
-EVENTS_KEPT = 1024
-TOKENS_A_BLOCK = prefixes.BLOCK_CHARS // _engine_text.CHARS_A_TOKEN
+MAX_EVENTS = 1024
+TOKENS_PER_BLOCK = prefixes.BLOCK_CHARS // _engine_text.CHARS_PER_TOKEN
 
 
 class PrefixCache:
@@ -21,40 +21,40 @@
           limit_tokens: The cache's memory, in tokens.
           faults: Delay and loss of events.
         """
-        self._limit_blocks = limit_tokens // TOKENS_A_BLOCK
+        self._limit_blocks = limit_tokens // TOKENS_PER_BLOCK
         self._faults = faults
         self._blocks: collections.OrderedDict[int, None]
         self._blocks = collections.OrderedDict()
         self._events: collections.deque[tuple[float, types.CacheEvent]]
-        self._events = collections.deque(maxlen=EVENTS_KEPT)
+        self._events = collections.deque(maxlen=MAX_EVENTS)
         self._sequence = 0
         self._hit_tokens = 0
-        self._asked_tokens = 0
+        self._prompt_tokens = 0
 
     @property
     def hit_ratio(self) -> float:
         """Prompt tokens found in the cache by all prompt tokens."""
-        if not self._asked_tokens:
+        if not self._prompt_tokens:
             return 0.0
-        return self._hit_tokens / self._asked_tokens
+        return self._hit_tokens / self._prompt_tokens
 
     @property
     def blocks(self) -> tuple[int, ...]:
         """Hashes of all blocks, the one used last at the end."""
         return tuple(self._blocks)
 
-    def use(self, prompt: str, now: float) -> int:
+    def match_and_store(self, prompt: str, now: float) -> int:
         """Looks a prompt up, stores it, and returns the tokens found."""
         hashes = prefixes.block_hashes(prompt)
-        found = 0
+        hit_blocks = 0
         for block in hashes:
             if block not in self._blocks:
                 break
-            found += 1
+            hit_blocks += 1
         self._store(hashes, now)
-        self._asked_tokens += _engine_text.prompt_tokens(prompt)
-        self._hit_tokens += found * TOKENS_A_BLOCK
-        return found * TOKENS_A_BLOCK
+        self._prompt_tokens += _engine_text.prompt_tokens(prompt)
+        self._hit_tokens += hit_blocks * TOKENS_PER_BLOCK
+        return hit_blocks * TOKENS_PER_BLOCK
 
     def clear(self, now: float) -> None:
         """Evicts everything, as a load of other weights does."""
@@ -67,9 +67,9 @@
         visible = [event for due, event in self._events if due <= now]
         first = self._events[0][1].sequence if self._events else 1
         # An engine that began anew has a smaller number than was asked for.
-        following = visible[-1].sequence + 1 if visible else 1
-        fresh = tuple(event for event in visible if event.sequence > after)
-        return types.CacheEvents(first, following, fresh)
+        next_sequence = visible[-1].sequence + 1 if visible else 1
+        new_events = tuple(event for event in visible if event.sequence > after)
+        return types.CacheEvents(first, next_sequence, new_events)
 
     def _store(self, hashes: tuple[int, ...], now: float) -> None:
         new = tuple(block for block in hashes if block not in self._blocks)
@@ -89,8 +89,8 @@
         self, change: types.CacheChange, blocks: tuple[int, ...], now: float
     ) -> None:
         self._sequence += 1
-        drop = self._faults.cache_event_drop
-        if drop and self._sequence % drop == 0:
+        drop_interval = self._faults.cache_event_drop_interval
+        if drop_interval and self._sequence % drop_interval == 0:
             return
         due = now + self._faults.cache_event_delay_s
         event = types.CacheEvent(self._sequence, change, blocks)
--- a/src/clementinegw/testing/_engine_generate.py
+++ b/src/clementinegw/testing/_engine_completions.py
@@ -10,8 +10,8 @@
 from clementinegw import types as shared
 from clementinegw.backend import prefixes
 from clementinegw.backend import types
-from clementinegw.testing import _engine_parts
 from clementinegw.testing import _engine_server
+from clementinegw.testing import _engine_state
 from clementinegw.testing import _engine_text
 from clementinegw.testing import ledger as ledgers
 
@@ -26,7 +26,7 @@
     """One request as the engine understood it."""
 
     request_id: str
-    key: str
+    idempotency_key: str
     operation: str
     prompt: str
     max_tokens: int
@@ -37,7 +37,7 @@
     priority: int
     resume_tokens: int
     wanted_version: str
-    raw: bytes
+    raw_body: bytes
 
 
 class Generation:
@@ -51,48 +51,48 @@
         self.tokens = job.resume_tokens
 
 
-class Generator:
+class CompletionHandler:
     """Runs requests in the batch."""
 
-    def __init__(self, parts: _engine_parts.EngineParts):
-        """Works on the parts of one engine."""
+    def __init__(self, state: _engine_state.EngineState):
+        """Works on the state of one engine."""
         self.role = types.EngineRole.MIXED
         self.generations: dict[str, Generation] = {}
-        self._parts = parts
-        self._settings = parts.settings
-        self._slots = parts.slots
-        self._cache = parts.cache
-        self._loader = parts.loader
-        self._adapters = parts.adapters
-        self._server = parts.server
-        self._faults = parts.faults
-        self._ledger = parts.ledger
-        self._clock = parts.clock
+        self._state = state
+        self._settings = state.settings
+        self._slots = state.slots
+        self._cache = state.cache
+        self._loader = state.loader
+        self._adapters = state.adapters
+        self._server = state.server
+        self._faults = state.faults
+        self._ledger = state.ledger
+        self._clock = state.clock
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
         """Answers one completion."""
         try:
             job = _parse(request, await request.read())
         except (ValueError, TypeError) as error:
-            return _engine_server.json_answer(
+            return _engine_server.json_response(
                 {"error": {"message": str(error)}},
                 400,
                 {types.REFUSED_HEADER: "bad_request"},
             )
-        refused = self._refusal(job)
-        if refused:
-            return self._refuse(refused)
+        refusal_reason = self._refusal_reason(job)
+        if refusal_reason:
+            return self._refuse(refusal_reason)
         task = asyncio.current_task()
         assert task is not None
         generation = Generation(job, task)
         self.generations[job.request_id] = generation
         try:
-            return await self._in_batch(request, generation)
+            return await self._run_in_slot(request, generation)
         finally:
             if self.generations.get(job.request_id) is generation:
                 del self.generations[job.request_id]
 
-    async def _in_batch(
+    async def _run_in_slot(
         self, request: web.Request, generation: Generation
     ) -> web.StreamResponse:
         try:
@@ -104,9 +104,9 @@
             return self._refuse("cancelled")
         try:
             # The weights may have changed while the request waited.
-            refused = self._refusal(generation.job)
-            if refused:
-                return self._refuse(refused)
+            refusal_reason = self._refusal_reason(generation.job)
+            if refusal_reason:
+                return self._refuse(refusal_reason)
             return await self._run(request, generation)
         finally:
             self._slots.release()
@@ -116,29 +116,29 @@
     ) -> web.StreamResponse:
         job = generation.job
         generation.running = True
-        epoch = self._server.epoch
+        incarnation = self._server.incarnation
         run = self._ledger.start(
             job.request_id,
-            job.key,
+            job.idempotency_key,
             job.operation,
-            self._parts.name,
+            self._state.name,
             self._clock.now(),
             job.resume_tokens,
-            epoch,
+            incarnation,
         )
         run.version = self._loader.weights.version
         end = ledgers.RunEnd.FAILED
         answer = b""
         try:
             response = await self._generate(request, generation)
-            end = _end_of(generation)
-            answer = _kept(response)
+            end = _run_end(generation)
+            answer = _body_to_record(response)
             return response
         except (asyncio.CancelledError, ConnectionError):
             end = ledgers.RunEnd.DROPPED
             raise
         finally:
-            if self._server.epoch != epoch:
+            if self._server.incarnation != incarnation:
                 end = ledgers.RunEnd.CRASHED
             self._ledger.finish(run, end, self._clock.now(), answer)
 
@@ -147,41 +147,45 @@
     ) -> web.StreamResponse:
         job = generation.job
         await self._prefill(job)
-        if self._faults.poisons(job.raw):
-            self._parts.crash(self._faults.restart_s)
+        if self._faults.triggers_crash(job.raw_body):
+            self._state.crash(self._faults.restart_s)
             raise ConnectionResetError("the engine crashed")
         if job.stream:
-            return await self._stream(request, generation)
-        return await self._whole(generation)
+            return await self._generate_stream(request, generation)
+        return await self._generate_whole(generation)
 
     async def _prefill(self, job: Job) -> None:
-        found = self._cache.use(job.prompt, self._clock.now())
+        cached_tokens = self._cache.match_and_store(
+            job.prompt, self._clock.now()
+        )
         prompt = _engine_text.prompt_tokens(job.prompt) + job.resume_tokens
-        seconds = max(0, prompt - found) / self._settings.prefill_tokens_per_s
+        seconds = (
+            max(0, prompt - cached_tokens) / self._settings.prefill_tokens_per_s
+        )
         await asyncio.sleep(seconds * self._faults.slow_factor)
 
-    async def _whole(self, generation: Generation) -> web.Response:
+    async def _generate_whole(self, generation: Generation) -> web.Response:
         job = generation.job
         start = generation.tokens
-        digest = self._digest(job)
+        digest = self._weights_digest(job)
         count = job.max_tokens - start
         try:
-            await asyncio.sleep(self._seconds(count))
+            await asyncio.sleep(self._generation_time_s(count))
             generation.tokens = job.max_tokens
         except asyncio.CancelledError:
             if not generation.cancelled:
                 raise
             generation.task.uncancel()
         middle = start + (generation.tokens - start) // 2
-        text = _engine_text.answer_slice(job.prompt, digest, start, middle)
-        text += _engine_text.answer_slice(
-            job.prompt, self._digest(job), middle, generation.tokens
+        text = _engine_text.generate_tokens(job.prompt, digest, start, middle)
+        text += _engine_text.generate_tokens(
+            job.prompt, self._weights_digest(job), middle, generation.tokens
         )
-        return _engine_server.json_answer(
+        return _engine_server.json_response(
             _completion(job, text, generation), 200, self._headers(job)
         )
 
-    async def _stream(
+    async def _generate_stream(
         self, request: web.Request, generation: Generation
     ) -> web.StreamResponse:
         job = generation.job
@@ -205,30 +209,30 @@
         job = generation.job
         loop = asyncio.get_running_loop()
         due = loop.time()
-        identity = json.dumps(job.request_id)
+        encoded_id = json.dumps(job.request_id)
         while generation.tokens < job.max_tokens:
             start = generation.tokens
             end = min(start + job.tokens_per_event, job.max_tokens)
-            due += self._seconds(end - start)
+            due += self._generation_time_s(end - start)
             await asyncio.sleep(max(0.0, due - loop.time()))
-            await self._maybe_stall(start)
-            text = _engine_text.answer_slice(
-                job.prompt, self._digest(job), start, end
+            await self._apply_stall(start)
+            text = _engine_text.generate_tokens(
+                job.prompt, self._weights_digest(job), start, end
             )
             generation.tokens = end
-            await response.write(_event(job, identity, text, end))
+            await response.write(_event(job, encoded_id, text, end))
 
-    async def _maybe_stall(self, tokens: int) -> None:
+    async def _apply_stall(self, tokens: int) -> None:
         limit = self._faults.stall_after_tokens
         if limit is not None and tokens >= limit:
             self._faults.stall = True
-        await self._faults.before_answer()
+        await self._faults.wait_before_answer()
 
-    def _seconds(self, tokens: int) -> float:
+    def _generation_time_s(self, tokens: int) -> float:
         rate = self._settings.tokens_per_s
         return tokens / rate * self._faults.slow_factor
 
-    def _digest(self, job: Job) -> str:
+    def _weights_digest(self, job: Job) -> str:
         digest = self._loader.weights.digest
         if not job.adapter:
             return digest
@@ -238,10 +242,10 @@
     def _headers(self, job: Job) -> dict[str, str]:
         return {
             types.VERSION_HEADER: self._loader.weights.version,
-            types.DIGEST_HEADER: self._digest(job),
+            types.DIGEST_HEADER: self._weights_digest(job),
         }
 
-    def _refusal(self, job: Job) -> str:
+    def _refusal_reason(self, job: Job) -> str:
         weights = self._loader.weights
         if not weights.version:
             return "no_weights"
@@ -254,7 +258,7 @@
         return ""
 
     def _refuse(self, reason: str) -> web.Response:
-        return _engine_server.json_answer(
+        return _engine_server.json_response(
             {"error": {"message": reason}},
             503,
             {
@@ -264,14 +268,14 @@
         )
 
 
-def _parse(request: web.Request, raw: bytes) -> Job:
-    body = json.loads(raw)
+def _parse(request: web.Request, raw_body: bytes) -> Job:
+    body = json.loads(raw_body)
     headers = request.headers
     prompt = prefixes.prompt_text(body)
     priority = headers.get(types.PRIORITY_HEADER, "normal")
     return Job(
         request_id=headers.get(types.REQUEST_ID_HEADER, ""),
-        key=headers.get(types.KEY_HEADER, ""),
+        idempotency_key=headers.get(types.KEY_HEADER, ""),
         operation=f"{request.method} {request.path}",
         prompt=prompt,
         max_tokens=max(1, int(body.get("max_tokens", DEFAULT_MAX_TOKENS))),
@@ -284,42 +288,42 @@
         priority=_PRIORITIES.get(priority, int(shared.Priority.NORMAL)),
         resume_tokens=int(headers.get(types.RESUME_HEADER) or 0),
         wanted_version=headers.get(types.WANTED_VERSION_HEADER, ""),
-        raw=raw,
+        raw_body=raw_body,
     )
 
 
-def _event(job: Job, identity: str, text: str, tokens: int) -> bytes:
-    piece = (
+def _event(job: Job, encoded_id: str, text: str, tokens: int) -> bytes:
+    delta = (
         f'"delta":{{"content":"{text}"}}' if job.chat else f'"text":"{text}"'
     )
     return (
         f"id: {tokens}\n"
-        f'data: {{"id":{identity},"choices":[{{"index":0,{piece}}}]}}\n\n'
+        f'data: {{"id":{encoded_id},"choices":[{{"index":0,{delta}}}]}}\n\n'
     ).encode()
 
 
 def _last_event(job: Job, generation: Generation) -> bytes:
     body = {
         "id": job.request_id,
-        "choices": [{"index": 0, "finish_reason": _reason(generation)}],
+        "choices": [{"index": 0, "finish_reason": _finish_reason(generation)}],
         "usage": _usage(job, generation),
     }
     return f"id: {generation.tokens}\ndata: {json.dumps(body)}\n\n".encode()
 
 
 def _completion(job: Job, text: str, generation: Generation) -> dict[str, Any]:
-    piece: dict[str, Any] = {"text": text}
+    choice: dict[str, Any] = {"text": text}
     if job.chat:
-        piece = {"message": {"role": "assistant", "content": text}}
-    piece.update(index=0, finish_reason=_reason(generation))
+        choice = {"message": {"role": "assistant", "content": text}}
+    choice.update(index=0, finish_reason=_finish_reason(generation))
     return {
         "id": job.request_id,
-        "choices": [piece],
+        "choices": [choice],
         "usage": _usage(job, generation),
     }
 
 
-def _reason(generation: Generation) -> str:
+def _finish_reason(generation: Generation) -> str:
     return "cancelled" if generation.cancelled else "length"
 
 
@@ -330,13 +334,13 @@
     }
 
 
-def _end_of(generation: Generation) -> ledgers.RunEnd:
+def _run_end(generation: Generation) -> ledgers.RunEnd:
     if generation.cancelled:
         return ledgers.RunEnd.CANCELLED
     return ledgers.RunEnd.FINISHED
 
 
-def _kept(response: web.StreamResponse) -> bytes:
+def _body_to_record(response: web.StreamResponse) -> bytes:
     if isinstance(response, web.Response) and isinstance(response.body, bytes):
         return response.body
     return b""
--- a/src/clementinegw/testing/_engine_faults.py
+++ b/src/clementinegw/testing/_engine_faults.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 
-def _set_event() -> asyncio.Event:
+def _create_set_event() -> asyncio.Event:
     event = asyncio.Event()
     event.set()
     return event
@@ -23,7 +23,7 @@
       delay_s: Each answer waits this long before it begins, in seconds.
       stall_after_tokens: A stream stalls once it has sent so many tokens;
         None for never.
-      lose_answers: How many answers of an operation are dropped after its
+      answers_to_drop: How many answers of an operation are dropped after its
         effect; operations are named as in the stand-in's routes.
       corrupt_staged: Staged chunks that are read come with one byte changed.
       corrupt_loaded: Loads change one byte of each version on its way.
@@ -32,14 +32,14 @@
       restart_s: How long the server is away after a crash, in seconds.
       keep_weights: Weights and staging memory outlive a crash.
       cache_event_delay_s: How late cache events appear, in seconds.
-      cache_event_drop: Every n-th cache event is lost; 0 for none.
+      cache_event_drop_interval: Every n-th cache event is lost; 0 for none.
     """
 
     slow_factor: float = 1.0
     down: bool = False
     delay_s: float = 0.0
     stall_after_tokens: int | None = None
-    lose_answers: collections.Counter[str] = dataclasses.field(
+    answers_to_drop: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     corrupt_staged: bool = False
@@ -48,46 +48,48 @@
     restart_s: float = 1.0
     keep_weights: bool = False
     cache_event_delay_s: float = 0.0
-    cache_event_drop: int = 0
-    _flowing: asyncio.Event = dataclasses.field(default_factory=_set_event)
+    cache_event_drop_interval: int = 0
+    _not_stalled: asyncio.Event = dataclasses.field(
+        default_factory=_create_set_event
+    )
 
     @property
     def stall(self) -> bool:
         """While true, nothing is sent and no connection is closed."""
-        return not self._flowing.is_set()
+        return not self._not_stalled.is_set()
 
     @stall.setter
     def stall(self, stalled: bool) -> None:
         if stalled:
-            self._flowing.clear()
+            self._not_stalled.clear()
         else:
-            self._flowing.set()
+            self._not_stalled.set()
 
-    def loses(self, operation: str) -> bool:
+    def consume_answer_drop(self, operation: str) -> bool:
         """Returns whether this answer is to be lost, and counts it off."""
-        if self.lose_answers[operation] <= 0:
+        if self.answers_to_drop[operation] <= 0:
             return False
-        self.lose_answers[operation] -= 1
+        self.answers_to_drop[operation] -= 1
         return True
 
-    def poisons(self, body: bytes) -> bool:
+    def triggers_crash(self, body: bytes) -> bool:
         """Returns whether a request with this body crashes the server."""
         return bool(self.crash_marker) and self.crash_marker in body
 
-    async def before_answer(self) -> None:
+    async def wait_before_answer(self) -> None:
         """Waits out delays, and a stall for as long as it is on."""
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
-        await self._flowing.wait()
+        await self._not_stalled.wait()
 
 
-def abort(request: web.Request) -> None:
+def abort_connection(request: web.Request) -> None:
     """Drops the connection of a request without an answer."""
     if request.transport is not None:
         request.transport.abort()
 
 
-def corrupted(data: bytes) -> bytes:
+def corrupt_middle_byte(data: bytes) -> bytes:
     """Returns the bytes with the middle one changed."""
     middle = len(data) // 2
     changed = bytes([data[middle] ^ 0xFF])
--- a/src/clementinegw/testing/_engine_server.py
+++ b/src/clementinegw/testing/_engine_server.py
@@ -30,9 +30,9 @@
         self._runner: web.AppRunner | None = None
         self._site: web.TCPSite | None = None
         self._address = types.Address("127.0.0.1", 0)
-        self._epoch = 0
+        self._incarnation = 0
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._restart: asyncio.Task[None] | None = None
+        self._restart_task: asyncio.Task[None] | None = None
 
     @property
     def address(self) -> types.Address:
@@ -45,9 +45,9 @@
         return f"http://{self._address}"
 
     @property
-    def epoch(self) -> int:
-        """How often it has died; what began in another epoch died with it."""
-        return self._epoch
+    def incarnation(self) -> int:
+        """The number of crashes so far; each one ends all work in progress."""
+        return self._incarnation
 
     async def start(self, address: types.Address) -> types.Address:
         """Listens; port 0 lets the kernel choose. Returns the address."""
@@ -66,8 +66,8 @@
 
     async def stop(self) -> None:
         """Closes the socket and ends what runs."""
-        if self._restart is not None:
-            self._restart.cancel()
+        if self._restart_task is not None:
+            self._restart_task.cancel()
         for task in list(self._tasks):
             task.cancel()
         if self._runner is not None:
@@ -75,21 +75,21 @@
             await self._runner.cleanup()
             self._runner = None
 
-    def die(self, restart_s: float | None) -> None:
+    def crash(self, restart_s: float | None) -> None:
         """Drops every connection and all work at once, as a crash does.
 
         Args:
           restart_s: When it listens again, in seconds; None for never.
         """
-        self._epoch += 1
+        self._incarnation += 1
         for task in list(self._tasks):
             task.cancel()
         self._abort_connections()
-        if self._restart is None or self._restart.done():
+        if self._restart_task is None or self._restart_task.done():
             loop = asyncio.get_running_loop()
-            self._restart = loop.create_task(self._come_back(restart_s))
+            self._restart_task = loop.create_task(self._listen_again(restart_s))
 
-    async def run_to_end(self, work: Coroutine[Any, Any, Any]) -> Any:
+    async def run_shielded(self, work: Coroutine[Any, Any, Any]) -> Any:
         """Awaits work that goes on when the asker's connection breaks."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
@@ -106,7 +106,7 @@
         )
         await self._site.start()
 
-    async def _come_back(self, restart_s: float | None) -> None:
+    async def _listen_again(self, restart_s: float | None) -> None:
         if self._site is not None:
             await self._site.stop()
         if restart_s is None:
@@ -126,24 +126,24 @@
         self, request: web.Request, handler: Any
     ) -> web.StreamResponse:
         if self._faults.down:
-            _engine_faults.abort(request)
+            _engine_faults.abort_connection(request)
             return web.Response(status=503)
-        await self._faults.before_answer()
+        await self._faults.wait_before_answer()
         try:
             response = await handler(request)
         except ConnectionError:
-            _engine_faults.abort(request)
+            _engine_faults.abort_connection(request)
             return web.Response(status=503)
-        if self._faults.loses(_operation(request)):
-            _engine_faults.abort(request)
+        if self._faults.consume_answer_drop(_route_name(request)):
+            _engine_faults.abort_connection(request)
         return response
 
 
-def _operation(request: web.Request) -> str:
+def _route_name(request: web.Request) -> str:
     return request.match_info.route.name or ""
 
 
-def json_answer(
+def json_response(
     body: Any, status: int = 200, headers: dict[str, str] | None = None
 ) -> web.Response:
     """Returns a JSON answer."""
--- a/src/clementinegw/testing/_engine_slots.py
+++ b/src/clementinegw/testing/_engine_slots.py
@@ -76,7 +76,7 @@
             self._waiting -= 1
 
 
-class LaggingLoad:
+class DelayedLoad:
     """What the batch looked like some time ago."""
 
     def __init__(self, lag_s: float):
--- a/src/clementinegw/testing/_engine_parts.py
+++ b/src/clementinegw/testing/_engine_state.py
@@ -36,7 +36,7 @@
     checks_fencing: bool = True
 
 
-class EngineParts:
+class EngineState:
     """One engine's state; handlers work on it."""
 
     def __init__(
@@ -60,12 +60,12 @@
         self.clock = clock
         self.faults = _engine_faults.Faults()
         self.server = _engine_server.StandInServer(self.faults)
-        self.staging = _engine_weights.Staging(settings.staging_bytes)
+        self.staging = _engine_weights.StagingMemory(settings.staging_bytes)
         self.loader = _engine_weights.Loader(
             self.staging, self.faults, settings.load_bytes_per_s
         )
-        self.load = _engine_slots.LaggingLoad(settings.load_lag_s)
-        self.slots = _engine_slots.Slots(settings.max_batch, self._note_load)
+        self.delayed_load = _engine_slots.DelayedLoad(settings.load_lag_s)
+        self.slots = _engine_slots.Slots(settings.max_batch, self._record_load)
         self.cache = _engine_cache.PrefixCache(
             settings.cache_tokens, self.faults
         )
@@ -80,9 +80,9 @@
             self.staging.clear()
             self.adapters.clear()
             self.fencing = 0
-        self.server.die(restart_s)
+        self.server.crash(restart_s)
 
-    def _note_load(self) -> None:
-        self.load.record(
+    def _record_load(self) -> None:
+        self.delayed_load.record(
             self.clock.now(), self.slots.running, self.slots.waiting
         )
--- a/src/clementinegw/testing/_engine_text.py
+++ b/src/clementinegw/testing/_engine_text.py
@@ -2,12 +2,12 @@
 
 import blake3
 
-_BYTES_A_TOKEN = 2
-_HEX_A_TOKEN = 4
-CHARS_A_TOKEN = 4
+_DIGEST_BYTES_PER_TOKEN = 2
+_HEX_DIGITS_PER_TOKEN = 4
+CHARS_PER_TOKEN = 4
 
 
-def answer_slice(prompt: str, digest: str, start: int, end: int) -> str:
+def generate_tokens(prompt: str, digest: str, start: int, end: int) -> str:
     """Returns the tokens `start` to `end` of an answer.
 
     Args:
@@ -20,12 +20,14 @@
       Text of five characters a token.
     """
     hasher = blake3.blake3(f"{digest}\n{prompt}".encode())
-    length = (end - start) * _BYTES_A_TOKEN
-    text = hasher.digest(length=length, seek=start * _BYTES_A_TOKEN).hex()
-    pieces = range(0, len(text), _HEX_A_TOKEN)
-    return "".join(f" {text[i : i + _HEX_A_TOKEN]}" for i in pieces)
+    length = (end - start) * _DIGEST_BYTES_PER_TOKEN
+    text = hasher.digest(
+        length=length, seek=start * _DIGEST_BYTES_PER_TOKEN
+    ).hex()
+    offsets = range(0, len(text), _HEX_DIGITS_PER_TOKEN)
+    return "".join(f" {text[i : i + _HEX_DIGITS_PER_TOKEN]}" for i in offsets)
 
 
 def prompt_tokens(prompt: str) -> int:
     """Returns how many tokens a prompt counts."""
-    return -(-len(prompt) // CHARS_A_TOKEN)
+    return -(-len(prompt) // CHARS_PER_TOKEN)
--- a/src/clementinegw/testing/_engine_weights.py
+++ b/src/clementinegw/testing/_engine_weights.py
@@ -16,12 +16,12 @@
 NO_DIGEST = ""
 
 
-def digest_of(data: bytes) -> str:
+def chunk_digest(data: bytes) -> str:
     """Returns the digest of a chunk's bytes."""
     return blake3.blake3(data).hexdigest()
 
 
-class Staging:
+class StagingMemory:
     """Chunks in the memory of the engine's host."""
 
     def __init__(self, limit_bytes: int):
@@ -36,7 +36,7 @@
 
     def put(self, digest: str, data: bytes) -> types.StageResult:
         """Stores a chunk if its bytes have the digest and there is room."""
-        if digest_of(data) != digest:
+        if chunk_digest(data) != digest:
             return types.StageResult.CORRUPT
         if digest in self._chunks:
             return types.StageResult.STORED
@@ -89,7 +89,7 @@
     digest: str = NO_DIGEST
     loading: str = ""
 
-    def refresh(self) -> None:
+    def update_digest(self) -> None:
         """Computes the digest of what is in place."""
         self.digest = types.content_digest(self.chunk_digests)
 
@@ -104,7 +104,7 @@
 
     def __init__(
         self,
-        staging: Staging,
+        staging: StagingMemory,
         faults: _engine_faults.Faults,
         bytes_per_s: float,
     ):
@@ -129,7 +129,7 @@
             for index, data in enumerate(chunks):
                 await self._load_chunk(index, data or b"")
             del weights.chunk_digests[len(chunks) :]
-            weights.refresh()
+            weights.update_digest()
             weights.model = order.model
             weights.version = order.version
         finally:
@@ -139,11 +139,11 @@
         seconds = len(data) / self._bytes_per_s * self._faults.slow_factor
         await asyncio.sleep(seconds)
         if self._faults.corrupt_loaded and index == 0:
-            data = _engine_faults.corrupted(data)
-        digest = digest_of(data)
-        in_place = self.weights.chunk_digests
-        if index < len(in_place):
-            in_place[index] = digest
+            data = _engine_faults.corrupt_middle_byte(data)
+        digest = chunk_digest(data)
+        loaded_digests = self.weights.chunk_digests
+        if index < len(loaded_digests):
+            loaded_digests[index] = digest
         else:
-            in_place.append(digest)
-        self.weights.refresh()
+            loaded_digests.append(digest)
+        self.weights.update_digest()
--- a/src/clementinegw/testing/engine.py
+++ b/src/clementinegw/testing/engine.py
@@ -13,21 +13,21 @@
 from clementinegw import clock as clocks
 from clementinegw import types as shared
 from clementinegw.backend import types
+from clementinegw.testing import _engine_completions
+from clementinegw.testing import _engine_control
 from clementinegw.testing import _engine_faults
-from clementinegw.testing import _engine_generate
-from clementinegw.testing import _engine_orders
-from clementinegw.testing import _engine_parts
+from clementinegw.testing import _engine_state
 from clementinegw.testing import _engine_text
 from clementinegw.testing import _engine_weights
 from clementinegw.testing import ledger as ledgers
 
 _STREAM_END = b"data: [DONE]\n\n"
-_DATA = b"data: "
+_DATA_PREFIX = b"data: "
 
 Faults = _engine_faults.Faults
 
 
-EngineSettings = _engine_parts.EngineSettings
+EngineSettings = _engine_state.EngineSettings
 
 
 class EngineStandIn:
@@ -48,26 +48,30 @@
           settings: Size and speed.
           clock: The machine's by default.
         """
-        self._parts = _engine_parts.EngineParts(
+        self._state = _engine_state.EngineState(
             name,
             ledger,
             settings or EngineSettings(),
             clock or clocks.SystemClock(),
         )
-        self._generator = _engine_generate.Generator(self._parts)
-        self._orders = _engine_orders.Orders(self._parts, self._generator)
-        self._server = self._parts.server
+        self._completion_handler = _engine_completions.CompletionHandler(
+            self._state
+        )
+        self._control_handlers = _engine_control.ControlHandlers(
+            self._state, self._completion_handler
+        )
+        self._server = self._state.server
         self._server.app.add_routes(self._routes())
 
     @property
     def faults(self) -> Faults:
         """What goes wrong from now on."""
-        return self._parts.faults
+        return self._state.faults
 
     @property
     def name(self) -> str:
         """Its name in the ledger."""
-        return self._parts.name
+        return self._state.name
 
     @property
     def address(self) -> shared.Address:
@@ -82,27 +86,27 @@
     @property
     def weights(self) -> _engine_weights.Weights:
         """What it computes with at this moment."""
-        return self._parts.loader.weights
+        return self._state.loader.weights
 
     @property
     def fencing(self) -> int:
         """The newest fencing number it took."""
-        return self._parts.fencing
+        return self._state.fencing
 
     @property
     def cache_hit_ratio(self) -> float:
         """Prompt tokens found in the prefix cache by all prompt tokens."""
-        return self._parts.cache.hit_ratio
+        return self._state.cache.hit_ratio
 
     @property
     def running(self) -> int:
         """Requests in the batch, without any lag."""
-        return self._parts.slots.running
+        return self._state.slots.running
 
     @property
     def waiting(self) -> int:
         """Requests that wait for the batch, without any lag."""
-        return self._parts.slots.waiting
+        return self._state.slots.waiting
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
         """Listens; port 0 lets the kernel choose."""
@@ -114,23 +118,25 @@
 
     def preload(self, model: str, version: str, chunks: Sequence[bytes]) -> str:
         """Puts weights in place without an order; returns their digest."""
-        weights = self._parts.loader.weights
+        weights = self._state.loader.weights
         weights.model = model
         weights.version = version
-        weights.chunk_digests = [_engine_weights.digest_of(c) for c in chunks]
-        weights.refresh()
+        weights.chunk_digests = [
+            _engine_weights.chunk_digest(c) for c in chunks
+        ]
+        weights.update_digest()
         return weights.digest
 
     def crash(self, restart_s: float | None = None) -> None:
         """Dies at once; `restart_s` None keeps it dead."""
-        self._parts.crash(restart_s)
+        self._state.crash(restart_s)
 
     def _routes(self) -> list[web.RouteDef]:
-        handle = self._generator.handle
+        handle = self._completion_handler.handle
         return [
             web.post("/v1/completions", handle, name="complete"),
             web.post("/v1/chat/completions", handle, name="chat"),
-            *self._orders.routes(),
+            *self._control_handlers.routes(),
         ]
 
 
@@ -142,15 +148,15 @@
       digest: `backend.types.content_digest` of the weights.
       tokens: How many tokens were asked for.
     """
-    return _engine_text.answer_slice(prompt, digest, 0, tokens)
+    return _engine_text.generate_tokens(prompt, digest, 0, tokens)
 
 
-def adapted_digest(digest: str, adapter_digest: str) -> str:
+def digest_with_adapter(digest: str, adapter_digest: str) -> str:
     """Returns the digest that answers of weights with an adapter follow."""
     return types.content_digest([digest, adapter_digest])
 
 
-def is_whole(body: bytes) -> bool:
+def is_complete(body: bytes) -> bool:
     """Returns whether a streamed answer came with its end."""
     return body.endswith(_STREAM_END)
 
@@ -161,13 +167,15 @@
     Raises:
       ValueError: The body is no answer of a completion.
     """
-    if not body.startswith((_DATA, b"id:")):
+    if not body.startswith((_DATA_PREFIX, b"id:")):
         return _choice_text(json.loads(body))
-    pieces = []
+    texts = []
     for line in body.split(b"\n"):
-        if line.startswith(_DATA) and not line.startswith(b"data: [DONE]"):
-            pieces.append(_choice_text(json.loads(line[len(_DATA) :])))
-    return "".join(pieces)
+        if line.startswith(_DATA_PREFIX) and not line.startswith(
+            b"data: [DONE]"
+        ):
+            texts.append(_choice_text(json.loads(line[len(_DATA_PREFIX) :])))
+    return "".join(texts)
 
 
 def _choice_text(body: dict) -> str:
--- a/src/clementinegw/testing/engine_model.py
+++ b/src/clementinegw/testing/engine_model.py
@@ -1,30 +1,31 @@
-"""How one model engine spends its time, in passes, without sockets or tokens.
+"""A performance model of a model engine, without sockets or tokens.
 
-Policies that decide which request an engine gets are compared by their effect
-on callers, and that hangs on how engines batch: prompts are read in parts
-between the token steps of all others, so what one request adds is paid for by
-everyone beside it. The model takes its figures from what the operators publish.
+Policies that select an engine for a request are compared by their effect on
+callers. That effect depends on how engines batch: prompts are processed in
+parts between the token steps of the other requests, so each request slows down
+all others in its batch. The default parameters are the published ones.
 """
 
 import asyncio
 from collections.abc import Callable
 import dataclasses
 
-# What a step costs besides, for each request that is writing. Seconds.
-_STEP_PER_REQUEST_S = 0.04e-3
+# The time that each decoding request adds to a token step, in seconds.
+_STEP_TIME_PER_REQUEST_S = 0.04e-3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Figures:
-    """What an engine takes for its work.
+class EngineParameters:
+    """The performance parameters of an engine.
 
     Attributes:
-      slots: Requests that it runs at once.
-      step_s: A token step, in seconds.
-      steps_per_pass: Token steps from one event of a stream to the next.
-      prefill_tokens_per_s: How fast prompts are read.
-      prefill_tokens_per_step: Prompt tokens that are read between two steps
-        at most.
+      slots: The number of requests that the engine runs concurrently.
+      step_s: The minimum time of a token step, in seconds.
+      steps_per_pass: The number of token steps between two events of a stream.
+      prefill_tokens_per_s: The rate at which prompts are processed, in tokens
+        per second.
+      prefill_tokens_per_step: The maximum number of prompt tokens that are
+        processed before each token step.
     """
 
     slots: int = 16
@@ -33,105 +34,105 @@
     prefill_tokens_per_s: float = 19_100.0
     prefill_tokens_per_step: int = 2_048
 
-    def step_at(self, writers: int) -> float:
-        """Returns how long a step takes while so many write, in seconds."""
-        return self.step_s + _STEP_PER_REQUEST_S * writers
+    def step_duration_s(self, decoding: int) -> float:
+        """Returns the time of a step with `decoding` requests, in seconds."""
+        return self.step_s + _STEP_TIME_PER_REQUEST_S * decoding
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Work:
+class Request:
     """One request at an engine.
 
     Attributes:
-      prompt_tokens: What is left to read.
-      events: What is left to write.
+      remaining_prompt_tokens: The prompt tokens that are not yet processed.
+      remaining_events: The stream events that are not yet sent.
       on_event: Called at each event.
       on_end: Called after the last event.
     """
 
-    prompt_tokens: int
-    events: int
+    remaining_prompt_tokens: int
+    remaining_events: int
     on_event: Callable[[], None]
     on_end: Callable[[], None]
 
 
 class Engine:
-    """One engine; runs in the loop that it is made in."""
+    """One engine, which runs in the event loop that creates it."""
 
-    def __init__(self, figures: Figures):
-        """Starts idle.
+    def __init__(self, parameters: EngineParameters):
+        """Starts an idle engine.
 
         Args:
-          figures: What its work takes.
+          parameters: The engine's performance parameters.
         """
-        self._figures = figures
-        self._waiting: list[Work] = []
-        self._running: list[Work] = []
-        self._work = asyncio.Event()
+        self._parameters = parameters
+        self._waiting: list[Request] = []
+        self._running: list[Request] = []
+        self._work_available = asyncio.Event()
         self._task = asyncio.ensure_future(self._run())
 
     @property
     def running(self) -> int:
-        """Requests in the batch."""
+        """The number of requests in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for the batch."""
+        """The number of requests that wait for a slot."""
         return len(self._waiting)
 
-    def submit(self, work: Work) -> None:
-        """Takes a request in."""
-        self._waiting.append(work)
-        self._work.set()
+    def submit(self, request: Request) -> None:
+        """Queues a request."""
+        self._waiting.append(request)
+        self._work_available.set()
 
-    def drop(self, work: Work) -> None:
-        """Ends a request whose caller has left."""
-        for works in (self._waiting, self._running):
-            if work in works:
-                works.remove(work)
+    def cancel(self, request: Request) -> None:
+        """Removes a request whose caller has disconnected."""
+        for requests in (self._waiting, self._running):
+            if request in requests:
+                requests.remove(request)
 
     def stop(self) -> None:
-        """Ends the engine."""
+        """Stops the engine."""
         self._task.cancel()
 
     async def _run(self) -> None:
         while True:
             if not self._waiting and not self._running:
-                self._work.clear()
-                await self._work.wait()
-            await self._pass()
+                self._work_available.clear()
+                await self._work_available.wait()
+            await self._run_pass()
 
-    async def _pass(self) -> None:
-        """Reads prompts between the steps of one event of each stream.
+    async def _run_pass(self) -> None:
+        """Runs the token steps up to the next event of each stream.
 
-        Who is admitted is settled as a pass begins: what comes meanwhile waits
-        for the next one.
+        Each step also processes part of the prompts. Requests are admitted only
+        at the start of a pass; later ones wait for the next pass.
         """
-        while self._waiting and self.running < self._figures.slots:
+        while self._waiting and self.running < self._parameters.slots:
             self._running.append(self._waiting.pop(0))
-        writers = [w for w in self._running if not w.prompt_tokens]
-        steps = self._figures.steps_per_pass if writers else 1
+        decoding = [r for r in self._running if not r.remaining_prompt_tokens]
+        steps = self._parameters.steps_per_pass if decoding else 1
         for _ in range(steps):
-            step_s = self._figures.step_at(len(writers))
-            await asyncio.sleep(self._read() + step_s)
-        for work in self._running[:]:
-            if not work.prompt_tokens:
-                self._write(work)
-
-    def _read(self) -> float:
-        """Reads prompts in the order of arrival; returns the time it takes."""
-        left = self._figures.prefill_tokens_per_step
-        for work in self._running:
-            part = min(left, work.prompt_tokens)
-            work.prompt_tokens -= part
-            left -= part
-        read = self._figures.prefill_tokens_per_step - left
-        return read / self._figures.prefill_tokens_per_s
-
-    def _write(self, work: Work) -> None:
-        work.events -= 1
-        work.on_event()
-        if work.events <= 0 and work in self._running:
-            self._running.remove(work)
-            work.on_end()
+            step_s = self._parameters.step_duration_s(len(decoding))
+            await asyncio.sleep(self._prefill() + step_s)
+        for request in self._running[:]:
+            if not request.remaining_prompt_tokens:
+                self._emit_event(request)
+
+    def _prefill(self) -> float:
+        """Processes prompts in order of arrival; returns the time it takes."""
+        budget = self._parameters.prefill_tokens_per_step
+        for request in self._running:
+            tokens = min(budget, request.remaining_prompt_tokens)
+            request.remaining_prompt_tokens -= tokens
+            budget -= tokens
+        prefilled = self._parameters.prefill_tokens_per_step - budget
+        return prefilled / self._parameters.prefill_tokens_per_s
+
+    def _emit_event(self, request: Request) -> None:
+        request.remaining_events -= 1
+        request.on_event()
+        if request.remaining_events <= 0 and request in self._running:
+            self._running.remove(request)
+            request.on_end()
--- a/src/clementinegw/testing/plain.py
+++ b/src/clementinegw/testing/plain.py
@@ -106,7 +106,7 @@
 
     def crash(self, restart_s: float | None = None) -> None:
         """Dies at once; `restart_s` None keeps it dead."""
-        self._server.die(restart_s)
+        self._server.crash(restart_s)
 
     async def _look_up(self, request: web.Request) -> web.Response:
         item = request.match_info["item"]
@@ -131,13 +131,13 @@
     ) -> web.Response:
         body = await request.read()
         await self._slots.acquire(int(shared.Priority.NORMAL))
-        epoch = self._server.epoch
+        incarnation = self._server.incarnation
         run = self._start(request)
         end = ledgers.RunEnd.DROPPED
         answer = b""
         try:
-            if self.faults.poisons(body):
-                self._server.die(self.faults.restart_s)
+            if self.faults.triggers_crash(body):
+                self._server.crash(self.faults.restart_s)
                 raise ConnectionResetError("the service crashed")
             await asyncio.sleep(seconds * self.faults.slow_factor)
             answer = effect(body)
@@ -145,7 +145,7 @@
             return web.Response(body=answer, content_type="application/json")
         finally:
             self._slots.release()
-            if self._server.epoch != epoch:
+            if self._server.incarnation != incarnation:
                 end = ledgers.RunEnd.CRASHED
             self.ledger.finish(run, end, self._clock.now(), answer)
 
@@ -157,7 +157,7 @@
             f"{request.method} {request.path}",
             self._name,
             self._clock.now(),
-            incarnation=self._server.epoch,
+            incarnation=self._server.incarnation,
         )
 
 
--- a/tests/overload_site.py
+++ b/tests/overload_site.py
@@ -180,7 +180,7 @@
           kinds: The kinds of requests.
         """
         self._domains = domains
-        self.figures = figures or engine_model.Figures()
+        self.figures = figures or engine_model.EngineParameters()
         self.kinds = kinds
         self.engines = {
             n: engine_model.Engine(self.figures) for n in range(engines)
@@ -267,7 +267,9 @@
         """Returns the time that a request takes of a full engine."""
         figures = self.figures
         reading_s = caller.prompt / figures.prefill_tokens_per_s
-        event_s = figures.steps_per_pass * figures.step_at(figures.slots)
+        event_s = figures.steps_per_pass * figures.step_duration_s(
+            figures.slots
+        )
         return reading_s + caller.events * event_s / figures.slots
 
     def _caller(self):
@@ -358,7 +360,7 @@
             last[0] = self.now
             event_received.set()
 
-        work = engine_model.Work(
+        work = engine_model.Request(
             caller.prompt, caller.events, on_event, ended.set
         )
         await asyncio.sleep(LATENCY_S)
@@ -368,7 +370,7 @@
                 await self._await_events(event_received, ended)
             caller.ended_at = self.now
         except TimeoutError:
-            engine.drop(work)
+            engine.cancel(work)
             if caller.first_at == math.inf:
                 backend.unread_tokens -= caller.prompt
         reservation.release()
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -174,7 +174,7 @@
     assert early == ("answered", None)
     assert late == ("not-run", "leaving")
     assert version == "v1"
-    assert engine.is_whole(answer)
+    assert engine.is_complete(answer)
     assert engine.answer_text(answer) == _expected(manifest)
 
 
--- a/tests/test_direct_overload.py
+++ b/tests/test_direct_overload.py
@@ -25,7 +25,7 @@
 # ten such engines can serve.
 LOADS = {
     "drafts": (
-        engine_model.Figures(
+        engine_model.EngineParameters(
             slots=12,
             step_s=7.4e-3,
             steps_per_pass=7,
@@ -39,7 +39,7 @@
         182.0,
     ),
     "notices": (
-        engine_model.Figures(slots=12),
+        engine_model.EngineParameters(slots=12),
         (
             overload_site.Kind("large", 136.0, 1_330.0, 22.0, 0.506),
             overload_site.Kind("middle", 100.0, 827.0, 22.0, 0.406),
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -104,7 +104,7 @@
     assert (head.status, head.version) == (200, "v1")
     assert head.digest == content(OLD)
     assert end.tokens == 8
-    assert engines.is_whole(data) is stream
+    assert engines.is_complete(data) is stream
     expected = engines.expected_answer(prompt, content(OLD), 8)
     assert engines.answer_text(data) == expected
     [run] = s.ledger.runs
@@ -283,7 +283,7 @@
     """The loader sees a broken connection although the order took effect."""
     async with Setup() as s:
         await s.stage(NEW)
-        s.engine.faults.lose_answers["load"] = 1
+        s.engine.faults.answers_to_drop["load"] = 1
         with pytest.raises(exceptions.BackendLost):
             await s.client.load(order(NEW, fencing=4))
         status = await s.client.status()
@@ -322,7 +322,7 @@
         status = await s.client.status()
         unknown = await s.client.complete(completion(adapter="nothing"))
         head = (await collect(unknown))[0]
-    digest = engines.adapted_digest(content(OLD), content(adapter))
+    digest = engines.digest_with_adapter(content(OLD), content(adapter))
     assert report.digest == content(adapter)
     expected = engines.expected_answer("size a gear", digest, 8)
     assert engines.answer_text(data) == expected
@@ -370,7 +370,7 @@
         cache_tokens=64 * 4, prefill_tokens_per_s=1e6, tokens_per_s=1e4
     )
     async with Setup(settings) as s:
-        s.engine.faults.cache_event_drop = 2
+        s.engine.faults.cache_event_drop_interval = 2
         prompts = [letter * 600 for letter in "abc"]
         for prompt in [*prompts, prompts[-1]]:
             await collect(await s.client.complete(completion(prompt)))
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -63,7 +63,7 @@
 
 async def test_lost_answer_hides_a_booking_that_took_effect():
     async with Setup() as s:
-        s.stand_in.faults.lose_answers["booking"] = 1
+        s.stand_in.faults.answers_to_drop["booking"] = 1
         with pytest.raises(exceptions.BackendLost):
             await s.book()
     assert len(s.stand_in.bookings) == 1
