--- a/src/clementinegw/testing/_engine_cache.py
+++ b/src/clementinegw/testing/_engine_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of an engine stand-in and the events it publishes."""
+"""The prefix cache of an engine stand-in and its cache events."""
 
 import collections
 
@@ -12,14 +12,14 @@
 
 
 class PrefixCache:
-    """Blocks of prompts, the one used longest ago is evicted first."""
+    """A cache of prompt blocks that evicts the least recently used first."""
 
     def __init__(self, limit_tokens: int, faults: _engine_faults.Faults):
-        """Starts empty.
+        """Creates an empty cache.
 
         Args:
-          limit_tokens: The cache's memory, in tokens.
-          faults: Delay and loss of events.
+          limit_tokens: The size of the cache, in tokens.
+          faults: The source of the delay and loss of cache events.
         """
         self._limit_blocks = limit_tokens // TOKENS_PER_BLOCK
         self._faults = faults
@@ -33,18 +33,18 @@
 
     @property
     def hit_ratio(self) -> float:
-        """Prompt tokens found in the cache by all prompt tokens."""
+        """The share of all prompt tokens that were found in the cache."""
         if not self._prompt_tokens:
             return 0.0
         return self._hit_tokens / self._prompt_tokens
 
     @property
     def blocks(self) -> tuple[int, ...]:
-        """Hashes of all blocks, the one used last at the end."""
+        """The hashes of all blocks, the most recently used last."""
         return tuple(self._blocks)
 
     def match_and_store(self, prompt: str, now: float) -> int:
-        """Looks a prompt up, stores it, and returns the tokens found."""
+        """Stores a prompt; returns how many of its tokens were cached."""
         hashes = prefixes.block_hashes(prompt)
         hit_blocks = 0
         for block in hashes:
@@ -57,23 +57,29 @@
         return hit_blocks * TOKENS_PER_BLOCK
 
     def clear(self, now: float) -> None:
-        """Evicts everything, as a load of other weights does."""
+        """Evicts all blocks, as an engine does when it loads weights."""
         if self._blocks:
             self._publish(types.CacheChange.EVICTED, tuple(self._blocks), now)
         self._blocks.clear()
 
     def events(self, after: int, now: float) -> types.CacheEvents:
-        """Returns the events that are visible by now."""
+        """Returns the events after a sequence number that are visible now.
+
+        Args:
+          after: The last sequence number that the caller has received.
+          now: The current time, in seconds.
+        """
         visible = [event for due, event in self._events if due <= now]
         first = self._events[0][1].sequence if self._events else 1
-        # An engine that began anew has a smaller number than was asked for.
+        # After a restart, the next number may be lower than the requested one.
         next_sequence = visible[-1].sequence + 1 if visible else 1
         new_events = tuple(event for event in visible if event.sequence > after)
         return types.CacheEvents(first, next_sequence, new_events)
 
     def _store(self, hashes: tuple[int, ...], now: float) -> None:
         new = tuple(block for block in hashes if block not in self._blocks)
-        # The start of a prefix is used last, so that its end goes first.
+        # Blocks are touched in reverse order, so that the end of a prompt is
+        # evicted before its start.
         for block in reversed(hashes):
             self._blocks[block] = None
             self._blocks.move_to_end(block)
--- a/src/clementinegw/testing/_engine_completions.py
+++ b/src/clementinegw/testing/_engine_completions.py
@@ -23,7 +23,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """One request as the engine understood it."""
+    """One parsed completion request.
+
+    Attributes:
+      request_id: The request's id; empty without one.
+      idempotency_key: The idempotency key; empty without one.
+      operation: The method and the path.
+      prompt: The prompt's text.
+      max_tokens: The number of tokens to generate, at least 1.
+      stream: Whether the answer is streamed.
+      tokens_per_event: The number of tokens in one event of a stream.
+      adapter: The name of the adapter; empty without one.
+      chat: Whether the request is for a chat completion.
+      priority: The priority in the queue; higher values go first.
+      resume_tokens: The number of tokens that the caller already has.
+      wanted_version: The version of the weights to use; empty for any.
+      raw_body: The request's body.
+    """
 
     request_id: str
     idempotency_key: str
@@ -41,7 +57,7 @@
 
 
 class Generation:
-    """A request in the engine, for cancel orders and KV export."""
+    """A queued or running request, as cancel and KV export find it."""
 
     def __init__(self, job: Job, task: "asyncio.Task[Any]"):
         self.job = job
@@ -52,10 +68,14 @@
 
 
 class CompletionHandler:
-    """Runs requests in the batch."""
+    """Handles completion requests and runs them in the batch."""
 
     def __init__(self, state: _engine_state.EngineState):
-        """Works on the state of one engine."""
+        """Creates a handler without requests.
+
+        Args:
+          state: The engine's state.
+        """
         self.role = types.EngineRole.MIXED
         self.generations: dict[str, Generation] = {}
         self._state = state
@@ -70,7 +90,7 @@
         self._clock = state.clock
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answers one completion."""
+        """Handles one completion request."""
         try:
             job = _parse(request, await request.read())
         except (ValueError, TypeError) as error:
@@ -103,7 +123,7 @@
             generation.task.uncancel()
             return self._refuse("cancelled")
         try:
-            # The weights may have changed while the request waited.
+            # The weights may have changed while the request was queued.
             refusal_reason = self._refusal_reason(generation.job)
             if refusal_reason:
                 return self._refuse(refusal_reason)
@@ -158,9 +178,9 @@
         cached_tokens = self._cache.match_and_store(
             job.prompt, self._clock.now()
         )
-        prompt = _engine_text.prompt_tokens(job.prompt) + job.resume_tokens
+        tokens = _engine_text.prompt_tokens(job.prompt) + job.resume_tokens
         seconds = (
-            max(0, prompt - cached_tokens) / self._settings.prefill_tokens_per_s
+            max(0, tokens - cached_tokens) / self._settings.prefill_tokens_per_s
         )
         await asyncio.sleep(seconds * self._faults.slow_factor)
 
--- a/src/clementinegw/testing/_engine_control.py
+++ b/src/clementinegw/testing/_engine_control.py
@@ -1,4 +1,4 @@
-"""Orders, staging and reports of an engine stand-in, over HTTP."""
+"""The HTTP handlers of an engine stand-in for orders, staging and status."""
 
 import asyncio
 import dataclasses
@@ -22,25 +22,25 @@
 
 
 class ControlHandlers:
-    """Handlers of everything but completions."""
+    """The handlers of all requests other than completions."""
 
     def __init__(
         self,
         state: _engine_state.EngineState,
         completion_handler: _engine_completions.CompletionHandler,
     ):
-        """Works on the state of one engine.
+        """Creates the handlers of one engine.
 
         Args:
           state: The engine's state.
-          completion_handler: Holds requests and the role.
+          completion_handler: The owner of the active requests and of the role.
         """
         self._state = state
         self._completion_handler = completion_handler
         self._order_lock = asyncio.Lock()
 
     def routes(self) -> list[web.RouteDef]:
-        """Returns the routes; their names are those of `answers_to_drop`."""
+        """Returns the routes; `Faults.answers_to_drop` uses their names."""
         return [
             web.post("/cancel", self._cancel, name="cancel"),
             web.get("/staging", self._staging_status, name="staging"),
@@ -172,7 +172,7 @@
         return _engine_server.json_response(body, 409)
 
     def _record_fencing(self, fencing: int) -> None:
-        # An engine that ignores fencing numbers takes whatever comes last.
+        # An engine that ignores fencing numbers stores the latest one received.
         if self._state.settings.checks_fencing:
             fencing = max(fencing, self._state.fencing)
         self._state.fencing = fencing
--- a/src/clementinegw/testing/_engine_faults.py
+++ b/src/clementinegw/testing/_engine_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the backend servers' stand-ins, switched while they run."""
+"""Faults that tests inject into the stand-ins of backend servers."""
 
 import asyncio
 import collections
@@ -15,23 +15,25 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong at one stand-in from now on.
+    """The active faults of one stand-in, which may change at any time.
 
     Attributes:
-      slow_factor: All work takes this many times as long.
-      down: Connections are dropped before anything is done.
-      delay_s: Each answer waits this long before it begins, in seconds.
-      stall_after_tokens: A stream stalls once it has sent so many tokens;
+      slow_factor: The factor by which all work takes longer.
+      down: Whether connections are closed before any processing.
+      delay_s: The delay before the start of each answer, in seconds.
+      stall_after_tokens: The number of tokens after which a stream stalls;
         None for never.
-      answers_to_drop: How many answers of an operation are dropped after its
-        effect; operations are named as in the stand-in's routes.
-      corrupt_staged: Staged chunks that are read come with one byte changed.
-      corrupt_loaded: Loads change one byte of each version on its way.
-      crash_marker: A request whose body holds it crashes the server; empty
-        for none.
-      restart_s: How long the server is away after a crash, in seconds.
-      keep_weights: Weights and staging memory outlive a crash.
-      cache_event_delay_s: How late cache events appear, in seconds.
+      answers_to_drop: The number of answers to drop after the operation has
+        taken effect, by the name of the operation's route.
+      corrupt_staged: Whether one byte of each staged chunk is changed when it
+        is read.
+      corrupt_loaded: Whether each load changes one byte of the version's first
+        chunk.
+      crash_marker: A request whose body contains these bytes crashes the
+        server; empty for none.
+      restart_s: The time from a crash to the restart, in seconds.
+      keep_weights: Whether weights and staging memory survive a crash.
+      cache_event_delay_s: The delay until cache events are visible, in seconds.
       cache_event_drop_interval: Every n-th cache event is lost; 0 for none.
     """
 
@@ -55,7 +57,7 @@
 
     @property
     def stall(self) -> bool:
-        """While true, nothing is sent and no connection is closed."""
+        """Whether the stand-in sends nothing but keeps its connections."""
         return not self._not_stalled.is_set()
 
     @stall.setter
@@ -66,7 +68,7 @@
             self._not_stalled.set()
 
     def consume_answer_drop(self, operation: str) -> bool:
-        """Returns whether this answer is to be lost, and counts it off."""
+        """Returns whether to drop this answer, and decrements its counter."""
         if self.answers_to_drop[operation] <= 0:
             return False
         self.answers_to_drop[operation] -= 1
@@ -77,20 +79,20 @@
         return bool(self.crash_marker) and self.crash_marker in body
 
     async def wait_before_answer(self) -> None:
-        """Waits out delays, and a stall for as long as it is on."""
+        """Waits for the configured delay and until any stall has ended."""
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         await self._not_stalled.wait()
 
 
 def abort_connection(request: web.Request) -> None:
-    """Drops the connection of a request without an answer."""
+    """Closes the connection of a request without an answer."""
     if request.transport is not None:
         request.transport.abort()
 
 
 def corrupt_middle_byte(data: bytes) -> bytes:
-    """Returns the bytes with the middle one changed."""
+    """Returns the data with its middle byte changed."""
     middle = len(data) // 2
     changed = bytes([data[middle] ^ 0xFF])
     return data[:middle] + changed + data[middle + 1 :]
--- a/src/clementinegw/testing/_engine_server.py
+++ b/src/clementinegw/testing/_engine_server.py
@@ -1,4 +1,4 @@
-"""A stand-in's socket: it listens, drops connections, dies and comes back."""
+"""The HTTP server of a stand-in, which can crash and restart."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,13 +15,13 @@
 
 
 class StandInServer:
-    """The aiohttp server under a stand-in, with the faults of a process."""
+    """An aiohttp server that simulates the faults of a server process."""
 
     def __init__(self, faults: _engine_faults.Faults):
-        """Prepares a server that does not listen yet.
+        """Creates a server that does not listen yet.
 
         Args:
-          faults: What goes wrong from now on.
+          faults: The faults to apply to each request.
         """
         self.app = web.Application(
             middlewares=[self._apply_faults], client_max_size=MAX_BODY_BYTES
@@ -36,12 +36,12 @@
 
     @property
     def address(self) -> types.Address:
-        """Where it listens."""
+        """The address that the server listens on."""
         return self._address
 
     @property
     def base_url(self) -> str:
-        """Scheme, address and port."""
+        """The URL with scheme, address and port."""
         return f"http://{self._address}"
 
     @property
@@ -50,7 +50,7 @@
         return self._incarnation
 
     async def start(self, address: types.Address) -> types.Address:
-        """Listens; port 0 lets the kernel choose. Returns the address."""
+        """Starts to listen and returns the address; port 0 means any port."""
         self._address = address
         self._runner = web.AppRunner(
             self.app,
@@ -65,7 +65,7 @@
         return self._address
 
     async def stop(self) -> None:
-        """Closes the socket and ends what runs."""
+        """Closes the socket and cancels all work in progress."""
         if self._restart_task is not None:
             self._restart_task.cancel()
         for task in list(self._tasks):
@@ -76,10 +76,10 @@
             self._runner = None
 
     def crash(self, restart_s: float | None) -> None:
-        """Drops every connection and all work at once, as a crash does.
+        """Aborts all connections and cancels all work, as a crash would.
 
         Args:
-          restart_s: When it listens again, in seconds; None for never.
+          restart_s: The time until the restart, in seconds; None for never.
         """
         self._incarnation += 1
         for task in list(self._tasks):
@@ -90,7 +90,7 @@
             self._restart_task = loop.create_task(self._listen_again(restart_s))
 
     async def run_shielded(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Awaits work that goes on when the asker's connection breaks."""
+        """Awaits work that continues if the client disconnects."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -146,7 +146,7 @@
 def json_response(
     body: Any, status: int = 200, headers: dict[str, str] | None = None
 ) -> web.Response:
-    """Returns a JSON answer."""
+    """Returns a response with a JSON body."""
     return web.Response(
         body=json.dumps(body).encode(),
         status=status,
@@ -156,5 +156,5 @@
 
 
 def body_digest(body: bytes) -> str:
-    """Returns a short digest of a body, by which answers name it."""
+    """Returns a short digest that identifies a body in answers."""
     return blake3.blake3(body).hexdigest(length=8)
--- a/src/clementinegw/testing/_engine_slots.py
+++ b/src/clementinegw/testing/_engine_slots.py
@@ -1,4 +1,4 @@
-"""The batch of an engine stand-in: slots, priorities, lagging load."""
+"""The batch slots of an engine stand-in and its delayed load report."""
 
 import asyncio
 import collections
@@ -8,13 +8,13 @@
 
 
 class Slots:
-    """Admits waiting requests to the batch, the most urgent first."""
+    """Admits queued requests to the batch, highest priority first."""
 
     def __init__(self, capacity: int, on_change: Callable[[], None]):
-        """Starts with all slots free.
+        """Creates a batch with all slots free.
 
         Args:
-          capacity: The largest batch.
+          capacity: The maximum number of requests in the batch.
           on_change: Called when a request joins the queue, enters the batch or
             leaves it.
         """
@@ -27,21 +27,21 @@
 
     @property
     def capacity(self) -> int:
-        """The largest batch."""
+        """The maximum number of requests in the batch."""
         return self._capacity
 
     @property
     def running(self) -> int:
-        """Requests in the batch."""
+        """The number of requests in the batch."""
         return self._running
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for the batch."""
+        """The number of requests that wait for a slot."""
         return self._waiting
 
     async def acquire(self, priority: int) -> None:
-        """Waits for a slot; the caller releases it."""
+        """Waits for a slot, which the caller must release."""
         if self._running < self._capacity:
             self._running += 1
             self._on_change()
@@ -50,7 +50,7 @@
         self._on_change()
 
     def release(self) -> None:
-        """Gives a slot to the next in the queue, or frees it."""
+        """Passes the slot to the next queued request, or frees it."""
         while self._queue:
             _, _, future = heapq.heappop(self._queue)
             if not future.done():
@@ -67,8 +67,8 @@
         try:
             await future
         except asyncio.CancelledError:
-            # The slot may have been given in the same step of the loop; kept,
-            # it would be lost and the batch one smaller for good.
+            # The slot may have been assigned in the same iteration of the event
+            # loop. Unless it is released, the batch stays one slot smaller.
             if future.done() and not future.cancelled():
                 self.release()
             raise
@@ -77,25 +77,25 @@
 
 
 class DelayedLoad:
-    """What the batch looked like some time ago."""
+    """Reports the load of the batch with a delay."""
 
     def __init__(self, lag_s: float):
-        """Starts with an idle batch.
+        """Creates a report of an idle batch.
 
         Args:
-          lag_s: How old the report is, in seconds.
+          lag_s: The age of the reported load, in seconds.
         """
         self._lag_s = lag_s
         self._changes: collections.deque[tuple[float, int, int]]
         self._changes = collections.deque([(0.0, 0, 0)])
 
     def record(self, now: float, running: int, waiting: int) -> None:
-        """Notes the batch as it is now."""
+        """Records the current load of the batch."""
         self._changes.append((now, running, waiting))
         self._trim(now)
 
     def report(self, now: float) -> tuple[int, int]:
-        """Returns running and waiting requests as of `lag_s` ago."""
+        """Returns the running and waiting requests as of `lag_s` ago."""
         self._trim(now)
         return self._changes[0][1:]
 
--- a/src/clementinegw/testing/_engine_text.py
+++ b/src/clementinegw/testing/_engine_text.py
@@ -1,4 +1,4 @@
-"""Text that an engine stand-in generates: a function of prompt and weights."""
+"""Generates an engine stand-in's text from the prompt and the weights."""
 
 import blake3
 
@@ -8,16 +8,16 @@
 
 
 def generate_tokens(prompt: str, digest: str, start: int, end: int) -> str:
-    """Returns the tokens `start` to `end` of an answer.
+    """Returns the tokens of an answer from `start` up to `end`.
 
     Args:
       prompt: The whole prompt.
-      digest: The content digest of the weights that generate.
-      start: The first token, from 0.
-      end: The token after the last one.
+      digest: The content digest of the weights.
+      start: The index of the first token, from 0.
+      end: The index after the last token.
 
     Returns:
-      Text of five characters a token.
+      The text, with five characters per token.
     """
     hasher = blake3.blake3(f"{digest}\n{prompt}".encode())
     length = (end - start) * _DIGEST_BYTES_PER_TOKEN
@@ -29,5 +29,5 @@
 
 
 def prompt_tokens(prompt: str) -> int:
-    """Returns how many tokens a prompt counts."""
+    """Returns the number of tokens of a prompt."""
     return -(-len(prompt) // CHARS_PER_TOKEN)
--- a/src/clementinegw/testing/_engine_weights.py
+++ b/src/clementinegw/testing/_engine_weights.py
@@ -1,7 +1,7 @@
 """Staging memory and weights of an engine stand-in.
 
-Nothing here trusts a name: digests are computed again from the bytes, so that
-partial, mixed or damaged weights show in the report and in every answer.
+All digests are computed from the bytes themselves, so that partial, mixed or
+corrupted weights change the reported digest and every answer.
 """
 
 import asyncio
@@ -17,25 +17,25 @@
 
 
 def chunk_digest(data: bytes) -> str:
-    """Returns the digest of a chunk's bytes."""
+    """Returns the digest of a chunk."""
     return blake3.blake3(data).hexdigest()
 
 
 class StagingMemory:
-    """Chunks in the memory of the engine's host."""
+    """The chunks in the memory of the engine's host."""
 
     def __init__(self, limit_bytes: int):
-        """Starts empty.
+        """Creates an empty staging memory.
 
         Args:
-          limit_bytes: The memory's size.
+          limit_bytes: The size of the memory, in bytes.
         """
         self._limit_bytes = limit_bytes
         self._chunks: dict[str, bytes] = {}
         self._used_bytes = 0
 
     def put(self, digest: str, data: bytes) -> types.StageResult:
-        """Stores a chunk if its bytes have the digest and there is room."""
+        """Stores a chunk if its digest matches and there is enough memory."""
         if chunk_digest(data) != digest:
             return types.StageResult.CORRUPT
         if digest in self._chunks:
@@ -47,25 +47,25 @@
         return types.StageResult.STORED
 
     def get(self, digest: str) -> bytes | None:
-        """Returns a chunk; None when it is not there."""
+        """Returns a chunk, or None if it is not staged."""
         return self._chunks.get(digest)
 
     def remove(self, digest: str) -> None:
-        """Takes a chunk out."""
+        """Removes a chunk if it is staged."""
         data = self._chunks.pop(digest, b"")
         self._used_bytes -= len(data)
 
     def clear(self) -> None:
-        """Forgets all chunks."""
+        """Removes all chunks."""
         self._chunks.clear()
         self._used_bytes = 0
 
     def missing(self, digests: Iterable[str]) -> tuple[str, ...]:
-        """Returns those digests that are not staged, each once."""
+        """Returns the digests that are not staged, without duplicates."""
         return tuple(dict.fromkeys(d for d in digests if d not in self._chunks))
 
     def status(self) -> types.StagingStatus:
-        """Returns what is staged."""
+        """Returns the digests of the staged chunks and the memory usage."""
         return types.StagingStatus(
             tuple(self._chunks), self._used_bytes, self._limit_bytes
         )
@@ -73,14 +73,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Weights:
-    """What the engine computes with at this moment.
+    """The weights that the engine currently uses.
 
     Attributes:
-      model: The model's name as the last order gave it.
-      version: The version's name as the last order gave it.
-      chunk_digests: Recomputed from the bytes in place, in order.
-      digest: `content_digest` of those; empty without weights.
-      loading: The version being loaded; empty without a load.
+      model: The name of the model in the last order.
+      version: The name of the version in the last order.
+      chunk_digests: The digests computed from the loaded chunks, in order.
+      digest: The `content_digest` of `chunk_digests`; empty without weights.
+      loading: The version that is being loaded; empty if there is none.
     """
 
     model: str = ""
@@ -90,16 +90,16 @@
     loading: str = ""
 
     def update_digest(self) -> None:
-        """Computes the digest of what is in place."""
+        """Recomputes `digest` from the loaded chunks."""
         self.digest = types.content_digest(self.chunk_digests)
 
 
 class Loader:
     """Replaces the weights in place, chunk by chunk.
 
-    The old weights are overwritten while the load goes on, as in an engine
-    whose memory holds one copy. Requests that are let through meanwhile are
-    answered by the mixture, and their answers tell.
+    The old weights are overwritten during the load, as in an engine whose
+    memory has room for one copy only. Requests that run during the load are
+    answered with a mixture of both versions, which their answers show.
     """
 
     def __init__(
@@ -108,12 +108,12 @@
         faults: _engine_faults.Faults,
         bytes_per_s: float,
     ):
-        """Starts without weights.
+        """Creates a loader without weights.
 
         Args:
-          staging: Where chunks come from.
-          faults: Slowness and corruption.
-          bytes_per_s: How fast chunks go into the accelerator.
+          staging: The staging memory that chunks are loaded from.
+          faults: The faults that slow down loads or corrupt them.
+          bytes_per_s: The rate at which chunks are loaded, in bytes per second.
         """
         self.weights = Weights()
         self._staging = staging
--- a/src/clementinegw/testing/engine.py
+++ b/src/clementinegw/testing/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in for a model engine, on a real socket of the loopback.
+"""A stand-in for a model engine that listens on a loopback socket.
 
-Its answers are a function of the prompt and of the bytes of its weights, so
-that a checker can tell for every answer whether it is whole, whether it belongs
-to its request, and which weights gave it.
+Its answers depend only on the prompt and on the bytes of its weights, so that a
+test can check for every answer whether it is complete, whether it belongs to
+its request, and which weights generated it.
 """
 
 from collections.abc import Sequence
@@ -31,7 +31,7 @@
 
 
 class EngineStandIn:
-    """One model engine and its host's staging memory."""
+    """A model engine and the staging memory of its host."""
 
     def __init__(
         self,
@@ -40,13 +40,13 @@
         settings: EngineSettings | None = None,
         clock: clocks.Clock | None = None,
     ):
-        """Prepares an engine without weights that does not listen yet.
+        """Creates an engine without weights that does not listen yet.
 
         Args:
-          name: Its name in the ledger.
-          ledger: Where it writes down what it runs.
-          settings: Size and speed.
-          clock: The machine's by default.
+          name: The engine's name in the ledger.
+          ledger: The ledger that records the engine's runs.
+          settings: The engine's capacity and speed; None for the default.
+          clock: The clock for all times; None for the system clock.
         """
         self._state = _engine_state.EngineState(
             name,
@@ -65,59 +65,59 @@
 
     @property
     def faults(self) -> Faults:
-        """What goes wrong from now on."""
+        """The active faults, which may be changed at any time."""
         return self._state.faults
 
     @property
     def name(self) -> str:
-        """Its name in the ledger."""
+        """The engine's name in the ledger."""
         return self._state.name
 
     @property
     def address(self) -> shared.Address:
-        """Where it listens."""
+        """The address that the engine listens on."""
         return self._server.address
 
     @property
     def base_url(self) -> str:
-        """Scheme, address and port."""
+        """The URL with scheme, address and port."""
         return self._server.base_url
 
     @property
     def weights(self) -> _engine_weights.Weights:
-        """What it computes with at this moment."""
+        """The weights that the engine currently uses."""
         return self._state.loader.weights
 
     @property
     def fencing(self) -> int:
-        """The newest fencing number it took."""
+        """The fencing number of the last accepted order."""
         return self._state.fencing
 
     @property
     def cache_hit_ratio(self) -> float:
-        """Prompt tokens found in the prefix cache by all prompt tokens."""
+        """The share of all prompt tokens that were found in the cache."""
         return self._state.cache.hit_ratio
 
     @property
     def running(self) -> int:
-        """Requests in the batch, without any lag."""
+        """The current number of requests in the batch."""
         return self._state.slots.running
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for the batch, without any lag."""
+        """The current number of requests that wait for a slot."""
         return self._state.slots.waiting
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listens; port 0 lets the kernel choose."""
+        """Starts to listen; port 0 means any free port."""
         await self._server.start(shared.Address(host, port))
 
     async def stop(self) -> None:
-        """Closes the socket and ends what runs."""
+        """Closes the socket and cancels all work in progress."""
         await self._server.stop()
 
     def preload(self, model: str, version: str, chunks: Sequence[bytes]) -> str:
-        """Puts weights in place without an order; returns their digest."""
+        """Sets the weights without an order; returns their digest."""
         weights = self._state.loader.weights
         weights.model = model
         weights.version = version
@@ -128,7 +128,11 @@
         return weights.digest
 
     def crash(self, restart_s: float | None = None) -> None:
-        """Dies at once; `restart_s` None keeps it dead."""
+        """Crashes immediately.
+
+        Args:
+          restart_s: The time until the restart, in seconds; None for never.
+        """
         self._state.crash(restart_s)
 
     def _routes(self) -> list[web.RouteDef]:
@@ -141,31 +145,31 @@
 
 
 def expected_answer(prompt: str, digest: str, tokens: int) -> str:
-    """Returns the text that weights give for a prompt.
+    """Returns the text that an engine generates for a prompt.
 
     Args:
-      prompt: As `backend.prefixes.prompt_text` returns it.
-      digest: `backend.types.content_digest` of the weights.
-      tokens: How many tokens were asked for.
+      prompt: The prompt as `backend.prefixes.prompt_text` returns it.
+      digest: The `backend.types.content_digest` of the weights.
+      tokens: The number of tokens requested.
     """
     return _engine_text.generate_tokens(prompt, digest, 0, tokens)
 
 
 def digest_with_adapter(digest: str, adapter_digest: str) -> str:
-    """Returns the digest that answers of weights with an adapter follow."""
+    """Returns the digest that determines the answers with an adapter."""
     return types.content_digest([digest, adapter_digest])
 
 
 def is_complete(body: bytes) -> bool:
-    """Returns whether a streamed answer came with its end."""
+    """Returns whether a streamed answer contains its end marker."""
     return body.endswith(_STREAM_END)
 
 
 def answer_text(body: bytes) -> str:
-    """Returns the text of a completion's answer, streamed or not.
+    """Returns the text of a streamed or non-streamed completion.
 
     Raises:
-      ValueError: The body is no answer of a completion.
+      ValueError: The body is not the answer of a completion.
     """
     if not body.startswith((_DATA_PREFIX, b"id:")):
         return _choice_text(json.loads(body))
--- a/src/clementinegw/testing/engine_model.py
+++ b/src/clementinegw/testing/engine_model.py
@@ -1,9 +1,10 @@
 """A performance model of a model engine, without sockets or tokens.
 
-Policies that select an engine for a request are compared by their effect on
+Policies that assign requests to engines are compared by their effect on
 callers. That effect depends on how engines batch: prompts are processed in
 parts between the token steps of the other requests, so each request slows down
-all others in its batch. The default parameters are the published ones.
+all others in its batch. The default parameters are those that the operators
+publish.
 """
 
 import asyncio
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The model engine's client against its stand-in, and what goes wrong."""
+"""Tests for the engine client and the engine stand-in with its faults."""
 
 import asyncio
 import json
@@ -50,16 +50,16 @@
     return events[0], b"".join(piece.data for piece in data), events[-1]
 
 
-async def until(probe):
+async def wait_until(condition):
     for _ in range(2000):
-        if probe():
+        if condition():
             return
         await asyncio.sleep(0.002)
-    raise AssertionError("never happened")
+    raise AssertionError("the condition did not become true")
 
 
 class Setup:
-    """One engine with version v1 in place, and a client of it."""
+    """An engine that has loaded version v1, and a client of it."""
 
     def __init__(self, settings=FAST, idle_timeout_s=0.3):
         self._idle_timeout_s = idle_timeout_s
@@ -111,11 +111,11 @@
     assert (run.request_id, run.end) == ("r1", ledgers.RunEnd.FINISHED)
 
 
-async def test_stream_resumes_at_another_engine_where_it_broke():
-    """The caller sees one whole answer although its engine died.
+async def test_stream_resumes_at_another_engine_after_a_crash():
+    """Guards against a truncated or mixed answer after an engine crash.
 
-    An engine dies after some tokens; the rest comes from a second one that
-    holds the same version, and only from one that does.
+    An engine crashes in the middle of a stream. A second engine resumes the
+    stream, but only if it has loaded the same version.
     """
     async with Setup() as first, Setup() as second:
         first.engine.faults.keep_weights = True
@@ -141,14 +141,14 @@
     assert len(second.ledger.runs) == 1
 
 
-async def test_cancel_tells_whether_the_request_had_begun():
+async def test_cancel_reports_whether_the_request_was_running():
     settings = engines.EngineSettings(max_batch=1, tokens_per_s=20.0)
     async with Setup(settings) as s:
         running = await s.client.complete(completion(max_tokens=500))
         waiting = asyncio.create_task(
             s.client.complete(completion(request_id="r2"))
         )
-        await until(lambda: s.engine.waiting)
+        await wait_until(lambda: s.engine.waiting)
         assert await s.client.cancel("r2") is types.CancelState.WAITING
         assert await s.client.cancel("r1") is types.CancelState.RUNNING
         assert await s.client.cancel("r9") is types.CancelState.UNKNOWN
@@ -159,17 +159,18 @@
     assert s.ledger.of_request("r2") == []
 
 
-async def test_urgent_requests_overtake_in_the_queue():
+async def test_queue_is_ordered_by_priority():
     settings = engines.EngineSettings(max_batch=1, tokens_per_s=500.0)
-    # Who waits must not run out of time on a machine that is busy otherwise.
+    # The timeout is long, so that queued requests do not expire on a busy
+    # machine.
     async with Setup(settings, idle_timeout_s=30.0) as s:
-        # The one that runs must still run when the last of the others waits,
+        # The first request has to occupy the batch until all others are queued,
         # however long the machine takes to send them.
         s.engine.faults.slow_factor = 20.0
         blocker = await s.client.complete(completion(max_tokens=50))
         tasks = []
 
-        def all_wait():
+        def all_queued():
             return s.engine.waiting == len(tasks)
 
         for priority in shared.Priority:
@@ -180,7 +181,7 @@
                 priority=priority,
             )
             tasks.append(asyncio.create_task(s.client.complete(request)))
-            await until(all_wait)
+            await wait_until(all_queued)
         s.engine.faults.slow_factor = 1.0
         await collect(blocker)
         for task in tasks:
@@ -189,7 +190,7 @@
     assert order == ["r1", "HIGH", "NORMAL", "LOW"]
 
 
-async def test_staging_keeps_only_bytes_with_their_digest():
+async def test_staging_stores_only_chunks_that_match_their_digest():
     settings = engines.EngineSettings(staging_bytes=300)
     async with Setup(settings) as s:
         client, [one, two] = s.client, NEW
@@ -209,7 +210,7 @@
         assert (await client.staging_status()).used_bytes == 0
 
 
-async def test_load_reports_the_digest_of_the_bytes_loaded():
+async def test_load_reports_the_digest_of_the_loaded_bytes():
     async with Setup() as s:
         refused = await s.client.load(order(NEW))
         assert refused.reason is types.OrderRefusal.CHUNK_MISSING
@@ -224,11 +225,11 @@
     assert engines.answer_text(data) == expected
 
 
-async def test_damaged_weights_show_in_report_and_answers():
-    """Answers differ from those of the version's bytes.
+async def test_corrupt_weights_change_the_report_and_the_answers():
+    """Guards against a stand-in that hides corrupted weights.
 
-    A byte changes on its way into the accelerator; the order names the right
-    chunks and the engine believes that it loaded them.
+    A byte changes during the load, although the order lists the right chunks
+    and the engine reports the right version.
     """
     async with Setup() as s:
         await s.stage(NEW)
@@ -242,27 +243,27 @@
     assert engines.answer_text(data) != expected
 
 
-async def test_request_during_a_load_is_answered_by_a_mixture():
-    """An answer fits neither the old nor the new version.
+async def test_request_during_a_load_is_answered_with_mixed_weights():
+    """Tests that an answer during a load matches neither version.
 
-    Nothing kept requests away while chunks replaced each other in place; the
-    engine does not refuse by itself, so the gate has to.
+    The chunks are replaced in place, and the engine does not refuse requests
+    meanwhile, so the gate has to.
     """
     slow = engines.EngineSettings(tokens_per_s=2000.0, load_bytes_per_s=2500.0)
     async with Setup(slow) as s:
         await s.stage(NEW)
         load = asyncio.create_task(s.client.load(order(NEW)))
-        mixed = {content(OLD), content(NEW)}
-        await until(lambda: s.engine.weights.digest not in mixed)
+        complete = {content(OLD), content(NEW)}
+        await wait_until(lambda: s.engine.weights.digest not in complete)
         assert (await s.client.status()).loading == "v2"
         head, _, _ = await collect(await s.client.complete(completion()))
         await load
-    assert head.digest not in mixed
+    assert head.digest not in complete
 
 
 @pytest.mark.parametrize("checks", [True, False])
 async def test_old_fencing_number(checks):
-    """An engine that checks refuses a late order; the other obeys it."""
+    """Tests a late order at engines with and without the fencing check."""
     settings = engines.EngineSettings(checks_fencing=checks)
     async with Setup(settings) as s:
         await s.stage(OLD + NEW)
@@ -279,8 +280,8 @@
         assert (status.version, status.role) == ("v1", types.EngineRole.DECODE)
 
 
-async def test_lost_answer_of_a_load_is_settled_by_asking():
-    """The loader sees a broken connection although the order took effect."""
+async def test_status_shows_the_load_whose_answer_was_lost():
+    """Tests a connection that is lost after the order has taken effect."""
     async with Setup() as s:
         await s.stage(NEW)
         s.engine.faults.answers_to_drop["load"] = 1
@@ -290,26 +291,26 @@
     assert (status.digest, status.fencing) == (content(NEW), 4)
 
 
-async def test_load_goes_on_when_its_connection_breaks():
-    """A load takes effect after the loader gave up on it.
+async def test_load_continues_after_its_connection_is_lost():
+    """Tests a load that takes effect after the loader's timeout.
 
-    The loader's timeout closes the connection in the middle of the load; a
-    second order must not be given before the first one's fate is known.
+    The timeout closes the connection in the middle of the load. The loader must
+    not send a second order before it knows the result of the first.
     """
     slow = engines.EngineSettings(load_bytes_per_s=2500.0)
     async with Setup(slow) as s:
         await s.stage(NEW)
-        hasty = clients.EngineClient(
+        short_timeout_client = clients.EngineClient(
             s.engine.base_url, s.session, order_timeout_s=0.05
         )
         with pytest.raises(exceptions.BackendStalled):
-            await hasty.load(order(NEW))
+            await short_timeout_client.load(order(NEW))
         assert (await s.client.status()).loading == "v2"
-        await until(lambda: not s.engine.weights.loading)
+        await wait_until(lambda: not s.engine.weights.loading)
         assert (await s.client.status()).digest == content(NEW)
 
 
-async def test_adapter_changes_answers_of_its_requests_only():
+async def test_adapter_changes_only_answers_of_its_requests():
     async with Setup() as s:
         adapter = [b"adapter" * 20]
         await s.stage(adapter)
@@ -317,8 +318,8 @@
         report = await s.client.load_adapter(
             types.AdapterOrder("hoods", "a1", chunks, 3)
         )
-        with_it = await s.client.complete(completion(adapter="hoods"))
-        _, data, _ = await collect(with_it)
+        adapted = await s.client.complete(completion(adapter="hoods"))
+        _, data, _ = await collect(adapted)
         status = await s.client.status()
         unknown = await s.client.complete(completion(adapter="nothing"))
         head = (await collect(unknown))[0]
@@ -330,8 +331,8 @@
     assert head.refused == "unknown_adapter"
 
 
-async def test_poison_request_takes_its_batch_down_and_the_weights_go():
-    """All requests of a batch break when one of them crashes the engine."""
+async def test_poison_request_crashes_its_batch_and_clears_the_weights():
+    """Tests that one request's crash fails all requests of the batch."""
     async with Setup() as s:
         s.engine.faults.crash_marker = b"POISON"
         s.engine.faults.restart_s = 0.05
@@ -354,8 +355,8 @@
     assert s.ledger.crashed_servers() == {"e1": 1}
 
 
-async def test_stalled_stream_is_told_from_a_slow_one():
-    """No byte comes and no connection closes; only silence tells."""
+async def test_stalled_stream_is_detected_by_its_idle_timeout():
+    """Tests a stall, which sends no bytes and closes no connection."""
     async with Setup() as s:
         s.engine.faults.stall_after_tokens = 3
         with pytest.raises(exceptions.BackendStalled):
@@ -365,7 +366,7 @@
         await collect(await s.client.complete(completion()))
 
 
-async def test_cache_saves_prefill_and_its_events_come_late_with_gaps():
+async def test_cache_reports_hits_and_delayed_incomplete_events():
     settings = engines.EngineSettings(
         cache_tokens=64 * 4, prefill_tokens_per_s=1e6, tokens_per_s=1e4
     )
@@ -390,7 +391,7 @@
     assert (again.next, late.next, ahead.next) == (4, 4, 4)
 
 
-async def test_kv_moves_to_an_engine_with_the_same_weights_only():
+async def test_kv_import_requires_the_same_weights():
     settings = engines.EngineSettings(tokens_per_s=50.0)
     async with Setup(settings) as source, Setup() as target:
         prompt = "k" * 600
@@ -408,7 +409,7 @@
     assert target.engine.cache_hit_ratio > 0.4
 
 
-async def test_load_report_lags():
+async def test_load_report_is_delayed():
     settings = engines.EngineSettings(
         max_batch=2, tokens_per_s=50.0, load_lag_s=30.0
     )
@@ -419,11 +420,11 @@
         await answer.aclose()
 
 
-async def test_callers_headers_cannot_pass_for_the_systems_own():
-    """A caller's answer lacks its first tokens.
+async def test_caller_cannot_set_the_headers_of_the_system():
+    """Guards against an answer that lacks its first tokens.
 
-    The caller sent `last-event-id`; passed on, the engine would take it for a
-    resumed stream.
+    If the caller's `last-event-id` header were forwarded, the engine would
+    treat the request as a resumed stream.
     """
     async with Setup() as s:
         headers = (("last-event-id", "5"), ("clementine-request-id", "x"))
@@ -437,7 +438,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"{", b"[]", b'{"prompt": 3}', b'{"messages": [1]}']
 )
-async def test_bad_body_is_refused_before_it_runs(body):
+async def test_invalid_body_is_refused_before_it_runs(body):
     async with Setup() as s:
         request = types.Completion("r1", "/v1/completions", body)
         head, _, _ = await collect(await s.client.complete(request))
