--- a/src/clementinegw/testing/_engine_server.py
+++ b/src/clementinegw/testing/_engine_server.py
@@ -1,4 +1,4 @@
-"""A stand-in's socket: it listens, drops connections, dies and comes back."""
+"""The HTTP server of a stand-in, which can crash and restart."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,13 +15,13 @@
 
 
 class StandInServer:
-    """The aiohttp server under a stand-in, with the faults of a process."""
+    """An aiohttp server that simulates the faults of a server process."""
 
     def __init__(self, faults: _engine_faults.Faults):
-        """Prepares a server that does not listen yet.
+        """Creates a server that does not listen yet.
 
         Args:
-          faults: What goes wrong from now on.
+          faults: The faults to apply to each request.
         """
         self.app = web.Application(
             middlewares=[self._apply_faults], client_max_size=MAX_BODY_BYTES
@@ -30,27 +30,27 @@
         self._runner: web.AppRunner | None = None
         self._site: web.TCPSite | None = None
         self._address = types.Address("127.0.0.1", 0)
-        self._epoch = 0
+        self._incarnation = 0
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._restart: asyncio.Task[None] | None = None
+        self._restart_task: asyncio.Task[None] | None = None
 
     @property
     def address(self) -> types.Address:
-        """Where it listens."""
+        """The address that the server listens on."""
         return self._address
 
     @property
     def base_url(self) -> str:
-        """Scheme, address and port."""
+        """The URL with scheme, address and port."""
         return f"http://{self._address}"
 
     @property
-    def epoch(self) -> int:
-        """How often it has died; what began in another epoch died with it."""
-        return self._epoch
+    def incarnation(self) -> int:
+        """The number of crashes so far; each one ends all work in progress."""
+        return self._incarnation
 
     async def start(self, address: types.Address) -> types.Address:
-        """Listens; port 0 lets the kernel choose. Returns the address."""
+        """Starts to listen and returns the address; port 0 means any port."""
         self._address = address
         self._runner = web.AppRunner(
             self.app,
@@ -65,9 +65,9 @@
         return self._address
 
     async def stop(self) -> None:
-        """Closes the socket and ends what runs."""
-        if self._restart is not None:
-            self._restart.cancel()
+        """Closes the socket and cancels all work in progress."""
+        if self._restart_task is not None:
+            self._restart_task.cancel()
         for task in list(self._tasks):
             task.cancel()
         if self._runner is not None:
@@ -75,22 +75,22 @@
             await self._runner.cleanup()
             self._runner = None
 
-    def die(self, restart_s: float | None) -> None:
-        """Drops every connection and all work at once, as a crash does.
+    def crash(self, restart_s: float | None) -> None:
+        """Aborts all connections and cancels all work, as a crash would.
 
         Args:
-          restart_s: When it listens again, in seconds; None for never.
+          restart_s: The time until the restart, in seconds; None for never.
         """
-        self._epoch += 1
+        self._incarnation += 1
         for task in list(self._tasks):
             task.cancel()
         self._abort_connections()
-        if self._restart is None or self._restart.done():
+        if self._restart_task is None or self._restart_task.done():
             loop = asyncio.get_running_loop()
-            self._restart = loop.create_task(self._come_back(restart_s))
+            self._restart_task = loop.create_task(self._listen_again(restart_s))
 
-    async def run_to_end(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Awaits work that goes on when the asker's connection breaks."""
+    async def run_shielded(self, work: Coroutine[Any, Any, Any]) -> Any:
+        """Awaits work that continues if the client disconnects."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -106,7 +106,7 @@
         )
         await self._site.start()
 
-    async def _come_back(self, restart_s: float | None) -> None:
+    async def _listen_again(self, restart_s: float | None) -> None:
         if self._site is not None:
             await self._site.stop()
         if restart_s is None:
@@ -126,27 +126,27 @@
         self, request: web.Request, handler: Any
     ) -> web.StreamResponse:
         if self._faults.down:
-            _engine_faults.abort(request)
+            _engine_faults.abort_connection(request)
             return web.Response(status=503)
-        await self._faults.before_answer()
+        await self._faults.wait_before_answer()
         try:
             response = await handler(request)
         except ConnectionError:
-            _engine_faults.abort(request)
+            _engine_faults.abort_connection(request)
             return web.Response(status=503)
-        if self._faults.loses(_operation(request)):
-            _engine_faults.abort(request)
+        if self._faults.consume_answer_drop(_route_name(request)):
+            _engine_faults.abort_connection(request)
         return response
 
 
-def _operation(request: web.Request) -> str:
+def _route_name(request: web.Request) -> str:
     return request.match_info.route.name or ""
 
 
-def json_answer(
+def json_response(
     body: Any, status: int = 200, headers: dict[str, str] | None = None
 ) -> web.Response:
-    """Returns a JSON answer."""
+    """Returns a response with a JSON body."""
     return web.Response(
         body=json.dumps(body).encode(),
         status=status,
@@ -156,5 +156,5 @@
 
 
 def body_digest(body: bytes) -> str:
-    """Returns a short digest of a body, by which answers name it."""
+    """Returns a short digest that identifies a body in answers."""
     return blake3.blake3(body).hexdigest(length=8)
--- a/src/clementinegw/testing/engine.py
+++ b/src/clementinegw/testing/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in for a model engine, on a real socket of the loopback.
+"""A stand-in for a model engine that listens on a loopback socket.
 
-Its answers are a function of the prompt and of the bytes of its weights, so
-that a checker can tell for every answer whether it is whole, whether it belongs
-to its request, and which weights gave it.
+Its answers depend only on the prompt and on the bytes of its weights, so that a
+test can check for every answer whether it is complete, whether it belongs to
+its request, and which weights generated it.
 """
 
 from collections.abc import Sequence
@@ -13,25 +13,25 @@
 from clementinegw import clock as clocks
 from clementinegw import types as shared
 from clementinegw.backend import types
+from clementinegw.testing import _engine_completions
+from clementinegw.testing import _engine_control
 from clementinegw.testing import _engine_faults
-from clementinegw.testing import _engine_generate
-from clementinegw.testing import _engine_orders
-from clementinegw.testing import _engine_parts
+from clementinegw.testing import _engine_state
 from clementinegw.testing import _engine_text
 from clementinegw.testing import _engine_weights
 from clementinegw.testing import ledger as ledgers
 
 _STREAM_END = b"data: [DONE]\n\n"
-_DATA = b"data: "
+_DATA_PREFIX = b"data: "
 
 Faults = _engine_faults.Faults
 
 
-EngineSettings = _engine_parts.EngineSettings
+EngineSettings = _engine_state.EngineSettings
 
 
 class EngineStandIn:
-    """One model engine and its host's staging memory."""
+    """A model engine and the staging memory of its host."""
 
     def __init__(
         self,
@@ -40,134 +40,146 @@
         settings: EngineSettings | None = None,
         clock: clocks.Clock | None = None,
     ):
-        """Prepares an engine without weights that does not listen yet.
+        """Creates an engine without weights that does not listen yet.
 
         Args:
-          name: Its name in the ledger.
-          ledger: Where it writes down what it runs.
-          settings: Size and speed.
-          clock: The machine's by default.
+          name: The engine's name in the ledger.
+          ledger: The ledger that records the engine's runs.
+          settings: The engine's capacity and speed; None for the default.
+          clock: The clock for all times; None for the system clock.
         """
-        self._parts = _engine_parts.EngineParts(
+        self._state = _engine_state.EngineState(
             name,
             ledger,
             settings or EngineSettings(),
             clock or clocks.SystemClock(),
         )
-        self._generator = _engine_generate.Generator(self._parts)
-        self._orders = _engine_orders.Orders(self._parts, self._generator)
-        self._server = self._parts.server
+        self._completion_handler = _engine_completions.CompletionHandler(
+            self._state
+        )
+        self._control_handlers = _engine_control.ControlHandlers(
+            self._state, self._completion_handler
+        )
+        self._server = self._state.server
         self._server.app.add_routes(self._routes())
 
     @property
     def faults(self) -> Faults:
-        """What goes wrong from now on."""
-        return self._parts.faults
+        """The active faults, which may be changed at any time."""
+        return self._state.faults
 
     @property
     def name(self) -> str:
-        """Its name in the ledger."""
-        return self._parts.name
+        """The engine's name in the ledger."""
+        return self._state.name
 
     @property
     def address(self) -> shared.Address:
-        """Where it listens."""
+        """The address that the engine listens on."""
         return self._server.address
 
     @property
     def base_url(self) -> str:
-        """Scheme, address and port."""
+        """The URL with scheme, address and port."""
         return self._server.base_url
 
     @property
     def weights(self) -> _engine_weights.Weights:
-        """What it computes with at this moment."""
-        return self._parts.loader.weights
+        """The weights that the engine currently uses."""
+        return self._state.loader.weights
 
     @property
     def fencing(self) -> int:
-        """The newest fencing number it took."""
-        return self._parts.fencing
+        """The fencing number of the last accepted order."""
+        return self._state.fencing
 
     @property
     def cache_hit_ratio(self) -> float:
-        """Prompt tokens found in the prefix cache by all prompt tokens."""
-        return self._parts.cache.hit_ratio
+        """The share of all prompt tokens that were found in the cache."""
+        return self._state.cache.hit_ratio
 
     @property
     def running(self) -> int:
-        """Requests in the batch, without any lag."""
-        return self._parts.slots.running
+        """The current number of requests in the batch."""
+        return self._state.slots.running
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for the batch, without any lag."""
-        return self._parts.slots.waiting
+        """The current number of requests that wait for a slot."""
+        return self._state.slots.waiting
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listens; port 0 lets the kernel choose."""
+        """Starts to listen; port 0 means any free port."""
         await self._server.start(shared.Address(host, port))
 
     async def stop(self) -> None:
-        """Closes the socket and ends what runs."""
+        """Closes the socket and cancels all work in progress."""
         await self._server.stop()
 
     def preload(self, model: str, version: str, chunks: Sequence[bytes]) -> str:
-        """Puts weights in place without an order; returns their digest."""
-        weights = self._parts.loader.weights
+        """Sets the weights without an order; returns their digest."""
+        weights = self._state.loader.weights
         weights.model = model
         weights.version = version
-        weights.chunk_digests = [_engine_weights.digest_of(c) for c in chunks]
-        weights.refresh()
+        weights.chunk_digests = [
+            _engine_weights.chunk_digest(c) for c in chunks
+        ]
+        weights.update_digest()
         return weights.digest
 
     def crash(self, restart_s: float | None = None) -> None:
-        """Dies at once; `restart_s` None keeps it dead."""
-        self._parts.crash(restart_s)
+        """Crashes immediately.
+
+        Args:
+          restart_s: The time until the restart, in seconds; None for never.
+        """
+        self._state.crash(restart_s)
 
     def _routes(self) -> list[web.RouteDef]:
-        handle = self._generator.handle
+        handle = self._completion_handler.handle
         return [
             web.post("/v1/completions", handle, name="complete"),
             web.post("/v1/chat/completions", handle, name="chat"),
-            *self._orders.routes(),
+            *self._control_handlers.routes(),
         ]
 
 
 def expected_answer(prompt: str, digest: str, tokens: int) -> str:
-    """Returns the text that weights give for a prompt.
+    """Returns the text that an engine generates for a prompt.
 
     Args:
-      prompt: As `backend.prefixes.prompt_text` returns it.
-      digest: `backend.types.content_digest` of the weights.
-      tokens: How many tokens were asked for.
+      prompt: The prompt as `backend.prefixes.prompt_text` returns it.
+      digest: The `backend.types.content_digest` of the weights.
+      tokens: The number of tokens requested.
     """
-    return _engine_text.answer_slice(prompt, digest, 0, tokens)
+    return _engine_text.generate_tokens(prompt, digest, 0, tokens)
 
 
-def adapted_digest(digest: str, adapter_digest: str) -> str:
-    """Returns the digest that answers of weights with an adapter follow."""
+def digest_with_adapter(digest: str, adapter_digest: str) -> str:
+    """Returns the digest that determines the answers with an adapter."""
     return types.content_digest([digest, adapter_digest])
 
 
-def is_whole(body: bytes) -> bool:
-    """Returns whether a streamed answer came with its end."""
+def is_complete(body: bytes) -> bool:
+    """Returns whether a streamed answer contains its end marker."""
     return body.endswith(_STREAM_END)
 
 
 def answer_text(body: bytes) -> str:
-    """Returns the text of a completion's answer, streamed or not.
+    """Returns the text of a streamed or non-streamed completion.
 
     Raises:
-      ValueError: The body is no answer of a completion.
+      ValueError: The body is not the answer of a completion.
     """
-    if not body.startswith((_DATA, b"id:")):
+    if not body.startswith((_DATA_PREFIX, b"id:")):
         return _choice_text(json.loads(body))
-    pieces = []
+    texts = []
     for line in body.split(b"\n"):
-        if line.startswith(_DATA) and not line.startswith(b"data: [DONE]"):
-            pieces.append(_choice_text(json.loads(line[len(_DATA) :])))
-    return "".join(pieces)
+        if line.startswith(_DATA_PREFIX) and not line.startswith(
+            b"data: [DONE]"
+        ):
+            texts.append(_choice_text(json.loads(line[len(_DATA_PREFIX) :])))
+    return "".join(texts)
 
 
 def _choice_text(body: dict) -> str:
