--- a/src/clementinegw/bench/_requests_load.py
+++ b/src/clementinegw/bench/_requests_load.py
@@ -75,7 +75,7 @@
     seconds: float
     call_seconds: float
     outcome: types.Outcome
-    seen: ledger_lib.Seen
+    seen: ledger_lib.CallerRecord
 
 
 Send = Callable[
@@ -239,19 +239,19 @@
         body: dict,
         outcome: types.Outcome,
         sink: Received | None,
-    ) -> ledger_lib.Seen:
+    ) -> ledger_lib.CallerRecord:
         answer = b""
         whole = True
         expected = self._answer_of(request, body)
         if isinstance(outcome, types.Answered):
             answer = outcome.body if sink is None else sink.body
             whole = sink is None or sink.body == expected
-        return ledger_lib.Seen(
+        return ledger_lib.CallerRecord(
             request_id=request.request_id,
-            told=TOLD[type(outcome)],
+            outcome=TOLD[type(outcome)],
             key=request.key,
             idempotent=request.idempotent,
-            whole=whole,
+            complete=whole,
             # A key that ran before gets the answer to its first request.
             expected=None if request.key else expected,
             answer=answer,
@@ -271,9 +271,9 @@
 
 
 TOLD = {
-    types.Answered: ledger_lib.Told.ANSWERED,
-    types.NotRun: ledger_lib.Told.NOT_RUN,
-    types.Unknown: ledger_lib.Told.UNKNOWN,
+    types.Answered: ledger_lib.CallerOutcome.ANSWERED,
+    types.NotRun: ledger_lib.CallerOutcome.NOT_RUN,
+    types.Unknown: ledger_lib.CallerOutcome.UNKNOWN,
 }
 
 
--- a/src/clementinegw/bench/_requests_loopback.py
+++ b/src/clementinegw/bench/_requests_loopback.py
@@ -253,7 +253,7 @@
         body = await response.read()
         outcome = _outcome(response, body)
     seconds = time.monotonic() - began
-    seen = ledger_lib.Seen(
+    seen = ledger_lib.CallerRecord(
         response.headers["Clementine-Request-Id"],
         _requests_load.TOLD[type(outcome)],
         idempotent=not books,
--- a/src/clementinegw/bench/_requests_report.py
+++ b/src/clementinegw/bench/_requests_report.py
@@ -121,7 +121,7 @@
         not_run=_requests_load.reasons(samples),
         not_run_others=sum(s.customer != heavy for s in refused),
         unknown=sum(isinstance(s.outcome, types.Unknown) for s in samples),
-        verdict=ledger.judge(s.seen for s in all_samples).counts(),
+        verdict=ledger.check(s.seen for s in all_samples).counts(),
         hit_rate=hit_rate,
         counters=summed,
         sent=len(all_samples),
--- a/src/clementinegw/bench/_rollout_faults.py
+++ b/src/clementinegw/bench/_rollout_faults.py
@@ -121,7 +121,7 @@
     domain = "d0"
     _note(rollout, f"{domain} is cut off")
     rollout.cut.domain = domain
-    rollout.origin.front(domain).faults.down = True
+    rollout.origin.listener(domain).faults.down = True
     for node in rollout.live:
         mine = node.place.failure_domain
         for connection in node.endpoint.connections():
@@ -132,9 +132,9 @@
     _tell_fleets(rollout)
     await _wait(rollout, _CUT_FOR - _NOTICED)
     _note(rollout, f"{domain} is joined again")
-    rollout.found.drawn_at_heal = rollout.origin.drawn
+    rollout.found.drawn_at_heal = rollout.origin.bytes_served
     rollout.found.healed = asyncio.get_running_loop().time()
     rollout.cut.domain = ""
-    rollout.origin.front(domain).faults.down = False
+    rollout.origin.listener(domain).faults.down = False
     await _wait(rollout, _NOTICED)
     _tell_fleets(rollout)
--- a/src/clementinegw/bench/_rollout_run.py
+++ b/src/clementinegw/bench/_rollout_run.py
@@ -104,7 +104,7 @@
             for chunk in version.manifest.chunks:
                 self.origin.blobs[chunk.blob_name] = version.data[chunk.digest]
         domains = [f"d{number}" for number in range(self.plan.domains)]
-        fronts = {name: self.origin.front(name) for name in domains}
+        fronts = {name: self.origin.listener(name) for name in domains}
         await self.origin.start()
         await asyncio.gather(*(node.start() for node in self.nodes))
         instances = [node.instance for node in self.nodes if node.instance]
@@ -145,7 +145,7 @@
         found.cpu_s = time.process_time() - cpu
         found.machines = self.nodes
         found.live = self.live
-        found.origin_bytes = self.origin.drawn
+        found.origin_bytes = self.origin.bytes_served
         found.digest = self.target.manifest.digest
         found.contents = {replicas.content_digest([])}
         for version in (self.first, self.second):
--- a/src/clementinegw/bench/_settings_platform.py
+++ b/src/clementinegw/bench/_settings_platform.py
@@ -202,7 +202,7 @@
 
     def address(self, domain: str) -> str:
         """Returns the log's base URL for a failure domain; see `Platform`."""
-        return self._stand_in.log.front(domain).address
+        return self._stand_in.log.listener(domain).address
 
     def set_down(self, down: bool) -> None:
         """Starts or ends an outage; see `Platform`."""
@@ -210,7 +210,7 @@
 
     def cut(self, domain: str, is_cut: bool) -> None:
         """Cuts a failure domain off; see `Platform`."""
-        self._stand_in.log.front(domain).faults.stalled = is_cut
+        self._stand_in.log.listener(domain).faults.stalled = is_cut
 
 
 def session() -> aiohttp.ClientSession:
--- a/src/clementinegw/bench/tokens.py
+++ b/src/clementinegw/bench/tokens.py
@@ -77,7 +77,7 @@
             path, "model", "v1", store, _CHUNK_BYTES
         )
     declared = {"name": "model", "version": "v1", "manifest": manifest.digest}
-    await deployment.declare(
+    await deployment.change_settings(
         "serve", *deployment.tree_operations({_SERVICE: declared})
     )
     deadline = time.monotonic() + _SERVING_S
--- a/src/clementinegw/demo/callers.py
+++ b/src/clementinegw/demo/callers.py
@@ -26,9 +26,9 @@
 _BACKOFF_S = 0.2
 _OK = 200
 _TOLD = {
-    "answered": ledger_lib.Told.ANSWERED,
-    "not-run": ledger_lib.Told.NOT_RUN,
-    "unknown": ledger_lib.Told.UNKNOWN,
+    "answered": ledger_lib.CallerOutcome.ANSWERED,
+    "not-run": ledger_lib.CallerOutcome.NOT_RUN,
+    "unknown": ledger_lib.CallerOutcome.UNKNOWN,
 }
 
 
@@ -43,7 +43,7 @@
       status: The HTTP status.
     """
 
-    seen: ledger_lib.Seen
+    seen: ledger_lib.CallerRecord
     version: str
     reason: str
     status: int
@@ -91,7 +91,7 @@
             send = self._rng.choice(kinds)
             reply = await send()
             self.replies.append(reply)
-            if reply.seen.told is not ledger_lib.Told.ANSWERED:
+            if reply.seen.outcome is not ledger_lib.CallerOutcome.ANSWERED:
                 await asyncio.sleep(_BACKOFF_S)
 
     def _kinds(self) -> list[Callable[[], Awaitable[Reply]]]:
@@ -135,7 +135,7 @@
             "GET",
             f"/services/{service}/items/{item}",
             b"",
-            expected=lambda _: plain_lib.item_of(item),
+            expected=lambda _: plain_lib.item_response(item),
         )
 
     async def _book(self, service: str) -> Reply:
@@ -145,7 +145,7 @@
             "POST",
             f"/services/{service}/bookings",
             body,
-            expected=lambda _: plain_lib.booking_of(body),
+            expected=lambda _: plain_lib.booking_response(body),
             key=key,
         )
 
@@ -178,20 +178,22 @@
             ) as response:
                 answer, clean = await _read(response)
         except (aiohttp.ClientError, TimeoutError) as error:
-            seen = ledger_lib.Seen("", ledger_lib.Told.NOTHING, key, not key)
+            seen = ledger_lib.CallerRecord(
+                "", ledger_lib.CallerOutcome.NOTHING, key, not key
+            )
             return Reply(seen, "", type(error).__name__, 0)
         told = _told(response, clean)
         version = response.headers.get("Clementine-Version", "")
-        answered = told is ledger_lib.Told.ANSWERED
+        answered = told is ledger_lib.CallerOutcome.ANSWERED
         text = answer
         if answered and text_of is not None:
             text = _text(answer, text_of)
-        seen = ledger_lib.Seen(
+        seen = ledger_lib.CallerRecord(
             request_id=response.headers.get("Clementine-Request-Id", ""),
-            told=told,
+            outcome=told,
             key=key,
             idempotent=not key,
-            whole=whole is None or not answered or whole(answer),
+            complete=whole is None or not answered or whole(answer),
             expected=expected(version) if answered else None,
             answer=text,
         )
@@ -210,7 +212,9 @@
     return b"".join(pieces), True
 
 
-def _told(response: aiohttp.ClientResponse, clean: bool) -> ledger_lib.Told:
+def _told(
+    response: aiohttp.ClientResponse, clean: bool
+) -> ledger_lib.CallerOutcome:
     """Returns the outcome.
 
     A stream begins before its outcome is known, so it carries no outcome
@@ -218,10 +222,14 @@
     """
     outcome = response.headers.get("Clementine-Outcome")
     if outcome is not None:
-        return _TOLD.get(outcome, ledger_lib.Told.NOTHING)
+        return _TOLD.get(outcome, ledger_lib.CallerOutcome.NOTHING)
     if response.status != _OK:
-        return ledger_lib.Told.NOTHING
-    return ledger_lib.Told.ANSWERED if clean else ledger_lib.Told.UNKNOWN
+        return ledger_lib.CallerOutcome.NOTHING
+    return (
+        ledger_lib.CallerOutcome.ANSWERED
+        if clean
+        else ledger_lib.CallerOutcome.UNKNOWN
+    )
 
 
 def _text(answer: bytes, text_of: Callable[[bytes], str]) -> bytes:
--- a/src/clementinegw/demo/checks.py
+++ b/src/clementinegw/demo/checks.py
@@ -55,7 +55,7 @@
     rollout: Rollout,
 ) -> list[Check]:
     """Returns every check of the demo."""
-    verdict = ledger.judge(reply.seen for reply in replies)
+    verdict = ledger.check(reply.seen for reply in replies)
     versions = collections.Counter(r.version for r in replies if r.version)
     old = versions[rollout.before]
     new = versions[rollout.after]
@@ -118,5 +118,5 @@
 
 
 def _answered(replies: Sequence[callers_lib.Reply]) -> int:
-    told = ledger_lib.Told.ANSWERED
-    return sum(reply.seen.told is told for reply in replies)
+    told = ledger_lib.CallerOutcome.ANSWERED
+    return sum(reply.seen.outcome is told for reply in replies)
--- a/src/clementinegw/demo/run.py
+++ b/src/clementinegw/demo/run.py
@@ -93,7 +93,7 @@
         self._say(_describe(plan.size))
         await self._publish_both()
         models = {name: self._model(BEFORE) for name in self._fleets()}
-        await deployment.declare(
+        await deployment.change_settings(
             "the fleet's first version", *deployment.tree_operations(models)
         )
         took = await self._serving(BEFORE, _SETTLE_S)
@@ -116,9 +116,9 @@
     async def _roll_out(self) -> checks_lib.Rollout:
         deployment = self.deployment
         await asyncio.sleep(self._plan.before_s)
-        drawn = deployment.platform.origin.drawn
+        drawn = deployment.platform.origin.bytes_served
         began = time.monotonic()
-        revision = await deployment.declare(
+        revision = await deployment.change_settings(
             "roll out the new version",
             *(
                 changes_lib.Set(f"services.{name}.model", self._model(AFTER))
@@ -130,7 +130,7 @@
         seconds = time.monotonic() - began
         self._say(f"all engines serve v2 after {seconds:.1f} s")
         await asyncio.sleep(self._plan.after_s)
-        drawn = deployment.platform.origin.drawn - drawn
+        drawn = deployment.platform.origin.bytes_served - drawn
         daemons = [w.agent.core for w in deployment.workers]
         daemons += [entry.core for entry in deployment.entries]
         return checks_lib.Rollout(
--- a/src/clementinegw/matrix/requests.py
+++ b/src/clementinegw/matrix/requests.py
@@ -70,7 +70,7 @@
         self.fleet = self._make_fleet()
         self.cross_refusals = False
         self.treatment: networks.Treatment | None = None
-        self._seen: list[ledgers.Seen] = []
+        self._seen: list[ledgers.CallerRecord] = []
         self._calls: list[asyncio.Task] = []
         self._tracked_call: asyncio.Task | None = None
         self._agents_used: list[str] = []
@@ -140,7 +140,10 @@
         request = self._tracked()
         seen = await self._call(self.entry, TRACKED, request)
         for number in range(_REPETITIONS):
-            if seen.told is ledgers.Told.ANSWERED or seen.gave_up:
+            if (
+                seen.outcome is ledgers.CallerOutcome.ANSWERED
+                or seen.client_closed
+            ):
                 return
             if not self.kind.key and not self.poisoned:
                 return
@@ -187,12 +190,12 @@
         entry: fleets.Entry,
         request_id: str,
         request: request_types.Request,
-    ) -> ledgers.Seen:
+    ) -> ledgers.CallerRecord:
         """Sends one request to one entry as a caller does."""
         request = dataclasses.replace(request, request_id=request_id)
         sink = fleets.Collected() if self.kind.stream else None
         if entry.host.dead or entry.requests is None:
-            return self._note(request, ledgers.Told.UNKNOWN)
+            return self._note(request, ledgers.CallerOutcome.UNKNOWN)
         call = self.world.start(
             entry.host, entry.requests.pipeline.run(request, sink)
         )
@@ -201,17 +204,19 @@
         until = self.world.clock.now() + PATIENCE_S
         while not call.done() and not entry.host.dead:
             if self.world.clock.now() >= until:
-                return self._note(request, ledgers.Told.NOTHING)
+                return self._note(request, ledgers.CallerOutcome.NOTHING)
             await asyncio.wait({call}, timeout=0.1)
         if not call.done():
             # The connection to the entry broke: the caller knows nothing.
-            return self._note(request, ledgers.Told.UNKNOWN)
+            return self._note(request, ledgers.CallerOutcome.UNKNOWN)
         if call.cancelled():
-            return self._note(request, ledgers.Told.NOTHING, gave_up=True)
+            return self._note(
+                request, ledgers.CallerOutcome.NOTHING, client_closed=True
+            )
         error = call.exception()
         if error is not None:
             self.world.defects.append(repr(error))
-            return self._note(request, ledgers.Told.NOTHING)
+            return self._note(request, ledgers.CallerOutcome.NOTHING)
         return self._note_outcome(request, call.result(), sink)
 
     def _note_outcome(
@@ -219,45 +224,49 @@
         request: request_types.Request,
         outcome: types.Outcome,
         sink: fleets.Collected | None,
-    ) -> ledgers.Seen:
+    ) -> ledgers.CallerRecord:
         if isinstance(outcome, types.NotRun):
-            return self._note(request, ledgers.Told.NOT_RUN)
+            return self._note(request, ledgers.CallerOutcome.NOT_RUN)
         if isinstance(outcome, types.Unknown):
-            return self._note(request, ledgers.Told.UNKNOWN)
+            return self._note(request, ledgers.CallerOutcome.UNKNOWN)
         expected, answer = None, outcome.body
         if sink is not None:
             expected = backends.stream_of(request.body, sink.version)
             answer = sink.body
         return self._note(
-            request, ledgers.Told.ANSWERED, answer=answer, expected=expected
+            request,
+            ledgers.CallerOutcome.ANSWERED,
+            answer=answer,
+            expected=expected,
         )
 
     def _note(
         self,
         request: request_types.Request,
-        told: ledgers.Told,
+        told: ledgers.CallerOutcome,
         answer: bytes = b"",
         expected: bytes | None = None,
-        gave_up: bool = False,
-    ) -> ledgers.Seen:
-        seen = ledgers.Seen(
+        client_closed: bool = False,
+    ) -> ledgers.CallerRecord:
+        seen = ledgers.CallerRecord(
             request.request_id,
             told,
             request.key,
             request.idempotent,
             expected=expected,
             answer=answer,
-            gave_up=gave_up,
+            client_closed=client_closed,
         )
         self._seen.append(seen)
         return seen
 
     def _verdict(self) -> tuple[str, ...]:
-        counts = self.world.ledger.judge(self._seen).counts()
+        counts = self.world.ledger.check(self._seen).counts()
         broken = [name for name, count in counts.items() if count]
         broken += ["defect"] if self.world.defective else []
         if self.world.calm and not all(
-            seen.told is ledgers.Told.ANSWERED for seen in self._seen
+            seen.outcome is ledgers.CallerOutcome.ANSWERED
+            for seen in self._seen
         ):
             broken.append("cut_off_by_operation")
         if self._new_work_at_leaving():
--- a/src/clementinegw/matrix/rollout.py
+++ b/src/clementinegw/matrix/rollout.py
@@ -216,7 +216,7 @@
         self.world.armed = False
         await self.fleet.start()
         await self._until_served(SETTLED_S)
-        self.fleet.origin.drawn = 0
+        self.fleet.origin.bytes_served = 0
         self.world.armed = True
         traffic = asyncio.ensure_future(self._send_traffic())
         sampling = asyncio.ensure_future(self._sample())
@@ -281,7 +281,7 @@
             await asyncio.sleep(_SAMPLE_S)
 
     def _verdict_of(self, in_time: bool) -> tuple[str, ...]:
-        counts = self.world.ledger.judge(self._seen).counts()
+        counts = self.world.ledger.check(self._seen).counts()
         broken = [name for name, count in counts.items() if count]
         if self.world.defective:
             broken.append("defect")
@@ -291,13 +291,16 @@
             broken.append("too_many_out")
         if any(self._is_mixed(seen) for seen in self._seen):
             broken.append("mixed")
-        drawn = self.fleet.origin.drawn / V2.total_bytes
+        drawn = self.fleet.origin.bytes_served / V2.total_bytes
         if self.world.calm and drawn > _COPIES:
             broken.append("origin_overdrawn")
         return tuple(broken)
 
-    def _is_mixed(self, seen: ledgers.Seen) -> bool:
-        if seen.told is not ledgers.Told.ANSWERED or not seen.answer:
+    def _is_mixed(self, seen: ledgers.CallerRecord) -> bool:
+        if (
+            seen.outcome is not ledgers.CallerOutcome.ANSWERED
+            or not seen.answer
+        ):
             return False
         whole = [
             backends.stream_of(seen.request_id.encode(), m.version)
--- a/src/clementinegw/scenario/_callers.py
+++ b/src/clementinegw/scenario/_callers.py
@@ -22,9 +22,9 @@
 # A caller gives up so long after its deadline; no outcome by then is a loss.
 _GRACE_S = 10.0
 _TOLD = {
-    "answered": ledgers.Told.ANSWERED,
-    "not-run": ledgers.Told.NOT_RUN,
-    "unknown": ledgers.Told.UNKNOWN,
+    "answered": ledgers.CallerOutcome.ANSWERED,
+    "not-run": ledgers.CallerOutcome.NOT_RUN,
+    "unknown": ledgers.CallerOutcome.UNKNOWN,
 }
 CONNECTION = "connection"
 TIMEOUT = "timeout"
@@ -66,7 +66,7 @@
       whole: Whether a stream came with its end.
     """
 
-    told: ledgers.Told
+    told: ledgers.CallerOutcome
     request_id: str = ""
     reason: str = ""
     version: str = ""
@@ -88,12 +88,12 @@
     if load.kind is types.LoadKind.LOOKUPS:
         item = f"part-{call.number % _ITEMS}"
         path = f"/services/{load.service}/items/{item}"
-        return Message("GET", path, b"", lambda _: plains.item_of(item))
+        return Message("GET", path, b"", lambda _: plains.item_response(item))
     if load.kind is types.LoadKind.BOOKINGS:
         key = f"{run_id}-{load.name}-{call.number}"
         body = json.dumps({"order": key}).encode()
         path = f"/services/{load.service}/bookings"
-        answer = plains.booking_of(body)
+        answer = plains.booking_response(body)
         return Message("POST", path, body, lambda _: answer, key=key)
     return _completion(load, call.number, digests)
 
@@ -152,22 +152,22 @@
         ) as response:
             return _reply(response, asked, await response.read())
     except TimeoutError:
-        return Reply(ledgers.Told.NOTHING, reason=TIMEOUT)
+        return Reply(ledgers.CallerOutcome.NOTHING, reason=TIMEOUT)
     except aiohttp.ClientError:
         # A connection that breaks says by itself that the end is not known.
-        return Reply(ledgers.Told.UNKNOWN, reason=CONNECTION)
+        return Reply(ledgers.CallerOutcome.UNKNOWN, reason=CONNECTION)
 
 
 def _reply(
     response: aiohttp.ClientResponse, asked: Message, answer: bytes
 ) -> Reply:
     headers = response.headers
-    default = ledgers.Told.NOTHING
+    default = ledgers.CallerOutcome.NOTHING
     if asked.stream and response.ok:
         # A stream's outcome is its end: see requests/_http_reply.py.
-        default = ledgers.Told.ANSWERED
+        default = ledgers.CallerOutcome.ANSWERED
     told = _TOLD.get(headers.get("Clementine-Outcome", ""), default)
-    answered = told is ledgers.Told.ANSWERED
+    answered = told is ledgers.CallerOutcome.ANSWERED
     return Reply(
         told=told,
         request_id=headers.get("Clementine-Request-Id", ""),
--- a/src/clementinegw/scenario/_fleet.py
+++ b/src/clementinegw/scenario/_fleet.py
@@ -132,7 +132,7 @@
 
     async def stop(self) -> None:
         """Ends what lives; what was killed is cancelled with the loop."""
-        self._loop.release()
+        self._loop.clear_faults()
         self.workers = list(self._workers.values())
         self.entries = list(self._entries.values())
         await super().stop()
@@ -197,7 +197,7 @@
         self._loop.pause(_name(process))
 
     async def _wake(self, process: types.Process) -> None:
-        self._loop.wake(_name(process))
+        self._loop.resume(_name(process))
 
     async def _crash(self, process: types.Process) -> None:
         self._worker(process).server.crash(_RESTART_S)
--- a/src/clementinegw/scenario/deployed.py
+++ b/src/clementinegw/scenario/deployed.py
@@ -80,7 +80,7 @@
         declared = {name: self._releases.model(FIRST_VERSION) for name in names}
         for name in names:
             self._declared[name] = FIRST_VERSION
-        await self._fleet.declare(
+        await self._fleet.change_settings(
             "the first settings",
             *self._fleet.tree_operations(declared),
             *(changes.Set(s.path, s.value) for s in self._scenario.settings),
@@ -110,7 +110,7 @@
         began = self._clock.now()
         if not entries:
             reply = _callers.Reply(
-                ledgers.Told.UNKNOWN, reason=_callers.CONNECTION
+                ledgers.CallerOutcome.UNKNOWN, reason=_callers.CONNECTION
             )
         else:
             entry = entries[int(call.draw * len(entries))]
@@ -139,18 +139,18 @@
     def _observe(
         self, message: _callers.Message, reply: _callers.Reply, seconds: float
     ) -> worlds.Observed:
-        answered = reply.told is ledgers.Told.ANSWERED
+        answered = reply.told is ledgers.CallerOutcome.ANSWERED
         right = message.expected(reply.version) if answered else b""
         wrong = answered and reply.whole and reply.answer != right
         if wrong and message.is_text:
             known = map(message.expected, self._releases.versions)
             self._mixed += reply.answer not in set(known)
-        seen = ledgers.Seen(
+        seen = ledgers.CallerRecord(
             request_id=reply.request_id,
-            told=reply.told,
+            outcome=reply.told,
             key=message.key,
             idempotent=not message.key,
-            whole=reply.whole,
+            complete=reply.whole,
             expected=right if answered else None,
             answer=reply.answer,
         )
@@ -169,7 +169,9 @@
     async def _publish(self, path: str, value: Any) -> None:
         while True:
             try:
-                await self._fleet.declare("scenario", changes.Set(path, value))
+                await self._fleet.change_settings(
+                    "scenario", changes.Set(path, value)
+                )
                 return
             except exceptions.PlatformUnavailable:
                 await asyncio.sleep(_OPERATOR_PAUSE_S)
@@ -191,10 +193,10 @@
     async def _cut(self, action: types.Cut) -> None:
         platform = self._fleet.platform
         if not action.other:
-            change = platform.join if action.joined else platform.cut
+            change = platform.heal if action.joined else platform.partition
             change(action.place)
             return
-        change_two = self._loop.join if action.joined else self._loop.cut
+        change_two = self._loop.heal if action.joined else self._loop.partition
         change_two(action.place, action.other)
 
     def _serving(self, quantity: types.Quantity) -> float:
@@ -213,7 +215,7 @@
 
     def _origin_copies(self, quantity: types.Quantity) -> float:
         version = self._declared[quantity.name]
-        drawn = self._fleet.platform.origin.drawn_by_name
+        drawn = self._fleet.platform.origin.bytes_served_by_name
         return self._releases.copies(version, drawn)
 
 
--- a/src/clementinegw/scenario/runner.py
+++ b/src/clementinegw/scenario/runner.py
@@ -31,7 +31,11 @@
     types.Comparison.AT_LEAST: operator.ge,
 }
 _TRIED_AGAIN = frozenset(
-    {ledgers.Told.NOT_RUN, ledgers.Told.UNKNOWN, ledgers.Told.NOTHING}
+    {
+        ledgers.CallerOutcome.NOT_RUN,
+        ledgers.CallerOutcome.UNKNOWN,
+        ledgers.CallerOutcome.NOTHING,
+    }
 )
 
 
@@ -164,7 +168,7 @@
             call = worlds.Call(load, number, attempt, draw)
             observed = await self._world.send(call)
             last = attempt + 1 == len(draws)
-            if last or observed.seen.told not in _TRIED_AGAIN:
+            if last or observed.seen.outcome not in _TRIED_AGAIN:
                 break
             self._tally.retry(observed)
             await asyncio.sleep(_CALLER_PAUSE_S)
--- a/src/clementinegw/scenario/tally.py
+++ b/src/clementinegw/scenario/tally.py
@@ -22,16 +22,16 @@
         """
         self._ledger = ledger
         self._observed: list[tuple[str, worlds.Observed]] = []
-        self._attempts: list[ledgers.Seen] = []
+        self._attempts: list[ledgers.CallerRecord] = []
         self._offered: dict[str, int] = {}
         self._never_ended = 0
         self._measures: dict[
             types.Measure, Callable[[types.Quantity], float]
         ] = {
             types.Measure.OFFERED: lambda q: self.offered(q.name),
-            types.Measure.ANSWERED: self._told(ledgers.Told.ANSWERED),
-            types.Measure.NOT_RUN: self._told(ledgers.Told.NOT_RUN),
-            types.Measure.UNKNOWN: self._told(ledgers.Told.UNKNOWN),
+            types.Measure.ANSWERED: self._told(ledgers.CallerOutcome.ANSWERED),
+            types.Measure.NOT_RUN: self._told(ledgers.CallerOutcome.NOT_RUN),
+            types.Measure.UNKNOWN: self._told(ledgers.CallerOutcome.UNKNOWN),
             types.Measure.LATE: self._late,
             types.Measure.P99: self._p99,
             types.Measure.WRONG: self._wrong,
@@ -43,7 +43,7 @@
             types.Measure.FALSE_NOT_RUN: self._broken("false_not_run"),
         }
         self._deadlines: dict[str, float] = {}
-        self._judged: tuple[tuple[int, int], ledgers.Verdict] | None = None
+        self._judged: tuple[tuple[int, int], ledgers.Violations] | None = None
 
     def covers(self, measure: types.Measure) -> bool:
         """Returns whether the measure is one of callers' outcomes."""
@@ -76,7 +76,9 @@
     def outcomes(self) -> dict[str, int]:
         """Returns how many requests ended in each way, by load."""
         counts = collections.Counter(
-            " ".join(filter(None, (load, observed.seen.told, observed.reason)))
+            " ".join(
+                filter(None, (load, observed.seen.outcome, observed.reason))
+            )
             for load, observed in self._observed
         )
         return dict(sorted(counts.items()))
@@ -88,10 +90,12 @@
     def _of(self, name: str) -> list[worlds.Observed]:
         return [o for load, o in self._observed if not name or load == name]
 
-    def _told(self, told: ledgers.Told) -> Callable[[types.Quantity], float]:
+    def _told(
+        self, told: ledgers.CallerOutcome
+    ) -> Callable[[types.Quantity], float]:
         def _count(quantity: types.Quantity) -> float:
             return sum(
-                observed.seen.told is told
+                observed.seen.outcome is told
                 and quantity.detail in ("", observed.reason)
                 for observed in self._of(quantity.name)
             )
@@ -101,7 +105,7 @@
     def _late(self, quantity: types.Quantity) -> float:
         return sum(
             load in self._deadlines
-            and observed.seen.told is ledgers.Told.ANSWERED
+            and observed.seen.outcome is ledgers.CallerOutcome.ANSWERED
             and observed.seconds > self._deadlines[load]
             for load, observed in self._observed
             if quantity.name in ("", load)
@@ -111,7 +115,7 @@
         seconds = sorted(
             observed.seconds
             for observed in self._of(quantity.name)
-            if observed.seen.told is ledgers.Told.ANSWERED
+            if observed.seen.outcome is ledgers.CallerOutcome.ANSWERED
         )
         if not seconds:
             return math.inf
@@ -132,11 +136,11 @@
 
         return _count
 
-    def _verdict(self) -> ledgers.Verdict:
+    def _verdict(self) -> ledgers.Violations:
         ended = len(self._observed) + len(self._attempts)
         state = (ended, len(self._ledger.runs))
         if self._judged is None or self._judged[0] != state:
             seen = [observed.seen for _, observed in self._observed]
             seen += self._attempts
-            self._judged = (state, self._ledger.judge(seen))
+            self._judged = (state, self._ledger.check(seen))
         return self._judged[1]
--- a/src/clementinegw/scenario/world.py
+++ b/src/clementinegw/scenario/world.py
@@ -37,7 +37,7 @@
         version it names must give.
     """
 
-    seen: ledgers.Seen
+    seen: ledgers.CallerRecord
     reason: str
     seconds: float
     wrong: bool
--- a/src/clementinegw/testing/_records.py
+++ b/src/clementinegw/testing/_records.py
@@ -23,7 +23,7 @@
         """The oldest offset kept."""
         return self.records[0].offset if self.records else self.next_offset
 
-    def wake(self) -> None:
+    def notify(self) -> None:
         """Wakes all that wait for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -52,7 +52,7 @@
         offset = state.next_offset
         state.records.append(log.Record(offset, time, value))
         state.next_offset = offset + 1
-        state.wake()
+        state.notify()
         return offset
 
     def page(
@@ -73,10 +73,10 @@
         if state.next_offset <= offset:
             await state.changed.wait()
 
-    def wake_all(self) -> None:
+    def notify_all(self) -> None:
         """Wakes all that wait, so that they look at the faults again."""
         for state in self._streams.values():
-            state.wake()
+            state.notify()
 
     def expire(self, time: float) -> None:
         """Drops the records whose time is over."""
@@ -94,7 +94,7 @@
         state = self._stream(stream)
         end = state.next_offset if before is None else before
         state.records = [r for r in state.records if r.offset >= end]
-        state.wake()
+        state.notify()
 
     def truncate_all(self) -> None:
         """Drops every record of every stream."""
@@ -106,7 +106,7 @@
         state = self._stream(stream)
         state.records = [r for r in state.records if r.offset < next_offset]
         state.next_offset = min(state.next_offset, next_offset)
-        state.wake()
+        state.notify()
 
     def skip(self, stream: str, count: int) -> None:
         """Leaves a gap: the next offsets are given to no record."""
@@ -116,7 +116,7 @@
         return self._streams.setdefault(name, _Stream())
 
 
-class LaggingList:
+class DelayedList:
     """The platform's list: each change is seen a fixed time later."""
 
     def __init__(self, lag_s: float):
@@ -148,7 +148,7 @@
         return list(seen.values())
 
 
-def flip(data: bytes) -> bytes:
+def flip_middle_bit(data: bytes) -> bytes:
     """Returns the bytes with one bit changed in the middle."""
     if not data:
         return data
--- a/src/clementinegw/testing/_server.py
+++ b/src/clementinegw/testing/_server.py
@@ -13,7 +13,7 @@
 _SHUTDOWN_S = 0.1
 
 
-class Front:
+class Listener:
     """One port of a server, for the clients of one failure domain.
 
     Attributes:
@@ -43,38 +43,38 @@
     def __init__(self) -> None:
         self.faults = memory.Faults()
         self.calls = 0
-        self._fronts = {"": Front()}
+        self._listeners = {"": Listener()}
         self._runner: web.AppRunner | None = None
 
     @property
     def address(self) -> str:
         """The base URL; the same one after a stop and another start."""
-        return self._fronts[""].address
+        return self._listeners[""].address
 
-    def front(self, place: str) -> Front:
+    def listener(self, place: str) -> Listener:
         """Returns the port for a failure domain; asked for before the start.
 
         With a port for each failure domain, a test can cut one of them off
         from the platform while the others go on.
         """
-        return self._fronts.setdefault(place, Front())
+        return self._listeners.setdefault(place, Listener())
 
     async def start(self) -> None:
         """Listens on ports that the kernel chooses the first time."""
         app = web.Application(
-            client_max_size=_MAX_BODY_BYTES, middlewares=[self._fail]
+            client_max_size=_MAX_BODY_BYTES, middlewares=[self._inject_faults]
         )
         app.add_routes(self._routes())
         self._runner = web.AppRunner(
             app, shutdown_timeout=_SHUTDOWN_S, access_log=None
         )
         await self._runner.setup()
-        for count, front in enumerate(self._fronts.values()):
+        for count, listener in enumerate(self._listeners.values()):
             site = web.TCPSite(
-                self._runner, _LOOPBACK, front.port, reuse_address=True
+                self._runner, _LOOPBACK, listener.port, reuse_address=True
             )
             await site.start()
-            front.port = self._runner.addresses[count][1]
+            listener.port = self._runner.addresses[count][1]
 
     async def stop(self) -> None:
         """Closes the ports and all connections; keeps what it holds."""
@@ -86,22 +86,24 @@
         raise NotImplementedError
 
     @web.middleware
-    async def _fail(self, request: web.Request, handler) -> web.StreamResponse:  # type: ignore[no-untyped-def]
+    async def _inject_faults(
+        self, request: web.Request, handler
+    ) -> web.StreamResponse:  # type: ignore[no-untyped-def]
         self.calls += 1
         slow_s = sum(faults.slow_s for faults in self._faults_of(request))
         if slow_s:
             await asyncio.sleep(slow_s)
-        if self._stalls_before(request):
+        if self._stalls_before_effect(request):
             await self.stall(request)
-        if self._is_down(request) or self._use(request, "refused"):
+        if self._is_down(request) or self._consume_fault(request, "refused"):
             raise web.HTTPServiceUnavailable
         response = await handler(request)
         changes = request.method in ("POST", "PUT")
-        if changes and self._use(request, "answer_lost"):
-            return abort(request)
+        if changes and self._consume_fault(request, "answer_lost"):
+            return abort_connection(request)
         return response
 
-    def _stalls_before(self, request: web.Request) -> bool:
+    def _stalls_before_effect(self, request: web.Request) -> bool:
         """Returns whether a stalled call stops before it has its effect."""
         return self._is_stalled(request)
 
@@ -111,15 +113,19 @@
         # looked at again and again.
         while self._is_stalled(request):  # noqa: ASYNC110
             await asyncio.sleep(_STALL_CHECK_S)
-        abort(request)
+        abort_connection(request)
 
     def _faults_of(self, request: web.Request) -> list[memory.Faults]:
         """Returns the server's faults and those of the port used."""
         found = [self.faults]
         if request.transport is not None:
             port = request.transport.get_extra_info("sockname")[1]
-            fronts = self._fronts.values()
-            found += [front.faults for front in fronts if front.port == port]
+            listeners = self._listeners.values()
+            found += [
+                listener.faults
+                for listener in listeners
+                if listener.port == port
+            ]
         return found
 
     def _is_down(self, request: web.Request) -> bool:
@@ -128,7 +134,7 @@
     def _is_stalled(self, request: web.Request) -> bool:
         return any(faults.stalled for faults in self._faults_of(request))
 
-    def _use(self, request: web.Request, fault: str) -> bool:
+    def _consume_fault(self, request: web.Request, fault: str) -> bool:
         """Uses up one of the next n calls that a fault is set for."""
         for faults in self._faults_of(request):
             left = getattr(faults, fault)
@@ -138,7 +144,7 @@
         return False
 
 
-def abort(request: web.Request) -> web.Response:
+def abort_connection(request: web.Request) -> web.Response:
     """Breaks a connection off without an answer."""
     if request.transport is not None:
         request.transport.abort()
--- a/src/clementinegw/testing/clock.py
+++ b/src/clementinegw/testing/clock.py
@@ -21,11 +21,11 @@
 _DEADLOCK_S = 5.0
 # A jump as short as this needs no grace: what the kernel delivers a moment
 # later is late by no more than that.
-_FREE_JUMP_S = 0.02
+_MAX_JUMP_WITHOUT_GRACE_S = 0.02
 # A timer may fire a nanosecond early, as on the machine's clock. Code that
 # then waits for the rest must see the time move, or it would wait for ever:
 # a rest below the clock's precision would leave it where it is.
-_LEAST_JUMP_S = 1e-6
+_MIN_JUMP_S = 1e-6
 
 
 class VirtualClock:
@@ -64,7 +64,7 @@
         self._wall_offset += seconds
 
 
-class _JumpingSelector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
+class _VirtualTimeSelector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
     """Advances a clock in place of waiting."""
 
     def __init__(
@@ -84,28 +84,28 @@
         if ready or timeout == 0:
             return ready
         if timeout is None:
-            return self._wait_for_outside()
-        if self._grace_s and timeout > _FREE_JUMP_S:
+            return self._wait_for_sockets()
+        if self._grace_s and timeout > _MAX_JUMP_WITHOUT_GRACE_S:
             ready = self._poll(self._grace_s)
         if not ready:
-            self._clock.advance(max(timeout, _LEAST_JUMP_S))
+            self._clock.advance(max(timeout, _MIN_JUMP_S))
         return ready
 
     def _poll(self, seconds: float) -> list[Any]:
         found = super().select(seconds)
-        ready = self._pass(found)
+        ready = self._filter_allowed(found)
         if seconds and found and not ready:
             # What is held back is ready all the time and ends the wait at
             # once; the other sockets must have their grace all the same.
             time.sleep(seconds)
-            ready = self._pass(super().select(0.0))
+            ready = self._filter_allowed(super().select(0.0))
         return ready
 
-    def _pass(self, found: list[Any]) -> list[Any]:
+    def _filter_allowed(self, found: list[Any]) -> list[Any]:
         allowed = ((key, self._allowed(key.fd, mask)) for key, mask in found)
         return [(key, mask) for key, mask in allowed if mask]
 
-    def _wait_for_outside(self) -> list[Any]:
+    def _wait_for_sockets(self) -> list[Any]:
         # A loop without timers and without ready sockets would wait for ever
         # and hang the whole test run; an error names the deadlock.
         ready = self._poll(_DEADLOCK_S)
@@ -139,7 +139,7 @@
         self.clock = clock or VirtualClock()
         self._tick_s = tick_s
         super().__init__(
-            _JumpingSelector(self.clock, grace_s, self.allowed_events)
+            _VirtualTimeSelector(self.clock, grace_s, self.allowed_events)
         )
 
     def time(self) -> float:
@@ -149,7 +149,7 @@
     def call_at(self, when, callback, *args, context=None):  # type: ignore[override]
         """Schedules a timer at the next tick; see `asyncio`."""
         if self._tick_s:
-            # Strictly later, for the reason given at `_LEAST_JUMP_S`.
+            # Strictly later, for the reason given at `_MIN_JUMP_S`.
             when = (math.floor(when / self._tick_s) + 1) * self._tick_s
         return super().call_at(when, callback, *args, context=context)
 
--- a/src/clementinegw/testing/deployment.py
+++ b/src/clementinegw/testing/deployment.py
@@ -31,7 +31,7 @@
 from clementinegw.testing import sizes
 
 _HOST = "127.0.0.1"
-_ANY = f"{_HOST}:0"
+_ANY_PORT = f"{_HOST}:0"
 OPERATOR = "operator"
 
 BackendServer = engine_lib.EngineStandIn | plain_lib.PlainStandIn
@@ -144,7 +144,7 @@
         await self.platform.stop()
         await self.session.close()
 
-    async def declare(
+    async def change_settings(
         self, why: str, *operations: changes_lib.Operation
     ) -> int:
         """Changes the settings as an operator does.
@@ -220,7 +220,11 @@
                 "region": place.region,
                 "failure_domain": place.failure_domain,
             },
-            "listen": {"http": _ANY, "peer": _ANY, "admin": _ANY},
+            "listen": {
+                "http": _ANY_PORT,
+                "peer": _ANY_PORT,
+                "admin": _ANY_PORT,
+            },
             "platform": dataclasses.asdict(addresses),
             "seeds": [str(seed) for seed in self._seeds()],
         }
--- a/src/clementinegw/testing/ledger.py
+++ b/src/clementinegw/testing/ledger.py
@@ -1,7 +1,7 @@
 """What the stand-ins themselves saw, and how callers' outcomes fit to it.
 
 The system's word counts for nothing here: runs are written down by the backend
-servers' stand-ins, outcomes by the callers, and `judge` compares the two.
+servers' stand-ins, outcomes by the callers, and `check` compares the two.
 """
 
 import collections
@@ -52,7 +52,7 @@
     version: str = ""
 
 
-class Told(enum.StrEnum):
+class CallerOutcome(enum.StrEnum):
     """What a caller was told in the end."""
 
     ANSWERED = "answered"
@@ -62,33 +62,33 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class CallerRecord:
     """One request as its caller saw it.
 
     Attributes:
       request_id: The request.
-      told: The outcome.
+      outcome: The outcome.
       key: Its idempotency key; empty without one.
       idempotent: Whether it may run more than once.
-      whole: Whether an answer came with its end.
+      complete: Whether an answer came with its end.
       expected: What the answer must be; None takes the ledger's answers of
         this request and key.
       answer: What came.
-      gave_up: The caller closed the connection itself.
+      client_closed: The caller closed the connection itself.
     """
 
     request_id: str
-    told: Told
+    outcome: CallerOutcome
     key: str = ""
     idempotent: bool = True
-    whole: bool = True
+    complete: bool = True
     expected: bytes | None = None
     answer: bytes = b""
-    gave_up: bool = False
+    client_closed: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Verdict:
+class Violations:
     """Request ids (keys for `doubled`) by the promise that was broken.
 
     Attributes:
@@ -106,7 +106,7 @@
     false_not_run: tuple[str, ...] = ()
 
     @property
-    def held(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether no promise was broken."""
         return not any(dataclasses.astuple(self))
 
@@ -159,11 +159,11 @@
         run.finished = now
         run.answer = answer
 
-    def of_request(self, request_id: str) -> list[Run]:
+    def runs_of_request(self, request_id: str) -> list[Run]:
         """Returns the runs of a request."""
         return list(self._by_request.get(request_id, ()))
 
-    def of_key(self, key: str) -> list[Run]:
+    def runs_of_key(self, key: str) -> list[Run]:
         """Returns the runs under an idempotency key."""
         return list(self._by_key.get(key, ()))
 
@@ -176,22 +176,22 @@
         }
         return collections.Counter(server for server, _ in crashes)
 
-    def judge(self, seen: Iterable[Seen]) -> Verdict:
+    def check(self, seen: Iterable[CallerRecord]) -> Violations:
         """Compares what callers saw with what ran.
 
         A request that the system told honestly as unknown breaks no promise by
         itself, whether it ran or not; running twice does.
         """
         seen = list(seen)
-        return Verdict(
-            doubled=self._doubled(seen),
-            lost=_ids(seen, self._is_lost),
-            crossed=_ids(seen, self._is_crossed),
-            cut_off=_ids(seen, _is_cut_off),
-            false_not_run=_ids(seen, self._is_false_not_run),
+        return Violations(
+            doubled=self._find_doubled(seen),
+            lost=_matching_ids(seen, self._is_lost),
+            crossed=_matching_ids(seen, self._is_crossed),
+            cut_off=_matching_ids(seen, _is_cut_off),
+            false_not_run=_matching_ids(seen, self._is_false_not_run),
         )
 
-    def _doubled(self, seen: list[Seen]) -> tuple[str, ...]:
+    def _find_doubled(self, seen: list[CallerRecord]) -> tuple[str, ...]:
         doubled = set()
         for one in seen:
             if one.idempotent:
@@ -204,32 +204,32 @@
                 doubled.add(one.key or one.request_id)
         return tuple(sorted(doubled))
 
-    def _runs_for(self, one: Seen) -> list[Run]:
-        runs = self.of_request(one.request_id)
-        return runs or (self.of_key(one.key) if one.key else [])
+    def _runs_for(self, one: CallerRecord) -> list[Run]:
+        runs = self.runs_of_request(one.request_id)
+        return runs or (self.runs_of_key(one.key) if one.key else [])
 
-    def _is_lost(self, one: Seen) -> bool:
-        if one.told is Told.NOTHING:
-            return not one.gave_up
-        return one.told is Told.ANSWERED and not self._runs_for(one)
+    def _is_lost(self, one: CallerRecord) -> bool:
+        if one.outcome is CallerOutcome.NOTHING:
+            return not one.client_closed
+        return one.outcome is CallerOutcome.ANSWERED and not self._runs_for(one)
 
-    def _is_crossed(self, one: Seen) -> bool:
-        if one.told is not Told.ANSWERED or not one.whole:
+    def _is_crossed(self, one: CallerRecord) -> bool:
+        if one.outcome is not CallerOutcome.ANSWERED or not one.complete:
             return False
         if one.expected is not None:
             return one.answer != one.expected
         answers = {run.answer for run in self._runs_for(one) if run.answer}
         return bool(answers) and one.answer not in answers
 
-    def _is_false_not_run(self, one: Seen) -> bool:
-        return one.told is Told.NOT_RUN and bool(
-            self.of_request(one.request_id)
+    def _is_false_not_run(self, one: CallerRecord) -> bool:
+        return one.outcome is CallerOutcome.NOT_RUN and bool(
+            self.runs_of_request(one.request_id)
         )
 
 
-def _is_cut_off(one: Seen) -> bool:
-    return one.told is Told.ANSWERED and not one.whole
+def _is_cut_off(one: CallerRecord) -> bool:
+    return one.outcome is CallerOutcome.ANSWERED and not one.complete
 
 
-def _ids(seen: list[Seen], broken) -> tuple[str, ...]:
+def _matching_ids(seen: list[CallerRecord], broken) -> tuple[str, ...]:
     return tuple(one.request_id for one in seen if broken(one))
--- a/src/clementinegw/testing/memory.py
+++ b/src/clementinegw/testing/memory.py
@@ -47,7 +47,7 @@
         self.faults = faults or Faults()
         self.calls = 0
 
-    async def _enter(self, what: str) -> None:
+    async def _before_call(self, what: str) -> None:
         """Fails or delays a call before it has its effect."""
         self.calls += 1
         faults = self.faults
@@ -65,7 +65,7 @@
             self.faults.refused -= 1
             raise exceptions.PlatformUnavailable(f"{what}: no answer")
 
-    def _leave(self, what: str) -> None:
+    def _after_call(self, what: str) -> None:
         """Fails a call after it had its effect."""
         if self.faults.answer_lost > 0:
             self.faults.answer_lost -= 1
@@ -104,9 +104,9 @@
 
     async def append(self, stream: str, value: bytes) -> int:
         """Appends a record; see `log.LogClient`."""
-        await self._enter("append")
+        await self._before_call("append")
         offset = self.put(stream, value)
-        self._leave("append")
+        self._after_call("append")
         return offset
 
     async def read(
@@ -117,7 +117,7 @@
         wait_s: float = 0.0,
     ) -> log.Page:
         """Reads records; see `log.LogClient`."""
-        await self._enter("read")
+        await self._before_call("read")
         if wait_s > 0:
             await self._wait(stream, offset, wait_s)
             self._check("read")
@@ -177,12 +177,12 @@
         """
         super().__init__(faults)
         self._clock = clock
-        self._lagging = _records.LaggingList(lag_s)
+        self._delayed = _records.DelayedList(lag_s)
 
     async def fetch(self) -> list[instances.ListedInstance]:
         """Returns what was announced `lag_s` ago; see `InstanceList`."""
-        await self._enter("instances")
-        return self._lagging.listed(self._clock.now())
+        await self._before_call("instances")
+        return self._delayed.listed(self._clock.now())
 
     async def announce(
         self,
@@ -190,17 +190,17 @@
         state: instances.State = instances.State.LIVE,
     ) -> None:
         """Tells the platform of an instance; see `InstanceList`."""
-        await self._enter("announce")
-        self._lagging.announce(instance, state, self._clock.now())
-        self._leave("announce")
+        await self._before_call("announce")
+        self._delayed.announce(instance, state, self._clock.now())
+        self._after_call("announce")
 
     def remove(self, instance_id: str) -> None:
         """Makes the platform notice that an instance is gone."""
-        self._lagging.remove(instance_id, self._clock.now())
+        self._delayed.remove(instance_id, self._clock.now())
 
 
 class MemoryStore(_Client):
-    """A `blobs.BlobStore` in memory that counts the bytes drawn."""
+    """A `blobs.BlobStore` in memory that counts the bytes served."""
 
     def __init__(self, faults: Faults | None = None):
         """Starts empty.
@@ -210,30 +210,30 @@
         """
         super().__init__(faults)
         self.blobs: dict[str, bytes] = {}
-        self.drawn = 0
+        self.bytes_served = 0
 
     async def get(
         self, name: str, offset: int = 0, length: int | None = None
     ) -> bytes:
         """Returns a part of a blob; see `blobs.BlobStore`."""
-        await self._enter("get")
+        await self._before_call("get")
         end = None if length is None else offset + length
         data = self._find(name)[offset:end]
-        self.drawn += len(data)
+        self.bytes_served += len(data)
         if self.faults.corrupt > 0:
             self.faults.corrupt -= 1
-            return _records.flip(data)
+            return _records.flip_middle_bit(data)
         return data
 
     async def put(self, name: str, data: bytes) -> None:
         """Keeps a blob; see `blobs.BlobStore`."""
-        await self._enter("put")
+        await self._before_call("put")
         self.blobs[name] = data
-        self._leave("put")
+        self._after_call("put")
 
     async def size(self, name: str) -> int:
         """Returns a blob's size in bytes; see `blobs.BlobStore`."""
-        await self._enter("size")
+        await self._before_call("size")
         return len(self._find(name))
 
     def _find(self, name: str) -> bytes:
--- a/src/clementinegw/testing/plain.py
+++ b/src/clementinegw/testing/plain.py
@@ -60,7 +60,7 @@
         self._name = name
         self._settings = settings or PlainSettings()
         self._clock = clock or clocks.SystemClock()
-        self._slots = _engine_slots.Slots(self._settings.max_parallel, _nothing)
+        self._slots = _engine_slots.Slots(self._settings.max_parallel, _no_op)
         self._server = _engine_server.StandInServer(self.faults)
         self._bookings: list[bytes] = []
         self._server.app.add_routes(
@@ -111,17 +111,17 @@
     async def _look_up(self, request: web.Request) -> web.Response:
         item = request.match_info["item"]
         return await self._run(
-            request, self._settings.look_up_s, lambda _: item_of(item)
+            request, self._settings.look_up_s, lambda _: item_response(item)
         )
 
     async def _book(self, request: web.Request) -> web.Response:
         return await self._run(
-            request, self._settings.booking_s, self._take_effect
+            request, self._settings.booking_s, self._apply_booking
         )
 
-    def _take_effect(self, body: bytes) -> bytes:
+    def _apply_booking(self, body: bytes) -> bytes:
         self._bookings.append(body)
-        return booking_of(body)
+        return booking_response(body)
 
     async def _run(
         self,
@@ -161,16 +161,16 @@
         )
 
 
-def item_of(item: str) -> bytes:
+def item_response(item: str) -> bytes:
     """Returns the answer of a look-up."""
     return json.dumps({"item": item, "stock": len(item) * 7}).encode()
 
 
-def booking_of(body: bytes) -> bytes:
+def booking_response(body: bytes) -> bytes:
     """Returns the answer of a booking or quotation with this body."""
     digest = _engine_server.body_digest(body)
     return json.dumps({"booked": digest}).encode()
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     return None
--- a/src/clementinegw/testing/platform.py
+++ b/src/clementinegw/testing/platform.py
@@ -23,10 +23,10 @@
 
 _LOG_APPENDS_PER_S = 400.0
 _LIST_LAG_S = 2.0
-_PIECE_BYTES = 64 * 1024
+_WRITE_BYTES = 64 * 1024
 # The share of a second's tokens that may pass at once.
 _BURST_S = 0.25
-_MAX_PAGE = 1000
+_MAX_PAGE_RECORDS = 1000
 
 
 class LogServer(_server.Server):
@@ -75,7 +75,9 @@
         page = await self.log.read(
             request.match_info["name"],
             _number(request, "from", 0),
-            min(_number(request, "limit", _MAX_PAGE), _MAX_PAGE),
+            min(
+                _number(request, "limit", _MAX_PAGE_RECORDS), _MAX_PAGE_RECORDS
+            ),
             float(request.query.get("wait_s", "0")),
         )
         # An outage may have begun while the call was waiting.
@@ -96,7 +98,7 @@
                 "records": records,
             }
         )
-        return _json(body, self._use(request, "corrupt"))
+        return _json(body, self._consume_fault(request, "corrupt"))
 
 
 class ListServer(_server.Server):
@@ -111,7 +113,7 @@
         """
         super().__init__()
         self._clock = clock
-        self._list = _records.LaggingList(lag_s)
+        self._list = _records.DelayedList(lag_s)
 
     @property
     def lag_s(self) -> float:
@@ -140,7 +142,8 @@
             for listed in self._list.listed(self._clock.now())
         ]
         return _json(
-            json.dumps({"instances": lines}), self._use(request, "corrupt")
+            json.dumps({"instances": lines}),
+            self._consume_fault(request, "corrupt"),
         )
 
     async def _announce(self, request: web.Request) -> web.Response:
@@ -160,8 +163,8 @@
 
     Attributes:
       blobs: What it holds.
-      drawn: Bytes of blobs sent so far.
-      drawn_by_name: The same for each blob.
+      bytes_served: Bytes of blobs sent so far.
+      bytes_served_by_name: The same for each blob.
     """
 
     def __init__(
@@ -175,8 +178,10 @@
         """
         super().__init__()
         self.blobs: dict[str, bytes] = {}
-        self.drawn = 0
-        self.drawn_by_name: collections.Counter[str] = collections.Counter()
+        self.bytes_served = 0
+        self.bytes_served_by_name: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._clock = clock
         self._bucket: links.TokenBucket | None = None
         self.set_rate(bytes_per_s)
@@ -196,7 +201,7 @@
             web.put("/blobs/{name:.+}", self._put),
         ]
 
-    def _stalls_before(self, request: web.Request) -> bool:
+    def _stalls_before_effect(self, request: web.Request) -> bool:
         # A stalled transfer has begun: its head and some bytes have come.
         return self._is_stalled(request) and request.method != "GET"
 
@@ -220,7 +225,7 @@
                 await self._send(request, response, name, part)
         except ConnectionError:
             # The reader has given up; what it drew until then is counted.
-            _server.abort(request)
+            _server.abort_connection(request)
         return response
 
     async def _send(
@@ -230,18 +235,18 @@
         name: str,
         data: bytes,
     ) -> None:
-        if self._use(request, "corrupt"):
-            data = _records.flip(data)
-        for start in range(0, len(data), _PIECE_BYTES):
+        if self._consume_fault(request, "corrupt"):
+            data = _records.flip_middle_bit(data)
+        for start in range(0, len(data), _WRITE_BYTES):
             if self._is_stalled(request):
                 await self.stall(request)
                 return
-            piece = data[start : start + _PIECE_BYTES]
+            piece = data[start : start + _WRITE_BYTES]
             if self._bucket is not None:
                 await self._bucket.take(len(piece))
             await response.write(piece)
-            self.drawn += len(piece)
-            self.drawn_by_name[name] += len(piece)
+            self.bytes_served += len(piece)
+            self.bytes_served_by_name[name] += len(piece)
         await response.write_eof()
 
 
@@ -313,7 +318,7 @@
         self.origin = BlobServer(clock, limits.origin_bytes_per_s)
         for place in places:
             for server in self.servers:
-                server.front(place)
+                server.listener(place)
 
     @property
     def log_address(self) -> str:
@@ -342,17 +347,17 @@
 
     def addresses(self, place: str = "") -> Addresses:
         """Returns where a failure domain finds the parts."""
-        return Addresses(*(s.front(place).address for s in self.servers))
+        return Addresses(*(s.listener(place).address for s in self.servers))
 
-    def cut(self, place: str) -> None:
+    def partition(self, place: str) -> None:
         """Cuts a failure domain off: its calls get no answer and no error."""
         for server in self.servers:
-            server.front(place).faults.stalled = True
+            server.listener(place).faults.stalled = True
 
-    def join(self, place: str) -> None:
-        """Ends what `cut` began."""
+    def heal(self, place: str) -> None:
+        """Ends what `partition` began."""
         for server in self.servers:
-            server.front(place).faults.stalled = False
+            server.listener(place).faults.stalled = False
 
     async def start(self) -> None:
         """Listens."""
--- a/src/clementinegw/testing/processes.py
+++ b/src/clementinegw/testing/processes.py
@@ -21,7 +21,7 @@
 _OWNER: contextvars.ContextVar[str] = contextvars.ContextVar("owner")
 _CLOSED = -1
 # Closing with this option resets the connection, as a death does.
-_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
+_LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
 
 @dataclasses.dataclass(slots=True)
@@ -52,10 +52,10 @@
         self._sockets: dict[int, _Socket] = {}
         self._port_owners: dict[int, str] = {}
         self._places: dict[str, str] = {}
-        self._cuts: set[frozenset[str]] = set()
+        self._partitions: set[frozenset[str]] = set()
         self._paused: set[str] = set()
         self._dead: set[str] = set()
-        self._held: dict[str, list[asyncio.Handle]] = {}
+        self._deferred: dict[str, list[asyncio.Handle]] = {}
         super().__init__(clock, grace_s, tick_s)
 
     def spawn(
@@ -65,7 +65,7 @@
 
         Args:
           name: The process; one that was killed may be spawned again.
-          place: Where it stands, for `cut`.
+          place: Where it stands, for `partition`.
           coroutine: Its first task.
 
         Returns:
@@ -78,22 +78,22 @@
         context.run(_OWNER.set, name)
         return self.create_task(coroutine, context=context)
 
-    def cut(self, place: str, other: str) -> None:
+    def partition(self, place: str, other: str) -> None:
         """Holds back every byte between two places; closes nothing."""
-        self._cuts.add(frozenset((place, other)))
+        self._partitions.add(frozenset((place, other)))
 
-    def join(self, place: str, other: str) -> None:
+    def heal(self, place: str, other: str) -> None:
         """Ends a cut; what TCP held back arrives, datagrams are lost."""
-        self._cuts.discard(frozenset((place, other)))
+        self._partitions.discard(frozenset((place, other)))
 
     def pause(self, name: str) -> None:
         """Stops a process where it is, timers included."""
         self._paused.add(name)
 
-    def wake(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Lets a paused process go on; it believes that no time has passed."""
         self._paused.discard(name)
-        for handle in self._held.pop(name, []):
+        for handle in self._deferred.pop(name, []):
             if not handle.cancelled():
                 self._ready.append(handle)  # type: ignore[attr-defined]
 
@@ -104,38 +104,40 @@
             if entry.owner == name:
                 self._close(fd, entry.sock)
 
-    def release(self) -> None:
+    def clear_faults(self) -> None:
         """Lets everything run again, so that the loop can be closed."""
-        self._cuts.clear()
+        self._partitions.clear()
         self._dead.clear()
-        for name in list(self._held):
-            self.wake(name)
+        for name in list(self._deferred):
+            self.resume(name)
         self._paused.clear()
 
     def allowed_events(self, fd: int, events: int) -> int:
         """Returns the events that neither a cut nor a pause holds back."""
-        if not (self._cuts or self._paused):
+        if not (self._partitions or self._paused):
             return events
         entry = self._sockets.get(fd)
         if entry is None:
             return events
         if entry.owner in self._paused:
             return 0
-        if entry.peer_port and self._is_cut(entry.owner, entry.peer_port):
+        if entry.peer_port and self._is_partitioned(
+            entry.owner, entry.peer_port
+        ):
             return events & ~selectors.EVENT_READ
         return events
 
     def call_soon(self, callback, *args, context=None):  # type: ignore[override]
         """Schedules a callback for its process; see `asyncio`."""
         handle = super().call_soon(callback, *args, context=context)
-        return self._guard(handle, context)
+        return self._wrap_handle(handle, context)
 
     def call_at(self, when, callback, *args, context=None):  # type: ignore[override]
         """Schedules a timer for its process; see `asyncio`."""
         handle = super().call_at(when, callback, *args, context=context)
-        return self._guard(handle, context)
+        return self._wrap_handle(handle, context)
 
-    def _guard(self, handle, context):
+    def _wrap_handle(self, handle, context):
         owner = _OWNER.get("") if context is None else context.get(_OWNER, "")
         if owner:
             args = (owner, handle, handle._callback, handle._args)
@@ -145,16 +147,16 @@
 
     def _run_owned(self, owner, handle, callback, args) -> None:
         if owner in self._paused or owner in self._dead:
-            self._held.setdefault(owner, []).append(handle)
+            self._deferred.setdefault(owner, []).append(handle)
             return
         callback(*args)
 
-    def _is_cut(self, owner: str, port: int) -> bool:
+    def _is_partitioned(self, owner: str, port: int) -> bool:
         other = self._port_owners.get(port, "")
         places = (self._places.get(owner, ""), self._places.get(other, ""))
-        return frozenset(places) in self._cuts
+        return frozenset(places) in self._partitions
 
-    def _note(self, sock: socket.socket, peer_port: int = 0) -> str:
+    def _register_socket(self, sock: socket.socket, peer_port: int = 0) -> str:
         owner = _OWNER.get("")
         if owner:
             self._sockets[sock.fileno()] = _Socket(owner, sock, peer_port)
@@ -176,7 +178,7 @@
         transport = self._transports.pop(fd, None)  # type: ignore[attr-defined]
         if transport is not None:
             transport._sock_fd = _CLOSED
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         os.close(sock.detach())
 
     def _remove_reader(self, fd):
@@ -186,12 +188,12 @@
         return fd != _CLOSED and super()._remove_writer(fd)  # type: ignore[misc]
 
     def _start_serving(self, protocol_factory, sock, *args, **kwargs):
-        self._note(sock)
+        self._register_socket(sock)
         super()._start_serving(protocol_factory, sock, *args, **kwargs)  # type: ignore[misc]
 
     def _make_socket_transport(self, sock, protocol, *args, **kwargs):
         try:
-            self._note(sock, sock.getpeername()[1])
+            self._register_socket(sock, sock.getpeername()[1])
         except OSError:
             pass  # Closed by the other side already.
         return super()._make_socket_transport(  # type: ignore[misc]
@@ -199,15 +201,15 @@
         )
 
     def _make_datagram_transport(self, sock, protocol, *args, **kwargs):
-        owner = self._note(sock)
+        owner = self._register_socket(sock)
         if owner:
-            protocol = _Filter(self, owner, protocol)
+            protocol = _PartitionFilter(self, owner, protocol)
         return super()._make_datagram_transport(  # type: ignore[misc]
             sock, protocol, *args, **kwargs
         )
 
 
-class _Filter(asyncio.DatagramProtocol):
+class _PartitionFilter(asyncio.DatagramProtocol):
     """Drops the datagrams that come over a cut."""
 
     def __init__(self, loop: ProcessLoop, owner: str, protocol: Any):
@@ -232,5 +234,5 @@
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Passes on what is not cut off."""
-        if not self._loop._is_cut(self._owner, addr[1]):
+        if not self._loop._is_partitioned(self._owner, addr[1]):
             self._protocol.datagram_received(data, addr)
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -57,7 +57,7 @@
                 for version in ("v1", "v2")
             ]
             model = _model(published[0])
-            await deployment.declare(
+            await deployment.change_settings(
                 "start", *deployment.tree_operations({"assistent": model})
             )
             await _wait_until(lambda: _serving(deployment, "v1"))
@@ -138,7 +138,7 @@
 
 def test_declared_version_replaces_the_served_version(tmp_path):
     async def body(deployment, published):
-        await deployment.declare(
+        await deployment.change_settings(
             "roll out",
             changes.Set("services.assistent.model", _model(published[1])),
         )
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -156,7 +156,7 @@
         head, _, _ = await collect(await waiting)
     assert b'"finish_reason": "cancelled"' in data
     assert head.refused == "cancelled"
-    assert s.ledger.of_request("r2") == []
+    assert s.ledger.runs_of_request("r2") == []
 
 
 async def test_urgent_requests_overtake_in_the_queue():
--- a/tests/test_gate_service.py
+++ b/tests/test_gate_service.py
@@ -29,8 +29,8 @@
         message = codec.decode(ttypes.AnswerEnd, end.body)
         assert (message.request_id, message.attempt) == ("r1", 1)
         assert message.body_bytes == len(data.body)
-        assert data.body == plain.booking_of(b"r1")
-        assert len(setup.ledger.of_request("r1")) == 1
+        assert data.body == plain.booking_response(b"r1")
+        assert len(setup.ledger.runs_of_request("r1")) == 1
         assert not await setup.tombstone(submit_of("r1"))
 
 
@@ -72,7 +72,7 @@
         assert sorted(crash.fingerprints) == [b"r0", b"r1", b"r2"]
         assert crash.incarnation == gate_site.INCARNATION
         await eventually(lambda: setup.gate.ready)
-        assert not setup.ledger.of_request("r3")
+        assert not setup.ledger.runs_of_request("r3")
 
 
 async def test_gate_stays_closed_for_an_engine_restarted_without_weights():
@@ -238,4 +238,4 @@
         assert (await first)[-1].kind == Kind.ANSWER_END
         last = (await second)[-1]
         assert (last.kind == Kind.ANSWER_END) is handed_over
-        assert bool(setup.ledger.of_request("r2")) is handed_over
+        assert bool(setup.ledger.runs_of_request("r2")) is handed_over
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -108,6 +108,6 @@
     store.faults.corrupt = 1
     assert await store.get("chunks/a") != b"abcdef"
     assert await store.get("chunks/a", 2, 3) == b"cde"
-    assert store.drawn == 9
+    assert store.bytes_served == 9
     with pytest.raises(exceptions.BlobMissing):
         await store.size("chunks/b")
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -50,8 +50,8 @@
         item = await s.look_up("r1")
         booking = await s.book("r2", "k2", b"six hides")
         missing = await s.client.forward("GET", "/nothing", (), b"")
-    assert item.body == plain.item_of("leather-7")
-    assert booking.body == plain.booking_of(b"six hides")
+    assert item.body == plain.item_response("leather-7")
+    assert booking.body == plain.booking_response(b"six hides")
     assert (item.status, missing.status) == (200, 404)
     assert s.stand_in.bookings == [b"six hides"]
     runs = [(r.request_id, r.key, r.operation) for r in s.ledger.runs]
@@ -142,51 +142,59 @@
     ledger.finish(run, ledgers.RunEnd.FINISHED, 1.0, answer)
 
 
-TOLD = ledgers.Told
+TOLD = ledgers.CallerOutcome
 
 
 @pytest.mark.parametrize(
     ("runs", "seen", "broken"),
     [
-        ([("r",)], ledgers.Seen("r", TOLD.ANSWERED, answer=b"a"), None),
-        ([("r",)], ledgers.Seen("r", TOLD.NOT_RUN), "false_not_run"),
-        ([], ledgers.Seen("r", TOLD.NOT_RUN), None),
-        ([], ledgers.Seen("r", TOLD.UNKNOWN), None),
-        ([("r",)], ledgers.Seen("r", TOLD.UNKNOWN), None),
-        ([("r",)], ledgers.Seen("r", TOLD.NOTHING), "lost"),
-        ([], ledgers.Seen("r", TOLD.NOTHING, gave_up=True), None),
-        ([], ledgers.Seen("r", TOLD.ANSWERED), "lost"),
-        ([("r",)], ledgers.Seen("r", TOLD.ANSWERED, answer=b"b"), "crossed"),
+        ([("r",)], ledgers.CallerRecord("r", TOLD.ANSWERED, answer=b"a"), None),
+        ([("r",)], ledgers.CallerRecord("r", TOLD.NOT_RUN), "false_not_run"),
+        ([], ledgers.CallerRecord("r", TOLD.NOT_RUN), None),
+        ([], ledgers.CallerRecord("r", TOLD.UNKNOWN), None),
+        ([("r",)], ledgers.CallerRecord("r", TOLD.UNKNOWN), None),
+        ([("r",)], ledgers.CallerRecord("r", TOLD.NOTHING), "lost"),
+        ([], ledgers.CallerRecord("r", TOLD.NOTHING, client_closed=True), None),
+        ([], ledgers.CallerRecord("r", TOLD.ANSWERED), "lost"),
         (
             [("r",)],
-            ledgers.Seen("r", TOLD.ANSWERED, expected=b"b", answer=b"a"),
+            ledgers.CallerRecord("r", TOLD.ANSWERED, answer=b"b"),
             "crossed",
         ),
         (
             [("r",)],
-            ledgers.Seen("r", TOLD.ANSWERED, whole=False, answer=b"a"),
+            ledgers.CallerRecord(
+                "r", TOLD.ANSWERED, expected=b"b", answer=b"a"
+            ),
+            "crossed",
+        ),
+        (
+            [("r",)],
+            ledgers.CallerRecord(
+                "r", TOLD.ANSWERED, complete=False, answer=b"a"
+            ),
             "cut_off",
         ),
-        ([("r",), ("r",)], ledgers.Seen("r", TOLD.UNKNOWN), None),
+        ([("r",), ("r",)], ledgers.CallerRecord("r", TOLD.UNKNOWN), None),
         (
             [("r",), ("r",)],
-            ledgers.Seen("r", TOLD.UNKNOWN, idempotent=False),
+            ledgers.CallerRecord("r", TOLD.UNKNOWN, idempotent=False),
             "doubled",
         ),
         (
             [("r", "", b"a", 0), ("r", "", b"b", 9)],
-            ledgers.Seen("r", TOLD.UNKNOWN, idempotent=False),
+            ledgers.CallerRecord("r", TOLD.UNKNOWN, idempotent=False),
             None,
         ),
         (
             [("r", "k"), ("s", "k")],
-            ledgers.Seen("r", TOLD.UNKNOWN, "k", idempotent=False),
+            ledgers.CallerRecord("r", TOLD.UNKNOWN, "k", idempotent=False),
             "doubled",
         ),
         # A repeated key gets the answer that its first request was given.
         (
             [("s", "k")],
-            ledgers.Seen("r", TOLD.ANSWERED, "k", False, answer=b"a"),
+            ledgers.CallerRecord("r", TOLD.ANSWERED, "k", False, answer=b"a"),
             None,
         ),
     ],
@@ -195,7 +203,7 @@
     ledger = ledgers.Ledger()
     for run in runs:
         run_of(ledger, *run)
-    counts = ledger.judge([seen]).counts()
+    counts = ledger.check([seen]).counts()
     assert [name for name, count in counts.items() if count] == (
         [broken] if broken else []
     )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -225,12 +225,12 @@
     async with aiohttp.ClientSession() as session:
         there = logs.HttpLog(address, session, timeout_s=0.5)
         assert await there.append("settings", b"one") == 1
-        rig.standin.cut("zuid-1")
+        rig.standin.partition("zuid-1")
         with pytest.raises(exceptions.PlatformUnavailable) as failure:
             await there.append("settings", b"lost")
         assert failure.value.reason == "timeout"
         assert await rig.log.append("settings", b"two") == 2
-        rig.standin.join("zuid-1")
+        rig.standin.heal("zuid-1")
         assert await offsets(there) == [1, 2]
 
 
@@ -265,8 +265,8 @@
     assert await rig.store.get("chunks/ab", 1000, 50) == data[1000:1050]
     assert await rig.store.get("chunks/ab", 199_990, 50) == data[199_990:]
     assert await rig.store.get("chunks/ab", 200_000, 50) == b""
-    assert rig.standin.store.drawn == 200_000 + 50 + 10
-    assert rig.standin.origin.drawn == 0
+    assert rig.standin.store.bytes_served == 200_000 + 50 + 10
+    assert rig.standin.origin.bytes_served == 0
     with pytest.raises(exceptions.BlobMissing):
         await rig.origin.get("chunks/ab")
 
@@ -316,7 +316,7 @@
 
     # 500,000 bytes, of which the rate limit passes the first 250,000 at once.
     assert rig.clock.now() - start == pytest.approx(0.25, abs=0.01)
-    assert rig.standin.origin.drawn == 500_000
+    assert rig.standin.origin.bytes_served == 500_000
 
 
 def test_http_answer_without_end_is_cut_at_its_bound():
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -21,7 +21,7 @@
         try:
             await test(loop)
         finally:
-            loop.release()
+            loop.clear_faults()
 
     def run():
         clocks.run(main(), None, GRACE_S, processes.ProcessLoop)
@@ -87,7 +87,7 @@
     await server.start()
     assert await result(loop, "zuid", ask(server.port, "one")) == "server"
 
-    loop.cut("noord", "zuid")
+    loop.partition("noord", "zuid")
     with pytest.raises(TimeoutError):
         await result(loop, "zuid", ask(server.port, "two"))
     assert await result(loop, "midden", ask(server.port, "three")) == "server"
@@ -96,7 +96,7 @@
     waiting = loop.spawn("late", "zuid", ask(server.port, "four", 60.0))
     await asyncio.sleep(20.0)
     assert server.arrived == ["one", "three"]
-    loop.join("noord", "zuid")
+    loop.heal("noord", "zuid")
     assert await waiting == "server"
     assert "four" in server.arrived
 
@@ -125,10 +125,10 @@
     address = receiver.get_extra_info("sockname")
     sender.sendto(b"before", address)
     await asyncio.sleep(0.1)
-    loop.cut("zuid", "noord")
+    loop.partition("zuid", "noord")
     sender.sendto(b"lost", address)
     await asyncio.sleep(0.1)
-    loop.join("noord", "zuid")
+    loop.heal("noord", "zuid")
     sender.sendto(b"after", address)
     await asyncio.sleep(0.1)
     assert zuid.received == [b"before", b"after"]
@@ -151,7 +151,7 @@
     await asyncio.sleep(30.0)
     assert (server.ticks, server.arrived) == (5, [])
 
-    loop.wake("server")
+    loop.resume("server")
     await asyncio.sleep(0.1)
     assert (server.ticks, server.arrived) == (6, ["one"])
     assert await result(loop, "noord", ask(server.port, "two")) == "server"
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -201,9 +201,11 @@
 
 
 def seen(told, request_id, reason="", seconds=0.1, key="", wrong=False):
-    is_answer = told is ledgers.Told.ANSWERED
+    is_answer = told is ledgers.CallerOutcome.ANSWERED
     return worlds.Observed(
-        ledgers.Seen(request_id, told, key, not key, whole=is_answer),
+        ledgers.CallerRecord(
+            request_id, told, key, not key, complete=is_answer
+        ),
         reason,
         seconds,
         wrong,
@@ -214,7 +216,7 @@
     run = world.ledger.start(request_id, "", "op", "w", world.clock.now())
     await asyncio.sleep(0.1)
     world.ledger.finish(run, ledgers.RunEnd.FINISHED, world.clock.now())
-    return seen(ledgers.Told.ANSWERED, request_id)
+    return seen(ledgers.CallerOutcome.ANSWERED, request_id)
 
 
 def play(text, answer=answered, seed=1):
@@ -253,17 +255,17 @@
     key = f"key-{call.number}"
     for _ in range(2 if call.number == 20 else 1):
         world.ledger.start(request_id, key, "op", "w", world.clock.now())
-    return seen(ledgers.Told.ANSWERED, request_id, key=key)
+    return seen(ledgers.CallerOutcome.ANSWERED, request_id, key=key)
 
 
 async def falsely_not_run(world, call, request_id):
     world.ledger.start(request_id, "", "op", "w", world.clock.now())
-    return seen(ledgers.Told.NOT_RUN, request_id, "overloaded")
+    return seen(ledgers.CallerOutcome.NOT_RUN, request_id, "overloaded")
 
 
 async def wrong(world, call, request_id):
     await answered(world, call, request_id)
-    return seen(ledgers.Told.ANSWERED, request_id, wrong=True)
+    return seen(ledgers.CallerOutcome.ANSWERED, request_id, wrong=True)
 
 
 @pytest.mark.parametrize(
@@ -298,7 +300,7 @@
 
 async def refused_once(world, call, request_id):
     if call.attempt == 0:
-        return seen(ledgers.Told.NOT_RUN, request_id, "overloaded")
+        return seen(ledgers.CallerOutcome.NOT_RUN, request_id, "overloaded")
     return await answered(world, call, request_id)
 
 
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -100,7 +100,7 @@
     for agent in agents:
         agent.transfer.set_target(manifest)
     await wait_all(agents)
-    assert origin.drawn == manifest.total_bytes
+    assert origin.bytes_served == manifest.total_bytes
     for agent in agents:
         assert agent.transfer.progress == transfer.Progress(
             manifest.digest, 16, 16
--- a/tests/test_weights_service.py
+++ b/tests/test_weights_service.py
@@ -34,10 +34,10 @@
         await site.start()
         site.declare(V2, 2)
         await site.wait_until_served("2")
-        drawn = site.origin.drawn
+        drawn = site.origin.bytes_served
         site.declare(V1, 3)
         await site.wait_until_served("1")
-        assert site.origin.drawn == drawn
+        assert site.origin.bytes_served == drawn
 
     run(scenario, count=2, checks_fencing=checks_fencing)
 
@@ -124,14 +124,17 @@
 
     async def scenario(site):
         await site.start()
-        drawn, orders = site.origin.drawn, len(site.agents[0].engine.orders)
+        drawn, orders = (
+            site.origin.bytes_served,
+            len(site.agents[0].engine.orders),
+        )
         site.origin.faults.down = True
         site.agents[0].kill()
         await site.wait_until_served("1", limit_s=2.0)
         await asyncio.sleep(10.0)
         status = site.agents[0].weights.status()
         assert status.held == status.total
-        assert site.origin.drawn == drawn
+        assert site.origin.bytes_served == drawn
         assert len(site.agents[0].engine.orders) == orders
 
     run(scenario)
@@ -152,7 +155,7 @@
         agent.engine.chunks[damaged] = b"?" + agent.engine.chunks[damaged][1:]
         await site.start()
         size = weights_site.CHUNK_BYTES
-        assert site.origin.drawn == 2 * size + len(manifest.encode())
+        assert site.origin.bytes_served == 2 * size + len(manifest.encode())
         assert agent.counters.value("weights.staging.recovered") == 1
         assert agent.counters.value("weights.staging.corrupt") == 1
 
@@ -168,9 +171,9 @@
         site.declare(V3, 2)
         await asyncio.sleep(1.5)
         site.declare(V1, 3)
-        drawn = site.origin.drawn
+        drawn = site.origin.bytes_served
         await asyncio.sleep(30.0)
-        assert site.origin.drawn == drawn
+        assert site.origin.bytes_served == drawn
         assert site.agents[0].serves == "1"
         assert len(site.agents[0].engine.orders) == 1
 
@@ -294,14 +297,14 @@
         agents = site.agents
         assert all(adapters_served(a) == {"spur": "a1"} for a in agents)
         loads = [len(agent.engine.orders) for agent in agents]
-        drawn = site.origin.drawn
+        drawn = site.origin.bytes_served
         site.declare(V2, 3, A2)
         while any(adapters_served(a) != {"spur": "a2"} for a in agents):
             await asyncio.sleep(0.1)
         assert [len(agent.engine.orders) for agent in agents] == loads
         # One chunk of the adapter is new, and its manifest, at three agents.
         size = weights_site.CHUNK_BYTES + len(A2.encode())
-        assert site.origin.drawn - drawn == 3 * size
+        assert site.origin.bytes_served - drawn == 3 * size
 
     run(scenario, count=3)
 
--- a/tests/weights_site.py
+++ b/tests/weights_site.py
@@ -103,7 +103,7 @@
     def resume(self):
         """Resumes the process, which does not notice that time has passed."""
         self.paused = False
-        self.site.loop.wake(self.process)
+        self.site.loop.resume(self.process)
 
     def kill(self):
         """Kills and replaces the process; the engine keeps running."""
@@ -212,7 +212,7 @@
         done, _ = await asyncio.wait(
             (watching, running), return_when=asyncio.FIRST_COMPLETED
         )
-        site.loop.release()
+        site.loop.clear_faults()
         for task in done:
             task.result()
         site.check()
