--- a/src/clementinegw/testing/__init__.py
+++ b/src/clementinegw/testing/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins and virtual time for tests, benches and the demo.
+"""Stand-ins and virtual time for tests, benchmarks and the demo.
 
-`clock` and `memory` need no sockets: decision tests and the fault matrix run
-on them. `platform`, `engine` and `plain` speak HTTP on the loopback.
+`clock` and `memory` use no sockets; decision tests and the fault matrix run on
+them. `platform`, `engine` and `plain` serve HTTP on the loopback interface.
 """
--- a/src/clementinegw/testing/_server.py
+++ b/src/clementinegw/testing/_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server on the loopback that can be told to fail."""
+"""An HTTP server on the loopback interface with fault injection."""
 
 import asyncio
 
@@ -9,16 +9,16 @@
 _LOOPBACK = "127.0.0.1"
 _MAX_BODY_BYTES = 256 * 1024 * 1024
 _STALL_CHECK_S = 0.05
-# Handlers that still wait when the server stops are cancelled after this.
+# Handlers that still run when the server stops are cancelled after this time.
 _SHUTDOWN_S = 0.1
 
 
 class Listener:
-    """One port of a server, for the clients of one failure domain.
+    """One listening port of a server, for clients of one failure domain.
 
     Attributes:
-      faults: What goes wrong for these clients only.
-      port: The port; 0 before the first start.
+      faults: Faults for these clients only.
+      port: The port number; 0 before the first start.
     """
 
     def __init__(self) -> None:
@@ -32,12 +32,12 @@
 
 
 class Server:
-    """One part of the platform: routes, faults, start and stop.
+    """Base class of the platform's servers: routes, faults, start and stop.
 
     Attributes:
-      faults: What goes wrong; set and reset at any time. `timeout_s` has no
-        meaning here: the client under test has its own.
-      calls: Calls that came in, refused ones included.
+      faults: Faults for all clients; may be changed at any time. `timeout_s`
+        is ignored here, because the client under test has its own timeout.
+      calls: Number of requests received, including refused ones.
     """
 
     def __init__(self) -> None:
@@ -52,15 +52,16 @@
         return self._listeners[""].address
 
     def listener(self, place: str) -> Listener:
-        """Returns the port for a failure domain; asked for before the start.
+        """Returns the listener of a failure domain, created on first use.
 
-        With a port for each failure domain, a test can cut one of them off
-        from the platform while the others go on.
+        Must be called before `start`. With a port for each failure domain, a
+        test can partition one of them from the platform while the others
+        still reach it.
         """
         return self._listeners.setdefault(place, Listener())
 
     async def start(self) -> None:
-        """Listens on ports that the kernel chooses the first time."""
+        """Starts listening; the kernel chooses the ports on the first start."""
         app = web.Application(
             client_max_size=_MAX_BODY_BYTES, middlewares=[self._inject_faults]
         )
@@ -77,7 +78,7 @@
             listener.port = self._runner.addresses[count][1]
 
     async def stop(self) -> None:
-        """Closes the ports and all connections; keeps what it holds."""
+        """Closes the ports and all connections; keeps the stored data."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
@@ -104,19 +105,19 @@
         return response
 
     def _stalls_before_effect(self, request: web.Request) -> bool:
-        """Returns whether a stalled call stops before it has its effect."""
+        """Returns whether the request stalls before it takes effect."""
         return self._is_stalled(request)
 
     async def stall(self, request: web.Request) -> None:
-        """Holds a connection open without a byte, then breaks it off."""
-        # The fault is plain data that a test sets from anywhere, so it is
-        # looked at again and again.
+        """Keeps a connection open without sending, then aborts it."""
+        # The fault is a plain attribute that a test sets at any time, so it
+        # is polled.
         while self._is_stalled(request):  # noqa: ASYNC110
             await asyncio.sleep(_STALL_CHECK_S)
         abort_connection(request)
 
     def _faults_of(self, request: web.Request) -> list[memory.Faults]:
-        """Returns the server's faults and those of the port used."""
+        """Returns the faults of the server and of the request's port."""
         found = [self.faults]
         if request.transport is not None:
             port = request.transport.get_extra_info("sockname")[1]
@@ -135,7 +136,7 @@
         return any(faults.stalled for faults in self._faults_of(request))
 
     def _consume_fault(self, request: web.Request, fault: str) -> bool:
-        """Uses up one of the next n calls that a fault is set for."""
+        """Returns whether a counted fault applies, and decrements its count."""
         for faults in self._faults_of(request):
             left = getattr(faults, fault)
             if left > 0:
@@ -145,7 +146,7 @@
 
 
 def abort_connection(request: web.Request) -> web.Response:
-    """Breaks a connection off without an answer."""
+    """Aborts the connection without a response."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
--- a/src/clementinegw/testing/clock.py
+++ b/src/clementinegw/testing/clock.py
@@ -1,8 +1,8 @@
-"""Virtual time: a clock that is told to advance, and a loop that tells it.
+"""Virtual time: a manually advanced clock and an event loop that advances it.
 
-Code under test takes a `clock.Clock`. Coroutine code runs in a
-`VirtualTimeLoop`, which jumps to the next timer when nothing else is ready:
-an hour of timeouts takes milliseconds and ends the same every time.
+Code under test takes a `clock.Clock`. Coroutines run in a `VirtualTimeLoop`,
+which advances the clock to the next timer when nothing else is ready: an hour
+of timeouts takes milliseconds and gives the same result in every run.
 """
 
 import asyncio
@@ -16,31 +16,31 @@
 
 _START_NOW = 1_000.0
 _START_WALL = 1_700_000_000.0
-# How long, in real seconds, a loop without any timer waits for a socket or
-# another thread before it is taken for a deadlock.
+# Real seconds that a loop without any timer waits for a socket or another
+# thread before it reports a deadlock.
 _DEADLOCK_S = 5.0
-# A jump as short as this needs no grace: what the kernel delivers a moment
-# later is late by no more than that.
+# Up to this length, the loop advances without waiting for sockets: data that
+# the kernel delivers afterwards is late by no more than this.
 _MAX_JUMP_WITHOUT_GRACE_S = 0.02
-# A timer may fire a nanosecond early, as on the machine's clock. Code that
-# then waits for the rest must see the time move, or it would wait for ever:
-# a rest below the clock's precision would leave it where it is.
+# A timer may fire a nanosecond early, as with the system clock. Code that then
+# waits for the remainder would loop forever if the remainder were below the
+# clock's precision, because adding it would not change the time.
 _MIN_JUMP_S = 1e-6
 
 
 class VirtualClock:
-    """A `clock.Clock` that stands still until it is advanced."""
+    """A `clock.Clock` whose time changes only when it is advanced."""
 
     def __init__(self, now: float = _START_NOW, wall: float = _START_WALL):
         self._now = now
         self._wall_offset = wall - now
 
     def now(self) -> float:
-        """Returns monotonic seconds."""
+        """Returns the monotonic time, in seconds."""
         return self._now
 
     def wall(self) -> float:
-        """Returns seconds since the epoch."""
+        """Returns the wall-clock time, in seconds since the epoch."""
         return self._now + self._wall_offset
 
     def advance(self, seconds: float) -> float:
@@ -55,17 +55,17 @@
         return self._now
 
     def advance_to(self, now: float) -> float:
-        """Moves the clock forward to a time; does nothing when it is past."""
+        """Moves the clock forward to a time; ignores a time in the past."""
         self._now = max(self._now, now)
         return self._now
 
     def step_wall(self, seconds: float) -> None:
-        """Sets the wall clock forward or back, as a time service does."""
+        """Moves the wall clock forward or back, as a time service does."""
         self._wall_offset += seconds
 
 
 class _VirtualTimeSelector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
-    """Advances a clock in place of waiting."""
+    """Advances a clock instead of waiting."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         self._allowed = allowed
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Returns what is ready, or advances the clock by the timeout."""
+        """Returns ready events, or advances the clock by the timeout."""
         ready = self._poll(0.0)
         if ready or timeout == 0:
             return ready
@@ -95,8 +95,8 @@
         found = super().select(seconds)
         ready = self._filter_allowed(found)
         if seconds and found and not ready:
-            # What is held back is ready all the time and ends the wait at
-            # once; the other sockets must have their grace all the same.
+            # Sockets whose events are held back are always ready and end the
+            # wait at once; the others still need the full grace time.
             time.sleep(seconds)
             ready = self._filter_allowed(super().select(0.0))
         return ready
@@ -106,8 +106,8 @@
         return [(key, mask) for key, mask in allowed if mask]
 
     def _wait_for_sockets(self) -> list[Any]:
-        # A loop without timers and without ready sockets would wait for ever
-        # and hang the whole test run; an error names the deadlock.
+        # A loop without timers and ready sockets would wait forever and hang
+        # the test run; an error reports the deadlock instead.
         ready = self._poll(_DEADLOCK_S)
         if not ready:
             raise RuntimeError("deadlock: every task waits and no timer is set")
@@ -117,8 +117,8 @@
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """An event loop in virtual time.
 
-    Sockets on the loopback work as well: with `grace_s` the loop gives the
-    kernel that many real seconds to deliver before it jumps.
+    Sockets on the loopback interface are supported: with `grace_s` the loop
+    waits that many real seconds for them before it advances the clock.
     """
 
     def __init__(
@@ -127,14 +127,14 @@
         grace_s: float = 0.0,
         tick_s: float = 0.0,
     ):
-        """Starts at the clock's time.
+        """Creates a loop that starts at the clock's time.
 
         Args:
           clock: The clock to advance; a new one by default.
-          grace_s: Real seconds to wait for sockets before each jump but the
-            shortest; 0 for code without sockets.
-          tick_s: Timers are late by up to this, so that those of many
-            processes share one jump; 0 for exact ones.
+          grace_s: Real seconds to wait for sockets before each advance of more
+            than 0.02 s; 0 for code without sockets.
+          tick_s: Seconds to which timers are rounded up, so that the timers of
+            many processes fire together; 0 for exact timers.
         """
         self.clock = clock or VirtualClock()
         self._tick_s = tick_s
@@ -143,21 +143,21 @@
         )
 
     def time(self) -> float:
-        """Returns the virtual clock's monotonic seconds."""
+        """Returns the virtual clock's monotonic time, in seconds."""
         return self.clock.now()
 
     def call_at(self, when, callback, *args, context=None):  # type: ignore[override]
-        """Schedules a timer at the next tick; see `asyncio`."""
+        """Schedules a timer, rounded up to the next tick; see `asyncio`."""
         if self._tick_s:
-            # Strictly later, for the reason given at `_MIN_JUMP_S`.
+            # Strictly later, for the reason stated at `_MIN_JUMP_S`.
             when = (math.floor(when / self._tick_s) + 1) * self._tick_s
         return super().call_at(when, callback, *args, context=context)
 
     def run_in_executor(self, executor, func, *args):  # type: ignore[override]
-        """Runs a function at once: other threads take no virtual time.
+        """Runs a function immediately in this thread, in no virtual time.
 
-        In a thread it would take real time, in which this loop would jump
-        from timer to timer, further or less far in each run.
+        In another thread it would take real time, during which this loop would
+        advance by an amount that differs from run to run.
         """
         del executor
         future = self.create_future()
@@ -168,7 +168,7 @@
         return future
 
     def allowed_events(self, fd: int, events: int) -> int:
-        """Returns which of a socket's events may be seen; all of them here."""
+        """Returns the events of a socket to deliver; all of them here."""
         del fd
         return events
 
@@ -181,15 +181,15 @@
         VirtualTimeLoop
     ),
 ) -> T:
-    """Runs a coroutine to its end in virtual time.
+    """Runs a coroutine to completion in virtual time.
 
-    Tasks that it left behind are cancelled.
+    Tasks that are still pending at its end are cancelled.
 
     Args:
-      coroutine: What to run.
-      clock: The clock that the code under test was given.
+      coroutine: The coroutine to run.
+      clock: The clock that the code under test uses; a new one by default.
       grace_s: See `VirtualTimeLoop`.
-      make_loop: Makes the loop from the clock and the grace.
+      make_loop: Creates the loop from the clock and `grace_s`.
 
     Returns:
       The coroutine's result.
--- a/src/clementinegw/testing/ledger.py
+++ b/src/clementinegw/testing/ledger.py
@@ -1,7 +1,8 @@
-"""What the stand-ins themselves saw, and how callers' outcomes fit to it.
+"""Records of actual runs, compared with the outcomes that callers received.
 
-The system's word counts for nothing here: runs are written down by the backend
-servers' stand-ins, outcomes by the callers, and `check` compares the two.
+Nothing that the system under test reports is used: the backend servers'
+stand-ins record the runs, the callers record the outcomes, and `Ledger.check`
+compares the two.
 """
 
 import collections
@@ -15,9 +16,9 @@
 
     OPEN = "open"
     FINISHED = "finished"
-    CANCELLED = "cancelled"  # by an order to cancel
-    DROPPED = "dropped"  # the other side closed the connection
-    CRASHED = "crashed"  # the server died with it
+    CANCELLED = "cancelled"  # by a cancel request
+    DROPPED = "dropped"  # the client closed the connection
+    CRASHED = "crashed"  # the server crashed during the run
     FAILED = "failed"
 
 
@@ -26,17 +27,17 @@
     """One run of one request at one backend server.
 
     Attributes:
-      request_id: The request, as its header says.
-      key: Its idempotency key; empty without one.
+      request_id: The request ID from the header.
+      key: Its idempotency key; empty when it has none.
       operation: Method and path.
       server: The stand-in's name.
-      started: Monotonic seconds.
-      resumed: Tokens the run went on from; 0 for a run from the start.
-      incarnation: How often the server had died before.
+      started: Start time, in monotonic seconds.
+      resumed: Tokens that the run continued from; 0 for a run from the start.
+      incarnation: How often the server had crashed before.
       end: How it ended.
-      finished: Monotonic seconds; None while it is open.
-      answer: The whole body that was sent; empty when not kept.
-      version: The version it ran on.
+      finished: End time, in monotonic seconds; None while it is open.
+      answer: The complete body that was sent; empty when not recorded.
+      version: The version that the run used.
     """
 
     request_id: str
@@ -53,7 +54,7 @@
 
 
 class CallerOutcome(enum.StrEnum):
-    """What a caller was told in the end."""
+    """The final outcome that a caller received."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -63,17 +64,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRecord:
-    """One request as its caller saw it.
+    """One request as observed by its caller.
 
     Attributes:
-      request_id: The request.
-      outcome: The outcome.
-      key: Its idempotency key; empty without one.
+      request_id: The request ID.
+      outcome: The outcome that the caller received.
+      key: Its idempotency key; empty when it has none.
       idempotent: Whether it may run more than once.
-      complete: Whether an answer came with its end.
-      expected: What the answer must be; None takes the ledger's answers of
-        this request and key.
-      answer: What came.
+      complete: Whether an answer was received to its end.
+      expected: The expected answer; None compares with the ledger's answers
+        of this request and key.
+      answer: The received answer.
       client_closed: The caller closed the connection itself.
     """
 
@@ -89,14 +90,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violations:
-    """Request ids (keys for `doubled`) by the promise that was broken.
+    """Request IDs (keys for `doubled`) by the guarantee that was violated.
 
     Attributes:
       doubled: Non-idempotent requests or keys that ran more than once.
       lost: Requests without an outcome, or answered without any run.
       crossed: Answers that belong to another request.
-      cut_off: Answers told as whole that were not.
-      false_not_run: Told "not run" although a run had begun.
+      cut_off: Answers reported as complete that were truncated.
+      false_not_run: Requests reported as not run although a run had begun.
     """
 
     doubled: tuple[str, ...] = ()
@@ -107,11 +108,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no promise was broken."""
+        """Whether no guarantee was violated."""
         return not any(dataclasses.astuple(self))
 
     def counts(self) -> dict[str, int]:
-        """Returns how many requests each promise was broken for."""
+        """Returns the number of violations of each guarantee."""
         return {
             field.name: len(getattr(self, field.name))
             for field in dataclasses.fields(self)
@@ -119,7 +120,7 @@
 
 
 class Ledger:
-    """The runs that all stand-ins of one test saw."""
+    """The runs recorded by all stand-ins of one test."""
 
     def __init__(self) -> None:
         self._runs: list[Run] = []
@@ -141,7 +142,7 @@
         resumed: int = 0,
         incarnation: int = 0,
     ) -> Run:
-        """Writes down that a run begins, before any of its effects."""
+        """Records the start of a run, before any of its effects."""
         run = Run(request_id, key, operation, server, now, resumed, incarnation)
         self._runs.append(run)
         self._by_request[request_id].append(run)
@@ -152,7 +153,7 @@
     def finish(
         self, run: Run, end: RunEnd, now: float, answer: bytes = b""
     ) -> None:
-        """Writes down how a run ended; the first end counts."""
+        """Records how a run ended; only the first call has an effect."""
         if run.end is not RunEnd.OPEN:
             return
         run.end = end
@@ -168,7 +169,7 @@
         return list(self._by_key.get(key, ()))
 
     def crashed_servers(self) -> collections.Counter[str]:
-        """Returns how often each server crashed with at least one run."""
+        """Returns how often each server crashed during at least one run."""
         crashes = {
             (run.server, run.incarnation)
             for run in self._runs
@@ -176,60 +177,64 @@
         }
         return collections.Counter(server for server, _ in crashes)
 
-    def check(self, seen: Iterable[CallerRecord]) -> Violations:
-        """Compares what callers saw with what ran.
+    def check(self, records: Iterable[CallerRecord]) -> Violations:
+        """Returns the violations found by comparing callers' records with runs.
 
-        A request that the system told honestly as unknown breaks no promise by
-        itself, whether it ran or not; running twice does.
+        An outcome of unknown is no violation by itself, whether the request
+        ran or not; running a non-idempotent request twice is one.
         """
-        seen = list(seen)
+        records = list(records)
         return Violations(
-            doubled=self._find_doubled(seen),
-            lost=_matching_ids(seen, self._is_lost),
-            crossed=_matching_ids(seen, self._is_crossed),
-            cut_off=_matching_ids(seen, _is_cut_off),
-            false_not_run=_matching_ids(seen, self._is_false_not_run),
+            doubled=self._find_doubled(records),
+            lost=_matching_ids(records, self._is_lost),
+            crossed=_matching_ids(records, self._is_crossed),
+            cut_off=_matching_ids(records, _is_cut_off),
+            false_not_run=_matching_ids(records, self._is_false_not_run),
         )
 
-    def _find_doubled(self, seen: list[CallerRecord]) -> tuple[str, ...]:
+    def _find_doubled(self, records: list[CallerRecord]) -> tuple[str, ...]:
         doubled = set()
-        for one in seen:
-            if one.idempotent:
+        for record in records:
+            if record.idempotent:
                 continue
-            runs = self._by_request.get(one.request_id, ())
-            if one.key:
-                runs = self._by_key.get(one.key, ())
-            # A stream that goes on from its tokens is the same run.
+            runs = self._by_request.get(record.request_id, ())
+            if record.key:
+                runs = self._by_key.get(record.key, ())
+            # A stream that resumes from its tokens counts as the same run.
             if sum(not run.resumed for run in runs) > 1:
-                doubled.add(one.key or one.request_id)
+                doubled.add(record.key or record.request_id)
         return tuple(sorted(doubled))
 
-    def _runs_for(self, one: CallerRecord) -> list[Run]:
-        runs = self.runs_of_request(one.request_id)
-        return runs or (self.runs_of_key(one.key) if one.key else [])
+    def _runs_for(self, record: CallerRecord) -> list[Run]:
+        runs = self.runs_of_request(record.request_id)
+        return runs or (self.runs_of_key(record.key) if record.key else [])
 
-    def _is_lost(self, one: CallerRecord) -> bool:
-        if one.outcome is CallerOutcome.NOTHING:
-            return not one.client_closed
-        return one.outcome is CallerOutcome.ANSWERED and not self._runs_for(one)
+    def _is_lost(self, record: CallerRecord) -> bool:
+        if record.outcome is CallerOutcome.NOTHING:
+            return not record.client_closed
+        return record.outcome is CallerOutcome.ANSWERED and not self._runs_for(
+            record
+        )
 
-    def _is_crossed(self, one: CallerRecord) -> bool:
-        if one.outcome is not CallerOutcome.ANSWERED or not one.complete:
+    def _is_crossed(self, record: CallerRecord) -> bool:
+        if record.outcome is not CallerOutcome.ANSWERED or not record.complete:
             return False
-        if one.expected is not None:
-            return one.answer != one.expected
-        answers = {run.answer for run in self._runs_for(one) if run.answer}
-        return bool(answers) and one.answer not in answers
-
-    def _is_false_not_run(self, one: CallerRecord) -> bool:
-        return one.outcome is CallerOutcome.NOT_RUN and bool(
-            self.runs_of_request(one.request_id)
+        if record.expected is not None:
+            return record.answer != record.expected
+        answers = {run.answer for run in self._runs_for(record) if run.answer}
+        return bool(answers) and record.answer not in answers
+
+    def _is_false_not_run(self, record: CallerRecord) -> bool:
+        return record.outcome is CallerOutcome.NOT_RUN and bool(
+            self.runs_of_request(record.request_id)
         )
 
 
-def _is_cut_off(one: CallerRecord) -> bool:
-    return one.outcome is CallerOutcome.ANSWERED and not one.complete
+def _is_cut_off(record: CallerRecord) -> bool:
+    return record.outcome is CallerOutcome.ANSWERED and not record.complete
 
 
-def _matching_ids(seen: list[CallerRecord], broken) -> tuple[str, ...]:
-    return tuple(one.request_id for one in seen if broken(one))
+def _matching_ids(records: list[CallerRecord], is_violation) -> tuple[str, ...]:
+    return tuple(
+        record.request_id for record in records if is_violation(record)
+    )
--- a/src/clementinegw/testing/links.py
+++ b/src/clementinegw/testing/links.py
@@ -1,4 +1,4 @@
-"""Links of limited rate, as decisions and as a pacing for coroutines."""
+"""Token buckets and rate-limited links, for decisions and coroutines."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 
 
 class TokenBucket:
-    """A rate with a burst.
+    """A token bucket with a rate and a burst size.
 
-    Takers are served in the order in which they ask: each one reserves its
-    tokens at once and then waits until they have come in, so that a large
-    taker is not passed by small ones for ever.
+    Requests are served in order: each one reserves its tokens at once and then
+    waits until they are available, so that small requests cannot starve a
+    large one.
     """
 
     def __init__(
@@ -19,12 +19,12 @@
         burst: float | None = None,
         clock: clocks.Clock | None = None,
     ):
-        """Starts full.
+        """Creates a full bucket.
 
         Args:
-          rate: Tokens that come in a second; above zero.
-          burst: The most it holds; a tenth of a second's worth by default.
-          clock: The source of time; the machine's by default.
+          rate: Tokens added per second; above zero.
+          burst: Maximum number of tokens; `rate` / 10 by default.
+          clock: The source of time; the system clock by default.
 
         Raises:
           ValueError: The rate is not above zero.
@@ -39,22 +39,22 @@
 
     @property
     def rate(self) -> float:
-        """Tokens that come in a second."""
+        """Tokens added per second."""
         return self._rate
 
     @property
     def level(self) -> float:
-        """Tokens held now; below zero while takers wait."""
+        """Tokens available now; negative while requests wait."""
         self._fill()
         return self._level
 
     def set_rate(self, rate: float) -> None:
-        """Changes the rate from now on."""
+        """Changes the rate, effective immediately."""
         self._fill()
         self._rate = rate
 
     def try_take(self, count: float = 1.0) -> bool:
-        """Takes tokens if they are there; returns whether it did."""
+        """Takes tokens if available; returns whether it did."""
         self._fill()
         if self._level < count:
             return False
@@ -62,33 +62,33 @@
         return True
 
     def reserve(self, count: float = 1.0) -> float:
-        """Takes tokens in advance.
+        """Takes tokens, in advance if necessary.
 
         Args:
-          count: How many; may be more than the burst.
+          count: Number of tokens; may exceed the burst.
 
         Returns:
-          Seconds until they have come in; 0.0 when they are there.
+          Seconds until the tokens are available; 0.0 if they already are.
         """
         self._fill()
         self._level -= count
         return max(0.0, -self._level / self._rate)
 
     async def take(self, count: float = 1.0) -> None:
-        """Takes tokens and waits until they have come in."""
+        """Takes tokens and waits until they are available."""
         wait_s = self.reserve(count)
         if wait_s > 0:
             await asyncio.sleep(wait_s)
 
     def _fill(self) -> None:
         now = self._clock.now()
-        come_in = (now - self._filled_at) * self._rate
+        added = (now - self._filled_at) * self._rate
         self._filled_at = now
-        self._level = min(self._burst, self._level + come_in)
+        self._level = min(self._burst, self._level + added)
 
 
 class ShapedLink:
-    """One machine's link: a rate each way, or one rate for both together."""
+    """One machine's link, with a rate per direction or a shared one."""
 
     def __init__(
         self,
@@ -99,15 +99,17 @@
         clock: clocks.Clock | None = None,
         burst_s: float = 0.01,
     ):
-        """Starts idle.
+        """Creates an idle link.
 
         Args:
-          up_bytes_per_s: The rate of what the machine sends.
-          down_bytes_per_s: The rate of what it receives; as up by default.
-          shared: One bucket at `up_bytes_per_s` for both directions.
-          latency_s: Added to each transfer, one way.
-          clock: The source of time; the machine's by default.
-          burst_s: Seconds' worth of bytes that may pass at once.
+          up_bytes_per_s: Send rate of the machine, in bytes per second.
+          down_bytes_per_s: Receive rate, in bytes per second; the send rate by
+            default.
+          shared: Whether both directions share one bucket at
+            `up_bytes_per_s`.
+          latency_s: One-way latency of each transfer, in seconds.
+          clock: The source of time; the system clock by default.
+          burst_s: Burst size, in seconds at the link's rate.
         """
         down_rate = down_bytes_per_s or up_bytes_per_s
         self._up = TokenBucket(up_bytes_per_s, up_bytes_per_s * burst_s, clock)
@@ -122,7 +124,7 @@
 
     @property
     def latency_s(self) -> float:
-        """Seconds added to each transfer, one way."""
+        """One-way latency of each transfer, in seconds."""
         return self._latency_s
 
     @property
@@ -136,31 +138,31 @@
         return self._received
 
     def reserve_send(self, count: int) -> float:
-        """Books bytes to send; returns seconds until they have left."""
+        """Reserves bytes to send; returns the seconds until they are sent."""
         self._sent += count
         return self._up.reserve(count)
 
     def reserve_receive(self, count: int) -> float:
-        """Books bytes to receive; returns seconds until they are in."""
+        """Reserves bytes to receive; returns the seconds until they arrive."""
         self._received += count
         return self._down.reserve(count)
 
     async def send(self, count: int) -> None:
-        """Waits until that many bytes have left."""
+        """Waits until `count` bytes are sent."""
         await asyncio.sleep(self.reserve_send(count) + self._latency_s)
 
     async def receive(self, count: int) -> None:
-        """Waits until that many bytes have come in."""
+        """Waits until `count` bytes are received."""
         await asyncio.sleep(self.reserve_receive(count) + self._latency_s)
 
 
 async def transfer(
     sender: ShapedLink, receiver: ShapedLink, count: int
 ) -> None:
-    """Waits as long as bytes take from one machine to another.
+    """Waits for the duration of a transfer between two machines.
 
-    Both links are booked at the same moment: the slower one decides, as in a
-    stream over both.
+    Both links are reserved at the same time, and the slower one determines the
+    duration, as for a stream over both.
     """
     wait_s = max(sender.reserve_send(count), receiver.reserve_receive(count))
     latency_s = max(sender.latency_s, receiver.latency_s)
--- a/src/clementinegw/testing/memory.py
+++ b/src/clementinegw/testing/memory.py
@@ -1,8 +1,8 @@
-"""The platform in memory: its clients' Protocols without sockets.
+"""An in-memory platform: its client Protocols without sockets.
 
-For decision tests and the fault matrix. All waiting is `asyncio.sleep` and
-all time comes from the clock, so that under `clock.run` nothing really waits.
-Sockets and HTTP are in `testing.platform`, over the same `_records`.
+For decision tests and the fault matrix. All waits use `asyncio.sleep` and all
+times come from the clock, so that waits take no real time under `clock.run`.
+`testing.platform` serves the same `_records` over HTTP.
 """
 
 import asyncio
@@ -18,17 +18,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong for one client; set and reset at any time.
+    """The faults injected for one client; may be changed at any time.
 
     Attributes:
       down: Every call fails without effect.
-      slow_s: Seconds that each call takes before it has its effect.
+      slow_s: Delay of each call before it takes effect, in seconds.
       answer_lost: The next n appends or puts take effect and then fail.
-      refused: The next n calls fail without effect. Their caller cannot tell
-        them from those of `answer_lost`.
+      refused: The next n calls fail without effect. The caller cannot
+        distinguish them from those of `answer_lost`.
       stalled: Calls wait until they time out, without effect.
-      corrupt: The next n blob reads return a flipped byte.
-      timeout_s: When a stalled or slow call is given up.
+      corrupt: The next n blob reads return data with one flipped bit.
+      timeout_s: Time after which a stalled or slow call fails, in seconds.
     """
 
     down: bool = False
@@ -41,14 +41,14 @@
 
 
 class _Client:
-    """What all clients in memory share: the faults of a call."""
+    """Base class of the in-memory clients: fault injection for each call."""
 
     def __init__(self, faults: Faults | None):
         self.faults = faults or Faults()
         self.calls = 0
 
     async def _before_call(self, what: str) -> None:
-        """Fails or delays a call before it has its effect."""
+        """Fails or delays a call before it takes effect."""
         self.calls += 1
         faults = self.faults
         if faults.stalled or faults.slow_s >= faults.timeout_s:
@@ -66,7 +66,7 @@
             raise exceptions.PlatformUnavailable(f"{what}: no answer")
 
     def _after_call(self, what: str) -> None:
-        """Fails a call after it had its effect."""
+        """Fails a call after it took effect."""
         if self.faults.answer_lost > 0:
             self.faults.answer_lost -= 1
             raise exceptions.PlatformUnavailable(f"{what}: no answer")
@@ -75,8 +75,9 @@
 class MemoryLog(_Client):
     """A `log.LogClient` over records in memory.
 
-    `client()` gives another client of the same log with faults of its own:
-    one per failure domain makes a partition between domain and platform.
+    `client()` returns another client of the same log with its own faults. With
+    one client per failure domain, a test can partition a domain from the
+    platform.
     """
 
     def __init__(
@@ -86,20 +87,20 @@
         faults: Faults | None = None,
         records: _records.Records | None = None,
     ):
-        """Starts an empty log, or a client of an existing one.
+        """Creates an empty log, or a client of an existing one.
 
         Args:
-          clock: Gives the records their time.
+          clock: The source of the records' times.
           retention_s: Seconds that a record is kept; None keeps all.
-          faults: What goes wrong for this client.
-          records: The log to be a client of.
+          faults: The faults of this client; none by default.
+          records: The records of an existing log; new ones by default.
         """
         super().__init__(faults)
         self._clock = clock
         self._records = records or _records.Records(retention_s)
 
     def client(self) -> "MemoryLog":
-        """Returns another client of this log, with faults of its own."""
+        """Returns another client of this log, with its own faults."""
         return MemoryLog(self._clock, records=self._records)
 
     async def append(self, stream: str, value: bytes) -> int:
@@ -124,26 +125,26 @@
         return self._records.page(stream, offset, limit, self._clock.wall())
 
     def put(self, stream: str, value: bytes) -> int:
-        """Appends at once and without faults, for the set-up of a test."""
+        """Appends immediately and without faults, for the setup of a test."""
         return self._records.append(stream, value, self._clock.wall())
 
     def all(self, stream: str) -> tuple[log.Record, ...]:
-        """Returns every record kept, without faults, for a test's ledger."""
+        """Returns all retained records, without faults, for a test's checks."""
         wall = self._clock.wall()
         return self._records.page(stream, 0, 1 << 62, wall).records
 
     def truncate(self, stream: str, before: int | None = None) -> None:
-        """Expires all records below an offset; all when it is None."""
+        """Removes all records below an offset; all when it is None."""
         self._records.truncate(stream, before)
 
     def truncate_all(self) -> None:
-        """Expires every record of every stream."""
+        """Removes every record of every stream."""
         self._records.truncate_all()
 
     def roll_back(self, stream: str, next_offset: int) -> None:
-        """Puts an older log in its place: records from there on are gone.
+        """Restores an older log: removes the records from an offset on.
 
-        The offsets are given again to other records.
+        The offsets are assigned again to later records.
         """
         self._records.roll_back(stream, next_offset)
 
@@ -160,7 +161,7 @@
 
 
 class MemoryList(_Client):
-    """An `instances.InstanceList` that lags behind what was announced."""
+    """An `instances.InstanceList` that shows changes after a delay."""
 
     def __init__(
         self,
@@ -168,19 +169,19 @@
         lag_s: float = 0.0,
         faults: Faults | None = None,
     ):
-        """Starts empty.
+        """Creates an empty list.
 
         Args:
           clock: The source of time.
           lag_s: Seconds until a change is listed.
-          faults: What goes wrong.
+          faults: The faults; none by default.
         """
         super().__init__(faults)
         self._clock = clock
         self._delayed = _records.DelayedList(lag_s)
 
     async def fetch(self) -> list[instances.ListedInstance]:
-        """Returns what was announced `lag_s` ago; see `InstanceList`."""
+        """Returns the list as it was `lag_s` ago; see `InstanceList`."""
         await self._before_call("instances")
         return self._delayed.listed(self._clock.now())
 
@@ -189,13 +190,13 @@
         instance: types.Instance,
         state: instances.State = instances.State.LIVE,
     ) -> None:
-        """Tells the platform of an instance; see `InstanceList`."""
+        """Announces an instance to the platform; see `InstanceList`."""
         await self._before_call("announce")
         self._delayed.announce(instance, state, self._clock.now())
         self._after_call("announce")
 
     def remove(self, instance_id: str) -> None:
-        """Makes the platform notice that an instance is gone."""
+        """Removes an instance, as the platform does when it has gone."""
         self._delayed.remove(instance_id, self._clock.now())
 
 
@@ -203,10 +204,10 @@
     """A `blobs.BlobStore` in memory that counts the bytes served."""
 
     def __init__(self, faults: Faults | None = None):
-        """Starts empty.
+        """Creates an empty store.
 
         Args:
-          faults: What goes wrong.
+          faults: The faults; none by default.
         """
         super().__init__(faults)
         self.blobs: dict[str, bytes] = {}
@@ -226,7 +227,7 @@
         return data
 
     async def put(self, name: str, data: bytes) -> None:
-        """Keeps a blob; see `blobs.BlobStore`."""
+        """Stores a blob; see `blobs.BlobStore`."""
         await self._before_call("put")
         self.blobs[name] = data
         self._after_call("put")
