--- a/src/clementinegw/testing/_server.py
+++ b/src/clementinegw/testing/_server.py
@@ -138,9 +138,9 @@
     def _consume_fault(self, request: web.Request, fault: str) -> bool:
         """Returns whether a counted fault applies, and decrements its count."""
         for faults in self._faults_of(request):
-            left = getattr(faults, fault)
-            if left > 0:
-                setattr(faults, fault, left - 1)
+            remaining = getattr(faults, fault)
+            if remaining > 0:
+                setattr(faults, fault, remaining - 1)
                 return True
         return False
 
--- a/src/clementinegw/testing/deployment.py
+++ b/src/clementinegw/testing/deployment.py
@@ -1,8 +1,8 @@
-"""A whole deployment in one process, over real sockets on the loopback.
+"""A complete deployment in one process, over real loopback sockets.
 
-Platform, backend servers, agents and entries, at one of the sizes of
-`testing.sizes`. Users test their own settings against it; the demo and the
-benches run it.
+It consists of the platform, backend servers, agents and entries, at one of the
+sizes in `testing.sizes`. Users test their own settings against it; the demo
+and the benchmarks run it.
 """
 
 import asyncio
@@ -39,15 +39,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
-    """How a deployment is built.
+    """The options of a deployment.
 
     Attributes:
-      limits: How narrow the platform is.
+      limits: The platform's limits.
       engine: Size and speed of each engine.
-      plain: Speed of each plain service.
-      defaults: Knobs at the root of the settings tree, as JSON.
-      clock: The source of time of every part; the machine's by default.
-      seed: Seeds every daemon's random numbers; None for fresh ones.
+      plain: Capacity and speed of each plain service.
+      defaults: Defaults at the root of the settings tree, as JSON.
+      clock: The source of time of every component; the system clock by
+        default.
+      seed: Seed for every daemon's random numbers; None for random seeds.
     """
 
     limits: platform_lib.Limits = dataclasses.field(
@@ -70,7 +71,7 @@
 
     Attributes:
       service: The service it belongs to.
-      place: Where both stand.
+      place: The region and failure domain of both.
       server: The backend server's stand-in.
       agent: The agent daemon.
     """
@@ -85,15 +86,15 @@
     """All processes of a deployment.
 
     Attributes:
-      size: What it consists of.
+      size: The components of the deployment.
       platform: The platform's stand-in.
-      ledger: What the backend servers themselves saw.
-      workers: Backend servers with their agents.
+      ledger: The runs recorded by the backend servers.
+      workers: The backend servers with their agents.
       entries: The entry daemons.
     """
 
     def __init__(self, size: sizes.Size, options: Options | None = None):
-        """Prepares a deployment that has not started."""
+        """Creates a deployment that is not started yet."""
         self.size = size
         self._options = options or Options()
         self.platform = platform_lib.PlatformStandIn(
@@ -117,17 +118,17 @@
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """HTTP of the operators and callers of this deployment."""
+        """The HTTP session of this deployment's operators and callers."""
         assert self._session is not None
         return self._session
 
     @property
     def log(self) -> log_lib.HttpLog:
-        """The platform's log as an operator reaches it."""
+        """A client of the platform's log, as used by an operator."""
         return log_lib.HttpLog(self.platform.log_address, self.session)
 
     async def start(self) -> None:
-        """Starts the platform, backend servers, agents, entries."""
+        """Starts the platform, backend servers, agents and entries."""
         self._session = aiohttp.ClientSession()
         await self.platform.start()
         for service in self.size.services:
@@ -137,7 +138,7 @@
             self.entries.append(await self._start_entry(number))
 
     async def stop(self) -> None:
-        """Ends everything, callers' side first."""
+        """Stops all components, starting with the entries."""
         await asyncio.gather(*(entry.stop() for entry in self.entries))
         await asyncio.gather(*(w.agent.stop() for w in self.workers))
         await asyncio.gather(*(w.server.stop() for w in self.workers))
@@ -147,7 +148,11 @@
     async def change_settings(
         self, why: str, *operations: changes_lib.Operation
     ) -> int:
-        """Changes the settings as an operator does.
+        """Publishes a settings change, as an operator does.
+
+        Args:
+          why: The reason recorded with the change.
+          *operations: The operations of the change.
 
         Returns:
           The revision at which the change was accepted.
@@ -164,10 +169,10 @@
         return result.revision
 
     def tree(self, models: dict[str, Any] | None = None) -> dict[str, Any]:
-        """Returns the settings tree of this size.
+        """Returns the settings tree for this deployment's size.
 
         Args:
-          models: The declared model of each service that has one, as JSON.
+          models: The declared model of each model service, as JSON.
         """
         models = models or {}
         services: dict[str, Any] = {}
@@ -192,7 +197,7 @@
     def tree_operations(
         self, models: dict[str, Any] | None = None
     ) -> tuple[changes_lib.Operation, ...]:
-        """Returns the operations that set the whole tree of this size."""
+        """Returns the operations that set the complete tree of `tree`."""
         tree = self.tree(models)
         return tuple(
             changes_lib.Set(path, value)
@@ -201,7 +206,7 @@
         )
 
     def entry_place(self, number: int) -> types.Place:
-        """Returns where the `number`-th entry stands."""
+        """Returns the place of the `number`-th entry."""
         return self.size.place(number)
 
     def instance_file(
@@ -211,7 +216,7 @@
         place: types.Place,
         backend: dict[str, Any] | None = None,
     ) -> model_lib.InstanceFile:
-        """Returns what one process of this deployment is told."""
+        """Returns the instance file of one process of this deployment."""
         addresses = self.platform.addresses(place.failure_domain)
         data = {
             "instance_id": instance_id,
@@ -237,7 +242,7 @@
         )
 
     def _rng(self, name: str) -> random.Random | None:
-        """Returns the random numbers of one process; None for fresh ones."""
+        """Returns the random generator of one process; None without a seed."""
         if self._options.seed is None:
             return None
         return random.Random(f"{self._options.seed}/{name}")
@@ -308,7 +313,7 @@
 async def running(
     size: sizes.Size, options: Options | None = None
 ) -> AsyncIterator[Deployment]:
-    """Runs a deployment for the time of a `with` block."""
+    """Runs a deployment for the duration of an `async with` block."""
     deployment = Deployment(size, options)
     try:
         await deployment.start()
--- a/src/clementinegw/testing/plain.py
+++ b/src/clementinegw/testing/plain.py
@@ -1,7 +1,7 @@
-"""A stand-in for a plain JSON service: look-ups and bookings.
+"""A stand-in for a plain JSON service with look-ups and bookings.
 
-Look-ups may be repeated. A booking takes effect each time it runs; the service
-does not know idempotency keys, as many an old stock system does not.
+Look-ups may be repeated. A booking takes effect each time it runs: like many
+old inventory systems, the service does not support idempotency keys.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainSettings:
-    """The speed of one plain service.
+    """The capacity and speed of one plain service.
 
     Attributes:
-      max_parallel: Requests that it works on at once.
-      look_up_s: Time of a look-up, in seconds.
-      booking_s: Time of a booking or quotation, in seconds.
+      max_parallel: Maximum number of requests processed at once.
+      look_up_s: Duration of a look-up, in seconds.
+      booking_s: Duration of a booking or quotation, in seconds.
     """
 
     max_parallel: int = 16
@@ -47,13 +47,13 @@
         settings: PlainSettings | None = None,
         clock: clocks.Clock | None = None,
     ):
-        """Prepares a service that does not listen yet.
+        """Creates a service that does not listen yet.
 
         Args:
           name: Its name in the ledger.
-          ledger: Where it writes down what it runs.
-          settings: Speed.
-          clock: The machine's by default.
+          ledger: The ledger that records its runs.
+          settings: Capacity and speed; `PlainSettings()` by default.
+          clock: The source of time; the system clock by default.
         """
         self.faults = Faults()
         self.ledger = ledger
@@ -78,7 +78,7 @@
 
     @property
     def address(self) -> shared.Address:
-        """Where it listens."""
+        """The address that it listens on."""
         return self._server.address
 
     @property
@@ -93,19 +93,19 @@
 
     @property
     def running(self) -> int:
-        """Requests that it works on."""
+        """The number of requests being processed."""
         return self._slots.running
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listens; port 0 lets the kernel choose."""
+        """Starts listening; with port 0 the kernel chooses the port."""
         await self._server.start(shared.Address(host, port))
 
     async def stop(self) -> None:
-        """Closes the socket and ends what runs."""
+        """Closes the socket and aborts running requests."""
         await self._server.stop()
 
     def crash(self, restart_s: float | None = None) -> None:
-        """Dies at once; `restart_s` None keeps it dead."""
+        """Crashes; restarts after `restart_s` seconds, or never if None."""
         self._server.die(restart_s)
 
     async def _look_up(self, request: web.Request) -> web.Response:
@@ -162,12 +162,12 @@
 
 
 def item_response(item: str) -> bytes:
-    """Returns the answer of a look-up."""
+    """Returns the response body of a look-up."""
     return json.dumps({"item": item, "stock": len(item) * 7}).encode()
 
 
 def booking_response(body: bytes) -> bytes:
-    """Returns the answer of a booking or quotation with this body."""
+    """Returns the response body of a booking or quotation."""
     digest = _engine_server.body_digest(body)
     return json.dumps({"booked": digest}).encode()
 
--- a/src/clementinegw/testing/platform.py
+++ b/src/clementinegw/testing/platform.py
@@ -1,7 +1,7 @@
-"""The platform's stand-in: log, instance list, weight store and origin.
+"""A stand-in for the platform: log, instance list, weight store and origin.
 
-Each one is a small HTTP server on the loopback with `.faults` of its own. What
-they take and answer is written down in docs/design/platform.md.
+Each one is a small HTTP server on the loopback interface with its own
+`.faults`. Their protocol is specified in docs/design/platform.md.
 """
 
 import asyncio
@@ -24,17 +24,17 @@
 _LOG_APPENDS_PER_S = 400.0
 _LIST_LAG_S = 2.0
 _WRITE_BYTES = 64 * 1024
-# The share of a second's tokens that may pass at once.
+# Burst size, in seconds at the full rate.
 _BURST_S = 0.25
 _MAX_PAGE_RECORDS = 1000
 
 
 class LogServer(_server.Server):
-    """The append-only log, limited in rate and in retention.
+    """The append-only log, with limited rate and retention.
 
     Attributes:
       log: The records, with `put`, `all`, `truncate`, `roll_back`, `skip`.
-      rate_limited: Appends that were refused with status 429.
+      rate_limited: Number of appends rejected with status 429.
     """
 
     def __init__(
@@ -43,11 +43,11 @@
         appends_per_s: float = _LOG_APPENDS_PER_S,
         retention_s: float | None = None,
     ):
-        """Starts empty.
+        """Creates an empty log.
 
         Args:
           clock: The source of time.
-          appends_per_s: The rate from which on it answers 429.
+          appends_per_s: Appends per second above which it answers 429.
           retention_s: Seconds that a record is kept; None keeps all.
         """
         super().__init__()
@@ -80,7 +80,7 @@
             ),
             float(request.query.get("wait_s", "0")),
         )
-        # An outage may have begun while the call was waiting.
+        # An outage may have started while the call was waiting.
         if self._is_down(request):
             raise web.HTTPServiceUnavailable
         records = [
@@ -102,10 +102,10 @@
 
 
 class ListServer(_server.Server):
-    """The list of instances, which lags."""
+    """The list of instances, which shows changes after a delay."""
 
     def __init__(self, clock: clocks.Clock, lag_s: float = _LIST_LAG_S):
-        """Starts empty.
+        """Creates an empty list.
 
         Args:
           clock: The source of time.
@@ -125,7 +125,7 @@
         self._list.lag_s = value
 
     def remove(self, instance_id: str) -> None:
-        """Makes the platform notice that an instance is gone."""
+        """Removes an instance, as the platform does when it has gone."""
         self._list.remove(instance_id, self._clock.now())
 
     def _routes(self) -> list[web.RouteDef]:
@@ -135,14 +135,14 @@
         ]
 
     async def _fetch(self, request: web.Request) -> web.Response:
-        lines = [
+        items = [
             instances.ListedInstanceModel.from_listed(listed).model_dump(
                 mode="json"
             )
             for listed in self._list.listed(self._clock.now())
         ]
         return _json(
-            json.dumps({"instances": lines}),
+            json.dumps({"instances": items}),
             self._consume_fault(request, "corrupt"),
         )
 
@@ -159,22 +159,22 @@
 
 
 class BlobServer(_server.Server):
-    """Blobs by name over a link of limited rate.
+    """A blob store behind a link of limited rate.
 
     Attributes:
-      blobs: What it holds.
-      bytes_served: Bytes of blobs sent so far.
-      bytes_served_by_name: The same for each blob.
+      blobs: The stored blobs by name.
+      bytes_served: Blob bytes sent so far.
+      bytes_served_by_name: Bytes sent so far of each blob.
     """
 
     def __init__(
         self, clock: clocks.Clock, bytes_per_s: float | None = None
     ) -> None:
-        """Starts empty.
+        """Creates an empty store.
 
         Args:
           clock: The source of time.
-          bytes_per_s: The rate for all readers together; None for no limit.
+          bytes_per_s: Total rate for all readers; None for no limit.
         """
         super().__init__()
         self.blobs: dict[str, bytes] = {}
@@ -187,7 +187,7 @@
         self.set_rate(bytes_per_s)
 
     def set_rate(self, bytes_per_s: float | None) -> None:
-        """Limits all readers together; None lifts the limit."""
+        """Sets the total rate for all readers; None removes the limit."""
         if bytes_per_s is None:
             self._bucket = None
             return
@@ -202,7 +202,7 @@
         ]
 
     def _stalls_before_effect(self, request: web.Request) -> bool:
-        # A stalled transfer has begun: its head and some bytes have come.
+        # A read stalls during the transfer, after the headers and some bytes.
         return self._is_stalled(request) and request.method != "GET"
 
     async def _put(self, request: web.Request) -> web.Response:
@@ -213,7 +213,7 @@
         name = request.match_info["name"]
         if name not in self.blobs:
             raise web.HTTPNotFound
-        part = _part(request, self.blobs[name])
+        part = _requested_range(request, self.blobs[name])
         if part is None:
             raise web.HTTPRequestRangeNotSatisfiable
         status = 206 if "Range" in request.headers else 200
@@ -224,7 +224,7 @@
             if request.method != "HEAD":
                 await self._send(request, response, name, part)
         except ConnectionError:
-            # The reader has given up; what it drew until then is counted.
+            # The reader closed the connection; the bytes sent before count.
             _server.abort_connection(request)
         return response
 
@@ -252,11 +252,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """How narrow the platform is.
+    """The limits of the platform.
 
     Attributes:
-      appends_per_s: The log's rate.
-      retention_s: Seconds that the log keeps a record; None for ever.
+      appends_per_s: Maximum rate of the log, in appends per second.
+      retention_s: Seconds that the log keeps a record; None keeps all.
       list_lag_s: Seconds until the list shows a change.
       store_bytes_per_s: The weight store's rate; None for no limit.
       origin_bytes_per_s: The origin's rate; None for no limit.
@@ -271,7 +271,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Addresses:
-    """The base URLs by which one failure domain reaches the platform.
+    """The base URLs at which one failure domain reaches the platform.
 
     Attributes:
       log: The log.
@@ -287,7 +287,7 @@
 
 
 class PlatformStandIn:
-    """All four parts on the loopback.
+    """All four servers of the platform on the loopback interface.
 
     Attributes:
       log: The log's server.
@@ -302,13 +302,13 @@
         limits: Limits | None = None,
         places: Sequence[str] = (),
     ):
-        """Starts empty and not listening.
+        """Creates empty servers that do not listen yet.
 
         Args:
-          clock: The source of time; the machine's by default.
-          limits: How narrow the platform is.
-          places: Failure domains that get addresses of their own, so that
-            they can be cut off.
+          clock: The source of time; the system clock by default.
+          limits: The platform's limits; `Limits()` by default.
+          places: Failure domains that get their own addresses, so that each
+            one can be partitioned from the platform.
         """
         clock = clock or clocks.SystemClock()
         limits = limits or Limits()
@@ -342,25 +342,25 @@
 
     @property
     def servers(self) -> tuple[_server.Server, ...]:
-        """All parts."""
+        """All servers."""
         return (self.log, self.instances, self.store, self.origin)
 
     def addresses(self, place: str = "") -> Addresses:
-        """Returns where a failure domain finds the parts."""
+        """Returns the addresses for a failure domain."""
         return Addresses(*(s.listener(place).address for s in self.servers))
 
     def partition(self, place: str) -> None:
-        """Cuts a failure domain off: its calls get no answer and no error."""
+        """Partitions a failure domain: its calls get no answer and no error."""
         for server in self.servers:
             server.listener(place).faults.stalled = True
 
     def heal(self, place: str) -> None:
-        """Ends what `partition` began."""
+        """Ends the partition of a failure domain."""
         for server in self.servers:
             server.listener(place).faults.stalled = False
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts all servers."""
         for server in self.servers:
             await server.start()
 
@@ -376,18 +376,22 @@
         raise web.HTTPBadRequest(text=f"{key} is no number") from error
 
 
-def _part(request: web.Request, data: bytes) -> bytes | None:
-    """Returns the range asked for, or None when it begins after the end."""
+def _requested_range(request: web.Request, data: bytes) -> bytes | None:
+    """Returns the requested range, or None when it starts after the end."""
     try:
-        asked = request.http_range
+        requested = request.http_range
     except ValueError:
         return None
-    if asked.start and asked.start >= len(data):
+    if requested.start and requested.start >= len(data):
         return None
-    return data[asked]
+    return data[requested]
 
 
 def _json(body: str, corrupt: bool) -> web.Response:
-    """Returns an answer, or half of one that still looks whole to HTTP."""
+    """Returns a response, or with `corrupt` one with half of the body.
+
+    The Content-Length of the half body is correct, so that only parsing shows
+    the corruption.
+    """
     text = body[: len(body) // 2] if corrupt else body
     return web.Response(text=text, content_type="application/json")
--- a/src/clementinegw/testing/processes.py
+++ b/src/clementinegw/testing/processes.py
@@ -1,10 +1,12 @@
-"""Several processes in one event loop, which can be cut, paused and killed.
+"""Simulated processes in one event loop.
+
+They can be partitioned from each other, paused and killed.
 
 What runs inside `ProcessLoop.spawn` belongs to a process: its tasks, timers
-and sockets are found by a context variable that they all inherit. So a network
-partition, a pause and a sudden death need nothing from the code under test.
-The loop reaches into parts of asyncio that are not public (tried on Python
-3.11); tests/test_processes.py shows when they change.
+and sockets are identified by a context variable that they all inherit. The
+code under test therefore needs no support for network partitions, pauses and
+crashes. The loop uses private parts of asyncio (of Python 3.11);
+tests/test_processes.py fails when they change.
 """
 
 import asyncio
@@ -20,7 +22,7 @@
 
 _OWNER: contextvars.ContextVar[str] = contextvars.ContextVar("owner")
 _CLOSED = -1
-# Closing with this option resets the connection, as a death does.
+# Closing with this linger option resets the connection, as a crash does.
 _LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
 
@@ -29,9 +31,9 @@
     """A socket of a process.
 
     Attributes:
-      owner: The process.
+      owner: The name of its process.
       sock: The socket.
-      peer_port: The other end's port; 0 for listeners and datagrams.
+      peer_port: The remote port; 0 for listeners and datagrams.
     """
 
     owner: str
@@ -40,7 +42,7 @@
 
 
 class ProcessLoop(clocks.VirtualTimeLoop):
-    """A virtual-time loop that knows which process everything belongs to."""
+    """A virtual-time loop that tracks the process of each task and socket."""
 
     def __init__(
         self,
@@ -48,7 +50,7 @@
         grace_s: float = 0.0,
         tick_s: float = 0.0,
     ):
-        """Starts without processes; see `clock.VirtualTimeLoop`."""
+        """Creates a loop without processes; see `clock.VirtualTimeLoop`."""
         self._sockets: dict[int, _Socket] = {}
         self._port_owners: dict[int, str] = {}
         self._places: dict[str, str] = {}
@@ -64,8 +66,8 @@
         """Runs a coroutine as a process.
 
         Args:
-          name: The process; one that was killed may be spawned again.
-          place: Where it stands, for `partition`.
+          name: The process's name; a killed process may be spawned again.
+          place: Its location, for `partition`.
           coroutine: Its first task.
 
         Returns:
@@ -79,33 +81,33 @@
         return self.create_task(coroutine, context=context)
 
     def partition(self, place: str, other: str) -> None:
-        """Holds back every byte between two places; closes nothing."""
+        """Holds back all bytes between two places; closes no connection."""
         self._partitions.add(frozenset((place, other)))
 
     def heal(self, place: str, other: str) -> None:
-        """Ends a cut; what TCP held back arrives, datagrams are lost."""
+        """Ends a partition; delayed TCP data arrives, datagrams are lost."""
         self._partitions.discard(frozenset((place, other)))
 
     def pause(self, name: str) -> None:
-        """Stops a process where it is, timers included."""
+        """Suspends a process, including its timers."""
         self._paused.add(name)
 
     def resume(self, name: str) -> None:
-        """Lets a paused process go on; it believes that no time has passed."""
+        """Resumes a paused process, which does not notice the lost time."""
         self._paused.discard(name)
         for handle in self._deferred.pop(name, []):
             if not handle.cancelled():
                 self._ready.append(handle)  # type: ignore[attr-defined]
 
     def kill(self, name: str) -> None:
-        """Ends a process at once: nothing of it runs, its sockets reset."""
+        """Kills a process: its code stops running and its sockets reset."""
         self._dead.add(name)
-        for fd, entry in list(self._sockets.items()):
-            if entry.owner == name:
-                self._close(fd, entry.sock)
+        for fd, tracked in list(self._sockets.items()):
+            if tracked.owner == name:
+                self._close(fd, tracked.sock)
 
     def clear_faults(self) -> None:
-        """Lets everything run again, so that the loop can be closed."""
+        """Ends partitions, pauses and kills, so that the loop can be closed."""
         self._partitions.clear()
         self._dead.clear()
         for name in list(self._deferred):
@@ -113,16 +115,16 @@
         self._paused.clear()
 
     def allowed_events(self, fd: int, events: int) -> int:
-        """Returns the events that neither a cut nor a pause holds back."""
+        """Returns the events that no partition or pause holds back."""
         if not (self._partitions or self._paused):
             return events
-        entry = self._sockets.get(fd)
-        if entry is None:
+        tracked = self._sockets.get(fd)
+        if tracked is None:
             return events
-        if entry.owner in self._paused:
+        if tracked.owner in self._paused:
             return 0
-        if entry.peer_port and self._is_partitioned(
-            entry.owner, entry.peer_port
+        if tracked.peer_port and self._is_partitioned(
+            tracked.owner, tracked.peer_port
         ):
             return events & ~selectors.EVENT_READ
         return events
@@ -162,7 +164,7 @@
             self._sockets[sock.fileno()] = _Socket(owner, sock, peer_port)
             self._port_owners[sock.getsockname()[1]] = owner
         else:
-            # The number may have belonged to a socket that is closed now.
+            # The descriptor may have belonged to a socket that is now closed.
             self._sockets.pop(sock.fileno(), None)
         return owner
 
@@ -172,9 +174,9 @@
             return
         self._remove_reader(fd)  # type: ignore[attr-defined]
         self._remove_writer(fd)  # type: ignore[attr-defined]
-        # What is left of a dead process still closes its transports when it
-        # is collected. By then the number may belong to a socket of another
-        # process, which would hear nothing more and hang.
+        # When the objects of a killed process are garbage-collected, they
+        # close their transports. By then the descriptor may belong to a socket
+        # of another process, which would receive nothing more and hang.
         transport = self._transports.pop(fd, None)  # type: ignore[attr-defined]
         if transport is not None:
             transport._sock_fd = _CLOSED
@@ -210,7 +212,7 @@
 
 
 class _PartitionFilter(asyncio.DatagramProtocol):
-    """Drops the datagrams that come over a cut."""
+    """Drops the datagrams that cross a partition."""
 
     def __init__(self, loop: ProcessLoop, owner: str, protocol: Any):
         self._loop = loop
@@ -221,18 +223,18 @@
         return getattr(self._protocol, name)
 
     def connection_made(self, transport: Any) -> None:
-        """Passes on."""
+        """Forwards to the wrapped protocol."""
         self._protocol.connection_made(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Passes on."""
+        """Forwards to the wrapped protocol."""
         self._protocol.connection_lost(exc)
 
     def error_received(self, exc: Exception) -> None:
-        """Passes on."""
+        """Forwards to the wrapped protocol."""
         self._protocol.error_received(exc)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Passes on what is not cut off."""
+        """Forwards the datagram unless a partition separates the ends."""
         if not self._loop._is_partitioned(self._owner, addr[1]):
             self._protocol.datagram_received(data, addr)
--- a/src/clementinegw/testing/sizes.py
+++ b/src/clementinegw/testing/sizes.py
@@ -1,4 +1,4 @@
-"""Deployments by size: places, services, workers and customers."""
+"""Deployment sizes: places, services, workers and customers."""
 
 import dataclasses
 
@@ -7,13 +7,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSize:
-    """A service of a deployment.
+    """The size of one service of a deployment.
 
     Attributes:
-      name: Its name.
-      kind: What its backend servers are.
-      workers: How many there are, spread over the failure domains.
-      checks_fencing: Whether its engines refuse old fencing numbers.
+      name: The service's name.
+      kind: The kind of its backend servers.
+      workers: Number of workers, spread over the failure domains.
+      checks_fencing: Whether its engines reject old fencing numbers.
     """
 
     name: str
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """A deployment.
+    """The size of a deployment.
 
     Attributes:
-      name: Its name.
-      places: Its failure domains.
-      entries: How many entry instances there are.
-      services: Its services.
-      customers: Its customers with their weights.
+      name: The name of the size.
+      places: The failure domains with their regions.
+      entries: Number of entry instances.
+      services: The services.
+      customers: The customers with their weights.
     """
 
     name: str
@@ -41,7 +41,7 @@
     customers: tuple[tuple[str, float], ...]
 
     def place(self, number: int) -> types.Place:
-        """Returns the place of the `number`-th of equal instances."""
+        """Returns the place of instance `number`, assigned round-robin."""
         return self.places[number % len(self.places)]
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Virtual time, token buckets and shaped links."""
+"""Tests for virtual time, token buckets and rate-limited links."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from clementinegw.testing import links
 
 
-def test_virtual_loop_jumps_to_timers_in_their_order():
+def test_virtual_loop_fires_timers_in_order():
     clock = clocks.VirtualClock()
     order = []
 
@@ -27,7 +27,7 @@
     assert [seconds for seconds, _ in order] == [0.25, 60.0, 3600.0]
 
 
-def test_virtual_loop_serves_sockets_before_it_jumps():
+def test_virtual_loop_serves_sockets_before_it_advances():
     async def serve(reader, writer):
         writer.write(await reader.readexactly(4))
         await writer.drain()
@@ -48,25 +48,25 @@
 
 
 @pytest.mark.parametrize("tick_s", [0.0, 0.005])
-def test_virtual_time_moves_when_the_rest_of_a_wait_is_tiny(tick_s):
-    """Symptom: a virtual run hangs with the processor busy.
+def test_virtual_time_advances_for_a_tiny_remaining_wait(tick_s):
+    """Guards against a virtual run that hangs in a busy loop.
 
-    Sequence: a timer fires a little early, and code asks for the rest of the
-    wait, again and again. Cause: a rest smaller than the clock's precision,
-    which moved nothing.
+    A timer fires slightly early and the code waits for the remainder. If the
+    remainder is below the clock's precision, adding it does not change the
+    time, and the code waits again and again.
     """
     clock = clocks.VirtualClock()
 
     async def main():
         loop = asyncio.get_running_loop()
-        due = clock.now() + 1.0 + 1e-13
-        turns = 0
-        while clock.now() < due and turns < 100:
-            turns += 1
-            woken = loop.create_future()
-            loop.call_later(due - clock.now(), woken.set_result, None)
-            await woken
-        return turns
+        deadline = clock.now() + 1.0 + 1e-13
+        iterations = 0
+        while clock.now() < deadline and iterations < 100:
+            iterations += 1
+            fired = loop.create_future()
+            loop.call_later(deadline - clock.now(), fired.set_result, None)
+            await fired
+        return iterations
 
     def make_loop(clock, grace_s):
         return clocks.VirtualTimeLoop(clock, grace_s, tick_s)
@@ -74,17 +74,17 @@
     assert clocks.run(main(), clock, make_loop=make_loop) < 100
 
 
-def test_virtual_loop_counts_no_time_for_other_threads():
+def test_virtual_loop_does_not_advance_for_executor_calls():
     clock = clocks.VirtualClock()
 
     async def main():
-        ticking = asyncio.create_task(asyncio.sleep(1.0))
+        sleeping = asyncio.create_task(asyncio.sleep(1.0))
         start = clock.now()
         total = await asyncio.to_thread(sum, range(200_000))
         with pytest.raises(ZeroDivisionError):
             await asyncio.to_thread(divmod, 1, 0)
         elapsed = clock.now() - start
-        await ticking
+        await sleeping
         return total, elapsed
 
     assert clocks.run(main(), clock) == (sum(range(200_000)), 0.0)
@@ -97,7 +97,7 @@
     assert clock.advance_to(4.0) == 5.0
 
 
-def test_wall_clock_can_be_stepped_without_the_monotonic_one():
+def test_wall_clock_steps_without_the_monotonic_clock():
     clock = clocks.VirtualClock(now=5.0, wall=100.0)
     clock.step_wall(-30.0)
     assert (clock.now(), clock.wall()) == (5.0, 70.0)
@@ -111,18 +111,18 @@
     assert bucket.reserve(count) == pytest.approx(expected_s)
 
 
-def test_bucket_keeps_the_rate_and_the_order_of_its_takers():
+def test_bucket_keeps_the_rate_and_the_order_of_requests():
     clock = clocks.VirtualClock()
     bucket = links.TokenBucket(100.0, 1.0, clock)
     done = []
 
-    async def taker(name, count):
+    async def request(name, count):
         await bucket.take(count)
         done.append((name, clock.now()))
 
     async def main():
         start = clock.now()
-        await asyncio.gather(*(taker(n, 50.0) for n in range(4)))
+        await asyncio.gather(*(request(n, 50.0) for n in range(4)))
         return clock.now() - start
 
     elapsed = clocks.run(main(), clock)
@@ -131,7 +131,7 @@
     assert elapsed == pytest.approx(1.99)
 
 
-def test_bucket_refuses_and_fills_again_up_to_its_burst():
+def test_bucket_rejects_and_refills_up_to_its_burst():
     clock = clocks.VirtualClock()
     bucket = links.TokenBucket(10.0, 5.0, clock)
     taken = sum(bucket.try_take() for _ in range(8))
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize(("shared", "expected_s"), [(False, 1.0), (True, 2.0)])
-def test_link_directions_share_one_bucket_or_none(shared, expected_s):
+def test_link_directions_share_a_bucket_only_if_requested(shared, expected_s):
     clock = clocks.VirtualClock()
     link = links.ShapedLink(1e6, shared=shared, clock=clock, burst_s=0.0)
 
@@ -155,7 +155,7 @@
     assert (link.sent, link.received) == (1_000_000, 1_000_000)
 
 
-def test_transfer_goes_at_the_slower_links_rate():
+def test_transfer_takes_the_rate_of_the_slower_link():
     clock = clocks.VirtualClock()
     sender = links.ShapedLink(4e6, clock=clock, burst_s=0.0)
     receiver = links.ShapedLink(8e6, 1e6, clock=clock, burst_s=0.0)
@@ -168,6 +168,6 @@
     assert clocks.run(main(), clock) == pytest.approx(2.0)
 
 
-def test_bucket_without_a_rate_is_refused():
+def test_bucket_rejects_a_rate_of_zero():
     with pytest.raises(ValueError, match="rate must be above 0"):
         links.TokenBucket(0.0)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""The platform in memory, and each way in which it fails."""
+"""Tests for the in-memory platform and its faults."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def in_virtual_time(test):
-    """Runs a test that takes a virtual clock."""
+    """Runs a test with a virtual clock as its argument, in virtual time."""
 
     def run():
         clock = clocks.VirtualClock()
@@ -30,10 +30,10 @@
 async def test_memory_log_waits_for_the_next_record(clock):
     log = memory.MemoryLog(clock)
     start = clock.now()
-    reading = asyncio.create_task(log.read("settings", 1, wait_s=30.0))
+    read_task = asyncio.create_task(log.read("settings", 1, wait_s=30.0))
     await asyncio.sleep(2.0)
     await log.append("settings", b"one")
-    page = await reading
+    page = await read_task
 
     assert [record.value for record in page.records] == [b"one"]
     assert clock.now() - start == pytest.approx(2.0)
@@ -43,12 +43,12 @@
 
 
 @in_virtual_time
-async def test_memory_log_lost_answer_and_refusal_look_the_same(clock):
-    """Symptom: a change is applied twice, or never.
+async def test_memory_log_lost_answer_and_refusal_raise_the_same_error(clock):
+    """Guards against a change that is applied twice or never.
 
-    Sequence: an append takes effect and its answer is lost; another one is
-    lost on the way there. Cause: the same error stands for both, so that only
-    a read can tell them apart.
+    One append takes effect and its answer is lost; another is lost before it
+    takes effect. Both raise the same error, so that only a read of the log can
+    distinguish them.
     """
     log = memory.MemoryLog(clock)
     log.faults.answer_lost = 1
@@ -63,7 +63,7 @@
 
 
 @in_virtual_time
-async def test_memory_log_expiry_rollback_and_gap_show_in_the_page(clock):
+async def test_memory_log_page_shows_expiry_rollback_and_gap(clock):
     log = memory.MemoryLog(clock, retention_s=60.0)
     for value in (b"1", b"2", b"3"):
         await log.append("settings", value)
@@ -88,7 +88,7 @@
 
 
 @in_virtual_time
-async def test_memory_log_partition_cuts_off_one_client_only(clock):
+async def test_memory_log_partition_affects_one_client_only(clock):
     log = memory.MemoryLog(clock)
     other = log.client()
     other.faults.stalled = True
@@ -102,7 +102,7 @@
 
 
 @in_virtual_time
-async def test_memory_store_corrupts_and_counts(clock):
+async def test_memory_store_corrupts_reads_and_counts_bytes(clock):
     store = memory.MemoryStore()
     await store.put("chunks/a", b"abcdef")
     store.faults.corrupt = 1
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -1,4 +1,4 @@
-"""The plain service's client against its stand-in, and the ledger."""
+"""Tests for the plain service's client, its stand-in and the ledger."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class Setup:
-    """One plain service and a client of it."""
+    """A plain service's stand-in and a client of it."""
 
     async def __aenter__(self):
         self.ledger = ledgers.Ledger()
@@ -45,7 +45,7 @@
         )
 
 
-async def test_look_up_and_booking_are_answered_and_written_down():
+async def test_look_up_and_booking_are_answered_and_recorded():
     async with Setup() as s:
         item = await s.look_up("r1")
         booking = await s.book("r2", "k2", b"six hides")
@@ -61,7 +61,7 @@
     ]
 
 
-async def test_lost_answer_hides_a_booking_that_took_effect():
+async def test_booking_takes_effect_when_its_answer_is_lost():
     async with Setup() as s:
         s.stand_in.faults.lose_answers["booking"] = 1
         with pytest.raises(exceptions.BackendLost):
@@ -70,11 +70,11 @@
     assert s.ledger.runs[0].end is ledgers.RunEnd.FINISHED
 
 
-async def test_session_does_not_repeat_by_itself():
-    """One PUT shows up twice at the server although nobody retried it.
+async def test_session_does_not_retry_by_itself():
+    """Guards against a PUT that the server receives twice without a retry.
 
-    The kept connection broke after the server did its work, and the HTTP
-    library sent the request again on a new one.
+    The keep-alive connection broke after the server had processed the request,
+    and the HTTP library sent the request again on a new connection.
     """
     received = []
 
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("fault", ["down", "stall"])
-async def test_fault_ends_in_an_error_that_leaves_it_open(fault):
+async def test_fault_raises_an_error_with_an_unknown_outcome(fault):
     async with Setup() as s:
         setattr(s.stand_in.faults, fault, True)
         with pytest.raises(exceptions.BackendLost):
@@ -109,7 +109,7 @@
         assert (await s.look_up()).status == 200
 
 
-async def test_refused_connection_proves_that_nothing_ran():
+async def test_refused_connection_means_that_nothing_ran():
     async with Setup() as s:
         s.stand_in.crash(restart_s=None)
         await asyncio.sleep(0.02)
@@ -118,7 +118,7 @@
     assert s.ledger.runs == []
 
 
-async def test_crash_marker_kills_the_service_with_its_neighbours():
+async def test_crash_marker_crashes_all_running_requests():
     async with Setup() as s:
         s.stand_in.faults.crash_marker = b"POISON"
         s.stand_in.faults.restart_s = 0.05
@@ -137,73 +137,83 @@
     assert ends == [ledgers.RunEnd.CRASHED] * 2
 
 
-def run_of(ledger, request_id, key="", answer=b"a", resumed=0):
+def add_run(ledger, request_id, key="", answer=b"a", resumed=0):
     run = ledger.start(request_id, key, "POST /bookings", "p", 0.0, resumed)
     ledger.finish(run, ledgers.RunEnd.FINISHED, 1.0, answer)
 
 
-TOLD = ledgers.CallerOutcome
+OUTCOME = ledgers.CallerOutcome
 
 
 @pytest.mark.parametrize(
-    ("runs", "seen", "broken"),
+    ("runs", "record", "violated"),
     [
-        ([("r",)], ledgers.CallerRecord("r", TOLD.ANSWERED, answer=b"a"), None),
-        ([("r",)], ledgers.CallerRecord("r", TOLD.NOT_RUN), "false_not_run"),
-        ([], ledgers.CallerRecord("r", TOLD.NOT_RUN), None),
-        ([], ledgers.CallerRecord("r", TOLD.UNKNOWN), None),
-        ([("r",)], ledgers.CallerRecord("r", TOLD.UNKNOWN), None),
-        ([("r",)], ledgers.CallerRecord("r", TOLD.NOTHING), "lost"),
-        ([], ledgers.CallerRecord("r", TOLD.NOTHING, client_closed=True), None),
-        ([], ledgers.CallerRecord("r", TOLD.ANSWERED), "lost"),
         (
             [("r",)],
-            ledgers.CallerRecord("r", TOLD.ANSWERED, answer=b"b"),
+            ledgers.CallerRecord("r", OUTCOME.ANSWERED, answer=b"a"),
+            None,
+        ),
+        ([("r",)], ledgers.CallerRecord("r", OUTCOME.NOT_RUN), "false_not_run"),
+        ([], ledgers.CallerRecord("r", OUTCOME.NOT_RUN), None),
+        ([], ledgers.CallerRecord("r", OUTCOME.UNKNOWN), None),
+        ([("r",)], ledgers.CallerRecord("r", OUTCOME.UNKNOWN), None),
+        ([("r",)], ledgers.CallerRecord("r", OUTCOME.NOTHING), "lost"),
+        (
+            [],
+            ledgers.CallerRecord("r", OUTCOME.NOTHING, client_closed=True),
+            None,
+        ),
+        ([], ledgers.CallerRecord("r", OUTCOME.ANSWERED), "lost"),
+        (
+            [("r",)],
+            ledgers.CallerRecord("r", OUTCOME.ANSWERED, answer=b"b"),
             "crossed",
         ),
         (
             [("r",)],
             ledgers.CallerRecord(
-                "r", TOLD.ANSWERED, expected=b"b", answer=b"a"
+                "r", OUTCOME.ANSWERED, expected=b"b", answer=b"a"
             ),
             "crossed",
         ),
         (
             [("r",)],
             ledgers.CallerRecord(
-                "r", TOLD.ANSWERED, complete=False, answer=b"a"
+                "r", OUTCOME.ANSWERED, complete=False, answer=b"a"
             ),
             "cut_off",
         ),
-        ([("r",), ("r",)], ledgers.CallerRecord("r", TOLD.UNKNOWN), None),
+        ([("r",), ("r",)], ledgers.CallerRecord("r", OUTCOME.UNKNOWN), None),
         (
             [("r",), ("r",)],
-            ledgers.CallerRecord("r", TOLD.UNKNOWN, idempotent=False),
+            ledgers.CallerRecord("r", OUTCOME.UNKNOWN, idempotent=False),
             "doubled",
         ),
         (
             [("r", "", b"a", 0), ("r", "", b"b", 9)],
-            ledgers.CallerRecord("r", TOLD.UNKNOWN, idempotent=False),
+            ledgers.CallerRecord("r", OUTCOME.UNKNOWN, idempotent=False),
             None,
         ),
         (
             [("r", "k"), ("s", "k")],
-            ledgers.CallerRecord("r", TOLD.UNKNOWN, "k", idempotent=False),
+            ledgers.CallerRecord("r", OUTCOME.UNKNOWN, "k", idempotent=False),
             "doubled",
         ),
-        # A repeated key gets the answer that its first request was given.
+        # A repeated key gets the answer to its first request.
         (
             [("s", "k")],
-            ledgers.CallerRecord("r", TOLD.ANSWERED, "k", False, answer=b"a"),
+            ledgers.CallerRecord(
+                "r", OUTCOME.ANSWERED, "k", False, answer=b"a"
+            ),
             None,
         ),
     ],
 )
-def test_ledger_finds_each_broken_promise(runs, seen, broken):
+def test_ledger_finds_each_violation(runs, record, violated):
     ledger = ledgers.Ledger()
     for run in runs:
-        run_of(ledger, *run)
-    counts = ledger.check([seen]).counts()
+        add_run(ledger, *run)
+    counts = ledger.check([record]).counts()
     assert [name for name, count in counts.items() if count] == (
-        [broken] if broken else []
+        [violated] if violated else []
     )
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Processes in one loop: partitions, pauses and sudden deaths."""
+"""Tests for simulated processes: partitions, pauses and kills."""
 
 import asyncio
 import gc
@@ -14,7 +14,7 @@
 
 
 def in_process_loop(test):
-    """Runs a test that takes a loop, in virtual time over real sockets."""
+    """Runs a test with a process loop, in virtual time over real sockets."""
 
     async def main():
         loop = asyncio.get_running_loop()
@@ -32,7 +32,7 @@
 
 
 class Server:
-    """An HTTP server in a process, which counts its ticks."""
+    """An HTTP server in a process, which counts seconds and requests."""
 
     def __init__(self, loop, name, place):
         self.loop = loop
@@ -40,7 +40,7 @@
         self.place = place
         self.ticks = 0
         self.port = 0
-        self.arrived = []
+        self.requested = []
 
     async def start(self):
         started = self.loop.create_future()
@@ -49,7 +49,7 @@
 
     async def _run(self, started):
         app = web.Application()
-        app.router.add_get("/{what}", self._answer)
+        app.router.add_get("/{path}", self._answer)
         runner = web.AppRunner(app, shutdown_timeout=0.1)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -59,50 +59,50 @@
             self.ticks += 1
 
     async def _answer(self, request):
-        self.arrived.append(request.match_info["what"])
+        self.requested.append(request.match_info["path"])
         return web.Response(text=self.name)
 
 
-async def ask(port, what, timeout_s=3.0):
+async def fetch(port, path, timeout_s=3.0):
     timeout = aiohttp.ClientTimeout(total=timeout_s)
     async with (
         aiohttp.ClientSession(timeout=timeout) as session,
-        session.get(f"http://127.0.0.1:{port}/{what}") as response,
+        session.get(f"http://127.0.0.1:{port}/{path}") as response,
     ):
         return await response.text()
 
 
-async def result(loop, place, coroutine):
+async def run_in(loop, place, coroutine):
     return await loop.spawn(f"client-{place}", place, coroutine)
 
 
 @in_process_loop
-async def test_cut_holds_bytes_back_and_join_delivers_them(loop):
-    """Symptom: calls between two failure domains hang; none is refused.
+async def test_partition_delays_bytes_and_heal_delivers_them(loop):
+    """Checks that a partition makes calls hang and refuses none.
 
-    Sequence: the network between them drops packets, later it is whole again
-    and TCP delivers what was sent before. Cause: a partition.
+    The network between two failure domains drops packets. Once it recovers,
+    TCP delivers the data that was sent before.
     """
     server = Server(loop, "server", "noord")
     await server.start()
-    assert await result(loop, "zuid", ask(server.port, "one")) == "server"
+    assert await run_in(loop, "zuid", fetch(server.port, "one")) == "server"
 
     loop.partition("noord", "zuid")
     with pytest.raises(TimeoutError):
-        await result(loop, "zuid", ask(server.port, "two"))
-    assert await result(loop, "midden", ask(server.port, "three")) == "server"
-    assert server.arrived == ["one", "three"]
+        await run_in(loop, "zuid", fetch(server.port, "two"))
+    assert await run_in(loop, "midden", fetch(server.port, "three")) == "server"
+    assert server.requested == ["one", "three"]
 
-    waiting = loop.spawn("late", "zuid", ask(server.port, "four", 60.0))
+    delayed = loop.spawn("late", "zuid", fetch(server.port, "four", 60.0))
     await asyncio.sleep(20.0)
-    assert server.arrived == ["one", "three"]
+    assert server.requested == ["one", "three"]
     loop.heal("noord", "zuid")
-    assert await waiting == "server"
-    assert "four" in server.arrived
+    assert await delayed == "server"
+    assert "four" in server.requested
 
 
 class Inbox(asyncio.DatagramProtocol):
-    """Keeps the datagrams that arrive."""
+    """Records the received datagrams."""
 
     def __init__(self):
         self.received = []
@@ -112,7 +112,7 @@
 
 
 @in_process_loop
-async def test_cut_loses_datagrams(loop):
+async def test_partition_loses_datagrams(loop):
     async def listen(inbox):
         transport, _ = await loop.create_datagram_endpoint(
             lambda: inbox, local_addr=("127.0.0.1", 0)
@@ -135,11 +135,11 @@
 
 
 @in_process_loop
-async def test_paused_process_stands_still_and_wakes_late(loop):
-    """Symptom: a process acts on a lease that has lapsed long ago.
+async def test_paused_process_does_not_run_until_resumed(loop):
+    """Checks the pause that makes a process act on a lapsed lease.
 
-    Sequence: it is paused, its timers and sockets with it; it wakes and finds
-    all timers due at once. Cause: a stopped machine, here imitated.
+    The process is suspended with its timers and sockets, as on a stopped
+    machine. When it resumes, all its overdue timers fire at once.
     """
     server = Server(loop, "server", "noord")
     await server.start()
@@ -147,18 +147,18 @@
     assert server.ticks == 5
     loop.pause("server")
     with pytest.raises(TimeoutError):
-        await result(loop, "noord", ask(server.port, "one"))
+        await run_in(loop, "noord", fetch(server.port, "one"))
     await asyncio.sleep(30.0)
-    assert (server.ticks, server.arrived) == (5, [])
+    assert (server.ticks, server.requested) == (5, [])
 
     loop.resume("server")
     await asyncio.sleep(0.1)
-    assert (server.ticks, server.arrived) == (6, ["one"])
-    assert await result(loop, "noord", ask(server.port, "two")) == "server"
+    assert (server.ticks, server.requested) == (6, ["one"])
+    assert await run_in(loop, "noord", fetch(server.port, "two")) == "server"
 
 
 @in_process_loop
-async def test_killed_process_resets_its_connections_and_runs_no_more(loop):
+async def test_killed_process_resets_its_connections_and_stops(loop):
     server = Server(loop, "server", "noord")
     await server.start()
     reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
@@ -169,7 +169,7 @@
     with pytest.raises(ConnectionResetError):
         await reader.read()
     with pytest.raises(aiohttp.ClientConnectorError):
-        await result(loop, "noord", ask(server.port, "two"))
+        await run_in(loop, "noord", fetch(server.port, "two"))
     ticks = server.ticks
     await asyncio.sleep(10.0)
     assert server.ticks == ticks
@@ -177,12 +177,12 @@
 
 
 @in_process_loop
-async def test_remains_of_a_killed_process_touch_no_other_socket(loop):
-    """Symptom: a call hangs some time after another process was killed.
+async def test_garbage_of_a_killed_process_closes_no_other_socket(loop):
+    """Guards against a call that hangs after another process was killed.
 
-    Sequence: the killed process's sockets are closed, their numbers are given
-    to new sockets, and then its objects are collected, which closes them by
-    number once more. Cause: transports that remember a number, not a socket.
+    The killed process's sockets are closed and their descriptors reused for new
+    sockets. When its objects are garbage-collected, its transports close the
+    descriptors again, because they store the number and not the socket.
     """
     first = Server(loop, "first", "noord")
     await first.start()
@@ -197,12 +197,12 @@
     loop.kill("holder")
     second = Server(loop, "second", "noord")
     await second.start()
-    asking = [
-        loop.spawn(f"c{n}", "noord", ask(second.port, str(n), 60.0))
+    calls = [
+        loop.spawn(f"c{n}", "noord", fetch(second.port, str(n), 60.0))
         for n in range(8)
     ]
     await asyncio.sleep(0)
     with pytest.warns(ResourceWarning):
         held.clear()
         gc.collect()
-    assert await asyncio.gather(*asking) == ["second"] * 8
+    assert await asyncio.gather(*calls) == ["second"] * 8
