--- a/src/clementinegw/daemons/entry.py
+++ b/src/clementinegw/daemons/entry.py
@@ -149,10 +149,12 @@
         settings = self._core.effective_settings().claims
         limits = claims_lib.Limits(
             horizon=claim_lib.Horizon(settings.horizon_s),
-            kept_bytes=settings.memory_mb * _BYTES_PER_MB,
-            answer_bytes=settings.kept_answer_bytes,
+            max_memory_bytes=settings.memory_mb * _BYTES_PER_MB,
+            max_answer_bytes=settings.kept_answer_bytes,
+        )
+        return limits, claims_lib.Timing(
+            batch_interval_s=settings.group_ms / _MS_PER_S
         )
-        return limits, claims_lib.Timing(group_s=settings.group_ms / _MS_PER_S)
 
     def _alive_entries(self) -> list[types.Instance]:
         """Returns the entries that may own a claim."""
@@ -205,7 +207,7 @@
 
     def _status_report(self) -> Mapping[str, Any]:
         core = self._core
-        lanes = self._requests.fleet.lanes()
+        dispatchers = self._requests.fleet.dispatchers()
         return {
             "instance_id": self._file.instance_id,
             "role": self._file.role.value,
@@ -213,6 +215,9 @@
             "members": len(core.membership.members()),
             "leaving": core.leaving,
             "running": self._requests.pipeline.running,
-            "waiting": {name: lane.waiting for name, lane in lanes.items()},
+            "waiting": {
+                name: dispatcher.waiting
+                for name, dispatcher in dispatchers.items()
+            },
             "counters": core.counters.snapshot(),
         }
--- a/src/clementinegw/direct/agent.py
+++ b/src/clementinegw/direct/agent.py
@@ -44,8 +44,9 @@
 # balance by. The three loops wake up at the same moments: separate timers cost
 # a kernel poll each.
 _TICK_INTERVAL_S = 0.1
-# How often entries are told of requests that crash servers, in seconds. Every
-# entry must know of such a request before it has been repeated a few times.
+# How often entries get reports of requests that crash servers, in seconds.
+# Every entry must know of such a request before it has been repeated a few
+# times.
 _SUSPICIONS_INTERVAL_S = 0.5
 
 
@@ -156,7 +157,7 @@
         self._declared.due_s = instance.bounds.weights_ms / 1e3
 
     async def drain(self) -> None:
-        """Logs that the process stops; staged pieces stay with the server."""
+        """Logs that the process stops; staged chunks stay with the server."""
         self._log.write(events.PROCESS_STOPPING)
 
     async def on_shutdown(self) -> None:
@@ -217,10 +218,10 @@
         self,
         model: str,
         version: int,
-        unread_s: float,
+        lag_s: float,
         source: declarations.Source,
     ) -> None:
-        change = self._declared.record(model, version, unread_s, source)
+        change = self._declared.record(model, version, lag_s, source)
         self._publish_changes([change] if change else [])
 
     def _publish_changes(self, changes: list[declarations.Change]) -> None:
--- a/src/clementinegw/requests/_claim_owners.py
+++ b/src/clementinegw/requests/_claim_owners.py
@@ -1,4 +1,4 @@
-"""Finds the entry that gathers a shard's claims, and asks it."""
+"""Finds and calls the entry that owns a shard of claims."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -17,224 +17,244 @@
 from clementinegw.wire.gen.requests import ttypes
 
 Kind = connection_lib.Kind
-_MS = 1000.0
-_MAX_RANK = 3
-_UNREACHABLE_S = 5.0
-_WITHOUT_LOG_S = 1.0
-_RANKED_S = 0.5
-_SECOND_VIEW_S = 0.5
-_FAILURES = (exceptions.ConnectionLost, exceptions.DecodeError, TimeoutError)
+_MS_PER_S = 1000.0
+_MAX_CANDIDATES = 3
+_CONNECTION_COOLDOWN_S = 5.0
+_LOG_COOLDOWN_S = 1.0
+_RANKING_REFRESH_S = 0.5
+_LOG_RECHECK_TIMEOUT_S = 0.5
+_CALL_ERRORS = (exceptions.ConnectionLost, exceptions.DecodeError, TimeoutError)
 
 
 class Connector(Protocol):
-    """Opens or returns the kept connection to another entry."""
+    """Opens a connection to another entry or returns the existing one."""
 
     async def connect(
         self, address: types.Address
     ) -> connection_lib.Connection:
-        """Returns the connection; raises `ConnectionLost`."""
+        """Returns the connection.
+
+        Raises:
+          exceptions.ConnectionLost: The entry cannot be reached.
+        """
 
 
-def ranked(
-    shard: int, entries: Sequence[types.Instance]
+def rank_entries(
+    shard_number: int, entries: Sequence[types.Instance]
 ) -> list[types.Instance]:
-    """Returns entries by their rank for a shard (rendezvous hashing)."""
+    """Returns entries by their rank for a shard, by rendezvous hashing."""
     return sorted(
         entries,
         key=lambda entry: xxhash.xxh64_intdigest(
-            f"{shard}\0{entry.instance_id}".encode()
+            f"{shard_number}\0{entry.instance_id}".encode()
         ),
         reverse=True,
     )
 
 
-class Owners:
-    """Asks the owner of a shard; the next in rank when it does not answer."""
+class OwnerClient:
+    """Calls the owner of a shard, or the next in rank if it does not answer."""
 
     def __init__(
         self,
         own_id: str,
-        entries: Callable[[], Sequence[types.Instance]],
+        get_entries: Callable[[], Sequence[types.Instance]],
         connector: Connector,
-        shard: Callable[[int], _claim_shard.Shard],
+        get_shard: Callable[[int], _claim_shard.Shard],
         clock: clock_lib.Clock,
         counters: counters_lib.Counters,
-        ask_s: float,
+        call_timeout_s: float,
     ):
-        """Prepares the asker.
+        """Initializes the client.
 
         Args:
-          own_id: This entry's instance id.
-          entries: The entries that seem alive.
-          connector: Connects to them.
-          shard: Returns this entry's own reader of a shard.
+          own_id: The instance id of this entry.
+          get_entries: Returns the entries that seem alive.
+          connector: Connects to other entries.
+          get_shard: Returns this entry's own shard by its number.
           clock: The source of time.
-          counters: Where failed owners are counted.
-          ask_s: How long one owner may take, in seconds.
+          counters: Counts owners that failed.
+          call_timeout_s: How long one owner may take to reply, in seconds.
         """
         self._own_id = own_id
-        self._entries = entries
+        self._get_entries = get_entries
         self._connector = connector
-        self._shard = shard
+        self._get_shard = get_shard
         self._clock = clock
         self._counters = counters
-        self._ask_s = ask_s
-        self._ranked: dict[int, list[types.Instance | None]] = {}
-        self._ranked_until = -math.inf
-        self._unreachable = _Avoided(clock, _UNREACHABLE_S)
-        self._without_log = _Avoided(clock, _WITHOUT_LOG_S)
+        self._call_timeout_s = call_timeout_s
+        self._candidates_by_shard: dict[int, list[types.Instance | None]] = {}
+        self._ranking_expires_at = -math.inf
+        self._connection_cooldowns = _Cooldowns(clock, _CONNECTION_COOLDOWN_S)
+        self._log_cooldowns = _Cooldowns(clock, _LOG_COOLDOWN_S)
 
     async def claim(
-        self, number: int, claim: ttypes.Claim, deadline: float
+        self, shard_number: int, claim: ttypes.Claim, deadline: float
     ) -> ttypes.ClaimReply:
-        """Claims a key at the shard's owner.
+        """Claims a key at the owner of its shard.
 
-        Asking several owners is safe: they append the same claim id, and its
-        first record counts.
+        Calling several owners is safe: they append the same claim id, of which
+        the first record counts.
 
         Args:
-          number: The shard.
+          shard_number: The number of the shard.
           claim: The claim.
-          deadline: Monotonic seconds until which to try.
+          deadline: When to stop trying, in monotonic seconds.
 
         Returns:
-          The verdict; LOG_UNAVAILABLE when nobody could say.
+          The reply with the verdict; LOG_UNAVAILABLE if no entry decided.
         """
         ask = ttypes.ClaimAsk(
-            operation=ttypes.ClaimOperation.CLAIM, shard=number, claim=claim
+            operation=ttypes.ClaimOperation.CLAIM,
+            shard=shard_number,
+            claim=claim,
         )
-        return await self._ask_in_turn(number, ask, deadline)
+        return await self._call_by_rank(shard_number, ask, deadline)
 
-    async def end(self, number: int, ends: list[ttypes.ClaimEnd]) -> bool:
-        """Hands ends of claims to the shard's owner.
+    async def append_ends(
+        self, shard_number: int, ends: list[ttypes.ClaimEnd]
+    ) -> bool:
+        """Sends ends of claims to the owner of their shard.
 
         Returns:
           Whether they are in the log.
         """
         ask = ttypes.ClaimAsk(
-            operation=ttypes.ClaimOperation.END, shard=number, ends=ends
+            operation=ttypes.ClaimOperation.END, shard=shard_number, ends=ends
         )
-        deadline = self._clock.now() + _MAX_RANK * self._ask_s
-        reply = await self._ask_in_turn(number, ask, deadline)
+        deadline = self._clock.now() + _MAX_CANDIDATES * self._call_timeout_s
+        reply = await self._call_by_rank(shard_number, ask, deadline)
         return reply.verdict == ttypes.ClaimVerdict.VOID
 
-    async def ask(
+    async def call(
         self, entry: types.Instance, ask: ttypes.ClaimAsk
     ) -> ttypes.ClaimReply:
-        """Asks another entry.
+        """Calls another entry and returns its reply.
 
         Raises:
-          exceptions.ConnectionLost: It cannot be reached.
-          TimeoutError: It does not answer.
+          exceptions.ConnectionLost: The entry cannot be reached.
+          exceptions.DecodeError: The reply is malformed.
+          TimeoutError: The entry does not reply in time.
         """
         connection = await self._connector.connect(entry.address)
-        wait_s = self._ask_s + (ask.wait_ms or 0) / _MS
+        wait_s = self._call_timeout_s + (ask.wait_ms or 0) / _MS_PER_S
         frame = await connection_lib.call(
             connection, Kind.CLAIM_ASK, codec.encode(ask), wait_s
         )
         return codec.decode(ttypes.ClaimReply, frame.body)
 
-    def entry(self, instance_id: str) -> types.Instance | None:
-        """Returns an entry that seems alive by its id."""
-        for entry in self._entries():
+    def find_entry(self, instance_id: str) -> types.Instance | None:
+        """Returns an entry that seems alive, by its instance id."""
+        for entry in self._get_entries():
             if entry.instance_id == instance_id:
                 return entry
         return None
 
-    async def _ask_in_turn(
-        self, number: int, ask: ttypes.ClaimAsk, deadline: float
+    async def _call_by_rank(
+        self, shard_number: int, ask: ttypes.ClaimAsk, deadline: float
     ) -> ttypes.ClaimReply:
-        """Asks those that rank first for a shard until one can say.
+        """Calls the entries that rank first for a shard until one decides.
 
-        Few are asked, also in an outage of the log: were every entry to try
-        for itself, each would read the whole horizon once the log is back.
+        Only a few are called, also while the log is unavailable: if every entry
+        tried on its own, each would read the whole horizon once the log is
+        back.
         """
         log_is_down = False
-        for owner in self._first_in_rank(number):
-            left_s = deadline - self._clock.now()
-            if left_s <= 0:
+        for owner in self._candidates(shard_number):
+            remaining_s = deadline - self._clock.now()
+            if remaining_s <= 0:
                 break
-            name = self._own_id if owner is None else owner.instance_id
-            if self._without_log.is_in(name):
+            instance_id = self._own_id if owner is None else owner.instance_id
+            if self._log_cooldowns.is_active(instance_id):
                 log_is_down = True
                 continue
-            if self._unreachable.is_in(name):
+            if self._connection_cooldowns.is_active(instance_id):
                 continue
-            reply = await self._ask_one(owner, name, ask, left_s)
+            reply = await self._call_owner(owner, instance_id, ask, remaining_s)
             if reply is None:
                 continue
             if reply.verdict != ttypes.ClaimVerdict.LOG_UNAVAILABLE:
                 return reply
-            # The owner may be cut off from the platform in a failure domain
-            # of its own while others are not. More often the log is down for
-            # all: the others get little time, since a caller waits.
+            # The failure domain of the owner may be cut off from the platform
+            # while others are not. More often the log is down for all entries,
+            # so the others get little time, since a caller waits.
             log_is_down = True
-            self._without_log.add(name)
-            deadline = min(deadline, self._clock.now() + _SECOND_VIEW_S)
-        left_s = deadline - self._clock.now()
-        if not log_is_down and left_s > 0:
-            # Cut off from all others, an entry may still reach the log.
-            reply = await self._ask_one(None, self._own_id, ask, left_s)
+            self._log_cooldowns.start(instance_id)
+            deadline = min(deadline, self._clock.now() + _LOG_RECHECK_TIMEOUT_S)
+        remaining_s = deadline - self._clock.now()
+        if not log_is_down and remaining_s > 0:
+            # An entry that is cut off from all others may still reach the log.
+            reply = await self._call_owner(None, self._own_id, ask, remaining_s)
             if reply is not None:
                 return reply
         return ttypes.ClaimReply(
             verdict=ttypes.ClaimVerdict.LOG_UNAVAILABLE,
-            retry_after_ms=int(_WITHOUT_LOG_S * _MS),
+            retry_after_ms=int(_LOG_COOLDOWN_S * _MS_PER_S),
         )
 
-    async def _ask_one(
+    async def _call_owner(
         self,
         owner: types.Instance | None,
-        name: str,
+        instance_id: str,
         ask: ttypes.ClaimAsk,
-        left_s: float,
+        remaining_s: float,
     ) -> ttypes.ClaimReply | None:
-        """Asks one owner; None stands for this entry, and for no answer."""
-        limit_s = min(self._ask_s, left_s)
+        """Returns the reply of an owner, or None if the call failed.
+
+        An owner of None stands for this entry.
+        """
+        timeout_s = min(self._call_timeout_s, remaining_s)
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 if owner is not None:
-                    return await self.ask(owner, ask)
-                shard = self._shard(ask.shard)
+                    return await self.call(owner, ask)
+                shard = self._get_shard(ask.shard)
                 if ask.operation == ttypes.ClaimOperation.END:
-                    return await shard.end(ask.ends)
+                    return await shard.append_ends(ask.ends)
                 return await shard.claim(ask.claim)
-        except _FAILURES as error:
+        except _CALL_ERRORS as error:
             self._counters.add("claims.owner_failed")
-            hasty = isinstance(error, TimeoutError) and limit_s < self._ask_s
-            if not hasty:
-                self._unreachable.add(name)
+            cut_short = (
+                isinstance(error, TimeoutError)
+                and timeout_s < self._call_timeout_s
+            )
+            if not cut_short:
+                self._connection_cooldowns.start(instance_id)
             return None
 
-    def _first_in_rank(self, number: int) -> list[types.Instance | None]:
-        """Returns whom to ask in turn; None stands for this entry itself."""
+    def _candidates(self, shard_number: int) -> list[types.Instance | None]:
+        """Returns the entries to call in order; None stands for this entry."""
         now = self._clock.now()
-        if now >= self._ranked_until:
+        if now >= self._ranking_expires_at:
             # Ranking hundreds of entries for each claim would cost more than
-            # the claim; who has died since is found out by asking.
-            self._ranked_until = now + _RANKED_S
-            self._ranked.clear()
-        if number not in self._ranked:
-            first = ranked(number, self._entries())[:_MAX_RANK]
-            self._ranked[number] = [
+            # the claim. Calls detect entries that have died since.
+            self._ranking_expires_at = now + _RANKING_REFRESH_S
+            self._candidates_by_shard.clear()
+        if shard_number not in self._candidates_by_shard:
+            first = rank_entries(shard_number, self._get_entries())[
+                :_MAX_CANDIDATES
+            ]
+            self._candidates_by_shard[shard_number] = [
                 None if entry.instance_id == self._own_id else entry
                 for entry in first
             ]
-        return self._ranked[number]
+        return self._candidates_by_shard[shard_number]
 
 
-class _Avoided:
-    """Entries that are not asked for a while."""
+class _Cooldowns:
+    """Entries that are not called for a while after a failure."""
 
-    def __init__(self, clock: clock_lib.Clock, seconds: float):
+    def __init__(self, clock: clock_lib.Clock, duration_s: float):
         self._clock = clock
-        self._seconds = seconds
-        self._until: dict[str, float] = {}
+        self._duration_s = duration_s
+        self._expires_at: dict[str, float] = {}
 
-    def add(self, name: str) -> None:
+    def start(self, instance_id: str) -> None:
         now = self._clock.now()
-        self._until = {n: t for n, t in self._until.items() if t > now}
-        self._until[name] = now + self._seconds
+        self._expires_at = {
+            n: t for n, t in self._expires_at.items() if t > now
+        }
+        self._expires_at[instance_id] = now + self._duration_s
 
-    def is_in(self, name: str) -> bool:
-        return self._until.get(name, 0.0) > self._clock.now()
+    def is_active(self, instance_id: str) -> bool:
+        return self._expires_at.get(instance_id, 0.0) > self._clock.now()
