--- a/src/clementinegw/bench/_rollout_movers.py
+++ b/src/clementinegw/bench/_rollout_fetchers.py
@@ -21,18 +21,18 @@
     types_.Policy.STRIPES: 2,
 }
 _STRIPES = {types_.Policy.STRIPES: 2}
-_ORIGIN_AT_ONCE = 2
-_PARENT_AT_ONCE = 2
-_RETRY_S = 0.05
+_ORIGIN_CONCURRENCY = 2
+_PARENT_CONCURRENCY = 2
+_RETRY_INTERVAL_S = 0.05
 
 
-def make(node: nodes.Node) -> nodes.Mover:
+def make(node: nodes.Node) -> nodes.ChunkFetcher:
     """Returns what brings chunks to a node under its plan's policy."""
     if node.plan.policy is types_.Policy.SWARM:
         return _swarm(node)
     if node.plan.policy is types_.Policy.ORIGIN:
-        return OriginMover(node)
-    return TreeMover(node)
+        return OriginFetcher(node)
+    return TreeFetcher(node)
 
 
 def limits(plan: types_.Plan) -> swarm.Limits:
@@ -47,7 +47,7 @@
         "aside_s": 30 * chunk_s,
         "advert_s": 0.1 * chunk_s,
     }
-    return swarm.Limits(**(values | plan.swarm_changes))
+    return swarm.Limits(**(values | plan.swarm_overrides))
 
 
 def _swarm(node: nodes.Node) -> transfer.Transfer:
@@ -61,13 +61,13 @@
         limits(plan),
         random.Random(f"{plan.seed}-swarm-{node.name}"),
         pacing=node.pacing,
-        link=node.chunk_lane,
+        link=node.chunk_link,
         clock=node.clock,
         part_bytes=-(-plan.chunk_bytes // plan.parts),
     )
 
 
-class _Puller:
+class _BaseFetcher:
     """What the baselines share: wants one version, chunk by chunk."""
 
     def __init__(self, node: nodes.Node):
@@ -103,52 +103,53 @@
         held = self._node.store.held(manifest)
         missing = bitset.missing(held, len(manifest.chunks))
         self._tasks = [
-            asyncio.ensure_future(work) for work in self._work(missing)
+            asyncio.ensure_future(coroutine)
+            for coroutine in self._fetch_coroutines(missing)
         ]
 
     def set_fleet(self, instances: list[types.Instance]) -> None:
         """Says which agents take part."""
 
-    def _work(self, missing: list[int]) -> list:
+    def _fetch_coroutines(self, missing: list[int]) -> list:
         raise NotImplementedError
 
-    async def _draw(self, chunk: manifests.Chunk) -> None:
+    async def _fetch_from_origin(self, chunk: manifests.Chunk) -> None:
         origin = self._node.origin
         assert origin is not None
         while True:
             try:
                 data = await origin.get(chunk.blob_name)
             except exceptions.PlatformError:
-                await asyncio.sleep(_RETRY_S)
+                await asyncio.sleep(_RETRY_INTERVAL_S)
                 continue
-            await self._node.chunk_lane.receive(len(data))
-            if await self._keep(chunk, data):
+            await self._node.chunk_link.receive(len(data))
+            if await self._store_chunk(chunk, data):
                 return
 
-    async def _keep(self, chunk: manifests.Chunk, data: bytes) -> bool:
-        kept = await self._node.store.put(chunk.digest, data)
-        if kept:
-            self._event(chunk.digest).set()
-        return kept
+    async def _store_chunk(self, chunk: manifests.Chunk, data: bytes) -> bool:
+        stored = await self._node.store.put(chunk.digest, data)
+        if stored:
+            self._arrival_event(chunk.digest).set()
+        return stored
 
-    def _event(self, digest: bytes) -> asyncio.Event:
+    def _arrival_event(self, digest: bytes) -> asyncio.Event:
         return self._arrived.setdefault(digest, asyncio.Event())
 
 
-class OriginMover(_Puller):
+class OriginFetcher(_BaseFetcher):
     """Each agent draws every chunk for itself."""
 
-    def _work(self, missing: list[int]) -> list:
+    def _fetch_coroutines(self, missing: list[int]) -> list:
         queue = list(reversed(missing))
-        return [self._draw_all(queue) for _ in range(_ORIGIN_AT_ONCE)]
+        return [self._fetch_all(queue) for _ in range(_ORIGIN_CONCURRENCY)]
 
-    async def _draw_all(self, queue: list[int]) -> None:
+    async def _fetch_all(self, queue: list[int]) -> None:
         assert self._manifest is not None
         while queue:
-            await self._draw(self._manifest.chunks[queue.pop()])
+            await self._fetch_from_origin(self._manifest.chunks[queue.pop()])
 
 
-class TreeMover(_Puller):
+class TreeFetcher(_BaseFetcher):
     """Trees of fixed fan-out; a chain is one of fan-out 1.
 
     With several stripes each chunk goes down one of several trees, and an
@@ -166,15 +167,17 @@
         if not self._instances:
             self._instances = list(instances)
 
-    def _work(self, missing: list[int]) -> list:
+    def _fetch_coroutines(self, missing: list[int]) -> list:
         stripes = _STRIPES.get(self._node.plan.policy, 1)
-        work = []
+        coroutines = []
         for stripe in range(stripes):
             queue = [i for i in reversed(missing) if i % stripes == stripe]
             parent = self._parent(stripe, stripes)
-            count = _PARENT_AT_ONCE
-            work += [self._pull_all(queue, parent) for _ in range(count)]
-        return work
+            count = _PARENT_CONCURRENCY
+            coroutines += [
+                self._fetch_stripe(queue, parent) for _ in range(count)
+            ]
+        return coroutines
 
     def _parent(self, stripe: int, stripes: int) -> types.Instance | None:
         count = len(self._instances)
@@ -182,10 +185,10 @@
         position = (self._node.number + shift) % count
         if position == 0:
             return None
-        above = (position - 1) // _FAN_OUT[self._node.plan.policy]
-        return self._instances[(above - shift) % count]
+        parent_position = (position - 1) // _FAN_OUT[self._node.plan.policy]
+        return self._instances[(parent_position - shift) % count]
 
-    async def _pull_all(
+    async def _fetch_stripe(
         self, queue: list[int], parent: types.Instance | None
     ) -> None:
         assert self._manifest is not None
@@ -193,11 +196,11 @@
             index = queue.pop()
             chunk = self._manifest.chunks[index]
             if parent is None:
-                await self._draw(chunk)
+                await self._fetch_from_origin(chunk)
             else:
-                await self._pull(index, chunk, parent)
+                await self._fetch_from_parent(index, chunk, parent)
 
-    async def _pull(
+    async def _fetch_from_parent(
         self, index: int, chunk: manifests.Chunk, parent: types.Instance
     ) -> None:
         assert self._manifest is not None
@@ -215,9 +218,9 @@
                 connection = await self._node.endpoint.connect(parent.address)
                 data = await self._receive(connection, body, chunk.size)
             except exceptions.ConnectionLost:
-                await asyncio.sleep(_RETRY_S)
+                await asyncio.sleep(_RETRY_INTERVAL_S)
                 continue
-            if await self._keep(chunk, data):
+            if await self._store_chunk(chunk, data):
                 return
 
     async def _receive(
@@ -229,16 +232,18 @@
             await exchange.send(connections.Kind.CHUNK_GET, body)
             while len(data) < size:
                 frame = await exchange.receive()
-                self._count(connection, len(frame.body))
-                await self._node.chunk_lane.receive(len(frame.body))
+                self._count_imported(connection, len(frame.body))
+                await self._node.chunk_link.receive(len(frame.body))
                 data += frame.body
         finally:
             exchange.close()
         return bytes(data)
 
-    def _count(self, connection: connections.Connection, count: int) -> None:
-        mine = self._node.place.failure_domain
-        if connection.peer.place.failure_domain != mine:
+    def _count_imported(
+        self, connection: connections.Connection, count: int
+    ) -> None:
+        local_domain = self._node.place.failure_domain
+        if connection.peer.place.failure_domain != local_domain:
             self._node.imported_bytes += count
 
     async def _on_get(
@@ -248,12 +253,12 @@
         frame: connections.Frame,
     ) -> None:
         message = codec.decode(ttypes.ChunkGet, frame.body)
-        await self._event(message.chunk_digest).wait()
+        await self._arrival_event(message.chunk_digest).wait()
         data = await self._node.store.get(message.chunk_digest)
         assert data is not None
         plan = self._node.plan
-        step = -(-plan.chunk_bytes // plan.parts)
-        for start in range(0, len(data), step):
-            piece = data[start : start + step]
-            await self._node.chunk_lane.send(len(piece))
-            await exchange.send(connections.Kind.CHUNK_DATA, piece)
+        part_bytes = -(-plan.chunk_bytes // plan.parts)
+        for start in range(0, len(data), part_bytes):
+            part = data[start : start + part_bytes]
+            await self._node.chunk_link.send(len(part))
+            await exchange.send(connections.Kind.CHUNK_DATA, part)
--- a/src/clementinegw/bench/_rollout_node.py
+++ b/src/clementinegw/bench/_rollout_node.py
@@ -18,18 +18,18 @@
 from clementinegw.wire import auth
 from clementinegw.wire import connection as connections
 
-_KEYS = auth.single_key_ring(b"a key for measurements only")
+_KEY_RING = auth.single_key_ring(b"a key for measurements only")
 # Hundreds of handshakes share one processor while a run is set up.
 _TIMING = connections.Timing(
     connect_timeout_s=30.0, ping_after_s=20.0, idle_timeout_s=60.0
 )
 _STORE_VERSIONS = 3
 _LINK_BURST_S = 0.01
-_PACKETS_A_PART = 4
-_BURST_PARTS = 6
+_PACKETS_PER_PART = 4
+_PACING_BURST_PARTS = 6
 
 
-class Mover(Protocol):
+class ChunkFetcher(Protocol):
     """What brings chunks to one replica; one class a policy."""
 
     @property
@@ -49,27 +49,29 @@
         """Says which agents take part."""
 
 
-class Cut:
+class Partition:
     """Which failure domain is separated from the others."""
 
     def __init__(self) -> None:
         self.domain = ""
         self.domains: dict[types.Address, str] = {}
 
-    def between(self, one: str, other: str) -> bool:
+    def separates(self, one: str, other: str) -> bool:
         """Whether two failure domains cannot reach each other."""
         return one != other and self.domain in (one, other)
 
 
-class CutEndpoint(connections.Endpoint):
+class PartitionedEndpoint(connections.Endpoint):
     """An endpoint that cannot reach across a cut."""
 
-    cut: Cut | None = None
+    partition: Partition | None = None
 
     async def connect(self, address: types.Address) -> connections.Connection:
         """Connects, unless there is a cut between the two."""
-        mine = self.identity.place.failure_domain
-        if self.cut and self.cut.between(mine, self.cut.domains[address]):
+        local_domain = self.identity.place.failure_domain
+        if self.partition and self.partition.separates(
+            local_domain, self.partition.domains[address]
+        ):
             raise exceptions.ConnectionLost("cut off")
         return await super().connect(address)
 
@@ -82,28 +84,28 @@
         super().__init__(
             rate, shared=shared, clock=clock, burst_s=_LINK_BURST_S
         )
-        self._moving = asyncio.Event()
-        self._moving.set()
+        self._unblocked = asyncio.Event()
+        self._unblocked.set()
 
     def stall(self, stalled: bool) -> None:
         """Lets nothing pass, or everything again."""
         if stalled:
-            self._moving.clear()
+            self._unblocked.clear()
         else:
-            self._moving.set()
+            self._unblocked.set()
 
     async def send(self, count: int) -> None:
         """Waits until that many bytes have left."""
         await super().send(count)
-        await self._moving.wait()
+        await self._unblocked.wait()
 
     async def receive(self, count: int) -> None:
         """Waits until that many bytes have come in."""
         await super().receive(count)
-        await self._moving.wait()
+        await self._unblocked.wait()
 
 
-class Lane:
+class MeteredLink:
     """A use of a machine's link, with its own count of bytes.
 
     Bytes pass in packets, so that several uses of a link interleave.
@@ -136,12 +138,12 @@
 class FaultyStore(stores.MemoryStore):
     """A chunk store that can damage what it gives back."""
 
-    corrupts = False
+    corrupting = False
 
     async def get(self, chunk_digest: bytes) -> bytes | None:
         """Returns a chunk, with its first bit flipped when told to."""
         data = await super().get(chunk_digest)
-        if data is None or not self.corrupts:
+        if data is None or not self.corrupting:
             return data
         return bytes((data[0] ^ 1,)) + data[1:]
 
@@ -150,7 +152,11 @@
     """One machine."""
 
     def __init__(
-        self, plan: types_.Plan, number: int, cut: Cut, clock: clocks.Clock
+        self,
+        plan: types_.Plan,
+        number: int,
+        partition: Partition,
+        clock: clocks.Clock,
     ):
         """Builds the parts; nothing listens yet."""
         domain = f"d{number % plan.domains}"
@@ -161,36 +167,38 @@
         self.name = f"a{number:03}"
         self.rng = random.Random(f"{plan.seed}-{self.name}")
         self.link = FaultyLink(plan.link_rate, plan.shared, clock)
-        packet = math.ceil(plan.chunk_bytes / plan.parts / _PACKETS_A_PART)
-        self.chunk_lane = Lane(self.link, packet)
-        self.live_lane = Lane(self.link, packet)
+        packet_bytes = math.ceil(
+            plan.chunk_bytes / plan.parts / _PACKETS_PER_PART
+        )
+        self.chunk_link = MeteredLink(self.link, packet_bytes)
+        self.live_link = MeteredLink(self.link, packet_bytes)
         self.pacing = pacing_lib.Pacing(
             plan.link_rate * (1 - plan.headroom),
             clock,
             plan.shared,
-            burst=_BURST_PARTS * plan.chunk_bytes / plan.parts,
+            burst=_PACING_BURST_PARTS * plan.chunk_bytes / plan.parts,
         )
         self.store = FaultyStore(_STORE_VERSIONS * plan.total_bytes)
-        self.endpoint = CutEndpoint(
+        self.endpoint = PartitionedEndpoint(
             connections.Identity(self.name, types.Role.AGENT, self.place),
-            _KEYS,
+            _KEY_RING,
             timing=_TIMING,
         )
-        self.endpoint.cut = cut
+        self.endpoint.partition = partition
         self.body_bytes = self._body_bytes()
         self.replica = replicas.Replica(
-            self.live_lane, self.pacing, self.body_bytes, self.rng
+            self.live_link, self.pacing, self.body_bytes, self.rng
         )
         self.alive = True
         self.imported_bytes = 0
-        self.loading = ""
-        self.serves = ""
+        self.loading_digest = ""
+        self.serving_digest = ""
         self.served_at: dict[str, float] = {}
-        self.mover: Mover | None = None
+        self.fetcher: ChunkFetcher | None = None
         self.instance: types.Instance | None = None
         self.origin: blobs.BlobStore | None = None
-        self.caller: replicas.Caller | None = None
-        self._calling: asyncio.Task | None = None
+        self.load_generator: replicas.LoadGenerator | None = None
+        self._load_task: asyncio.Task | None = None
 
     @property
     def plan(self) -> types_.Plan:
@@ -204,41 +212,43 @@
         self.instance = types.Instance(
             self.name, types.Role.AGENT, self.place, address
         )
-        caller = replicas.Caller(
+        load_generator = replicas.LoadGenerator(
             await self.replica.start(),
             self.body_bytes,
             self._plan.live_per_s,
             self.rng,
         )
-        self.caller = caller
-        self._calling = asyncio.ensure_future(caller.run())
+        self.load_generator = load_generator
+        self._load_task = asyncio.ensure_future(load_generator.run())
 
     async def stop(self) -> None:
         """Ends everything at once, as a machine that dies."""
         self.alive = False
-        if self._calling is not None:
-            self._calling.cancel()
-        if self.mover is not None:
-            await self.mover.stop()
+        if self._load_task is not None:
+            self._load_task.cancel()
+        if self.fetcher is not None:
+            await self.fetcher.stop()
         await self.endpoint.close()
         await self.replica.stop()
 
-    async def serve(self, manifest: manifests.Manifest, now: float) -> None:
+    async def load_version(
+        self, manifest: manifests.Manifest, now: float
+    ) -> None:
         """Takes the replica out, loads a whole version and puts it back."""
-        self.loading = manifest.digest
+        self.loading_digest = manifest.digest
         chunks = []
         for chunk in manifest.chunks:
             data = await stores.MemoryStore.get(self.store, chunk.digest)
             assert data is not None
             chunks.append(data)
-        self.replica.out = True
-        found = await self.replica.load(chunks)
+        self.replica.out_of_service = True
+        content = await self.replica.load(chunks)
         digests = [chunk.digest for chunk in manifest.chunks]
-        if found == replicas.content_digest(digests):
-            self.replica.out = False
-            self.serves = manifest.digest
+        if content == replicas.content_digest(digests):
+            self.replica.out_of_service = False
+            self.serving_digest = manifest.digest
             self.served_at[manifest.digest] = now
-        self.loading = ""
+        self.loading_digest = ""
 
     def _body_bytes(self) -> int:
         plan = self._plan
--- a/src/clementinegw/bench/_rollout_replica.py
+++ b/src/clementinegw/bench/_rollout_replica.py
@@ -14,7 +14,7 @@
 _DIGEST_BYTES = 32
 _NUMBER_BYTES = 8
 MIN_BODY_BYTES = _DIGEST_BYTES + _NUMBER_BYTES
-_SERVICE_S = (0.04, 0.08)
+_SERVICE_TIME_RANGE_S = (0.04, 0.08)
 
 
 def content_digest(digests: list[bytes]) -> bytes:
@@ -49,12 +49,12 @@
         self._content = content_digest([])
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task] = set()
-        self.out = False
+        self.out_of_service = False
 
     async def start(self) -> types.Address:
         """Listens on a port that the kernel chooses."""
         self._server = await asyncio.start_server(
-            self._converse, "127.0.0.1", 0
+            self._handle_connection, "127.0.0.1", 0
         )
         port = self._server.sockets[0].getsockname()[1]
         return types.Address("127.0.0.1", port)
@@ -79,7 +79,7 @@
             await asyncio.sleep(0)
         return self._content
 
-    async def _converse(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
@@ -99,23 +99,23 @@
         if self._pacing is not None:
             self._pacing.record_live(self._body_bytes, self._body_bytes)
         await self._link.receive(self._body_bytes)
-        await asyncio.sleep(self._rng.uniform(*_SERVICE_S))
+        await asyncio.sleep(self._rng.uniform(*_SERVICE_TIME_RANGE_S))
         # Read at the end: a request that ran while weights were replaced
         # would be answered by the mixture.
-        content = bytes(_DIGEST_BYTES) if self.out else self._content
+        content = bytes(_DIGEST_BYTES) if self.out_of_service else self._content
         await self._link.send(self._body_bytes)
         answer = content + body[:_NUMBER_BYTES]
         writer.write(answer.ljust(self._body_bytes, b"\0"))
 
 
-class Caller:
+class LoadGenerator:
     """Sends live requests to one replica and keeps what it saw."""
 
     def __init__(
         self,
         address: types.Address,
         body_bytes: int,
-        per_s: float,
+        requests_per_s: float,
         rng: random.Random,
     ):
         """Prepares the requests.
@@ -123,16 +123,16 @@
         Args:
           address: The replica's.
           body_bytes: The size of a request and of an answer.
-          per_s: Requests a second, at random times.
+          requests_per_s: Requests a second, at random times.
           rng: Draws the times.
         """
         self._address = address
         self._body_bytes = body_bytes
-        self._per_s = per_s
+        self._requests_per_s = requests_per_s
         self._rng = rng
-        self._sent: dict[bytes, float] = {}
+        self._sent_at: dict[bytes, float] = {}
         self.latencies: list[tuple[float, float]] = []
-        self.by_content: dict[bytes, int] = {}
+        self.counts_by_content: dict[bytes, int] = {}
         self.refused = 0
 
     async def run(self) -> None:
@@ -144,10 +144,10 @@
         number = 0
         try:
             while not receiving.done():
-                await asyncio.sleep(self._rng.expovariate(self._per_s))
+                await asyncio.sleep(self._rng.expovariate(self._requests_per_s))
                 number += 1
                 head = number.to_bytes(_NUMBER_BYTES, "big")
-                self._sent[head] = loop.time()
+                self._sent_at[head] = loop.time()
                 writer.write(head.ljust(self._body_bytes, b"\0"))
         finally:
             receiving.cancel()
@@ -160,10 +160,12 @@
                 answer = await reader.readexactly(self._body_bytes)
             except (asyncio.IncompleteReadError, ConnectionError):
                 return
-            began = self._sent.pop(answer[_DIGEST_BYTES:MIN_BODY_BYTES])
+            started_at = self._sent_at.pop(answer[_DIGEST_BYTES:MIN_BODY_BYTES])
             content = answer[:_DIGEST_BYTES]
             if content == bytes(_DIGEST_BYTES):
                 self.refused += 1
                 continue
-            self.latencies.append((began, loop.time() - began))
-            self.by_content[content] = self.by_content.get(content, 0) + 1
+            self.latencies.append((started_at, loop.time() - started_at))
+            self.counts_by_content[content] = (
+                self.counts_by_content.get(content, 0) + 1
+            )
--- a/src/clementinegw/bench/_rollout_run.py
+++ b/src/clementinegw/bench/_rollout_run.py
@@ -9,7 +9,7 @@
 
 from clementinegw import clock as clocks
 from clementinegw.bench import _rollout_faults as faults_lib
-from clementinegw.bench import _rollout_movers as movers
+from clementinegw.bench import _rollout_fetchers as fetchers
 from clementinegw.bench import _rollout_node as nodes
 from clementinegw.bench import _rollout_replica as replicas
 from clementinegw.bench import _rollout_types as types_
@@ -17,42 +17,42 @@
 from clementinegw.testing import clock as virtual_clocks
 from clementinegw.testing import platform as platforms
 
-_POLL_S = 0.01
+_POLL_INTERVAL_S = 0.01
 # Real seconds for the kernel before each jump of the virtual clock.
 _GRACE_S = 0.0
 
 
 @dataclasses.dataclass(slots=True)
-class Found:
+class Result:
     """What one rollout showed.
 
     Attributes:
       plan: The rollout.
-      began: Loop time at which the target was set.
-      finished: Loop time at which every live replica served the newest one;
+      started_at: Loop time at which the target was set.
+      finished_at: Loop time at which every live replica served the newest one;
         None when the run was given up.
-      ended: Loop time of the end.
+      ended_at: Loop time of the end.
       cpu_s: Processor seconds of the process between the two.
       machines: All of them.
       live: Those that had not died at the end.
       origin_bytes: Bytes that the origin sent.
-      healed: Loop time at which a partition ended; None without one.
-      drawn_at_heal: What the origin had sent by then, in bytes.
+      healed_at: Loop time at which a partition ended; None without one.
+      origin_bytes_at_heal: What the origin had sent by then, in bytes.
       digest: The newest version's manifest.
       contents: What answers by whole weights may carry.
       events: What the faults did, with the time from the start.
     """
 
     plan: types_.Plan
-    began: float = 0.0
-    finished: float | None = None
-    ended: float = 0.0
+    started_at: float = 0.0
+    finished_at: float | None = None
+    ended_at: float = 0.0
     cpu_s: float = 0.0
     machines: list[nodes.Node] = dataclasses.field(default_factory=list)
     live: list[nodes.Node] = dataclasses.field(default_factory=list)
     origin_bytes: int = 0
-    healed: float | None = None
-    drawn_at_heal: int = 0
+    healed_at: float | None = None
+    origin_bytes_at_heal: int = 0
     digest: str = ""
     contents: set[bytes] = dataclasses.field(default_factory=set)
     events: list[str] = dataclasses.field(default_factory=list)
@@ -67,11 +67,11 @@
         self.rng = random.Random(f"{plan.seed}-faults")
         self.first, self.second = types_.make_versions(plan)
         self.target = self.first
-        self.cut = nodes.Cut()
+        self.partition = nodes.Partition()
         self.origin = platforms.BlobServer(clock, plan.origin_rate)
-        self.found = Found(plan)
+        self.result = Result(plan)
         self.nodes = [
-            nodes.Node(plan, number, self.cut, clock)
+            nodes.Node(plan, number, self.partition, clock)
             for number in range(plan.replicas)
         ]
         self._loading: set[asyncio.Task] = set()
@@ -81,7 +81,7 @@
         """The machines that have not died."""
         return [node for node in self.nodes if node.alive]
 
-    async def run(self) -> Found:
+    async def run(self) -> Result:
         """Runs it and returns what it showed."""
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
@@ -90,43 +90,43 @@
                 await self._measure()
             finally:
                 await self._tear_down()
-        return self.found
+        return self.result
 
     def set_target(self, version: types_.Version) -> None:
         """Declares a version everywhere at once."""
         self.target = version
         for node in self.live:
-            assert node.mover is not None
-            node.mover.set_target(version.manifest)
+            assert node.fetcher is not None
+            node.fetcher.set_target(version.manifest)
 
     async def _set_up(self, session: aiohttp.ClientSession) -> None:
         for version in (self.first, self.second):
             for chunk in version.manifest.chunks:
                 self.origin.blobs[chunk.blob_name] = version.data[chunk.digest]
         domains = [f"d{number}" for number in range(self.plan.domains)]
-        fronts = {name: self.origin.front(name) for name in domains}
+        front_servers = {name: self.origin.front(name) for name in domains}
         await self.origin.start()
         await asyncio.gather(*(node.start() for node in self.nodes))
         instances = [node.instance for node in self.nodes if node.instance]
         for node in self.nodes:
             domain = node.place.failure_domain
             assert node.instance is not None
-            self.cut.domains[node.instance.address] = domain
+            self.partition.domains[node.instance.address] = domain
             node.origin = blobs.HttpStore(
-                fronts[domain].address, session, part="origin"
+                front_servers[domain].address, session, part="origin"
             )
-            node.mover = movers.make(node)
+            node.fetcher = fetchers.make(node)
         for node in self.nodes:
-            assert node.mover is not None
-            node.mover.set_fleet(instances)
-            await node.mover.start()
+            assert node.fetcher is not None
+            node.fetcher.set_fleet(instances)
+            await node.fetcher.start()
 
     async def _measure(self) -> None:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(self.plan.warm_up_s)
-        found = self.found
+        result = self.result
         cpu = time.process_time()
-        found.began = loop.time()
+        result.started_at = loop.time()
         self.set_target(self.first)
         injecting = asyncio.ensure_future(faults_lib.inject(self))
         try:
@@ -134,37 +134,37 @@
                 # Looked at from outside, as an operator
                 # would do.
                 while not (  # noqa: ASYNC110
-                    self._serve_what_is_whole() and injecting.done()
+                    self._load_complete_replicas() and injecting.done()
                 ):
-                    await asyncio.sleep(_POLL_S)
+                    await asyncio.sleep(_POLL_INTERVAL_S)
             injecting.result()
-            found.finished = loop.time()
+            result.finished_at = loop.time()
         except TimeoutError:
             injecting.cancel()
-        found.ended = loop.time()
-        found.cpu_s = time.process_time() - cpu
-        found.machines = self.nodes
-        found.live = self.live
-        found.origin_bytes = self.origin.drawn
-        found.digest = self.target.manifest.digest
-        found.contents = {replicas.content_digest([])}
+        result.ended_at = loop.time()
+        result.cpu_s = time.process_time() - cpu
+        result.machines = self.nodes
+        result.live = self.live
+        result.origin_bytes = self.origin.drawn
+        result.digest = self.target.manifest.digest
+        result.contents = {replicas.content_digest([])}
         for version in (self.first, self.second):
             digests = [chunk.digest for chunk in version.manifest.chunks]
-            found.contents.add(replicas.content_digest(digests))
+            result.contents.add(replicas.content_digest(digests))
 
-    def _serve_what_is_whole(self) -> bool:
+    def _load_complete_replicas(self) -> bool:
         """Loads where all chunks are in; returns whether all serve."""
         now = asyncio.get_running_loop().time()
         manifest = self.target.manifest
         all_serve = True
         for node in self.live:
-            assert node.mover is not None
-            if node.serves == manifest.digest:
+            assert node.fetcher is not None
+            if node.serving_digest == manifest.digest:
                 continue
             all_serve = False
-            if not node.loading and node.mover.complete:
-                node.loading = manifest.digest
-                task = asyncio.ensure_future(node.serve(manifest, now))
+            if not node.loading_digest and node.fetcher.complete:
+                node.loading_digest = manifest.digest
+                task = asyncio.ensure_future(node.load_version(manifest, now))
                 self._loading.add(task)
                 task.add_done_callback(self._loading.discard)
         return all_serve
@@ -174,7 +174,7 @@
         await self.origin.stop()
 
 
-async def run(plan: types_.Plan, virtual: bool) -> Found:
+async def run(plan: types_.Plan, virtual: bool) -> Result:
     """Runs a rollout, in real or in virtual time.
 
     In virtual time the loop jumps to the next timer whenever nothing is ready.
--- a/src/clementinegw/bench/_rollout_types.py
+++ b/src/clementinegw/bench/_rollout_types.py
@@ -7,7 +7,7 @@
 
 from clementinegw.weights import manifest as manifests
 
-_SHARED_CHUNKS = 0.5
+_NEW_CHUNK_SHARE = 0.5
 
 
 class Policy(enum.StrEnum):
@@ -72,7 +72,7 @@
     faults: frozenset[Fault]
     seed: int
     timeout_s: float
-    swarm_changes: dict
+    swarm_overrides: dict
 
     @property
     def total_bytes(self) -> int:
@@ -105,11 +105,13 @@
         the bound lower.
         """
         size, count = self.total_bytes, self.replicas
-        once = size / self.origin_rate
-        each = size / self.link_rate
-        needed = 2 * count * size if self.shared else count * size
-        everyone = needed / (self.origin_rate + count * self.link_rate)
-        return max(once, each, everyone)
+        origin_s = size / self.origin_rate
+        per_machine_s = size / self.link_rate
+        transferred_bytes = 2 * count * size if self.shared else count * size
+        aggregate_s = transferred_bytes / (
+            self.origin_rate + count * self.link_rate
+        )
+        return max(origin_s, per_machine_s, aggregate_s)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -125,8 +127,8 @@
     rng = random.Random(plan.seed)
     first = [rng.randbytes(plan.chunk_bytes) for _ in range(plan.chunks)]
     second = list(first)
-    fresh = math.ceil(plan.chunks * _SHARED_CHUNKS)
-    for index in rng.sample(range(plan.chunks), fresh):
+    new_count = math.ceil(plan.chunks * _NEW_CHUNK_SHARE)
+    for index in rng.sample(range(plan.chunks), new_count):
         second[index] = rng.randbytes(plan.chunk_bytes)
     return _version(plan, "v1", first), _version(plan, "v2", second)
 
--- a/src/clementinegw/bench/_settings_hosts.py
+++ b/src/clementinegw/bench/_settings_hosts.py
@@ -3,7 +3,7 @@
 Hundreds of members that share one processor core wait for one another, which
 those of a real deployment do not. Each host process here runs some of them,
 over the same loopback TCP; the log has a process, and the operators stay in the
-first one. The processes are started by the shell; see `desk`.
+first one. The processes are started by the shell; see `coordinator`.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 from clementinegw.bench import _settings_network as networks
 from clementinegw.bench import _settings_platform as platforms
 from clementinegw.bench import _settings_run as runs
-from clementinegw.bench import desk as desks
+from clementinegw.bench import coordinator as coordinators
 from clementinegw.platform import log as log_lib
 from clementinegw.settings import changes
 from clementinegw.settings import fold as fold_lib
@@ -173,9 +173,9 @@
 class _RemotePlatform:
     """The log in a process of its own; see `platforms.Platform`."""
 
-    def __init__(self, desk: desks.Desk) -> None:
-        self._desk = desk
-        self._worker: desks.Worker | None = None
+    def __init__(self, coordinator: coordinators.Coordinator) -> None:
+        self._coordinator = coordinator
+        self._worker: coordinators.HostConnection | None = None
         self._addresses: dict[str, str] = {}
         self._session: aiohttp.ClientSession | None = None
 
@@ -186,7 +186,7 @@
 
     async def start(self, domains: list[str]) -> None:
         """Gives the log to a host."""
-        self._worker = await self._desk.employ(_log_main, domains)
+        self._worker = await self._coordinator.assign(_log_main, domains)
         self._addresses = await self._worker.receive()
         self._session = platforms.session()
 
@@ -223,7 +223,7 @@
         plan: runs.Plan,
         clock: clocks.Clock,
         hosts: int,
-        desk: desks.Desk,
+        coordinator: coordinators.Coordinator,
     ):
         """Prepares it.
 
@@ -231,13 +231,13 @@
           plan: What to run.
           clock: The machine's clock, which all processes share.
           hosts: How many processes.
-          desk: Where they come; one more comes for the log.
+          coordinator: Where they come; one more comes for the log.
         """
         super().__init__(plan, clock)
-        self.platform = _RemotePlatform(desk)
+        self.platform = _RemotePlatform(coordinator)
         self._hosts = hosts
-        self._desk = desk
-        self._workers: list[desks.Worker] = []
+        self._coordinator = coordinator
+        self._workers: list[coordinators.HostConnection] = []
         self._reports: list[Report] = []
 
     @property
@@ -254,7 +254,7 @@
         for number in range(self._hosts):
             part = tuple(members[number :: self._hosts])
             spec = Spec(part, addresses, self.plan.seed * 1000 + number)
-            self._workers.append(await self._desk.employ(_main, spec))
+            self._workers.append(await self._coordinator.assign(_main, spec))
         domains = dict(members)
         book = {}
         for worker in self._workers:
@@ -296,7 +296,7 @@
             await asyncio.sleep(_STATUS_S)
 
     async def _ask(self, what: str) -> None:
-        self._reports = [await w.ask(what) for w in self._workers]
+        self._reports = [await w.request(what) for w in self._workers]
 
     def _lowest(self) -> int:
         return min(s[0] for r in self._reports for s in r.states.values())
--- a/src/clementinegw/bench/claims.py
+++ b/src/clementinegw/bench/claims.py
@@ -22,13 +22,13 @@
 
 _WINDOWS_MS = (0, 10, 20, 40, 80)
 _SECONDS = 4.0
-_LOG_S = 0.01
+_LOG_DELAY_S = 0.01
 _ANY_PORT = shared.Address("127.0.0.1", 0)
 _PLACE = shared.Place("noord", "groningen-hal")
 _ANSWER = shared.Answered(200, (), b"booked")
 
 
-class _Entries:
+class _EntryGroup:
     """Some entries that know each other."""
 
     def __init__(self, log: memory.MemoryLog, timing: claims_service.Timing):
@@ -100,19 +100,19 @@
 ) -> dict[str, float]:
     """Returns the figures for one group window."""
     log = memory.MemoryLog(clock_lib.SystemClock())
-    log.faults.slow_s = _LOG_S
+    log.faults.slow_s = _LOG_DELAY_S
     timing = claims_service.Timing(batch_interval_s=window_ms / 1000.0)
-    fleet = _Entries(log, timing)
-    await fleet.start(entries)
+    group = _EntryGroup(log, timing)
+    await group.start(entries)
     rng = random.Random(1)
     delays: list[float] = []
     tasks = [
         asyncio.ensure_future(_claim(claims, -number, []))
-        for number, claims in enumerate(fleet.claims * claim_lib.SHARDS)
+        for number, claims in enumerate(group.claims * claim_lib.SHARDS)
     ]
     await asyncio.gather(*tasks)
     before = _appends(log)
-    busy = time.process_time()
+    cpu_s = time.process_time()
     start = time.monotonic()
     tasks = []
     count = int(rate * _SECONDS)
@@ -120,13 +120,13 @@
         wait_s = start + number / rate - time.monotonic()
         if wait_s > 0:
             await asyncio.sleep(wait_s)
-        claims = rng.choice(fleet.claims)
+        claims = rng.choice(group.claims)
         tasks.append(asyncio.ensure_future(_claim(claims, number, delays)))
     await asyncio.gather(*tasks)
     seconds = time.monotonic() - start
-    busy = time.process_time() - busy
+    cpu_s = time.process_time() - cpu_s
     appends = _appends(log) - before
-    await fleet.stop()
+    await group.stop()
     delays.sort()
     return {
         "window_ms": window_ms,
@@ -134,7 +134,7 @@
         "appends_per_s": round(appends / seconds, 1),
         "p50_ms": round(delays[len(delays) // 2] * 1000, 1),
         "p99_ms": round(delays[len(delays) * 99 // 100] * 1000, 1),
-        "cpu_us_per_claim": round(busy / count * 1e6, 1),
+        "cpu_us_per_claim": round(cpu_s / count * 1e6, 1),
     }
 
 
--- a/src/clementinegw/bench/control.py
+++ b/src/clementinegw/bench/control.py
@@ -32,11 +32,11 @@
 _HEADER_BYTES = 28
 _SEEDS = 3
 _ROLES = (types.Role.ENTRY, types.Role.AGENT)
-_ENTRY_SHARE = 4
-_JOIN_BOUND_S = 60.0
-_DETECT_BOUND_S = 20.0
-_POLL_S = 0.05
-_APART_S = 0.03
+_MEMBERS_PER_ENTRY = 4
+_JOIN_TIMEOUT_S = 60.0
+_DETECT_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.05
+_START_INTERVAL_S = 0.03
 _DAEMONS = ("clementinegw.daemons.entry", "clementinegw.daemons.agent")
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 _MB = 1024 * 1024
@@ -158,10 +158,12 @@
             known = self._rng.sample(
                 seeds, min(len(seeds), _SEEDS * len(self._domains))
             )
-            member = self._new(index // len(self._domains), domain, known)
+            member = self._new_member(
+                index // len(self._domains), domain, known
+            )
             await member.start()
             self._members.append(member)
-            await asyncio.sleep(_APART_S)
+            await asyncio.sleep(_START_INTERVAL_S)
             if index < _SEEDS * len(self._domains) or len(self._domains) == 1:
                 seeds.append(view.Seed(member.instance.address, domain))
 
@@ -179,15 +181,15 @@
           seconds: How long.
           base_mb: The memory of this process before any member started.
         """
-        await _until(self._joined, _JOIN_BOUND_S, "join")
+        await _wait_until(self._joined, _JOIN_TIMEOUT_S, "join")
         join_s = time.monotonic() - self._started_at
         await asyncio.sleep(seconds)
         cpu, wall = time.process_time(), time.monotonic()
-        before = self._sent()
+        before = self._traffic_by_role()
         await asyncio.sleep(seconds)
         cpu = time.process_time() - cpu
         wall = time.monotonic() - wall
-        after = self._sent()
+        after = self._traffic_by_role()
         gc.collect()
         count = len(self._members)
         entries = sum(_is_entry(m) for m in self._members)
@@ -212,17 +214,17 @@
         victim_id = victim.instance.instance_id
         place = victim.instance.place
         peers = [m for m in self._members if m.instance.place == place]
-        await _until(
-            lambda: not any(_knows(m, victim_id) for m in peers),
-            _DETECT_BOUND_S,
+        await _wait_until(
+            lambda: not any(_considers_alive(m, victim_id) for m in peers),
+            _DETECT_TIMEOUT_S,
             "detection",
         )
         return time.monotonic() - started
 
-    def _new(
+    def _new_member(
         self, index: int, domain: str, seeds: list[view.Seed]
     ) -> service.Membership:
-        role = _ROLES[index % _ENTRY_SHARE != 0]
+        role = _ROLES[index % _MEMBERS_PER_ENTRY != 0]
         instance = types.Instance(
             f"{domain}-{index:04}",
             role,
@@ -235,12 +237,12 @@
             auth.single_key_ring(b"a key of the bench"),
             seeds=tuple(seeds),
             rng=random.Random(self._rng.random()),
-            log=_Silent(),
+            log=_NullLog(),
             counters=self._counters[role],
         )
 
-    def _sent(self) -> dict[types.Role, float]:
-        return {role: _volume(c) for role, c in self._counters.items()}
+    def _traffic_by_role(self) -> dict[types.Role, float]:
+        return {role: _traffic_bytes(c) for role, c in self._counters.items()}
 
     def _joined(self) -> bool:
         return all(m.size == self._size for m in self._members)
@@ -268,11 +270,11 @@
     }
 
 
-def _slope(points: list[Point], of: Callable[[Point], float]) -> float:
+def _slope(points: list[Point], metric: Callable[[Point], float]) -> float:
     if len(points) < 2:
         return 0.0
     sizes = [float(point.processes) for point in points]
-    fit = statistics.linear_regression(sizes, [of(p) for p in points])
+    fit = statistics.linear_regression(sizes, [metric(p) for p in points])
     return float(f"{fit.slope:.4g}")
 
 
@@ -286,28 +288,28 @@
     return [*sorted(s for s in sizes if 1 < s < largest), largest]
 
 
-async def _until(
-    condition: Callable[[], bool], bound_s: float, what: str
+async def _wait_until(
+    condition: Callable[[], bool], timeout_s: float, what: str
 ) -> None:
-    deadline = time.monotonic() + bound_s
+    deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
             raise exceptions.CheckFailed(
-                f"bench control: no {what} within {bound_s:g} s"
+                f"bench control: no {what} within {timeout_s:g} s"
             )
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
-def _knows(member: service.Membership, instance_id: str) -> bool:
+def _considers_alive(member: service.Membership, instance_id: str) -> bool:
     known = member.member(instance_id)
     return known is not None and known.state is not view.MemberState.DEAD
 
 
-def _volume(counters: counting.Counters) -> float:
+def _traffic_bytes(counters: counting.Counters) -> float:
     return sum(
-        counters.value(f"membership.bytes_{way}")
-        + counters.value(f"membership.datagrams_{way}") * _HEADER_BYTES
-        for way in ("sent", "received")
+        counters.value(f"membership.bytes_{direction}")
+        + counters.value(f"membership.datagrams_{direction}") * _HEADER_BYTES
+        for direction in ("sent", "received")
     )
 
 
@@ -328,7 +330,7 @@
         return int(file.read().split()[1]) * _PAGE_BYTES / _MB
 
 
-class _Silent(logs.Log):
+class _NullLog(logs.Log):
     """Writes nothing: hundreds of members would write the same lines."""
 
     def write(self, event: events.Event, **fields: Any) -> None:
--- a/src/clementinegw/bench/desk.py
+++ b/src/clementinegw/bench/coordinator.py
@@ -17,45 +17,45 @@
 
 # The desk listens on the loopback of one machine for the time of one run. The
 # word keeps out a stray client, nobody else.
-_WORD = b"clementinegw bench"
-_PATIENCE_S = 30.0
-_PAUSE_S = 0.1
+_AUTH_KEY = b"clementinegw bench"
+_TIMEOUT_S = 30.0
+_RETRY_INTERVAL_S = 0.1
 
-Work = Callable[[Any, sockets.Connection], None]
+HostFunction = Callable[[Any, sockets.Connection], None]
 
 
-class Worker:
+class HostConnection:
     """A host process that has been given work."""
 
     def __init__(self, link: sockets.Connection):
         """Wraps the connection to it."""
         self._link = link
 
-    def send(self, what: Any) -> None:
+    def send(self, message: Any) -> None:
         """Sends a message."""
-        self._link.send(what)
+        self._link.send(message)
 
     async def receive(self) -> Any:
         """Waits for a message; raises EOFError when the host has ended."""
         return await asyncio.to_thread(self._link.recv)
 
-    async def ask(self, what: Any) -> Any:
+    async def request(self, message: Any) -> Any:
         """Sends and waits for the answer."""
-        return await asyncio.to_thread(self.ask_now, what)
+        return await asyncio.to_thread(self.request_blocking, message)
 
-    def ask_now(self, what: Any) -> Any:
+    def request_blocking(self, message: Any) -> Any:
         """Sends and waits for the answer; for code without a loop."""
-        self._link.send(what)
+        self._link.send(message)
         return self._link.recv()
 
 
-class Desk:
+class Coordinator:
     """Where hosts come for work."""
 
     def __init__(self, address: types.Address):
         """Listens; hosts that come wait until they are given work."""
         self._listener = sockets.Listener(
-            (address.host, address.port), authkey=_WORD, backlog=64
+            (address.host, address.port), authkey=_AUTH_KEY, backlog=64
         )
         self._sockets = selectors.DefaultSelector()
         listening = self._listener._listener._socket  # type: ignore[attr-defined]
@@ -67,15 +67,19 @@
         host, port = self._listener.address  # type: ignore[misc]
         return types.Address(str(host), int(port))
 
-    async def employ(self, work: Work, argument: Any) -> Worker:
-        """Gives work to the next host that comes; see `take_on`."""
-        return await asyncio.to_thread(self.take_on, work, argument)
+    async def assign(
+        self, function: HostFunction, argument: Any
+    ) -> HostConnection:
+        """Gives work to the next host that comes; see `assign_blocking`."""
+        return await asyncio.to_thread(self.assign_blocking, function, argument)
 
-    def take_on(self, work: Work, argument: Any) -> Worker:
+    def assign_blocking(
+        self, function: HostFunction, argument: Any
+    ) -> HostConnection:
         """Gives work to the next host that comes.
 
         Args:
-          work: A function of a module; the host imports it by name.
+          function: A function of a module; the host imports it by name.
           argument: What it is called with, beside its connection.
 
         Raises:
@@ -83,15 +87,15 @@
         """
         # The listener has no timeout of its own: without one a measurement
         # whose hosts were forgotten would wait for ever.
-        waiting = self._sockets.select(_PATIENCE_S)
-        if not waiting:
+        ready = self._sockets.select(_TIMEOUT_S)
+        if not ready:
             raise exceptions.UsageError(
-                f"no host came within {_PATIENCE_S:.0f} s; start them with "
+                f"no host came within {_TIMEOUT_S:.0f} s; start them with "
                 "`clementinegw bench host`, as `make bench-settings` does"
             )
         link = self._listener.accept()
-        link.send((work, argument))
-        return Worker(link)
+        link.send((function, argument))
+        return HostConnection(link)
 
     def close(self) -> None:
         """Stops listening."""
@@ -105,17 +109,19 @@
     Raises:
       exceptions.PlatformError: There is no desk at that address.
     """
-    end = time.monotonic() + _PATIENCE_S
+    deadline = time.monotonic() + _TIMEOUT_S
     while True:
         try:
-            link = sockets.Client((address.host, address.port), authkey=_WORD)
+            link = sockets.Client(
+                (address.host, address.port), authkey=_AUTH_KEY
+            )
             break
         except OSError as error:
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 raise exceptions.PlatformError(
                     f"{address}: no measurement waits for hosts there"
                 ) from error
-            time.sleep(_PAUSE_S)
-    work, argument = link.recv()
-    work(argument, link)
+            time.sleep(_RETRY_INTERVAL_S)
+    function, argument = link.recv()
+    function(argument, link)
     link.close()
--- a/src/clementinegw/bench/gate.py
+++ b/src/clementinegw/bench/gate.py
@@ -24,11 +24,11 @@
 Kind = connection.Kind
 _DECISIONS = 50_000
 _CALLS = 5_000
-_TOGETHER = 32
+_CONCURRENCY = 32
 _BODY = b"x" * 512
 _ANY_PORT = shared.Address("127.0.0.1", 0)
 _PLACE = shared.Place("noord", "groningen-hal")
-_LAST = (Kind.ANSWER_END, Kind.REFUSED, Kind.FAILED)
+_FINAL_KINDS = (Kind.ANSWER_END, Kind.REFUSED, Kind.FAILED)
 
 
 class _InstantBackend:
@@ -103,7 +103,10 @@
     link = await entry.connect(await agent.listen(_ANY_PORT))
     start = time.process_time()
     await asyncio.gather(
-        *(_ask(link, first, count) for first in range(_TOGETHER))
+        *(
+            _send_submissions(link, first, count)
+            for first in range(_CONCURRENCY)
+        )
     )
     spent = time.process_time() - start
     if gate is not None:
@@ -113,11 +116,13 @@
     return spent / count * 1e6
 
 
-async def _ask(link: connection.Connection, first: int, count: int) -> None:
-    for number in range(first, count, _TOGETHER):
+async def _send_submissions(
+    link: connection.Connection, first: int, count: int
+) -> None:
+    for number in range(first, count, _CONCURRENCY):
         exchange = link.open()
         await exchange.send(Kind.SUBMIT, codec.encode(_submit(number)))
-        while (await exchange.receive(10.0)).kind not in _LAST:
+        while (await exchange.receive(10.0)).kind not in _FINAL_KINDS:
             pass
         exchange.close()
 
@@ -149,15 +154,15 @@
 
 def main() -> None:
     """Prints one JSON object."""
-    bare = asyncio.run(calls(with_gate=False))
+    baseline = asyncio.run(calls(with_gate=False))
     gated = asyncio.run(calls(with_gate=True))
     print(
         json.dumps(
             {
                 "decision_us": round(decisions(), 2),
                 "call_us": round(gated, 1),
-                "call_without_gate_us": round(bare, 1),
-                "gate_us": round(gated - bare, 1),
+                "call_without_gate_us": round(baseline, 1),
+                "gate_us": round(gated - baseline, 1),
             }
         )
     )
--- a/src/clementinegw/bench/host.py
+++ b/src/clementinegw/bench/host.py
@@ -10,7 +10,7 @@
 from absl import flags
 
 from clementinegw import exceptions
-from clementinegw.bench import desk
+from clementinegw.bench import coordinator
 from clementinegw.settings import model
 
 
@@ -31,5 +31,5 @@
     except ValueError as error:
         raise exceptions.UsageError(f"--desk: {error}") from None
     # The work runs a loop of its own, which cannot lie within this one.
-    await asyncio.to_thread(desk.serve, address)
+    await asyncio.to_thread(coordinator.serve, address)
     return {"done": True}
--- a/src/clementinegw/bench/operator.py
+++ b/src/clementinegw/bench/operator.py
@@ -16,7 +16,7 @@
 
 _MS_PER_S = 1000.0
 # The unit of the peak on Linux is 1024 bytes.
-_UNITS_PER_MB = 1024
+_KIB_PER_MB = 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
     return Cost(
         exit_code,
         round(time.process_time() * _MS_PER_S, 1),
-        round(peak / _UNITS_PER_MB, 1),
+        round(peak / _KIB_PER_MB, 1),
     )
 
 
--- a/src/clementinegw/bench/report.py
+++ b/src/clementinegw/bench/report.py
@@ -25,12 +25,12 @@
 from clementinegw.bench import rollout
 from clementinegw.bench import settings
 
-_ROLLOUTS = ("swarm", "tree", "origin")
-_ROUTING = ("cache_aware", "round_robin")
+_ROLLOUT_POLICIES = ("swarm", "tree", "origin")
+_ROUTING_POLICIES = ("cache_aware", "round_robin")
 _ROLLOUT_FLAGS = ("--chunks=16", "--parts=4", "--live_per_s=1")
 _REQUEST_FLAGS = ("--entries=2", "--workers=4", "--seconds=25")
 _SETTINGS_FLAGS = ("--virtual", "--processes=60")
-_DOTS = 100
+_DPI = 100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -146,7 +146,7 @@
 async def _plot_rollouts(replicas: list[int], seed: int) -> Plot:
     lines = []
     bound: list[float] = []
-    for policy in _ROLLOUTS:
+    for policy in _ROLLOUT_POLICIES:
         results = [
             await _measure(
                 rollout,
@@ -172,7 +172,7 @@
 
 async def _plot_requests(loads: list[float], seed: int) -> Plot:
     lines = []
-    for policy in _ROUTING:
+    for policy in _ROUTING_POLICIES:
         results = [
             await _measure(
                 requests,
@@ -196,14 +196,14 @@
 
 async def _plot_settings(seed: int) -> Plot:
     result = await _measure(settings, *_SETTINGS_FLAGS, f"--seed={seed}")
-    found = tuple(
+    latencies = tuple(
         result[f"{name}_in_force_s"] for name in ("p50", "p99", "max")
     )
     return Plot(
         "Time until a change of the settings is in force",
         "share of changes and processes, %",
         "seconds",
-        (Line("in force", (50.0, 99.0, 100.0), found),),
+        (Line("in force", (50.0, 99.0, 100.0), latencies),),
         f"bench settings {' '.join(_SETTINGS_FLAGS)}, seed {seed}.",
     )
 
@@ -225,12 +225,12 @@
     axes.set_ylim(bottom=0)
     axes.legend()
     buffer = io.BytesIO()
-    figure.savefig(buffer, format="png", dpi=_DOTS)
+    figure.savefig(buffer, format="png", dpi=_DPI)
     pyplot.close(figure)
     return base64.b64encode(buffer.getvalue()).decode()
 
 
-def _page(drawn: list[tuple[Plot, str]]) -> str:
+def _page(rendered: list[tuple[Plot, str]]) -> str:
     parts = [
         "<!doctype html>",
         '<html lang="en"><meta charset="utf-8">',
@@ -238,7 +238,7 @@
         "<h1>clementinegw measurements</h1>",
         "<p>Measured by this run on this machine, in virtual time.</p>",
     ]
-    for plot, image in drawn:
+    for plot, image in rendered:
         title = html.escape(plot.title)
         parts.append(f"<h2>{title}</h2>")
         source = f"data:image/png;base64,{image}"
--- a/src/clementinegw/bench/rollout.py
+++ b/src/clementinegw/bench/rollout.py
@@ -19,7 +19,7 @@
 
 # Seconds of window per replica that keep one processor from being the limit.
 _WINDOW_PER_REPLICA_S = 0.3
-_LEAST_WINDOW_S = 10.0
+_MIN_WINDOW_S = 10.0
 _VIRTUAL_WINDOW_S = 24.0
 _ORIGIN_WINDOW_S = 2.0
 
@@ -112,11 +112,11 @@
     result = report.report(await runs.run(plan, virtual))
     result["clock"] = flag_values.clock
     for name in flag_values.compare:
-        policy = _member(types_.Policy, name)
+        policy = _parse_enum(types_.Policy, name)
         other = dataclasses.replace(plan, policy=policy, faults=frozenset())
-        found = report.report(await runs.run(other, virtual))
-        result[policy.value] = found
-        ratio = _ratio(found["seconds_to_all"], result["seconds_to_all"])
+        baseline = report.report(await runs.run(other, virtual))
+        result[policy.value] = baseline
+        ratio = _ratio(baseline["seconds_to_all"], result["seconds_to_all"])
         result[f"times_faster_than_{policy.value}"] = ratio
     return result
 
@@ -130,7 +130,9 @@
     for name in ("replicas", "domains", "chunks", "chunk_bytes", "parts"):
         if getattr(values, name) < 1:
             raise exceptions.UsageError(f"--{name}: expected at least 1")
-    faults = frozenset(_member(types_.Fault, name) for name in values.faults)
+    faults = frozenset(
+        _parse_enum(types_.Fault, name) for name in values.faults
+    )
     plan = types_.Plan(
         policy=values.policy,
         replicas=values.replicas,
@@ -138,7 +140,7 @@
         chunks=values.chunks,
         chunk_bytes=values.chunk_bytes,
         parts=values.parts,
-        window_s=values.window_s or _window(values),
+        window_s=values.window_s or _default_window_s(values),
         origin_copies=values.origin_link,
         link_copies=values.machine_link,
         shared=values.shared_directions,
@@ -149,31 +151,31 @@
         faults=faults,
         seed=values.seed,
         timeout_s=math.inf,
-        swarm_changes=_limits(values.limits),
+        swarm_overrides=_parse_overrides(values.limits),
     )
     timeout_s = values.timeout_bounds * plan.bound_s
     return dataclasses.replace(plan, timeout_s=timeout_s)
 
 
-def _window(values: Any) -> float:
+def _default_window_s(values: Any) -> float:
     if values.clock == "virtual":
         return _VIRTUAL_WINDOW_S
     if values.policy is types_.Policy.ORIGIN:
         return _ORIGIN_WINDOW_S
-    return max(_LEAST_WINDOW_S, _WINDOW_PER_REPLICA_S * values.replicas)
+    return max(_MIN_WINDOW_S, _WINDOW_PER_REPLICA_S * values.replicas)
 
 
-def _limits(text: str) -> dict[str, Any]:
+def _parse_overrides(text: str) -> dict[str, Any]:
     try:
-        changes = json.loads(text)
+        overrides = json.loads(text)
     except ValueError as error:
         raise exceptions.UsageError(f"--limits: {error}") from error
-    if not isinstance(changes, dict):
+    if not isinstance(overrides, dict):
         raise exceptions.UsageError("--limits: expected a JSON object")
-    return changes
+    return overrides
 
 
-def _member(kind: Any, name: str) -> Any:
+def _parse_enum(kind: Any, name: str) -> Any:
     try:
         return kind(name)
     except ValueError as error:
--- a/src/clementinegw/bench/settings.py
+++ b/src/clementinegw/bench/settings.py
@@ -19,7 +19,7 @@
 from clementinegw.bench import _settings_hosts as hosts
 from clementinegw.bench import _settings_judge as judges
 from clementinegw.bench import _settings_run as runs
-from clementinegw.bench import desk as desks
+from clementinegw.bench import coordinator as coordinators
 from clementinegw.testing import clock as virtual
 
 _INTEGERS = (
@@ -118,14 +118,16 @@
     plan: runs.Plan, clock: clocks.Clock, count: int = 0, desk_port: int = 0
 ) -> dict[str, Any]:
     started_cpu = time.process_time()
-    desk = None
+    coordinator = None
     run_ = runs.Run(plan, clock)
     if count:
-        desk = desks.Desk(types.Address("127.0.0.1", desk_port))
-        run_ = hosts.HostedRun(plan, clock, count, desk)
+        coordinator = coordinators.Coordinator(
+            types.Address("127.0.0.1", desk_port)
+        )
+        run_ = hosts.HostedRun(plan, clock, count, coordinator)
     verdict = await run_.execute()
-    if desk is not None:
-        desk.close()
+    if coordinator is not None:
+        coordinator.close()
     cpu_s = time.process_time() - started_cpu
     if isinstance(run_, hosts.HostedRun):
         cpu_s = run_.cpu_s
--- a/src/clementinegw/bench/swap.py
+++ b/src/clementinegw/bench/swap.py
@@ -26,8 +26,8 @@
 from clementinegw.weights import swap as swaps
 
 _SERVICE = "bench"
-_ASKS_PER_S = 100.0
-_LOG_ANSWER_S = 0.005
+_REQUESTS_PER_S = 100.0
+_LOG_LATENCY_S = 0.005
 
 
 class Policy(enum.StrEnum):
@@ -118,14 +118,14 @@
 def measure(plan: Plan) -> dict[str, Any]:
     """Runs one plan in virtual time and returns the figures."""
     clock = clocks.VirtualClock()
-    began = time.process_time()
+    started_at = time.process_time()
     result = clocks.run(_Fleet(plan, clock).run(), clock)
-    cpu_s = time.process_time() - began
+    cpu_s = time.process_time() - started_at
     result["cpu_ms_per_worker"] = round(1000 * cpu_s / plan.workers, 2)
     return result
 
 
-class _RatedLog:
+class _RateLimitedLog:
     """A log client that waits its turn at the log's rate."""
 
     def __init__(self, client: memory.MemoryLog, bucket: links.TokenBucket):
@@ -135,14 +135,14 @@
     async def append(self, stream: str, value: bytes) -> int:
         """Appends a record; see `log.LogClient`."""
         await self._bucket.take()
-        await asyncio.sleep(_LOG_ANSWER_S)
+        await asyncio.sleep(_LOG_LATENCY_S)
         return await self._client.append(stream, value)
 
     async def read(
         self, stream: str, offset: int, limit: int = 500, wait_s: float = 0.0
     ) -> log.Page:
         """Reads records; see `log.LogClient`."""
-        await asyncio.sleep(_LOG_ANSWER_S)
+        await asyncio.sleep(_LOG_LATENCY_S)
         return await self._client.read(stream, offset, limit, wait_s)
 
 
@@ -157,53 +157,55 @@
         self.bucket = links.TokenBucket(plan.appends_per_s, clock=clock)
         self.limit = swaps.max_out(plan.share, plan.workers)
         self.out: set[int] = set()
-        self.most_out = 0
-        self.done: list[float] = []
-        self.work_s = 0.0
-        self.finished = asyncio.Event()
+        self.peak_out = 0
+        self.completed_at: list[float] = []
+        self.total_out_s = 0.0
+        self.all_finished = asyncio.Event()
 
     async def run(self) -> dict[str, Any]:
         """Runs all workers to the end."""
-        began = self.clock.now()
+        started_at = self.clock.now()
         workers = [_Worker(self, number) for number in range(self.plan.workers)]
         tasks = [asyncio.create_task(worker.run()) for worker in workers]
-        await self.finished.wait()
+        await self.all_finished.wait()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        return self._result(began)
+        return self._result(started_at)
 
-    def leave(self, number: int) -> None:
+    def record_out(self, number: int) -> None:
         """A worker stops taking requests."""
         self.out.add(number)
-        self.most_out = max(self.most_out, len(self.out))
+        self.peak_out = max(self.peak_out, len(self.out))
 
-    def back(self, number: int, dead: bool = False) -> None:
+    def record_finished(self, number: int, dead: bool = False) -> None:
         """A worker serves the new version, or will never serve again."""
         self.out.discard(number)
         if not dead:
-            self.done.append(self.clock.now())
-        if len(self.done) + self.plan.dead == self.plan.workers:
-            self.finished.set()
+            self.completed_at.append(self.clock.now())
+        if len(self.completed_at) + self.plan.dead == self.plan.workers:
+            self.all_finished.set()
 
-    def _result(self, began: float) -> dict[str, Any]:
+    def _result(self, started_at: float) -> dict[str, Any]:
         plan = self.plan
-        seconds = sorted(at - began for at in self.done)
+        seconds = sorted(at - started_at for at in self.completed_at)
         records = self.log.all(_swap_runner.stream_name(_SERVICE))
         at_once = plan.workers if plan.policy is Policy.NONE else self.limit
-        bound_s = self.work_s / at_once
+        bound_s = self.total_out_s / at_once
         return {
             "policy": plan.policy.value,
             "workers": plan.workers,
             "max_out": self.limit,
-            "most_out": self.most_out,
+            "most_out": self.peak_out,
             "seconds_to_half": round(seconds[len(seconds) // 2], 1),
             "seconds_to_all": round(seconds[-1], 1),
             "bound_seconds": round(bound_s, 1),
             "ratio_to_bound": round(seconds[-1] / bound_s, 2),
             "appends": len(records),
             "appends_per_worker": round(len(records) / plan.workers, 2),
-            "peak_appends_per_s": _peak([record.time for record in records]),
+            "peak_appends_per_s": _peak_per_second(
+                [record.time for record in records]
+            ),
         }
 
 
@@ -218,13 +220,13 @@
         self._load_s = plan.load_s * rng.uniform(0.5, 1.5)
         self._ready_s = rng.uniform(0.0, plan.ready_s)
         self._dies = number < plan.dead
-        fleet.work_s += self._drain_s + self._load_s
+        fleet.total_out_s += self._drain_s + self._load_s
         self._granted = asyncio.Event()
         self._covered = asyncio.Event()
         timing = swaps.Timing(max_load_s=1.5 * plan.load_s)
         self._swap = _swap_runner.SwapRunner(
             swaps.Swap(f"worker-{number}", random.Random(rng.random()), timing),
-            _RatedLog(fleet.log.client(), fleet.bucket),
+            _RateLimitedLog(fleet.log.client(), fleet.bucket),
             _SERVICE,
             fleet.clock,
             metrics.Counters(),
@@ -245,18 +247,20 @@
         fleet = self._fleet
         running = asyncio.create_task(self._swap.run())
         try:
-            self._swap.acquire(fleet.limit, fleet.plan.workers / _ASKS_PER_S)
+            self._swap.acquire(
+                fleet.limit, fleet.plan.workers / _REQUESTS_PER_S
+            )
             await self._granted.wait()
-            fleet.leave(self._number)
+            fleet.record_out(self._number)
             await asyncio.sleep(self._drain_s)
             self._swap.cover()
             await self._covered.wait()
             if self._dies:
                 running.cancel()
-                fleet.back(self._number, dead=True)
+                fleet.record_finished(self._number, dead=True)
                 return
             await asyncio.sleep(self._load_s)
-            fleet.back(self._number)
+            fleet.record_finished(self._number)
             self._swap.release()
             await asyncio.Event().wait()
         finally:
@@ -265,21 +269,21 @@
     async def _by_wave(self) -> None:
         fleet = self._fleet
         waves = math.ceil(fleet.plan.workers / fleet.limit)
-        turn = (self._number % waves) * fleet.plan.slot_s
+        slot_start_s = (self._number % waves) * fleet.plan.slot_s
         # The slots are the same whatever is ready, so that those who are too
         # late for theirs wait for the next round.
         ready_s = self._ready_s
-        while turn < ready_s:
-            turn += waves * fleet.plan.slot_s
-        await asyncio.sleep(turn - ready_s)
+        while slot_start_s < ready_s:
+            slot_start_s += waves * fleet.plan.slot_s
+        await asyncio.sleep(slot_start_s - ready_s)
         await self._swap_now()
 
     async def _swap_now(self) -> None:
-        self._fleet.leave(self._number)
+        self._fleet.record_out(self._number)
         await asyncio.sleep(self._drain_s)
         if not self._dies:
             await asyncio.sleep(self._load_s)
-        self._fleet.back(self._number, dead=self._dies)
+        self._fleet.record_finished(self._number, dead=self._dies)
 
     def _on_swap(self, action: swaps.Action) -> None:
         if isinstance(action, swaps.Granted):
@@ -288,9 +292,9 @@
             self._covered.set()
 
 
-def _peak(times: list[float]) -> int:
+def _peak_per_second(times: list[float]) -> int:
     """Returns the most records within one second of the log's clock."""
     seconds: dict[int, int] = {}
-    for moment in times:
-        seconds[int(moment)] = seconds.get(int(moment), 0) + 1
+    for timestamp in times:
+        seconds[int(timestamp)] = seconds.get(int(timestamp), 0) + 1
     return max(seconds.values(), default=0)
--- a/src/clementinegw/bench/tokens.py
+++ b/src/clementinegw/bench/tokens.py
@@ -26,10 +26,10 @@
 _SERVICE = "assistent"
 _STREAMS = 40
 _TOKENS = 200
-_AT_ONCE = 8
+_CONCURRENCY = 8
 _VERSION_BYTES = 100_000
 _CHUNK_BYTES = 50_000
-_SERVING_S = 20.0
+_SERVING_TIMEOUT_S = 20.0
 _SIZE = sizes.Size(
     "tokens",
     (types.Place("noord", "groningen-hal"),),
@@ -50,23 +50,25 @@
       tokens: How many tokens each has.
     """
     async with deployment_lib.running(_SIZE, _OPTIONS) as deployment:
-        await _serve(deployment)
+        await _roll_out_version(deployment)
         entry = f"http://{deployment.entries[0].http_address}"
         engine = str(deployment.engines[0].base_url)
-        await _streams(deployment, entry, _AT_ONCE, tokens)
-        through = await _streams(deployment, entry, streams, tokens)
-        direct = await _streams(deployment, engine, streams, tokens)
+        await _run_streams(deployment, entry, _CONCURRENCY, tokens)
+        entry_cpu_s = await _run_streams(deployment, entry, streams, tokens)
+        engine_cpu_s = await _run_streams(deployment, engine, streams, tokens)
     total = streams * tokens
     return {
         "streams": streams,
         "tokens": tokens,
-        "cpu_us_per_token_through_entry": round(through / total * 1e6, 1),
-        "cpu_us_per_token_direct": round(direct / total * 1e6, 1),
-        "cpu_us_per_token": round((through - direct) / total * 1e6, 1),
+        "cpu_us_per_token_through_entry": round(entry_cpu_s / total * 1e6, 1),
+        "cpu_us_per_token_direct": round(engine_cpu_s / total * 1e6, 1),
+        "cpu_us_per_token": round(
+            (entry_cpu_s - engine_cpu_s) / total * 1e6, 1
+        ),
     }
 
 
-async def _serve(deployment: deployment_lib.Deployment) -> None:
+async def _roll_out_version(deployment: deployment_lib.Deployment) -> None:
     store = store_lib.HttpStore(
         deployment.platform.origin_address, deployment.session
     )
@@ -80,7 +82,7 @@
     await deployment.declare(
         "serve", *deployment.tree_operations({_SERVICE: declared})
     )
-    deadline = time.monotonic() + _SERVING_S
+    deadline = time.monotonic() + _SERVING_TIMEOUT_S
     while deployment.workers[0].agent.serving_version != "v1":
         if time.monotonic() > deadline:
             raise exceptions.CheckFailed("bench tokens: no engine serves")
@@ -89,18 +91,18 @@
     await asyncio.sleep(2.0)
 
 
-async def _streams(
+async def _run_streams(
     deployment: deployment_lib.Deployment, url: str, count: int, tokens: int
 ) -> float:
-    slots = asyncio.Semaphore(_AT_ONCE)
-    began = time.process_time()
+    slots = asyncio.Semaphore(_CONCURRENCY)
+    started_cpu_s = time.process_time()
     await asyncio.gather(
-        *(_stream(deployment, slots, url, tokens) for _ in range(count))
+        *(_run_stream(deployment, slots, url, tokens) for _ in range(count))
     )
-    return time.process_time() - began
+    return time.process_time() - started_cpu_s
 
 
-async def _stream(
+async def _run_stream(
     deployment: deployment_lib.Deployment,
     slots: asyncio.Semaphore,
     url: str,
--- a/src/clementinegw/commands/matrix.py
+++ b/src/clementinegw/commands/matrix.py
@@ -7,7 +7,7 @@
 
 from clementinegw import exceptions
 from clementinegw import types
-from clementinegw.bench import desk as desks
+from clementinegw.bench import coordinator as coordinators
 from clementinegw.matrix import engine
 from clementinegw.matrix import paths
 from clementinegw.matrix import players
@@ -111,13 +111,15 @@
 
     if not flag_values.hosts:
         return _run_with(players.Here())
-    desk = desks.Desk(types.Address("127.0.0.1", flag_values.desk_port))
-    hosts = players.Hosts(desk, flag_values.hosts)
+    coordinator = coordinators.Coordinator(
+        types.Address("127.0.0.1", flag_values.desk_port)
+    )
+    hosts = players.Hosts(coordinator, flag_values.hosts)
     try:
         return _run_with(hosts)
     finally:
         hosts.close()
-        desk.close()
+        coordinator.close()
 
 
 def _check_names(names: list[str]) -> None:
--- a/src/clementinegw/matrix/players.py
+++ b/src/clementinegw/matrix/players.py
@@ -6,7 +6,7 @@
 import queue
 from typing import Any, Protocol
 
-from clementinegw.bench import desk as desks
+from clementinegw.bench import coordinator as coordinators
 
 _BATCH = 8
 
@@ -31,19 +31,21 @@
 
 
 class Hosts:
-    """Hands batches to host processes; see `bench.desk`."""
+    """Hands batches to host processes; see `bench.coordinator`."""
 
-    def __init__(self, desk: desks.Desk, count: int):
+    def __init__(self, coordinator: coordinators.Coordinator, count: int):
         """Waits for the hosts.
 
         Args:
-          desk: Where they come.
+          coordinator: Where they come.
           count: How many must come.
 
         Raises:
           exceptions.UsageError: Fewer came in time.
         """
-        self._workers = [desk.take_on(_serve, None) for _ in range(count)]
+        self._workers = [
+            coordinator.assign_blocking(_serve, None) for _ in range(count)
+        ]
 
     def play(
         self, function: Callable[[Any], Any], items: list[Any]
@@ -54,14 +56,14 @@
         for start in range(0, len(items), _BATCH):
             starts.put(start)
 
-        def _feed(worker: desks.Worker) -> None:
+        def _feed(worker: coordinators.HostConnection) -> None:
             while True:
                 try:
                     start = starts.get_nowait()
                 except queue.Empty:
                     return
                 batch = items[start : start + _BATCH]
-                answer = worker.ask_now((function, batch))
+                answer = worker.request_blocking((function, batch))
                 results[start : start + len(batch)] = answer
 
         with concurrent.futures.ThreadPoolExecutor(len(self._workers)) as pool:
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -10,7 +10,7 @@
 import pytest
 
 from clementinegw import types
-from clementinegw.bench import desk as desks
+from clementinegw.bench import coordinator as coordinators
 from clementinegw.commands import main
 from clementinegw.matrix import engine
 from clementinegw.matrix import guards
@@ -128,12 +128,12 @@
 
 def test_hosts_play_what_one_process_plays():
     cells = engine.possible(PATHS["booking"])[:40:8]
-    desk = desks.Desk(types.Address("127.0.0.1", 0))
+    coordinator = coordinators.Coordinator(types.Address("127.0.0.1", 0))
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
-        host = pool.submit(desks.serve, desk.address)
-        hosts = players.Hosts(desk, 1)
+        host = pool.submit(coordinators.serve, coordinator.address)
+        hosts = players.Hosts(coordinator, 1)
         played = hosts.play(engine.play, cells)
         hosts.close()
         host.result()
-    desk.close()
+    coordinator.close()
     assert played == players.Here().play(engine.play, cells)
