--- a/src/clementinegw/bench/_rollout_faults.py
+++ b/src/clementinegw/bench/_rollout_faults.py
@@ -1,7 +1,7 @@
-"""Faults of a rollout measurement and when they happen.
+"""Injects the faults of a rollout measurement.
 
-All times are shares of the fluid bound, so that they hit the same stage of the
-rollout at every size.
+All times are shares of the fluid bound, so that a fault occurs at the same
+stage of the rollout at every size.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 _CORRUPT_SHARE = 0.05
 _CORRUPT_AT = (0.0, 0.3)
 _CORRUPT_DURATION = 0.5
-# By then the origin has sent less than half of the first version; half of
-# the second one is new.
+# At this time the origin has sent less than half of the first version. Half of
+# the chunks of the second version are new.
 _CHANGE_AT = 0.2
 _PARTITION_AT = 0.3
 _PARTITION_DURATION = 0.6
 
 
 async def inject(rollout: Any) -> None:
-    """Lets the plan's faults happen to a `_rollout_run.Rollout`."""
+    """Injects the plan's faults into a `_rollout_run.Rollout`."""
     table: dict[types_.Fault, Callable[[Any], Awaitable[None]]] = {
         types_.Fault.DIE: _die,
         types_.Fault.STALL: _stall,
@@ -69,7 +69,7 @@
 
 
 def _update_fleets(rollout: Any) -> None:
-    """Says to each agent which others its membership reaches."""
+    """Passes each live agent the list of live agents that it can reach."""
     for node in rollout.live:
         local_domain = node.place.failure_domain
         reachable = [
@@ -121,7 +121,7 @@
 async def _partition(rollout: Any) -> None:
     await _sleep_share(rollout, _PARTITION_AT)
     domain = "d0"
-    _record_event(rollout, f"{domain} is cut off")
+    _record_event(rollout, f"{domain} is partitioned")
     rollout.partition.domain = domain
     rollout.origin.front(domain).faults.down = True
     for node in rollout.live:
@@ -133,7 +133,7 @@
     await _sleep_share(rollout, _DETECTION_DELAY)
     _update_fleets(rollout)
     await _sleep_share(rollout, _PARTITION_DURATION - _DETECTION_DELAY)
-    _record_event(rollout, f"{domain} is joined again")
+    _record_event(rollout, f"{domain} is reachable again")
     rollout.result.origin_bytes_at_heal = rollout.origin.drawn
     rollout.result.healed_at = asyncio.get_running_loop().time()
     rollout.partition.domain = ""
--- a/src/clementinegw/bench/_rollout_fetchers.py
+++ b/src/clementinegw/bench/_rollout_fetchers.py
@@ -1,4 +1,4 @@
-"""The policies of a rollout measurement: the swarm and its baselines."""
+"""Chunk fetchers of a rollout measurement: the swarm and its baselines."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 
 
 def make(node: nodes.Node) -> nodes.ChunkFetcher:
-    """Returns what brings chunks to a node under its plan's policy."""
+    """Returns the chunk fetcher of a node for its plan's policy."""
     if node.plan.policy is types_.Policy.SWARM:
         return _swarm(node)
     if node.plan.policy is types_.Policy.ORIGIN:
@@ -36,7 +36,7 @@
 
 
 def limits(plan: types_.Plan) -> swarm.Limits:
-    """Returns the swarm's limits for links as slow as the plan's."""
+    """Returns swarm limits scaled to the rate of the plan's links."""
     chunk_s = plan.chunk_s
     values = {
         "draw_deadline_s": 12 * chunk_s,
@@ -68,10 +68,10 @@
 
 
 class _BaseFetcher:
-    """What the baselines share: wants one version, chunk by chunk."""
+    """Base of the baseline fetchers: fetches the chunks of one version."""
 
     def __init__(self, node: nodes.Node):
-        """Wants nothing yet."""
+        """Starts without a target."""
         self._node = node
         self._manifest: manifests.Manifest | None = None
         self._tasks: list[asyncio.Task] = []
@@ -87,16 +87,16 @@
         return bitset.total(held) == len(manifest.chunks)
 
     async def start(self) -> None:
-        """Waits for a target."""
+        """Does nothing; fetching starts with `set_target`."""
 
     async def stop(self) -> None:
-        """Ends every transfer."""
+        """Cancels every transfer."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def set_target(self, manifest: manifests.Manifest) -> None:
-        """Wants a version from now on."""
+        """Replaces the target and fetches its missing chunks."""
         for task in self._tasks:
             task.cancel()
         self._manifest = manifest
@@ -108,7 +108,7 @@
         ]
 
     def set_fleet(self, instances: list[types.Instance]) -> None:
-        """Says which agents take part."""
+        """Ignores the agents that take part."""
 
     def _fetch_coroutines(self, missing: list[int]) -> list:
         raise NotImplementedError
@@ -137,7 +137,7 @@
 
 
 class OriginFetcher(_BaseFetcher):
-    """Each agent draws every chunk for itself."""
+    """Fetches every chunk from the origin."""
 
     def _fetch_coroutines(self, missing: list[int]) -> list:
         queue = list(reversed(missing))
@@ -150,20 +150,20 @@
 
 
 class TreeFetcher(_BaseFetcher):
-    """Trees of fixed fan-out; a chain is one of fan-out 1.
+    """Fetches chunks along trees of fixed fan-out; a chain has fan-out 1.
 
-    With several stripes each chunk goes down one of several trees, and an
+    With several stripes each chunk is sent along one of several trees, and an
     inner node of one tree is a leaf of the others.
     """
 
     def __init__(self, node: nodes.Node):
-        """Registers with the endpoint."""
+        """Registers the handler for chunk requests with the endpoint."""
         super().__init__(node)
         self._instances: list[types.Instance] = []
         node.endpoint.on_call(connections.Kind.CHUNK_GET, self._on_get)
 
     def set_fleet(self, instances: list[types.Instance]) -> None:
-        """Says which agents take part; the trees do not follow changes."""
+        """Sets the agents of the trees; later changes are ignored."""
         if not self._instances:
             self._instances = list(instances)
 
--- a/src/clementinegw/bench/_rollout_node.py
+++ b/src/clementinegw/bench/_rollout_node.py
@@ -1,4 +1,4 @@
-"""One machine of a rollout measurement: agent, link, replica, caller."""
+"""One machine of a rollout measurement: agent, link, replica and load."""
 
 import asyncio
 import math
@@ -19,7 +19,7 @@
 from clementinegw.wire import connection as connections
 
 _KEY_RING = auth.single_key_ring(b"a key for measurements only")
-# Hundreds of handshakes share one processor while a run is set up.
+# Hundreds of handshakes share one processor during the set-up of a run.
 _TIMING = connections.Timing(
     connect_timeout_s=30.0, ping_after_s=20.0, idle_timeout_s=60.0
 )
@@ -30,49 +30,60 @@
 
 
 class ChunkFetcher(Protocol):
-    """What brings chunks to one replica; one class a policy."""
+    """Fetches chunks for one replica; each policy has its own class."""
 
     @property
     def complete(self) -> bool:
         """Whether all chunks of the target are in the store."""
 
     async def start(self) -> None:
-        """Connects to peers."""
+        """Starts the connections to peers."""
 
     async def stop(self) -> None:
-        """Ends every transfer."""
+        """Cancels every transfer."""
 
     def set_target(self, manifest: manifests.Manifest) -> None:
-        """Wants a version from now on."""
+        """Replaces the target and fetches its missing chunks."""
 
     def set_fleet(self, instances: list[types.Instance]) -> None:
-        """Says which agents take part."""
+        """Replaces the agents that take part."""
 
 
 class Partition:
-    """Which failure domain is separated from the others."""
+    """A network partition between one failure domain and the others.
+
+    Attributes:
+      domain: The separated failure domain; empty without a partition.
+      domains: Failure domain of each agent's address.
+    """
 
     def __init__(self) -> None:
         self.domain = ""
         self.domains: dict[types.Address, str] = {}
 
     def separates(self, one: str, other: str) -> bool:
-        """Whether two failure domains cannot reach each other."""
+        """Returns whether two failure domains cannot reach each other."""
         return one != other and self.domain in (one, other)
 
 
 class PartitionedEndpoint(connections.Endpoint):
-    """An endpoint that cannot reach across a cut."""
+    """An endpoint that cannot connect across a partition."""
 
     partition: Partition | None = None
 
     async def connect(self, address: types.Address) -> connections.Connection:
-        """Connects, unless there is a cut between the two."""
+        """Connects, unless a partition separates the two.
+
+        Raises:
+          exceptions.ConnectionLost: A partition separates the two.
+        """
         local_domain = self.identity.place.failure_domain
         if self.partition and self.partition.separates(
             local_domain, self.partition.domains[address]
         ):
-            raise exceptions.ConnectionLost("cut off")
+            raise exceptions.ConnectionLost(
+                f"{address}: separated by a partition"
+            )
         return await super().connect(address)
 
 
@@ -80,7 +91,7 @@
     """A shaped link that can stall without closing."""
 
     def __init__(self, rate: float, shared: bool, clock: clocks.Clock):
-        """Starts idle and well."""
+        """Starts idle and without a fault."""
         super().__init__(
             rate, shared=shared, clock=clock, burst_s=_LINK_BURST_S
         )
@@ -88,27 +99,27 @@
         self._unblocked.set()
 
     def stall(self, stalled: bool) -> None:
-        """Lets nothing pass, or everything again."""
+        """Blocks all transfers, or unblocks them."""
         if stalled:
             self._unblocked.clear()
         else:
             self._unblocked.set()
 
     async def send(self, count: int) -> None:
-        """Waits until that many bytes have left."""
+        """Waits until that many bytes have been sent."""
         await super().send(count)
         await self._unblocked.wait()
 
     async def receive(self, count: int) -> None:
-        """Waits until that many bytes have come in."""
+        """Waits until that many bytes have been received."""
         await super().receive(count)
         await self._unblocked.wait()
 
 
 class MeteredLink:
-    """A use of a machine's link, with its own count of bytes.
+    """One traffic class on a machine's link, with its own byte counts.
 
-    Bytes pass in packets, so that several uses of a link interleave.
+    Transfers are split into packets, so that the traffic classes interleave.
 
     Attributes:
       sent: Bytes sent.
@@ -116,32 +127,32 @@
     """
 
     def __init__(self, link: FaultyLink, packet_bytes: int):
-        """Starts at zero."""
+        """Starts with byte counts of zero."""
         self._link = link
         self._packet_bytes = packet_bytes
         self.sent = 0
         self.received = 0
 
     async def send(self, count: int) -> None:
-        """Waits until that many bytes have left."""
+        """Waits until that many bytes have been sent."""
         self.sent += count
         for start in range(0, count, self._packet_bytes):
             await self._link.send(min(self._packet_bytes, count - start))
 
     async def receive(self, count: int) -> None:
-        """Waits until that many bytes have come in."""
+        """Waits until that many bytes have been received."""
         self.received += count
         for start in range(0, count, self._packet_bytes):
             await self._link.receive(min(self._packet_bytes, count - start))
 
 
 class FaultyStore(stores.MemoryStore):
-    """A chunk store that can damage what it gives back."""
+    """A chunk store that can return corrupt chunks."""
 
     corrupting = False
 
     async def get(self, chunk_digest: bytes) -> bytes | None:
-        """Returns a chunk, with its first bit flipped when told to."""
+        """Returns a chunk, with one bit flipped while `corrupting` is set."""
         data = await super().get(chunk_digest)
         if data is None or not self.corrupting:
             return data
@@ -149,7 +160,7 @@
 
 
 class Node:
-    """One machine."""
+    """One machine: its endpoint, link, chunk store and replica."""
 
     def __init__(
         self,
@@ -158,7 +169,7 @@
         partition: Partition,
         clock: clocks.Clock,
     ):
-        """Builds the parts; nothing listens yet."""
+        """Builds the components without listening."""
         domain = f"d{number % plan.domains}"
         self._plan = plan
         self.clock = clock
@@ -202,11 +213,11 @@
 
     @property
     def plan(self) -> types_.Plan:
-        """The rollout it takes part in."""
+        """The plan of the rollout."""
         return self._plan
 
     async def start(self) -> None:
-        """Listens for peers and for live requests, which begin at once."""
+        """Listens for peers and starts sending live requests."""
         loopback = types.Address("127.0.0.1", 0)
         address = await self.endpoint.listen(loopback)
         self.instance = types.Instance(
@@ -222,7 +233,7 @@
         self._load_task = asyncio.ensure_future(load_generator.run())
 
     async def stop(self) -> None:
-        """Ends everything at once, as a machine that dies."""
+        """Stops everything at once, as a crash of the machine does."""
         self.alive = False
         if self._load_task is not None:
             self._load_task.cancel()
@@ -234,7 +245,10 @@
     async def load_version(
         self, manifest: manifests.Manifest, now: float
     ) -> None:
-        """Takes the replica out, loads a whole version and puts it back."""
+        """Loads a complete version with the replica out of service.
+
+        The replica returns to service if the loaded content is correct.
+        """
         self.loading_digest = manifest.digest
         chunks = []
         for chunk in manifest.chunks:
--- a/src/clementinegw/bench/_rollout_replica.py
+++ b/src/clementinegw/bench/_rollout_replica.py
@@ -1,7 +1,7 @@
-"""A stand-in for a backend server, and the live requests it answers.
+"""A stand-in for a backend server, and the generator of its live requests.
 
-Each answer carries the digest of the chunks in place, computed from their
-bytes when they were loaded; so whoever asked sees partial or mixed weights.
+Each answer carries the digest of the loaded chunks, computed from their bytes
+at load time, so that the client detects partial or mixed weights.
 """
 
 import asyncio
@@ -18,12 +18,12 @@
 
 
 def content_digest(digests: list[bytes]) -> bytes:
-    """Returns what an answer by exactly these chunks carries."""
+    """Returns the digest that answers from exactly these chunks carry."""
     return manifests.digest_of(b"".join(digests))
 
 
 class Replica:
-    """Weights in place, chunk by chunk, and a server that answers by them."""
+    """A server that loads weights chunk by chunk and answers from them."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
         """Starts without weights.
 
         Args:
-          link: The machine's link, which live requests pass as well.
-          pacing: Is told of live bytes.
-          body_bytes: The size of a request and of an answer.
-          rng: Draws service times.
+          link: The machine's link for live requests.
+          pacing: Records the bytes of live requests; None for none.
+          body_bytes: The size of a request and of an answer in bytes.
+          rng: Source of random service times.
         """
         self._link = link
         self._pacing = pacing
@@ -60,14 +60,14 @@
         return types.Address("127.0.0.1", port)
 
     async def stop(self) -> None:
-        """Closes the port and the connections."""
+        """Closes the listening socket and the connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
             writer.close()
 
     async def load(self, chunks: list[bytes]) -> bytes:
-        """Replaces the weights in place; returns the digest of the result."""
+        """Replaces the weights in place and returns their content digest."""
         self._digests = self._digests[: len(chunks)]
         for index, chunk in enumerate(chunks):
             digest = manifests.digest_of(chunk)
@@ -100,8 +100,8 @@
             self._pacing.record_live(self._body_bytes, self._body_bytes)
         await self._link.receive(self._body_bytes)
         await asyncio.sleep(self._rng.uniform(*_SERVICE_TIME_RANGE_S))
-        # Read at the end: a request that ran while weights were replaced
-        # would be answered by the mixture.
+        # Read after the service time: a request that ran during a load must
+        # show the mixed weights.
         content = bytes(_DIGEST_BYTES) if self.out_of_service else self._content
         await self._link.send(self._body_bytes)
         answer = content + body[:_NUMBER_BYTES]
@@ -109,7 +109,13 @@
 
 
 class LoadGenerator:
-    """Sends live requests to one replica and keeps what it saw."""
+    """Sends live requests to one replica and records the answers.
+
+    Attributes:
+      latencies: Start (loop time) and latency of each answer, in seconds.
+      counts_by_content: Number of answers by content digest.
+      refused: Number of answers while the replica was out of service.
+    """
 
     def __init__(
         self,
@@ -118,13 +124,13 @@
         requests_per_s: float,
         rng: random.Random,
     ):
-        """Prepares the requests.
+        """Starts without a connection.
 
         Args:
-          address: The replica's.
-          body_bytes: The size of a request and of an answer.
-          requests_per_s: Requests a second, at random times.
-          rng: Draws the times.
+          address: The replica's address.
+          body_bytes: The size of a request and of an answer in bytes.
+          requests_per_s: Mean request rate; the intervals are exponential.
+          rng: Source of random intervals.
         """
         self._address = address
         self._body_bytes = body_bytes
@@ -136,7 +142,7 @@
         self.refused = 0
 
     async def run(self) -> None:
-        """Sends until it is cancelled or the replica is gone."""
+        """Sends requests until cancelled or disconnected by the replica."""
         loop = asyncio.get_running_loop()
         address = (self._address.host, self._address.port)
         reader, writer = await asyncio.open_connection(*address)
--- a/src/clementinegw/bench/_rollout_report.py
+++ b/src/clementinegw/bench/_rollout_report.py
@@ -1,4 +1,4 @@
-"""The figures of one rollout."""
+"""Computes the figures of one rollout."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 
 
 def report(result: runs.Result) -> dict[str, Any]:
-    """Returns the keys of the JSON line."""
+    """Returns the fields of the JSON line."""
     plan = result.plan
     live = result.live
     serve_times = sorted(
--- a/src/clementinegw/bench/_rollout_run.py
+++ b/src/clementinegw/bench/_rollout_run.py
@@ -18,29 +18,29 @@
 from clementinegw.testing import platform as platforms
 
 _POLL_INTERVAL_S = 0.01
-# Real seconds for the kernel before each jump of the virtual clock.
+# Real seconds that the kernel gets before each jump of the virtual clock.
 _GRACE_S = 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What one rollout showed.
+    """Measurements of one rollout.
 
     Attributes:
-      plan: The rollout.
+      plan: Parameters of the rollout.
       started_at: Loop time at which the target was set.
-      finished_at: Loop time at which every live replica served the newest one;
-        None when the run was given up.
-      ended_at: Loop time of the end.
-      cpu_s: Processor seconds of the process between the two.
-      machines: All of them.
-      live: Those that had not died at the end.
+      finished_at: Loop time at which every live replica served the newest
+        version; None if the run was abandoned.
+      ended_at: Loop time at which the measurement ended.
+      cpu_s: Processor seconds of the process from start to end.
+      machines: All machines.
+      live: The machines that were alive at the end.
       origin_bytes: Bytes that the origin sent.
       healed_at: Loop time at which a partition ended; None without one.
-      origin_bytes_at_heal: What the origin had sent by then, in bytes.
-      digest: The newest version's manifest.
-      contents: What answers by whole weights may carry.
-      events: What the faults did, with the time from the start.
+      origin_bytes_at_heal: Bytes that the origin had sent at that time.
+      digest: Digest of the newest version's manifest.
+      contents: Content digests that answers from complete weights carry.
+      events: Injected faults, each with the seconds since the start.
     """
 
     plan: types_.Plan
@@ -59,10 +59,10 @@
 
 
 class Rollout:
-    """One rollout from set-up to the end."""
+    """Runs one rollout from set-up to tear-down."""
 
     def __init__(self, plan: types_.Plan, clock: clocks.Clock):
-        """Prepares versions and machines; see `run`."""
+        """Creates the versions and machines without starting them."""
         self.plan = plan
         self.rng = random.Random(f"{plan.seed}-faults")
         self.first, self.second = types_.make_versions(plan)
@@ -78,11 +78,11 @@
 
     @property
     def live(self) -> list[nodes.Node]:
-        """The machines that have not died."""
+        """The machines that are alive."""
         return [node for node in self.nodes if node.alive]
 
     async def run(self) -> Result:
-        """Runs it and returns what it showed."""
+        """Runs the rollout and returns its measurements."""
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
             await self._set_up(session)
@@ -93,7 +93,7 @@
         return self.result
 
     def set_target(self, version: types_.Version) -> None:
-        """Declares a version everywhere at once."""
+        """Sets a version as the target of all live machines at once."""
         self.target = version
         for node in self.live:
             assert node.fetcher is not None
@@ -131,8 +131,7 @@
         injecting = asyncio.ensure_future(faults_lib.inject(self))
         try:
             async with asyncio.timeout(self.plan.timeout_s):
-                # Looked at from outside, as an operator
-                # would do.
+                # Polled from outside, as an operator would.
                 while not (  # noqa: ASYNC110
                     self._load_complete_replicas() and injecting.done()
                 ):
@@ -153,7 +152,10 @@
             result.contents.add(replicas.content_digest(digests))
 
     def _load_complete_replicas(self) -> bool:
-        """Loads where all chunks are in; returns whether all serve."""
+        """Loads complete versions; returns whether all replicas serve.
+
+        A replica loads the target once its store holds all chunks.
+        """
         now = asyncio.get_running_loop().time()
         manifest = self.target.manifest
         all_serve = True
@@ -179,7 +181,7 @@
 
     In virtual time the loop jumps to the next timer whenever nothing is ready.
     Code, sockets and links are the same, but the processor is never the limit,
-    so that what is measured is the design.
+    so that the figures depend on the design alone.
     """
     if not virtual:
         return await Rollout(plan, clocks.SystemClock()).run()
--- a/src/clementinegw/bench/_rollout_types.py
+++ b/src/clementinegw/bench/_rollout_types.py
@@ -1,4 +1,4 @@
-"""What a rollout measurement is asked for and what it finds."""
+"""The plan of a rollout measurement and the versions that it uses."""
 
 import dataclasses
 import enum
@@ -11,7 +11,7 @@
 
 
 class Policy(enum.StrEnum):
-    """How chunks reach the replicas."""
+    """How chunks are distributed to the replicas."""
 
     SWARM = "swarm"
     ORIGIN = "origin"
@@ -21,7 +21,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What goes wrong in a run."""
+    """A fault that a run injects."""
 
     DIE = "die"
     STALL = "stall"
@@ -32,27 +32,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """One rollout.
+    """Parameters of one rollout.
 
     Attributes:
-      policy: How chunks reach the replicas.
-      replicas: How many.
-      domains: Over how many failure domains they are spread.
-      chunks: Chunks of a version.
-      chunk_bytes: The size of each.
-      parts: Parts that a chunk travels in.
-      window_s: In this time the origin's link carries `origin_copies` copies
-        of a version and each machine's `link_copies`, each way.
+      policy: How chunks are distributed to the replicas.
+      replicas: Number of replicas.
+      domains: Number of failure domains that hold the replicas.
+      chunks: Number of chunks of a version.
+      chunk_bytes: Size of a chunk in bytes.
+      parts: Number of parts that a chunk is sent in.
+      window_s: Seconds in which the origin's link carries `origin_copies`
+        copies of a version and each machine's link `link_copies` copies in
+        each direction.
       origin_copies: See `window_s`.
       link_copies: See `window_s`.
       shared: Whether both directions of a machine share its link.
-      headroom: The share of the link that paced transfers leave alone.
+      headroom: The share of the link that paced transfers leave unused.
       live_share: The share of each machine's link that live requests use.
-      live_per_s: Live requests a second to each replica.
+      live_per_s: Live requests per second to each replica.
       warm_up_s: Seconds of live requests before the rollout.
-      faults: What goes wrong.
-      seed: Of every random choice.
-      timeout_s: When the run is given up.
+      faults: Faults that the run injects.
+      seed: Seed of every random choice.
+      timeout_s: Seconds after which the run is abandoned.
+      swarm_overrides: Fields of `swarm.Limits` that replace the defaults.
     """
 
     policy: Policy
@@ -76,33 +78,33 @@
 
     @property
     def total_bytes(self) -> int:
-        """The size of one version."""
+        """The size of one version in bytes."""
         return self.chunks * self.chunk_bytes
 
     @property
     def link_rate(self) -> float:
-        """Bytes a second of a machine's link, each way."""
+        """Bytes per second of a machine's link in each direction."""
         return self.link_copies * self.total_bytes / self.window_s
 
     @property
     def origin_rate(self) -> float:
-        """Bytes a second of the origin's link."""
+        """Bytes per second of the origin's link."""
         return self.origin_copies * self.total_bytes / self.window_s
 
     @property
     def chunk_s(self) -> float:
-        """Seconds that a chunk takes on an idle machine's link."""
+        """Seconds to send one chunk over an idle machine's link."""
         return self.chunk_bytes / self.link_rate
 
     @property
     def bound_s(self) -> float:
-        """The least time by which every replica can have every byte.
+        """The minimum seconds until every replica can hold every byte.
 
-        The fluid bound: the origin sends everything once; each machine
-        receives everything; and all links out together carry one copy for
-        each replica. With shared directions a machine's link carries what it
-        receives and what it sends. Live requests are left out, which makes
-        the bound lower.
+        The fluid bound is the maximum of three times: the origin sends
+        everything once; each machine receives everything; and all sending
+        links together carry one copy for each replica. With shared directions
+        a machine's link carries both what it receives and what it sends. Live
+        requests are ignored, which lowers the bound.
         """
         size, count = self.total_bytes, self.replicas
         origin_s = size / self.origin_rate
@@ -116,7 +118,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Version:
-    """A version's manifest and bytes."""
+    """A version's manifest and its chunks by digest."""
 
     manifest: manifests.Manifest
     data: dict[bytes, bytes]
--- a/src/clementinegw/bench/claims.py
+++ b/src/clementinegw/bench/claims.py
@@ -1,8 +1,9 @@
-"""What claims cost: appends a second, delay and processor time.
+"""Measures the cost of claims: appends per second, delay, processor time.
 
 Run `python -m clementinegw.bench.claims [RATE [ENTRIES]]`. Entries claim keys
-at a rate over loopback connections, through a log that takes 10 ms a call, once
-for each group window. Each claim is settled, so that its end is appended too.
+at a fixed rate over loopback connections, through a log that takes 10 ms per
+call, once for each batch interval. Each claim is settled, so that its end is
+appended as well.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
 
 
 class _EntryGroup:
-    """Some entries that know each other."""
+    """Connected entries that share one log."""
 
     def __init__(self, log: memory.MemoryLog, timing: claims_service.Timing):
         self._log = log
@@ -40,7 +41,7 @@
         self.claims: list[claims_service.ClaimsService] = []
 
     async def start(self, count: int) -> None:
-        """Starts that many entries."""
+        """Starts the given number of entries."""
         for number in range(count):
             name = f"entry-{number}"
             identity = connection.Identity(name, shared.Role.ENTRY, _PLACE, 1)
@@ -60,7 +61,7 @@
             self.claims.append(claims)
 
     async def stop(self) -> None:
-        """Stops them."""
+        """Stops all entries and closes their endpoints."""
         for claims in self.claims:
             await claims.stop()
         for endpoint in self._endpoints:
@@ -98,7 +99,7 @@
 async def measure(
     window_ms: int, rate: float, entries: int
 ) -> dict[str, float]:
-    """Returns the figures for one group window."""
+    """Returns the figures for one batch interval."""
     log = memory.MemoryLog(clock_lib.SystemClock())
     log.faults.slow_s = _LOG_DELAY_S
     timing = claims_service.Timing(batch_interval_s=window_ms / 1000.0)
@@ -144,7 +145,7 @@
 
 
 def main() -> None:
-    """Prints one JSON object a window."""
+    """Prints one JSON object per batch interval."""
     rate = float(sys.argv[1]) if len(sys.argv) > 1 else 410.0
     entries = int(sys.argv[2]) if len(sys.argv) > 2 else 8
     for window_ms in _WINDOWS_MS:
--- a/src/clementinegw/bench/control.py
+++ b/src/clementinegw/bench/control.py
@@ -1,10 +1,11 @@
-"""`bench control`: what membership costs one process, by slope over members.
+"""Measures the cost of membership per member: clementinegw bench control.
 
 Runs whole failure domains of 30 members up to `--processes` over loopback UDP:
 the real service, sockets, codec and proofs. All members share this process and
-its event loop, since a bench does not start others; processor time and memory
-are told a member. The last failure domain also loses one member, and the time
-until every other one has declared it dead is told.
+its event loop, since a measurement starts no other process; processor time and
+memory are reported per member, with their slope over the number of members.
+The last failure domain also loses one member, and the time until every other
+member has declared it dead is reported.
 """
 
 import asyncio
@@ -44,17 +45,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Point:
-    """What one member cost in a failure domain of some size.
+    """Cost of one member in a failure domain of a given size.
 
     Attributes:
       processes: Members of the failure domain.
-      join_s: Seconds from the first start until all knew all.
+      join_s: Seconds from the first start until every member knows all.
       cpu_core_share: Processor time of a member, as a share of one core.
-      bytes_per_s: Bytes sent and received a second, UDP headers included.
-      entry_bytes_per_s: The same of the entries alone.
-      agent_bytes_per_s: The same of the agents alone.
-      pauses: How often a member found that this process had not run.
-      memory_mb: What a member adds to the memory of this process.
+      bytes_per_s: Bytes sent and received per second, with UDP headers.
+      entry_bytes_per_s: The same for the entries alone.
+      agent_bytes_per_s: The same for the agents alone.
+      pauses: Number of times a member detected that this process paused.
+      memory_mb: Memory that a member adds to this process, in MB.
     """
 
     processes: int
@@ -102,11 +103,12 @@
 
 
 async def run(flag_values: flags.FlagValues) -> dict[str, Any]:
-    """Measures and returns the keys of the JSON line.
+    """Measures and returns the fields of the JSON line.
 
     Raises:
-      exceptions.UsageError: A size is no number.
-      exceptions.CheckFailed: The members did not find each other.
+      exceptions.UsageError: A size is not a number.
+      exceptions.CheckFailed: The members did not join, or did not
+        detect the stopped member, in time.
     """
     sizes = _sizes(flag_values.smaller, flag_values.processes)
     domains = flag_values.domains
@@ -131,12 +133,12 @@
     """The members of one or more failure domains, all in this process."""
 
     def __init__(self, size: int, seed: int, domains: int = 1):
-        """Starts empty.
+        """Creates a group without members.
 
         Args:
           size: Members of each failure domain.
           seed: Seeds the random targets.
-          domains: How many failure domains.
+          domains: Number of failure domains.
         """
         self._size = size
         self._domains = [f"hal-{number}" for number in range(domains)]
@@ -148,8 +150,8 @@
     async def start(self) -> None:
         """Starts the members, each with a few earlier ones as seeds.
 
-        A little apart, because they share one event loop: what is measured
-        here is a quiet failure domain, not a restart of everything.
+        The starts are spread out, because the members share one event loop and
+        the measurement covers a steady failure domain, not a mass restart.
         """
         self._started_at = time.monotonic()
         seeds: list[view.Seed] = []
@@ -175,11 +177,11 @@
         gc.collect()
 
     async def measure(self, seconds: float, base_mb: float) -> Point:
-        """Waits for all to know all, then measures.
+        """Waits until every member knows all others, then measures.
 
         Args:
-          seconds: How long.
-          base_mb: The memory of this process before any member started.
+          seconds: Settle time and, again, duration of the measurement.
+          base_mb: Memory of this process before any member started, in MB.
         """
         await _wait_until(self._joined, _JOIN_TIMEOUT_S, "join")
         join_s = time.monotonic() - self._started_at
@@ -207,7 +209,7 @@
         )
 
     async def detect(self) -> float:
-        """Ends one member; returns the seconds until its domain knows."""
+        """Stops a member; returns the seconds until its domain detects it."""
         victim = self._members.pop()
         await victim.stop()
         started = time.monotonic()
@@ -318,7 +320,7 @@
 
 
 def _base_mb() -> float:
-    # A daemon's memory is mostly its libraries, so they are all here.
+    # Most of a daemon's memory is its libraries, so all are imported.
     for name in _DAEMONS:
         importlib.import_module(name)
     gc.collect()
@@ -331,7 +333,7 @@
 
 
 class _NullLog(logs.Log):
-    """Writes nothing: hundreds of members would write the same lines."""
+    """Discards events: hundreds of members would write the same lines."""
 
     def write(self, event: events.Event, **fields: Any) -> None:
-        """Drops the event."""
+        """Discards the event."""
--- a/src/clementinegw/bench/coordinator.py
+++ b/src/clementinegw/bench/coordinator.py
@@ -1,8 +1,8 @@
-"""Host processes of a measurement, which the shell starts and which meet here.
+"""Assigns work to the host processes of a measurement over loopback TCP.
 
-A process of this project starts no other, and that goes for its tools as well.
-So whoever measures starts the hosts (`make bench-settings` does), each connects
-to the first process over loopback TCP, and is told what to run.
+No process of this project starts another process, and neither do its tools. The
+shell starts the host processes (see `make bench-settings`); each connects to
+the coordinator in the first process and receives the function to run.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 from clementinegw import exceptions
 from clementinegw import types
 
-# The desk listens on the loopback of one machine for the time of one run. The
-# word keeps out a stray client, nobody else.
+# The coordinator listens on the loopback interface during one run. The fixed
+# key rejects accidental connections; it gives no security.
 _AUTH_KEY = b"clementinegw bench"
 _TIMEOUT_S = 30.0
 _RETRY_INTERVAL_S = 0.1
@@ -25,10 +25,10 @@
 
 
 class HostConnection:
-    """A host process that has been given work."""
+    """A connection to a host process that has been assigned work."""
 
     def __init__(self, link: sockets.Connection):
-        """Wraps the connection to it."""
+        """Wraps the connection to the host process."""
         self._link = link
 
     def send(self, message: Any) -> None:
@@ -36,24 +36,28 @@
         self._link.send(message)
 
     async def receive(self) -> Any:
-        """Waits for a message; raises EOFError when the host has ended."""
+        """Returns the next message.
+
+        Raises:
+          EOFError: The host process has ended.
+        """
         return await asyncio.to_thread(self._link.recv)
 
     async def request(self, message: Any) -> Any:
-        """Sends and waits for the answer."""
+        """Sends a message and returns the answer."""
         return await asyncio.to_thread(self.request_blocking, message)
 
     def request_blocking(self, message: Any) -> Any:
-        """Sends and waits for the answer; for code without a loop."""
+        """Sends a message and returns the answer, outside an event loop."""
         self._link.send(message)
         return self._link.recv()
 
 
 class Coordinator:
-    """Where hosts come for work."""
+    """Accepts host processes and assigns work to them."""
 
     def __init__(self, address: types.Address):
-        """Listens; hosts that come wait until they are given work."""
+        """Listens; connected hosts wait until they are assigned work."""
         self._listener = sockets.Listener(
             (address.host, address.port), authkey=_AUTH_KEY, backlog=64
         )
@@ -63,34 +67,34 @@
 
     @property
     def address(self) -> types.Address:
-        """Where it listens."""
+        """The address that the coordinator listens on."""
         host, port = self._listener.address  # type: ignore[misc]
         return types.Address(str(host), int(port))
 
     async def assign(
         self, function: HostFunction, argument: Any
     ) -> HostConnection:
-        """Gives work to the next host that comes; see `assign_blocking`."""
+        """Assigns work to the next host; see `assign_blocking`."""
         return await asyncio.to_thread(self.assign_blocking, function, argument)
 
     def assign_blocking(
         self, function: HostFunction, argument: Any
     ) -> HostConnection:
-        """Gives work to the next host that comes.
+        """Assigns work to the next host that connects.
 
         Args:
-          function: A function of a module; the host imports it by name.
-          argument: What it is called with, beside its connection.
+          function: A module-level function; the host imports it by name.
+          argument: Its first argument; the second is the connection.
 
         Raises:
-          exceptions.UsageError: No host came in time.
+          exceptions.UsageError: No host connected in time.
         """
-        # The listener has no timeout of its own: without one a measurement
-        # whose hosts were forgotten would wait for ever.
+        # The listener has no timeout of its own: without this one, a
+        # measurement without started hosts would wait forever.
         ready = self._sockets.select(_TIMEOUT_S)
         if not ready:
             raise exceptions.UsageError(
-                f"no host came within {_TIMEOUT_S:.0f} s; start them with "
+                f"no host connected within {_TIMEOUT_S:.0f} s; start them with "
                 "`clementinegw bench host`, as `make bench-settings` does"
             )
         link = self._listener.accept()
@@ -104,10 +108,10 @@
 
 
 def serve(address: types.Address) -> None:
-    """Comes to the desk, does what it is told, and returns.
+    """Connects to the coordinator and runs the assigned function.
 
     Raises:
-      exceptions.PlatformError: There is no desk at that address.
+      exceptions.PlatformError: No coordinator listens at that address.
     """
     deadline = time.monotonic() + _TIMEOUT_S
     while True:
@@ -119,7 +123,7 @@
         except OSError as error:
             if time.monotonic() > deadline:
                 raise exceptions.PlatformError(
-                    f"{address}: no measurement waits for hosts there"
+                    f"{address}: no measurement waits for hosts at this address"
                 ) from error
             time.sleep(_RETRY_INTERVAL_S)
     function, argument = link.recv()
--- a/src/clementinegw/bench/gate.py
+++ b/src/clementinegw/bench/gate.py
@@ -1,9 +1,9 @@
-"""What the gate costs: processor time per submission.
+"""Measures the cost of the gate: processor time per submission.
 
-Run `python -m clementinegw.bench.gate`. The decisions alone are measured, and
-the service with a backend that answers at once, over loopback sockets, entry
-and agent in one process; the same frames with a handler that answers without
-a gate are the baseline.
+Run `python -m clementinegw.bench.gate`. It measures the decisions alone, and
+the service with a backend that answers immediately, over loopback sockets with
+entry and agent in one process. The baseline sends the same frames to a handler
+that answers without a gate.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 class _InstantBackend:
-    """Answers at once."""
+    """A backend that answers immediately."""
 
     @property
     def kind(self) -> shared.ServiceKind:
@@ -54,7 +54,7 @@
 
 
 def decisions(count: int = _DECISIONS) -> float:
-    """Returns microseconds for one submission and its end, decisions only."""
+    """Returns microseconds per submission and its end, decisions only."""
     gate = gate_lib.Gate(types.Limits(), 1)
     attempts = [
         types.Attempt(
@@ -84,7 +84,7 @@
 
 
 async def calls(with_gate: bool, count: int = _CALLS) -> float:
-    """Returns microseconds for one call over loopback, both sides together."""
+    """Returns microseconds per call over loopback, both sides together."""
     keys = auth.single_key_ring(b"0123456789abcdef")
     agent = connection.Endpoint(
         connection.Identity("agent-1", shared.Role.AGENT, _PLACE, 1), keys
@@ -153,7 +153,7 @@
 
 
 def main() -> None:
-    """Prints one JSON object."""
+    """Runs the measurement and prints one JSON object."""
     baseline = asyncio.run(calls(with_gate=False))
     gated = asyncio.run(calls(with_gate=True))
     print(
--- a/src/clementinegw/bench/host.py
+++ b/src/clementinegw/bench/host.py
@@ -1,7 +1,7 @@
 """Runs one host process of a measurement: clementinegw bench host.
 
-It connects to the measurement at --desk, runs the part that it is given, and
-ends. `make bench-settings` starts a measurement with all of its hosts.
+It connects to the measurement at --desk, runs the assigned function, and
+exits. `make bench-settings` starts a measurement with all of its hosts.
 """
 
 import asyncio
@@ -19,17 +19,22 @@
     flags.DEFINE_string(
         "desk",
         "127.0.0.1:7700",
-        "Where the measurement waits for hosts.",
+        "Address at which the measurement waits for hosts.",
         flag_values=flag_values,
     )
 
 
 async def run(flag_values: flags.FlagValues) -> dict[str, Any]:
-    """Does the work that the measurement gives out."""
+    """Runs the function that the measurement assigns.
+
+    Raises:
+      exceptions.UsageError: `--desk` is not an address.
+      exceptions.PlatformError: No measurement listens at the address.
+    """
     try:
         address = model.parse_address(flag_values.desk)
     except ValueError as error:
         raise exceptions.UsageError(f"--desk: {error}") from None
-    # The work runs a loop of its own, which cannot lie within this one.
+    # The function runs an event loop of its own, and loops cannot nest.
     await asyncio.to_thread(coordinator.serve, address)
     return {"done": True}
--- a/src/clementinegw/bench/operator.py
+++ b/src/clementinegw/bench/operator.py
@@ -1,9 +1,9 @@
-"""What one run of the operator's command costs.
+"""Measures the cost of one run of the operator's command.
 
-Run `python -m clementinegw.bench.operator COMMAND ARGUMENT...` with what would
-follow `clementinegw`, such as `settings set PATH=VALUE --log=URL` for a log of
-`clementinegw standin`. The command runs in this process and nothing else does,
-so the figures hold the interpreter's start and the command's imports as well.
+Run `python -m clementinegw.bench.operator COMMAND ARGUMENT...` with the
+arguments of `clementinegw`, such as `settings set PATH=VALUE --log=URL` for a
+log of `clementinegw standin`. The command alone runs in this process, so the
+figures include the interpreter's start and the command's imports.
 """
 
 import dataclasses
@@ -15,18 +15,18 @@
 from clementinegw.commands import main as main_lib
 
 _MS_PER_S = 1000.0
-# The unit of the peak on Linux is 1024 bytes.
+# Linux reports the peak memory in units of 1024 bytes.
 _KIB_PER_MB = 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """What this process has used since it was started.
+    """Resources that this process has used since its start.
 
     Attributes:
-      exit_code: The command's.
+      exit_code: Exit code of the command.
       cpu_ms: Processor time, user and system, in milliseconds.
-      memory_mb: The most memory that was resident, in MB (2**20 bytes).
+      memory_mb: Peak resident memory, in MB (2**20 bytes).
     """
 
     exit_code: int
@@ -35,7 +35,7 @@
 
 
 def measure(argv: list[str]) -> Cost:
-    """Runs a command line and returns what the process has used by its end.
+    """Runs a command line and returns the resources that it used.
 
     Args:
       argv: The arguments after the program's name.
@@ -50,7 +50,7 @@
 
 
 def main() -> None:
-    """Runs the measurement and exits with the command's code."""
+    """Runs the measurement and exits with the command's exit code."""
     cost = measure(sys.argv[1:])
     print(json.dumps(dataclasses.asdict(cost)))
     sys.exit(cost.exit_code)
--- a/src/clementinegw/bench/report.py
+++ b/src/clementinegw/bench/report.py
@@ -1,10 +1,10 @@
-"""`bench report`: runs small measurements and writes one HTML page of plots.
+"""Writes a page of plots of small measurements: clementinegw bench report.
 
-Time until all replicas serve a new version against their number, beside the
-bound and the baselines; goodput against the offered load by routing policy;
-time until a change of the settings is in force. All in virtual time with one
-seed.
-Needs the optional extra `report` (matplotlib).
+The plots show the time until all replicas serve a new version against their
+number, with the bound and the baselines; goodput against offered load by
+routing policy; and the time until a change of the settings is in force. All
+measurements run in virtual time with one seed.
+Requires the optional extra `report` (matplotlib).
 """
 
 import asyncio
@@ -38,9 +38,9 @@
     """One line of a plot.
 
     Attributes:
-      label: Its name in the legend.
-      xs: Where it was measured.
-      ys: What was measured there.
+      label: Name of the line in the legend.
+      xs: Values on the x axis.
+      ys: Measured values, one for each of `xs`.
     """
 
     label: str
@@ -53,11 +53,11 @@
     """One plot of the page.
 
     Attributes:
-      title: What it shows.
+      title: Heading of the plot.
       x_label: Quantity and unit.
       y_label: Quantity and unit.
-      lines: What is drawn.
-      note: How it was measured.
+      lines: Lines of the plot.
+      note: Command and seed of the measurement.
     """
 
     title: str
@@ -90,11 +90,11 @@
 
 
 async def run(flag_values: flags.FlagValues) -> dict[str, Any]:
-    """Measures, writes the page and returns where it is.
+    """Measures, writes the page and returns the fields of the JSON line.
 
     Raises:
-      exceptions.UsageError: matplotlib is not installed, a number is none, or
-        the page cannot be written.
+      exceptions.UsageError: matplotlib is not installed, a value is not a
+        number, or the page cannot be written.
     """
     pyplot = _pyplot()
     replicas = [int(n) for n in _numbers("replicas", flag_values.replicas)]
@@ -212,7 +212,7 @@
     values = flags.FlagValues()
     bench.define(values)
     values(["report", *args])
-    # Some measurements run a loop of their own, in virtual time.
+    # Some measurements run their own event loop, in virtual time.
     return await asyncio.to_thread(asyncio.run, bench.run(values))
 
 
--- a/src/clementinegw/bench/rollout.py
+++ b/src/clementinegw/bench/rollout.py
@@ -1,8 +1,8 @@
 """Measures a rollout: clementinegw bench rollout [--policy=swarm|origin|tree].
 
-Rolls a version out to replicas over loopback TCP with shaped links, with live
-requests going on, and compares the time with the fluid bound of the same links.
-With `--compare` the baselines named there run after it on the same links.
+Rolls a version out to replicas over loopback TCP with shaped links, under live
+requests, and compares the time with the fluid bound of the same links. The
+policies in `--compare` run afterwards on the same links.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 from clementinegw.bench import _rollout_run as runs
 from clementinegw.bench import _rollout_types as types_
 
-# Seconds of window per replica that keep one processor from being the limit.
+# Seconds of window per replica, so that one processor is not the limit.
 _WINDOW_PER_REPLICA_S = 0.3
 _MIN_WINDOW_S = 10.0
 _VIRTUAL_WINDOW_S = 24.0
@@ -36,19 +36,19 @@
         "policy",
         types_.Policy.SWARM,
         types_.Policy,
-        "How chunks reach the replicas.",
+        "How chunks are distributed to the replicas.",
         flag_values=flag_values,
     )
     flags.DEFINE_list(
         "faults",
         [],
-        "What goes wrong: die,stall,corrupt,change,partition.",
+        "Faults to inject: die,stall,corrupt,change,partition.",
         flag_values=flag_values,
     )
     flags.DEFINE_list(
         "compare",
         [],
-        "Policies that run after it with the same seed and links.",
+        "Policies that run afterwards with the same seed and links.",
         flag_values=flag_values,
     )
     flags.DEFINE_enum(
@@ -68,17 +68,17 @@
     flags.DEFINE_string(
         "limits",
         "{}",
-        "JSON object of swarm limits that differ from the measurement's.",
+        "JSON object of swarm limits that replace the measurement's.",
         flag_values=flag_values,
     )
 
 
 _INTEGERS = (
     ("replicas", 32, "Replicas that a version is rolled out to."),
-    ("domains", 4, "Failure domains that they are spread over."),
+    ("domains", 4, "Failure domains that the replicas are spread over."),
     ("chunks", 64, "Chunks of a version."),
     ("chunk_bytes", 32768, "The size of a chunk in bytes."),
-    ("parts", 16, "Parts that a chunk travels in."),
+    ("parts", 16, "Parts that a chunk is sent in."),
     ("seed", 1, "The seed of every random choice."),
 )
 _FLOATS = (
@@ -88,11 +88,11 @@
         "Seconds in which the origin's link carries --origin_link copies and "
         "a machine's --machine_link; 0 chooses by the number of replicas.",
     ),
-    ("origin_link", 4.0, "Copies that the origin's link carries a window."),
-    ("machine_link", 2.0, "Copies that a machine's link carries a window."),
-    ("headroom", 0.0, "The share of a link that transfers leave alone."),
+    ("origin_link", 4.0, "Copies that the origin's link carries per window."),
+    ("machine_link", 2.0, "Copies that a machine's link carries per window."),
+    ("headroom", 0.0, "The share of a link that transfers leave unused."),
     ("live_share", 0.01, "The share of a link that live requests use."),
-    ("live_per_s", 4.0, "Live requests a second to each replica."),
+    ("live_per_s", 4.0, "Live requests per second to each replica."),
     ("warm_up_s", 4.0, "Seconds of live requests before the rollout."),
     ("timeout_bounds", 40.0, "Give up after this many fluid bounds."),
 )
@@ -105,7 +105,7 @@
       flag_values: The parsed flags.
 
     Returns:
-      The keys of the JSON line.
+      The fields of the JSON line.
     """
     plan = make_plan(flag_values)
     virtual = flag_values.clock == "virtual"
@@ -122,10 +122,10 @@
 
 
 def make_plan(values: Any) -> types_.Plan:
-    """Returns the plan that the flags ask for.
+    """Returns the plan that the flags describe.
 
     Raises:
-      exceptions.UsageError: A flag's value does not fit.
+      exceptions.UsageError: A flag has an invalid value.
     """
     for name in ("replicas", "domains", "chunks", "chunk_bytes", "parts"):
         if getattr(values, name) < 1:
--- a/src/clementinegw/bench/swap.py
+++ b/src/clementinegw/bench/swap.py
@@ -1,9 +1,9 @@
 """Measures the swap of a service's workers: clementinegw bench swap.
 
 Runs the real lease decisions of all workers in virtual time over a log of
-limited rate and compares time and appends with the bound (always as many out
-as the share allows) and with the other ways of doing it: `waves` gives every
-worker a fixed time slot, `none` lets all go at once.
+limited rate and compares time and appends with the bound (as many workers out
+as the share allows, at all times) and with two other policies: `waves` gives
+every worker a fixed time slot, `none` swaps all workers at once.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 class Policy(enum.StrEnum):
-    """How the workers take turns."""
+    """How the workers schedule their swaps."""
 
     LEASES = "leases"
     WAVES = "waves"
@@ -40,18 +40,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """One run.
+    """Parameters of one run.
 
     Attributes:
-      policy: How the workers take turns.
-      workers: How many there are.
-      share: The share that may be out.
-      drain_s: The mean time until a worker's requests have finished.
-      load_s: The mean time of a load; the longest is 1.5 times that.
-      ready_s: Within what time all have their chunks.
-      dead: Workers that die while they are out.
-      appends_per_s: What the log takes.
-      seed: Of all random numbers.
+      policy: How the workers schedule their swaps.
+      workers: Number of workers.
+      share: The maximum share of the workers that may be out.
+      drain_s: Mean seconds until a worker's requests have finished.
+      load_s: Mean seconds of a load; the maximum is 1.5 times that.
+      ready_s: Seconds within which all workers have their chunks.
+      dead: Number of workers that die while they are out.
+      appends_per_s: Maximum rate of the log.
+      seed: Seed of all random numbers.
     """
 
     policy: Policy
@@ -66,7 +66,7 @@
 
     @property
     def slot_s(self) -> float:
-        """The longest that a worker is out."""
+        """The maximum seconds that a worker is out."""
         return 1.5 * (self.drain_s + self.load_s)
 
 
@@ -76,21 +76,25 @@
         "policy",
         Policy.LEASES,
         Policy,
-        "How the workers take turns.",
+        "How the workers schedule their swaps.",
         flag_values=flag_values,
     )
     for name, default, text in (
         ("workers", 120, "Workers of the service."),
         ("dead", 0, "Workers that die while they are out."),
-        ("seed", 1, "Of all random numbers."),
+        ("seed", 1, "Seed of all random numbers."),
     ):
         flags.DEFINE_integer(name, default, text, flag_values=flag_values)
     for name, value, text in (
-        ("share", 0.25, "Share that may be out for loading."),
+        (
+            "share",
+            0.25,
+            "Maximum share of workers that may be out for loading.",
+        ),
         ("drain_s", 2.0, "Mean seconds until a worker's requests end."),
         ("load_s", 20.0, "Mean seconds of a load."),
         ("ready_s", 2.0, "Seconds within which all have their chunks."),
-        ("appends_per_s", 300.0, "Appends that the log takes a second."),
+        ("appends_per_s", 300.0, "Appends per second that the log accepts."),
     ):
         flags.DEFINE_float(name, value, text, flag_values=flag_values)
 
@@ -126,7 +130,7 @@
 
 
 class _RateLimitedLog:
-    """A log client that waits its turn at the log's rate."""
+    """A log client whose appends are limited to the log's rate."""
 
     def __init__(self, client: memory.MemoryLog, bucket: links.TokenBucket):
         self._client = client
@@ -147,7 +151,7 @@
 
 
 class _Fleet:
-    """All workers of a run and who of them is out."""
+    """All workers of a run and the set of those that are out."""
 
     def __init__(self, plan: Plan, clock: clocks.VirtualClock):
         self.plan = plan
@@ -163,7 +167,7 @@
         self.all_finished = asyncio.Event()
 
     async def run(self) -> dict[str, Any]:
-        """Runs all workers to the end."""
+        """Runs all workers until each has finished or died."""
         started_at = self.clock.now()
         workers = [_Worker(self, number) for number in range(self.plan.workers)]
         tasks = [asyncio.create_task(worker.run()) for worker in workers]
@@ -174,12 +178,12 @@
         return self._result(started_at)
 
     def record_out(self, number: int) -> None:
-        """A worker stops taking requests."""
+        """Records that a worker stops accepting requests."""
         self.out.add(number)
         self.peak_out = max(self.peak_out, len(self.out))
 
     def record_finished(self, number: int, dead: bool = False) -> None:
-        """A worker serves the new version, or will never serve again."""
+        """Records that a worker serves the new version or has died."""
         self.out.discard(number)
         if not dead:
             self.completed_at.append(self.clock.now())
@@ -210,7 +214,7 @@
 
 
 class _Worker:
-    """One worker in place of an agent: drains, loads, serves."""
+    """A simulated agent that drains, loads and serves."""
 
     def __init__(self, fleet: _Fleet, number: int):
         plan, rng = fleet.plan, fleet.rng
@@ -234,7 +238,7 @@
         )
 
     async def run(self) -> None:
-        """Takes its turn once."""
+        """Swaps once, by the policy of the plan."""
         await asyncio.sleep(self._ready_s)
         turns = {
             Policy.LEASES: self._by_lease,
@@ -270,8 +274,8 @@
         fleet = self._fleet
         waves = math.ceil(fleet.plan.workers / fleet.limit)
         slot_start_s = (self._number % waves) * fleet.plan.slot_s
-        # The slots are the same whatever is ready, so that those who are too
-        # late for theirs wait for the next round.
+        # The slots don't depend on readiness: a worker that is ready after its
+        # slot has started waits for the next round.
         ready_s = self._ready_s
         while slot_start_s < ready_s:
             slot_start_s += waves * fleet.plan.slot_s
@@ -293,7 +297,7 @@
 
 
 def _peak_per_second(times: list[float]) -> int:
-    """Returns the most records within one second of the log's clock."""
+    """Returns the maximum number of records in one second of log time."""
     seconds: dict[int, int] = {}
     for timestamp in times:
         seconds[int(timestamp)] = seconds.get(int(timestamp), 0) + 1
--- a/src/clementinegw/bench/tokens.py
+++ b/src/clementinegw/bench/tokens.py
@@ -1,9 +1,9 @@
-"""What a streamed token costs entry and agent.
+"""Measures the processor time of entry and agent per streamed token.
 
 Run `python -m clementinegw.bench.tokens [STREAMS [TOKENS]]`. One entry, one
 agent and one model engine's stand-in run in this process over loopback TCP.
-Streams are taken once through the entry and once from the engine itself; the
-difference in processor time, a token, is that of entry and agent together.
+Streams are requested once through the entry and once directly from the engine;
+the difference in processor time per token is the cost of entry and agent.
 """
 
 import asyncio
@@ -43,11 +43,11 @@
 
 
 async def run(streams: int, tokens: int) -> dict[str, float]:
-    """Measures and returns microseconds a token.
+    """Measures and returns microseconds per token.
 
     Args:
-      streams: How many streams are taken each way.
-      tokens: How many tokens each has.
+      streams: Number of streams through the entry, and as many directly.
+      tokens: Number of tokens per stream.
     """
     async with deployment_lib.running(_SIZE, _OPTIONS) as deployment:
         await _roll_out_version(deployment)
@@ -87,7 +87,7 @@
         if time.monotonic() > deadline:
             raise exceptions.CheckFailed("bench tokens: no engine serves")
         await asyncio.sleep(0.1)
-    # The entry hears of the version a little later than the agent has it.
+    # The entry receives the version some time after the agent serves it.
     await asyncio.sleep(2.0)
 
 
--- a/tests/test_bench_report.py
+++ b/tests/test_bench_report.py
@@ -1,4 +1,4 @@
-"""The page of plots: what it needs, and what stands in it."""
+"""Tests of the page of plots: its requirements and its contents."""
 
 import importlib
 
@@ -9,15 +9,17 @@
 from clementinegw.commands import main
 
 
-def test_missing_matplotlib_is_one_clear_error(monkeypatch, capsys):
-    real = importlib.import_module
+def test_missing_matplotlib_is_a_usage_error_that_names_the_extra(
+    monkeypatch, capsys
+):
+    import_module = importlib.import_module
 
-    def without(name, package=None):
+    def import_without_matplotlib(name, package=None):
         if name == "matplotlib":
             raise ImportError(name)
-        return real(name, package)
+        return import_module(name, package)
 
-    monkeypatch.setattr(importlib, "import_module", without)
+    monkeypatch.setattr(importlib, "import_module", import_without_matplotlib)
     code = main.main(["bench", "report"])
     assert code == exceptions.UsageError.exit_code
     assert "clementinegw[report]" in capsys.readouterr().err
@@ -32,6 +34,6 @@
     assert "bench x &amp; y" in page
 
 
-def test_numbers_that_are_none_are_refused():
+def test_values_that_are_not_numbers_are_rejected():
     with pytest.raises(exceptions.UsageError, match="--loads"):
         report._numbers("loads", ["0.5", "much"])
--- a/tests/test_swarm_bench.py
+++ b/tests/test_swarm_bench.py
@@ -1,4 +1,4 @@
-"""A small run of the rollout bench over loopback in virtual time."""
+"""Tests of the rollout bench: small runs over loopback in virtual time."""
 
 import asyncio
 
