--- a/src/clementinegw/requests/limit.py
+++ b/src/clementinegw/requests/limit.py
@@ -1,9 +1,9 @@
 """Rate and token limits of customers, shared by all entries.
 
-Each entry holds a token bucket with its share of the customer's rate. Shares
-follow demand: see `shares`. The sum of the shares is one while the entries
-agree on the demand, so a customer gets its limit whichever entries the balancer
-sends it to.
+Each entry has token buckets with its share of the customer's rates. The shares
+follow the demand; see `shares`. They add up to one while the entries agree on
+the demand, so a customer gets its whole limit whichever entries the load
+balancer chooses.
 """
 
 import dataclasses
@@ -18,31 +18,38 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """A token bucket.
 
     Attributes:
-      level: What may be taken now; negative after an underestimate.
-      filled_at: When the level was last brought up to date.
+      level: The number of tokens available; negative after an underestimate.
+      refilled_at: When it was last refilled, in monotonic seconds.
     """
 
     level: float
-    filled_at: float
+    refilled_at: float
 
-    def fill(self, rate: float, burst: float, now: float) -> None:
-        """Adds what has come in since the last time."""
-        passed_s = max(0.0, now - self.filled_at)
-        self.level = min(burst, self.level + rate * passed_s)
-        self.filled_at = now
+    def refill(self, rate: float, burst: float, now: float) -> None:
+        """Adds the tokens for the time since the last refill.
+
+        Args:
+          rate: Tokens added per second.
+          burst: The maximum level.
+          now: The current time, in monotonic seconds.
+        """
+        elapsed_s = max(0.0, now - self.refilled_at)
+        self.level = min(burst, self.level + rate * elapsed_s)
+        self.refilled_at = now
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Limited:
+class LimitExceeded:
     """The request exceeds a limit.
 
     Attributes:
-      reason: Which kind.
-      retry_after_s: When there is room for it again, in seconds.
+      reason: Which limit it exceeds.
+      retry_after_s: After how long the request would be within the limit, in
+        seconds.
     """
 
     reason: types.NotRunReason
@@ -51,43 +58,44 @@
 
 @dataclasses.dataclass(slots=True)
 class _Usage:
-    requests: Bucket
-    tokens: Bucket
+    requests: TokenBucket
+    tokens: TokenBucket
     running: int = 0
 
 
 class Limiter:
-    """The limits of all customers at one entry."""
+    """Enforces the limits of all customers at one entry."""
 
     def __init__(self, shares: shares_lib.Shares):
-        """Prepares the limiter.
+        """Starts without any usage.
 
         Args:
-          shares: Says which part of a limit this entry may use.
+          shares: Determines the share of a limit that this entry may use.
         """
         self._shares = shares
         self._usage: dict[tuple[str, str], _Usage] = {}
 
-    def take(
+    def try_acquire(
         self, rules: rules_lib.Rules, customer: str, tokens: int, now: float
-    ) -> Limited | None:
-        """Charges a request to its customer.
+    ) -> LimitExceeded | None:
+        """Charges a request to its customer if it is within the limits.
 
         Args:
           rules: The customer's limits.
-          customer: The customer.
-          tokens: Tokens that the request may take, prompt and answer.
-          now: Monotonic seconds.
+          customer: The name of the customer.
+          tokens: The maximum number of tokens of the prompt and the answer.
+          now: The current time, in monotonic seconds.
 
         Returns:
-          None when it is within the limits; `done` must follow then.
+          The exceeded limit; None if the request was charged, in which case
+          `release` must be called when it ends.
         """
         key = (rules.service, customer)
-        self._shares.seen(key, tokens, now)
+        self._shares.record_request(key, tokens, now)
         share = self._shares.share(key, now)
         usage = self._usage_of(key, rules, share, now)
         if usage.running >= rules.max_concurrent:
-            return Limited(types.NotRunReason.RATE_LIMITED, 1.0)
+            return LimitExceeded(types.NotRunReason.RATE_LIMITED, 1.0)
         for bucket, rate, reason in (
             (
                 usage.requests,
@@ -100,15 +108,17 @@
                 types.NotRunReason.TOKEN_LIMITED,
             ),
         ):
-            limited = _check(bucket, rate * share, rules.burst_s, reason, now)
-            if limited is not None:
-                return limited
+            exceeded = _check_bucket(
+                bucket, rate * share, rules.burst_s, reason, now
+            )
+            if exceeded is not None:
+                return exceeded
         usage.requests.level -= 1
         usage.tokens.level -= tokens
         usage.running += 1
         return None
 
-    def done(
+    def release(
         self,
         rules: rules_lib.Rules,
         customer: str,
@@ -116,14 +126,14 @@
         used: int,
         ran: bool,
     ) -> None:
-        """Gives back what a request did not use.
+        """Refunds what a request did not use.
 
         Args:
           rules: The customer's limits.
-          customer: The customer.
-          charged: Tokens that `take` was told.
-          used: Tokens that it took in the end.
-          ran: Whether it may have run; one that did not is free.
+          customer: The name of the customer.
+          charged: The number of tokens that `try_acquire` charged.
+          used: The number of tokens that the request used.
+          ran: Whether it may have run; otherwise everything is refunded.
         """
         usage = self._usage.get((rules.service, customer))
         if usage is None:
@@ -143,41 +153,46 @@
         usage = self._usage.get(key)
         if usage is None:
             if len(self._usage) >= _MAX_BUCKETS:
-                self._forget_idle()
+                self._drop_idle()
             usage = _Usage(
-                Bucket(_burst(rules.requests_per_s * share, rules), now),
-                Bucket(_burst(rules.tokens_per_s * share, rules), now),
+                TokenBucket(
+                    _burst_size(rules.requests_per_s * share, rules), now
+                ),
+                TokenBucket(
+                    _burst_size(rules.tokens_per_s * share, rules), now
+                ),
             )
             self._usage[key] = usage
         return usage
 
-    def _forget_idle(self) -> None:
+    def _drop_idle(self) -> None:
         self._usage = {k: u for k, u in self._usage.items() if u.running}
 
 
-def _burst(rate: float, rules: rules_lib.Rules) -> float:
+def _burst_size(rate: float, rules: rules_lib.Rules) -> float:
     return max(1.0, rate * rules.burst_s)
 
 
-def _check(
-    bucket: Bucket,
+def _check_bucket(
+    bucket: TokenBucket,
     rate: float,
     burst_s: float,
     reason: types.NotRunReason,
     now: float,
-) -> Limited | None:
-    """Lets a request pass while the level is above zero.
+) -> LimitExceeded | None:
+    """Returns the exceeded limit; None if the bucket allows another request.
 
-    The level may then fall below zero: a request that takes more tokens than
-    the whole burst must pass some time, and is paid for afterwards.
+    The bucket of tokens allows requests while its level is at least zero, and
+    the level may then become negative. Otherwise a request that needs more
+    tokens than the whole burst would never be allowed.
     """
     if math.isinf(rate):
         bucket.level = math.inf
         return None
-    bucket.fill(rate, max(1.0, rate * burst_s), now)
+    bucket.refill(rate, max(1.0, rate * burst_s), now)
     needed = 1.0 if reason is types.NotRunReason.RATE_LIMITED else 0.0
     if bucket.level >= needed and rate > 0:
         return None
     missing = needed - bucket.level
     after_s = missing / rate if rate > 0 else _MAX_RETRY_S
-    return Limited(reason, min(_MAX_RETRY_S, max(0.05, after_s)))
+    return LimitExceeded(reason, min(_MAX_RETRY_S, max(0.05, after_s)))
--- a/src/clementinegw/requests/suspects_service.py
+++ b/src/clementinegw/requests/suspects_service.py
@@ -20,7 +20,7 @@
 from clementinegw.wire.gen.requests import ttypes
 
 Kind = connection_lib.Kind
-Turn = request_types.Turn
+Lease = request_types.Lease
 STREAM_NAME = "suspects"
 _POLL_WAIT_S = 30.0
 _RETRY_INTERVAL_S = 1.0
@@ -32,10 +32,10 @@
 class LeaseManager(Protocol):
     """Manages leases that only one entry of the fleet holds at a time."""
 
-    async def acquire_lease(self, name: bytes, use_s: float) -> Turn | None:
+    async def acquire_lease(self, name: bytes, use_s: float) -> Lease | None:
         """Returns the lease; None if another holds it or the log is down."""
 
-    def release_lease(self, lease: Turn) -> None:
+    def release_lease(self, lease: Lease) -> None:
         """Releases a lease."""
 
 
@@ -92,18 +92,18 @@
             return _CLEAR
         return self._tracker.verdict(request.fingerprint)
 
-    async def turn(
+    async def acquire_lease(
         self, request: request_types.Request, wait_s: float
-    ) -> Turn | types.NotRun | None:
+    ) -> Lease | types.NotRun | None:
         """Waits until a request may run.
 
         Args:
           request: The request.
-          wait_s: How long to wait for its turn, in seconds.
+          wait_s: How long to wait for a lease, in seconds.
 
         Returns:
-          A turn to be ended by `end_turn`; None if the request is no suspect;
-          NotRun if it may not run, or not yet.
+          A lease to be released by `release_lease`; None if the request is no
+          suspect; NotRun if it may not run, or not yet.
         """
         until = min(self._clock.now() + wait_s, request.deadline)
         while True:
@@ -116,12 +116,12 @@
                     types.NotRunReason.SUSPECT, None, "it crashed two servers"
                 )
             remaining_s = request.deadline - self._clock.now()
-            turn = await self._lease_manager.acquire_lease(
+            lease = await self._lease_manager.acquire_lease(
                 request.fingerprint, remaining_s
             )
-            if turn is not None:
+            if lease is not None:
                 self._counters.add("suspects.turns")
-                return turn
+                return lease
             if self._clock.now() + _LEASE_RETRY_INTERVAL_S >= until:
                 self._counters.add("suspects.deferred")
                 return types.NotRun(
@@ -129,9 +129,9 @@
                 )
             await asyncio.sleep(_LEASE_RETRY_INTERVAL_S)
 
-    def end_turn(self, turn: Turn) -> None:
-        """Ends a turn."""
-        self._lease_manager.release_lease(turn)
+    def release_lease(self, lease: Lease) -> None:
+        """Releases a lease."""
+        self._lease_manager.release_lease(lease)
 
     def completed(self, request: request_types.Request) -> None:
         """Clears a request that was answered completely."""
--- a/src/clementinegw/requests/usage.py
+++ b/src/clementinegw/requests/usage.py
@@ -1,4 +1,4 @@
-"""Carries demands and sums between entries; see `shares`."""
+"""Exchanges demands and their sums between entries; see `shares`."""
 
 from clementinegw import clock as clock_lib
 from clementinegw import exceptions
@@ -13,7 +13,7 @@
 
 
 class UsageExchange:
-    """Sends and takes USAGE_SHARE notices."""
+    """Sends and receives USAGE_SHARE notices."""
 
     def __init__(
         self,
@@ -25,10 +25,10 @@
         """Registers for the notices.
 
         Args:
-          shares: Decides what is told.
-          endpoint: This entry's connections.
+          shares: Provides the messages to send.
+          endpoint: The connections of this entry.
           clock: The source of time.
-          counters: Where failures are counted.
+          counters: Counts the failures.
         """
         self._shares = shares
         self._endpoint = endpoint
@@ -38,30 +38,33 @@
         endpoint.on_notice(Kind.USAGE_SHARE, self._on_notice)
 
     def set_entries(self, entries: dict[str, types.Address]) -> None:
-        """Sets which entries live, and where."""
+        """Sets the addresses of the live entries, by instance id."""
         self._addresses = entries
         self._shares.set_entries(entries)
 
-    async def tick(self) -> None:
-        """Tells the owners what this entry sees."""
-        for tell in self._shares.on_tick(self._clock.now()):
-            address = self._addresses.get(tell.entry)
+    async def end_period(self) -> None:
+        """Ends a period and sends this entry's demand to the owners."""
+        for outgoing in self._shares.end_period(self._clock.now()):
+            address = self._addresses.get(outgoing.receiver)
             if address is None:
                 continue
             try:
                 connection = await self._endpoint.connect(address)
             except exceptions.ConnectionLost:
-                # Without the owner's sums the share falls back by itself.
+                # Without sums from the owner, the share falls back to an equal
+                # one.
                 self._counters.add("requests.usage_unsent")
                 continue
-            self._tell(connection, tell)
+            self._send(connection, outgoing)
 
-    def _tell(
-        self, connection: connection_lib.Connection, tell: shares_lib.Tell
+    def _send(
+        self,
+        connection: connection_lib.Connection,
+        outgoing: shares_lib.UsageMessage,
     ) -> None:
         message = ttypes.UsageShare(
             instance_id=self._endpoint.identity.instance_id,
-            sums=tell.sums,
+            sums=outgoing.sums,
             usages=[
                 ttypes.Usage(
                     service_name=d.service,
@@ -69,7 +72,7 @@
                     requests=d.requests,
                     tokens=d.tokens,
                 )
-                for d in tell.demands
+                for d in outgoing.demands
             ],
         )
         connection.notify(Kind.USAGE_SHARE, codec.encode(message))
@@ -79,14 +82,16 @@
     ) -> None:
         message = codec.decode(ttypes.UsageShare, body)
         demands = [
-            shares_lib.Demand(u.service_name, u.customer, u.requests, u.tokens)
+            shares_lib.CustomerDemand(
+                u.service_name, u.customer, u.requests, u.tokens
+            )
             for u in message.usages
         ]
         now = self._clock.now()
         if message.sums:
-            self._shares.on_sums(demands, now)
+            self._shares.apply_sums(demands, now)
             return
-        reply = self._shares.on_demands(
+        reply = self._shares.add_demands(
             connection.peer.instance_id, demands, now
         )
-        self._tell(connection, reply)
+        self._send(connection, reply)
--- a/tests/requests_script.py
+++ b/tests/requests_script.py
@@ -1,4 +1,4 @@
-"""An agent whose answers are a script, before a real entry, in memory."""
+"""A real entry with scripted agents, over connections in memory."""
 
 import asyncio
 import random
@@ -25,15 +25,26 @@
 
 
 def run(test):
-    """Runs a coroutine function in virtual time with links in memory."""
+    """Runs a coroutine function in virtual time with connections in memory."""
     clock = clock_lib.VirtualClock()
-    loop = network.MemoryLoop(clock, lambda one, other: 0.001)
+    loop = network.MemoryLoop(clock, lambda source, target: 0.001)
     with asyncio.Runner(loop_factory=lambda: loop) as runner:
         return runner.run(test(clock, loop))
 
 
 class Agent:
-    """An agent whose answers are a script, one step for each submission."""
+    """An agent that runs one step of a script for each submission.
+
+    Attributes:
+      name: The host name and the instance id.
+      script: The remaining steps; without any, the agent answers normally.
+      submitted: The submissions received.
+      cancelled: The cancellations received.
+      proof: The answer to a tombstone request; None sends no answer.
+      incarnation: The incarnation of the agent.
+      leaving: Whether its status reports it as leaving.
+      version: The model version that it reports.
+    """
 
     def __init__(self, name: str, script, incarnation: int = 1):
         self.name = name
@@ -54,14 +65,14 @@
         self.endpoint.on_call(Kind.SUBMIT, self._on_submit)
         self.endpoint.on_call(Kind.TOMBSTONE, self._on_tombstone)
         self.endpoint.on_call(Kind.CANCEL, self._on_cancel)
-        self.endpoint.on_connected(self.tell)
+        self.endpoint.on_connected(self.send_status)
         address = await self.endpoint.listen(types.Address("127.0.0.1", port))
         self.instance = types.Instance(
             self.name, types.Role.AGENT, PLACE, address, 1, "s"
         )
         return self
 
-    def tell(self, connection) -> None:
+    def send_status(self, connection) -> None:
         status = ttypes.AgentStatus(
             instance_id=self.name,
             incarnation=self.incarnation,
@@ -86,10 +97,12 @@
         await step(self, connection, exchange, submit)
 
     async def _on_tombstone(self, connection, exchange, frame):
-        named = codec.decode(ttypes.Tombstone, frame.body)
+        request = codec.decode(ttypes.Tombstone, frame.body)
         if self.proof is None:
             await asyncio.sleep(3600)
-        reply = ttypes.Tombstoned(named.request_id, named.attempt, self.proof)
+        reply = ttypes.Tombstoned(
+            request.request_id, request.attempt, self.proof
+        )
         await exchange.send(Kind.TOMBSTONED, codec.encode(reply))
 
     async def _on_cancel(self, connection, exchange, frame):
@@ -117,7 +130,7 @@
     await end(exchange, submit, len(body))
 
 
-async def break_off(agent, connection, exchange, submit):
+async def drop_connection(agent, connection, exchange, submit):
     connection.abort()
 
 
@@ -125,7 +138,7 @@
     await asyncio.sleep(3600)
 
 
-async def short(agent, connection, exchange, submit):
+async def send_truncated_answer(agent, connection, exchange, submit):
     await head(exchange, submit)
     await exchange.send(Kind.ANSWER_DATA, b"half")
     await end(exchange, submit, 8)
@@ -148,21 +161,26 @@
 
 
 class Sink:
-    def __init__(self, gone_after: int | None = None):
+    """Records a streamed answer and can act as a caller that disconnects."""
+
+    def __init__(self, disconnect_after_bytes: int | None = None):
         self.body = b""
         self.heads: list[request_types.Head] = []
-        self.gone_after = gone_after
+        self.disconnect_after_bytes = disconnect_after_bytes
 
-    async def head(self, got):
-        self.heads.append(got)
+    async def head(self, head):
+        self.heads.append(head)
 
     async def data(self, data):
         self.body += data
-        if self.gone_after is not None and len(self.body) >= self.gone_after:
-            raise request_types.CallerGone
+        if (
+            self.disconnect_after_bytes is not None
+            and len(self.body) >= self.disconnect_after_bytes
+        ):
+            raise request_types.CallerDisconnected
 
 
-async def entry(clock, agents, source=None, **fields):
+async def start_entry(clock, agents, source=None, **fields):
     network.HOST.set("entry")
     counters = counters_lib.Counters()
     identity = connection_lib.Identity("entry", types.Role.ENTRY, PLACE, 1)
@@ -184,7 +202,7 @@
     return service, counters
 
 
-async def agents_of(*scripts) -> list[Agent]:
+async def start_agents(*scripts) -> list[Agent]:
     agents = []
     for index, script in enumerate(scripts):
         agent = Agent(f"a{index}", script)
@@ -193,7 +211,7 @@
     return agents
 
 
-def request_of(clock, number=1, idempotent=False, stream=False, wait_s=10.0):
+def make_request(clock, number=1, idempotent=False, stream=False, wait_s=10.0):
     return request_types.Request(
         f"r{number}",
         "customer",
@@ -209,23 +227,23 @@
     )
 
 
-def event_of(token: int) -> bytes:
+def encode_event(token: int) -> bytes:
     return f"id: {token}\ndata: {token}\n\n".encode()
 
 
-def stream(first: int, last: int, whole: bool):
+def stream(first: int, last: int, complete: bool):
     async def step(agent, connection, exchange, submit):
         await head(exchange, submit, agent.version)
         size = 0
         for token in range(first, last + 1):
-            event = event_of(token)
+            event = encode_event(token)
             size += len(event)
             await exchange.send(Kind.ANSWER_DATA, event)
-        if whole:
+        if complete:
             await end(exchange, submit, size, last)
         else:
-            # The last event arrives in part only.
-            await exchange.send(Kind.ANSWER_DATA, event_of(last + 1)[:7])
+            # Sends a part of the next event only.
+            await exchange.send(Kind.ANSWER_DATA, encode_event(last + 1)[:7])
             connection.abort()
 
     return step
