--- a/src/clementinegw/bench/_rollout_replica.py
+++ b/src/clementinegw/bench/_rollout_replica.py
@@ -1,7 +1,7 @@
-"""A stand-in for a backend server, and the live requests it answers.
+"""A stand-in for a backend server, and the generator of its live requests.
 
-Each answer carries the digest of the chunks in place, computed from their
-bytes when they were loaded; so whoever asked sees partial or mixed weights.
+Each answer carries the digest of the loaded chunks, computed from their bytes
+at load time, so that the client detects partial or mixed weights.
 """
 
 import asyncio
@@ -14,16 +14,16 @@
 _DIGEST_BYTES = 32
 _NUMBER_BYTES = 8
 MIN_BODY_BYTES = _DIGEST_BYTES + _NUMBER_BYTES
-_SERVICE_S = (0.04, 0.08)
+_SERVICE_TIME_RANGE_S = (0.04, 0.08)
 
 
 def content_digest(digests: list[bytes]) -> bytes:
-    """Returns what an answer by exactly these chunks carries."""
+    """Returns the digest that answers from exactly these chunks carry."""
     return manifests.digest_of(b"".join(digests))
 
 
 class Replica:
-    """Weights in place, chunk by chunk, and a server that answers by them."""
+    """A server that loads weights chunk by chunk and answers from them."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
         """Starts without weights.
 
         Args:
-          link: The machine's link, which live requests pass as well.
-          pacing: Is told of live bytes.
-          body_bytes: The size of a request and of an answer.
-          rng: Draws service times.
+          link: The machine's link for live requests.
+          pacing: Records the bytes of live requests; None for none.
+          body_bytes: The size of a request and of an answer in bytes.
+          rng: Source of random service times.
         """
         self._link = link
         self._pacing = pacing
@@ -49,25 +49,25 @@
         self._content = content_digest([])
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task] = set()
-        self.out = False
+        self.out_of_service = False
 
     async def start(self) -> types.Address:
         """Listens on a port that the kernel chooses."""
         self._server = await asyncio.start_server(
-            self._converse, "127.0.0.1", 0
+            self._handle_connection, "127.0.0.1", 0
         )
         port = self._server.sockets[0].getsockname()[1]
         return types.Address("127.0.0.1", port)
 
     async def stop(self) -> None:
-        """Closes the port and the connections."""
+        """Closes the listening socket and the connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
             writer.close()
 
     async def load(self, chunks: list[bytes]) -> bytes:
-        """Replaces the weights in place; returns the digest of the result."""
+        """Replaces the weights in place and returns their content digest."""
         self._digests = self._digests[: len(chunks)]
         for index, chunk in enumerate(chunks):
             digest = manifests.digest_of(chunk)
@@ -79,7 +79,7 @@
             await asyncio.sleep(0)
         return self._content
 
-    async def _converse(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
@@ -99,44 +99,50 @@
         if self._pacing is not None:
             self._pacing.record_live(self._body_bytes, self._body_bytes)
         await self._link.receive(self._body_bytes)
-        await asyncio.sleep(self._rng.uniform(*_SERVICE_S))
-        # Read at the end: a request that ran while weights were replaced
-        # would be answered by the mixture.
-        content = bytes(_DIGEST_BYTES) if self.out else self._content
+        await asyncio.sleep(self._rng.uniform(*_SERVICE_TIME_RANGE_S))
+        # Read after the service time: a request that ran during a load must
+        # show the mixed weights.
+        content = bytes(_DIGEST_BYTES) if self.out_of_service else self._content
         await self._link.send(self._body_bytes)
         answer = content + body[:_NUMBER_BYTES]
         writer.write(answer.ljust(self._body_bytes, b"\0"))
 
 
-class Caller:
-    """Sends live requests to one replica and keeps what it saw."""
+class LoadGenerator:
+    """Sends live requests to one replica and records the answers.
+
+    Attributes:
+      latencies: Start (loop time) and latency of each answer, in seconds.
+      counts_by_content: Number of answers by content digest.
+      refused: Number of answers while the replica was out of service.
+    """
 
     def __init__(
         self,
         address: types.Address,
         body_bytes: int,
-        per_s: float,
+        requests_per_s: float,
         rng: random.Random,
     ):
-        """Prepares the requests.
+        """Starts without a connection.
 
         Args:
-          address: The replica's.
-          body_bytes: The size of a request and of an answer.
-          per_s: Requests a second, at random times.
-          rng: Draws the times.
+          address: The replica's address.
+          body_bytes: The size of a request and of an answer in bytes.
+          requests_per_s: Mean request rate; the intervals are exponential.
+          rng: Source of random intervals.
         """
         self._address = address
         self._body_bytes = body_bytes
-        self._per_s = per_s
+        self._requests_per_s = requests_per_s
         self._rng = rng
-        self._sent: dict[bytes, float] = {}
+        self._sent_at: dict[bytes, float] = {}
         self.latencies: list[tuple[float, float]] = []
-        self.by_content: dict[bytes, int] = {}
+        self.counts_by_content: dict[bytes, int] = {}
         self.refused = 0
 
     async def run(self) -> None:
-        """Sends until it is cancelled or the replica is gone."""
+        """Sends requests until cancelled or disconnected by the replica."""
         loop = asyncio.get_running_loop()
         address = (self._address.host, self._address.port)
         reader, writer = await asyncio.open_connection(*address)
@@ -144,10 +150,10 @@
         number = 0
         try:
             while not receiving.done():
-                await asyncio.sleep(self._rng.expovariate(self._per_s))
+                await asyncio.sleep(self._rng.expovariate(self._requests_per_s))
                 number += 1
                 head = number.to_bytes(_NUMBER_BYTES, "big")
-                self._sent[head] = loop.time()
+                self._sent_at[head] = loop.time()
                 writer.write(head.ljust(self._body_bytes, b"\0"))
         finally:
             receiving.cancel()
@@ -160,10 +166,12 @@
                 answer = await reader.readexactly(self._body_bytes)
             except (asyncio.IncompleteReadError, ConnectionError):
                 return
-            began = self._sent.pop(answer[_DIGEST_BYTES:MIN_BODY_BYTES])
+            started_at = self._sent_at.pop(answer[_DIGEST_BYTES:MIN_BODY_BYTES])
             content = answer[:_DIGEST_BYTES]
             if content == bytes(_DIGEST_BYTES):
                 self.refused += 1
                 continue
-            self.latencies.append((began, loop.time() - began))
-            self.by_content[content] = self.by_content.get(content, 0) + 1
+            self.latencies.append((started_at, loop.time() - started_at))
+            self.counts_by_content[content] = (
+                self.counts_by_content.get(content, 0) + 1
+            )
--- a/src/clementinegw/bench/claims.py
+++ b/src/clementinegw/bench/claims.py
@@ -1,8 +1,9 @@
-"""What claims cost: appends a second, delay and processor time.
+"""Measures the cost of claims: appends per second, delay, processor time.
 
 Run `python -m clementinegw.bench.claims [RATE [ENTRIES]]`. Entries claim keys
-at a rate over loopback connections, through a log that takes 10 ms a call, once
-for each group window. Each claim is settled, so that its end is appended too.
+at a fixed rate over loopback connections, through a log that takes 10 ms per
+call, once for each batch interval. Each claim is settled, so that its end is
+appended as well.
 """
 
 import asyncio
@@ -22,14 +23,14 @@
 
 _WINDOWS_MS = (0, 10, 20, 40, 80)
 _SECONDS = 4.0
-_LOG_S = 0.01
+_LOG_DELAY_S = 0.01
 _ANY_PORT = shared.Address("127.0.0.1", 0)
 _PLACE = shared.Place("noord", "groningen-hal")
 _ANSWER = shared.Answered(200, (), b"booked")
 
 
-class _Entries:
-    """Some entries that know each other."""
+class _EntryGroup:
+    """Connected entries that share one log."""
 
     def __init__(self, log: memory.MemoryLog, timing: claims_service.Timing):
         self._log = log
@@ -40,7 +41,7 @@
         self.claims: list[claims_service.ClaimsService] = []
 
     async def start(self, count: int) -> None:
-        """Starts that many entries."""
+        """Starts the given number of entries."""
         for number in range(count):
             name = f"entry-{number}"
             identity = connection.Identity(name, shared.Role.ENTRY, _PLACE, 1)
@@ -60,7 +61,7 @@
             self.claims.append(claims)
 
     async def stop(self) -> None:
-        """Stops them."""
+        """Stops all entries and closes their endpoints."""
         for claims in self.claims:
             await claims.stop()
         for endpoint in self._endpoints:
@@ -98,21 +99,21 @@
 async def measure(
     window_ms: int, rate: float, entries: int
 ) -> dict[str, float]:
-    """Returns the figures for one group window."""
+    """Returns the figures for one batch interval."""
     log = memory.MemoryLog(clock_lib.SystemClock())
-    log.faults.slow_s = _LOG_S
+    log.faults.slow_s = _LOG_DELAY_S
     timing = claims_service.Timing(batch_interval_s=window_ms / 1000.0)
-    fleet = _Entries(log, timing)
-    await fleet.start(entries)
+    group = _EntryGroup(log, timing)
+    await group.start(entries)
     rng = random.Random(1)
     delays: list[float] = []
     tasks = [
         asyncio.ensure_future(_claim(claims, -number, []))
-        for number, claims in enumerate(fleet.claims * claim_lib.SHARDS)
+        for number, claims in enumerate(group.claims * claim_lib.SHARDS)
     ]
     await asyncio.gather(*tasks)
     before = _appends(log)
-    busy = time.process_time()
+    cpu_s = time.process_time()
     start = time.monotonic()
     tasks = []
     count = int(rate * _SECONDS)
@@ -120,13 +121,13 @@
         wait_s = start + number / rate - time.monotonic()
         if wait_s > 0:
             await asyncio.sleep(wait_s)
-        claims = rng.choice(fleet.claims)
+        claims = rng.choice(group.claims)
         tasks.append(asyncio.ensure_future(_claim(claims, number, delays)))
     await asyncio.gather(*tasks)
     seconds = time.monotonic() - start
-    busy = time.process_time() - busy
+    cpu_s = time.process_time() - cpu_s
     appends = _appends(log) - before
-    await fleet.stop()
+    await group.stop()
     delays.sort()
     return {
         "window_ms": window_ms,
@@ -134,7 +135,7 @@
         "appends_per_s": round(appends / seconds, 1),
         "p50_ms": round(delays[len(delays) // 2] * 1000, 1),
         "p99_ms": round(delays[len(delays) * 99 // 100] * 1000, 1),
-        "cpu_us_per_claim": round(busy / count * 1e6, 1),
+        "cpu_us_per_claim": round(cpu_s / count * 1e6, 1),
     }
 
 
@@ -144,7 +145,7 @@
 
 
 def main() -> None:
-    """Prints one JSON object a window."""
+    """Prints one JSON object per batch interval."""
     rate = float(sys.argv[1]) if len(sys.argv) > 1 else 410.0
     entries = int(sys.argv[2]) if len(sys.argv) > 2 else 8
     for window_ms in _WINDOWS_MS:
--- a/src/clementinegw/bench/gate.py
+++ b/src/clementinegw/bench/gate.py
@@ -1,9 +1,9 @@
-"""What the gate costs: processor time per submission.
+"""Measures the cost of the gate: processor time per submission.
 
-Run `python -m clementinegw.bench.gate`. The decisions alone are measured, and
-the service with a backend that answers at once, over loopback sockets, entry
-and agent in one process; the same frames with a handler that answers without
-a gate are the baseline.
+Run `python -m clementinegw.bench.gate`. It measures the decisions alone, and
+the service with a backend that answers immediately, over loopback sockets with
+entry and agent in one process. The baseline sends the same frames to a handler
+that answers without a gate.
 """
 
 import asyncio
@@ -24,15 +24,15 @@
 Kind = connection.Kind
 _DECISIONS = 50_000
 _CALLS = 5_000
-_TOGETHER = 32
+_CONCURRENCY = 32
 _BODY = b"x" * 512
 _ANY_PORT = shared.Address("127.0.0.1", 0)
 _PLACE = shared.Place("noord", "groningen-hal")
-_LAST = (Kind.ANSWER_END, Kind.REFUSED, Kind.FAILED)
+_FINAL_KINDS = (Kind.ANSWER_END, Kind.REFUSED, Kind.FAILED)
 
 
 class _InstantBackend:
-    """Answers at once."""
+    """A backend that answers immediately."""
 
     @property
     def kind(self) -> shared.ServiceKind:
@@ -54,7 +54,7 @@
 
 
 def decisions(count: int = _DECISIONS) -> float:
-    """Returns microseconds for one submission and its end, decisions only."""
+    """Returns microseconds per submission and its end, decisions only."""
     gate = gate_lib.Gate(types.Limits(), 1)
     attempts = [
         types.Attempt(
@@ -84,7 +84,7 @@
 
 
 async def calls(with_gate: bool, count: int = _CALLS) -> float:
-    """Returns microseconds for one call over loopback, both sides together."""
+    """Returns microseconds per call over loopback, both sides together."""
     keys = auth.single_key_ring(b"0123456789abcdef")
     agent = connection.Endpoint(
         connection.Identity("agent-1", shared.Role.AGENT, _PLACE, 1), keys
@@ -103,7 +103,10 @@
     link = await entry.connect(await agent.listen(_ANY_PORT))
     start = time.process_time()
     await asyncio.gather(
-        *(_ask(link, first, count) for first in range(_TOGETHER))
+        *(
+            _send_submissions(link, first, count)
+            for first in range(_CONCURRENCY)
+        )
     )
     spent = time.process_time() - start
     if gate is not None:
@@ -113,11 +116,13 @@
     return spent / count * 1e6
 
 
-async def _ask(link: connection.Connection, first: int, count: int) -> None:
-    for number in range(first, count, _TOGETHER):
+async def _send_submissions(
+    link: connection.Connection, first: int, count: int
+) -> None:
+    for number in range(first, count, _CONCURRENCY):
         exchange = link.open()
         await exchange.send(Kind.SUBMIT, codec.encode(_submit(number)))
-        while (await exchange.receive(10.0)).kind not in _LAST:
+        while (await exchange.receive(10.0)).kind not in _FINAL_KINDS:
             pass
         exchange.close()
 
@@ -148,16 +153,16 @@
 
 
 def main() -> None:
-    """Prints one JSON object."""
-    bare = asyncio.run(calls(with_gate=False))
+    """Runs the measurement and prints one JSON object."""
+    baseline = asyncio.run(calls(with_gate=False))
     gated = asyncio.run(calls(with_gate=True))
     print(
         json.dumps(
             {
                 "decision_us": round(decisions(), 2),
                 "call_us": round(gated, 1),
-                "call_without_gate_us": round(bare, 1),
-                "gate_us": round(gated - bare, 1),
+                "call_without_gate_us": round(baseline, 1),
+                "gate_us": round(gated - baseline, 1),
             }
         )
     )
