--- a/src/clementinegw/bench/_requests_backend.py
+++ b/src/clementinegw/bench/_requests_backend.py
@@ -14,27 +14,27 @@
 
 VERSION = "v1"
 DIGEST = "d1"
-DONE = b"data: [DONE]\n\n"
-STREAM_STEP = 8
-_POISON_S = 0.03
-_RESTART_S = 1.0
+DONE_EVENT = b"data: [DONE]\n\n"
+TOKENS_PER_EVENT = 8
+_POISON_DELAY_S = 0.03
+_RESTART_DELAY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Speed:
+class ServiceTimes:
     """How long work takes, in seconds.
 
     Attributes:
       token_s: For one token of the answer.
       block_s: For one prompt block that is not in the cache.
       base_s: For any request.
-      crowding: How much longer it all takes in a full batch, as a share.
+      batch_slowdown: How much longer it all takes in a full batch, as a share.
     """
 
     token_s: float = 0.004
     block_s: float = 0.006
     base_s: float = 0.01
-    crowding: float = 0.0
+    batch_slowdown: float = 0.0
 
 
 class ModelBackend:
@@ -46,7 +46,7 @@
         self,
         name: str,
         ledger: ledger_lib.Ledger,
-        speed: Speed,
+        speed: ServiceTimes,
         cache_blocks: int,
         capacity: int,
     ):
@@ -69,13 +69,13 @@
         )
         self._reported: list[int] = []
         self._running: dict[str, asyncio.Task | None] = {}
-        self._tasks: dict[str, ledger_lib.Run] = {}
+        self._runs: dict[str, ledger_lib.Run] = {}
         self._incarnation = 0
         self.slowness = 1.0
         self.up = True
         self.stalled = False
         self.hit_blocks = 0
-        self.asked_blocks = 0
+        self.requested_blocks = 0
 
     def cached(self, hashes: tuple[int, ...]) -> int:
         """Returns how many leading blocks are in the cache right now."""
@@ -90,7 +90,7 @@
         self._incarnation += 1
         self._cache.clear()
         now = asyncio.get_running_loop().time()
-        for run in self._tasks.values():
+        for run in self._runs.values():
             self._ledger.finish(run, ledger_lib.RunEnd.CRASHED, now)
         for task in list(self._running.values()):
             if task is not None:
@@ -107,7 +107,7 @@
         loop = asyncio.get_running_loop()
         body = json.loads(submit.body)
         if body.get("poison"):
-            loop.call_later(_POISON_S, self._poisoned)
+            loop.call_later(_POISON_DELAY_S, self._crash_and_restart)
         hashes = prefixes.block_hashes(prefixes.prompt_text(body))
         run = self._ledger.start(
             submit.request_id,
@@ -118,7 +118,7 @@
             submit.resume_tokens,
             self._incarnation,
         )
-        self._tasks[submit.request_id] = run
+        self._runs[submit.request_id] = run
         incarnation = self._incarnation
         try:
             async for event in self._generate(submit, body, hashes):
@@ -129,12 +129,12 @@
             self._ledger.finish(run, ledger_lib.RunEnd.DROPPED, loop.time())
             raise
         finally:
-            self._tasks.pop(submit.request_id, None)
+            self._runs.pop(submit.request_id, None)
         self._ledger.finish(
             run,
             ledger_lib.RunEnd.FINISHED,
             loop.time(),
-            b"" if submit.stream else answer_of(submit.request_id, body),
+            b"" if submit.stream else expected_answer(submit.request_id, body),
         )
 
     async def _generate(self, submit, body: dict, hashes: tuple[int, ...]):
@@ -146,33 +146,37 @@
         yield backend_types.Head(
             200, (("content-type", "application/json"),), VERSION, DIGEST
         )
-        crowd = 1.0 + self._speed.crowding * len(self._tasks) / self._capacity
+        slowdown = (
+            1.0 + self._speed.batch_slowdown * len(self._runs) / self._capacity
+        )
         if submit.stream:
-            await self._work(seconds * crowd)
-            step_s = self._speed.token_s * STREAM_STEP * crowd
-            for event, at in events_of(body):
+            await self._simulate_work(seconds * slowdown)
+            step_s = self._speed.token_s * TOKENS_PER_EVENT * slowdown
+            for event, at in stream_events(body):
                 if at > submit.resume_tokens:
-                    await self._work(step_s)
+                    await self._simulate_work(step_s)
                     yield backend_types.Data(event, at)
-            yield backend_types.Data(DONE, tokens)
+            yield backend_types.Data(DONE_EVENT, tokens)
         else:
             seconds += self._speed.token_s * left
-            await self._work(seconds * crowd)
-            yield backend_types.Data(answer_of(submit.request_id, body), tokens)
+            await self._simulate_work(seconds * slowdown)
+            yield backend_types.Data(
+                expected_answer(submit.request_id, body), tokens
+            )
         yield backend_types.End(tokens)
 
-    def _poisoned(self) -> None:
+    def _crash_and_restart(self) -> None:
         if not self.up:
             return
         self.crash()
-        asyncio.get_running_loop().call_later(_RESTART_S, self.restart)
+        asyncio.get_running_loop().call_later(_RESTART_DELAY_S, self.restart)
 
-    async def _work(self, seconds: float) -> None:
+    async def _simulate_work(self, seconds: float) -> None:
         incarnation = self._incarnation
         # In slices, so that a crash or a stall is noticed.
-        until = asyncio.get_running_loop().time() + seconds * self.slowness
+        deadline = asyncio.get_running_loop().time() + seconds * self.slowness
         while True:
-            left = until - asyncio.get_running_loop().time()
+            left = deadline - asyncio.get_running_loop().time()
             if left <= 0 and not self.stalled:
                 return
             await asyncio.sleep(max(0.01, min(left, 0.25)))
@@ -182,7 +186,7 @@
     def _use_cache(self, hashes: tuple[int, ...]) -> int:
         cached = self.cached(hashes)
         self.hit_blocks += cached
-        self.asked_blocks += len(hashes)
+        self.requested_blocks += len(hashes)
         for block in hashes:
             self._cache.pop(block, None)
             self._cache[block] = None
@@ -212,10 +216,10 @@
         return before[-256:]
 
 
-def events_of(body: dict) -> list[tuple[bytes, int]]:
+def stream_events(body: dict) -> list[tuple[bytes, int]]:
     """Returns the events of a streamed answer, each with its last token."""
     tokens = int(body["max_tokens"])
-    ends = [*range(STREAM_STEP, tokens, STREAM_STEP), tokens]
+    ends = [*range(TOKENS_PER_EVENT, tokens, TOKENS_PER_EVENT), tokens]
     mark = body["prompt"][-17:]
     return [
         (f'id: {end}\ndata: {{"text": "{mark}{end}"}}\n\n'.encode(), end)
@@ -223,12 +227,12 @@
     ]
 
 
-def stream_of(body: dict) -> bytes:
+def streamed_answer(body: dict) -> bytes:
     """Returns the only right streamed answer to a request."""
-    return b"".join(event for event, _ in events_of(body)) + DONE
+    return b"".join(event for event, _ in stream_events(body)) + DONE_EVENT
 
 
-def answer_of(request_id: str, body: dict) -> bytes:
+def expected_answer(request_id: str, body: dict) -> bytes:
     """Returns the only right answer to a request."""
     text = f"{request_id}:{body['max_tokens']}:{len(body['prompt'])}"
     return json.dumps({"choices": [{"text": text}]}).encode()
--- a/src/clementinegw/bench/_requests_world.py
+++ b/src/clementinegw/bench/_requests_cluster.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shape:
+class ClusterConfig:
     """What is built.
 
     Attributes:
@@ -49,7 +49,7 @@
     domains: int = 1
     capacity: int = 8
     cache_blocks: int = 160
-    speed: _requests_backend.Speed = _requests_backend.Speed()
+    speed: _requests_backend.ServiceTimes = _requests_backend.ServiceTimes()
 
 
 @dataclasses.dataclass(slots=True)
@@ -60,7 +60,7 @@
     endpoint: connection_lib.Endpoint
     service: request_service.RequestService
     counters: counters_lib.Counters
-    parts: list[mode.Service]
+    key_services: list[mode.Service]
 
 
 @dataclasses.dataclass(slots=True)
@@ -74,12 +74,12 @@
     counters: counters_lib.Counters
 
 
-class World:
+class Cluster:
     """All entries and agents of one run."""
 
     def __init__(
         self,
-        shape: Shape,
+        config: ClusterConfig,
         rules: rules_lib.RulesSource,
         clock: clock_lib.Clock,
         rng: random.Random,
@@ -88,13 +88,13 @@
         """Prepares an empty world; `start` builds it.
 
         Args:
-          shape: What to build.
+          config: What to build.
           rules: The settings in force.
           clock: The virtual clock.
           rng: Seeds each part.
           keyed: Whether entries claim keys and know suspects.
         """
-        self._shape = shape
+        self._config = config
         self._rules = rules
         self._clock = clock
         self._rng = rng
@@ -109,9 +109,9 @@
 
     async def start(self) -> None:
         """Starts everything and waits until the entries know the agents."""
-        for _ in range(self._shape.workers):
+        for _ in range(self._config.workers):
             await self.add_agent()
-        for index in range(self._shape.entries):
+        for index in range(self._config.entries):
             self.entries.append(await self._on_host(f"e{index}", self._entry))
         for entry in self.entries:
             entry.service.refresh()
@@ -133,7 +133,7 @@
         """Stops everything."""
         for entry in self.entries:
             await entry.service.stop()
-            for part in entry.parts:
+            for part in entry.key_services:
                 await part.stop()
             await entry.endpoint.close()
         for agent in self.agents:
@@ -142,12 +142,12 @@
 
     def place(self, index: int) -> types.Place:
         """Returns the place of the entry or agent with this number."""
-        domain = index % self._shape.domains
+        domain = index % self._config.domains
         return types.Place(f"region-{domain // 2}", f"domain-{domain}")
 
     async def _on_host(self, name: str, build) -> Any:
         def run() -> asyncio.Task:
-            _requests_network.HOST.set(name)
+            _requests_network.CURRENT_HOST.set(name)
             return asyncio.ensure_future(build(name))
 
         return await contextvars.copy_context().run(run)
@@ -159,15 +159,15 @@
         backend = _requests_backend.ModelBackend(
             name,
             self.ledger,
-            self._shape.speed,
-            self._shape.cache_blocks,
-            self._shape.capacity,
+            self._config.speed,
+            self._config.cache_blocks,
+            self._config.capacity,
         )
         gate = gate_service.GateService(
             endpoint,
             backend,
             SERVICE,
-            gate_types.Limits(capacity=self._shape.capacity),
+            gate_types.Limits(capacity=self._config.capacity),
             clock=self._clock,
             log=self._log,
             counters=counters,
@@ -214,8 +214,8 @@
             rng=random.Random(self._rng.random()),
         )
         await service.start()
-        parts = [part for part in (claims, suspects) if part is not None]
-        return Entry(instance, endpoint, service, counters, parts)
+        key_services = [part for part in (claims, suspects) if part is not None]
+        return Entry(instance, endpoint, service, counters, key_services)
 
     def _live_entries(self) -> list[types.Instance]:
         return [entry.instance for entry in self.entries]
--- a/src/clementinegw/bench/_requests_load.py
+++ b/src/clementinegw/bench/_requests_load.py
@@ -13,10 +13,10 @@
 from clementinegw.testing import ledger as ledger_lib
 
 # Ten customers, a few of them large.
-SHARES = (5.0, 3.0, 2.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0)
+CUSTOMER_WEIGHTS = (5.0, 3.0, 2.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0)
 _PRIORITIES = (types.Priority.HIGH, types.Priority.NORMAL, types.Priority.LOW)
 _PRIORITY_WEIGHTS = (0.1, 0.7, 0.2)
-_ASK_AGAIN_S = 0.5
+_UNKNOWN_RETRY_DELAY_S = 0.5
 _TOKENS_MU = 3.9
 _TOKENS_SIGMA = 0.6
 _MIN_TOKENS = 4
@@ -33,26 +33,26 @@
       seconds: How long.
       warm_up_s: How long before anything is measured.
       templates: Different prompt beginnings.
-      heavy: How many times its share the last but one customer sends.
+      heavy_factor: How many times its share the last but one customer sends.
       heavy_customer: Which customer that is.
       deadline_s: What callers wait.
-      keyed: The part of requests that must not run twice and carry a key.
-      streams: The part of the others whose answers are streamed.
-      poison: The part of requests that crash each server that runs them.
-      repeat: How often a refused caller comes again when it is told to.
+      keyed_share: The part of requests that must not run twice and carry a key.
+      streamed_share: The part of the others whose answers are streamed.
+      poison_share: The part of requests that crash each server that runs them.
+      max_retries: How often a refused caller comes again when it is told to.
     """
 
     rate: float
     seconds: float
     warm_up_s: float = 10.0
     templates: int = 40
-    heavy: float = 1.0
+    heavy_factor: float = 1.0
     heavy_customer: int = 0
     deadline_s: float = 10.0
-    keyed: float = 0.0
-    streams: float = 0.0
-    poison: float = 0.0
-    repeat: int = 0
+    keyed_share: float = 0.0
+    streamed_share: float = 0.0
+    poison_share: float = 0.0
+    max_retries: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -64,7 +64,7 @@
       priority: Its urgency.
       at: When it was sent.
       seconds: How long until the outcome, from the first time it asked.
-      call_seconds: How long until the outcome of this call.
+      call_s: How long until the outcome of this call.
       outcome: The outcome.
       seen: The same for the ledger.
     """
@@ -73,7 +73,7 @@
     priority: types.Priority
     at: float
     seconds: float
-    call_seconds: float
+    call_s: float
     outcome: types.Outcome
     seen: ledger_lib.Seen
 
@@ -82,10 +82,10 @@
     [int, request_types.Request, request_types.Sink | None],
     Awaitable[types.Outcome],
 ]
-AnswerOf = Callable[[request_types.Request, dict], bytes]
+ExpectedAnswer = Callable[[request_types.Request, dict], bytes]
 
 
-class Received:
+class AnswerSink:
     """Takes a streamed answer as a caller does."""
 
     def __init__(self) -> None:
@@ -99,7 +99,7 @@
         self.body += data
 
 
-class Callers:
+class LoadGenerator:
     """Open-loop callers: they do not wait for each other."""
 
     def __init__(
@@ -109,7 +109,7 @@
         entries: int,
         rng: random.Random,
         send: Send,
-        answer_of: AnswerOf,
+        expected_answer: ExpectedAnswer,
     ):
         """Prepares the callers.
 
@@ -119,23 +119,23 @@
           entries: Entries that the balancer spreads them over.
           rng: Decides everything about them.
           send: Sends a request to the entry of a number.
-          answer_of: Returns the right answer to a request.
+          expected_answer: Returns the right answer to a request.
         """
         self._traffic = traffic
         self._service = service
         self._entries = entries
         self._rng = rng
         self._send = send
-        self._answer_of = answer_of
-        self._weights = list(SHARES)
-        self._weights[traffic.heavy_customer] *= traffic.heavy
+        self._expected_answer = expected_answer
+        self._weights = list(CUSTOMER_WEIGHTS)
+        self._weights[traffic.heavy_customer] *= traffic.heavy_factor
         self._count = 0
         self.samples: list[Sample] = []
 
     @property
     def rate(self) -> float:
         """Requests a second, with what the heavy customer adds."""
-        return self._traffic.rate * sum(self._weights) / sum(SHARES)
+        return self._traffic.rate * sum(self._weights) / sum(CUSTOMER_WEIGHTS)
 
     async def run(self) -> None:
         """Sends for the set time and waits for every outcome."""
@@ -148,12 +148,12 @@
             if due >= until:
                 break
             await asyncio.sleep(max(0.0, due - loop.time()))
-            task = asyncio.ensure_future(self._call(self._next()))
+            task = asyncio.ensure_future(self._call(self._next_request()))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
 
-    def _next(self) -> tuple[int, int, request_types.Request, dict]:
+    def _next_request(self) -> tuple[int, int, request_types.Request, dict]:
         """Draws everything about a request, whatever becomes of it.
 
         Drawn in the order of arrival and from one source, so that every policy
@@ -162,14 +162,14 @@
         rng = self._rng
         self._count += 1
         number = self._count
-        customer = rng.choices(range(len(SHARES)), self._weights)[0]
+        customer = rng.choices(range(len(CUSTOMER_WEIGHTS)), self._weights)[0]
         priority = rng.choices(_PRIORITIES, _PRIORITY_WEIGHTS)[0]
         length = rng.lognormvariate(_TOKENS_MU, _TOKENS_SIGMA)
         tokens = int(min(_MAX_TOKENS, max(_MIN_TOKENS, length)))
         template = rng.randrange(self._traffic.templates)
-        keyed = rng.random() < self._traffic.keyed
-        stream = not keyed and rng.random() < self._traffic.streams
-        poison = rng.random() < self._traffic.poison
+        keyed = rng.random() < self._traffic.keyed_share
+        stream = not keyed and rng.random() < self._traffic.streamed_share
+        poison = rng.random() < self._traffic.poison_share
         entry = rng.randrange(self._entries)
         prompt = _prompt(template, number)
         body = {
@@ -203,29 +203,29 @@
     ) -> None:
         customer, entry, request, body = drawn
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        left = self._traffic.repeat
+        started_at = loop.time()
+        retries_left = self._traffic.max_retries
         while True:
-            called = loop.time()
-            request.deadline = called + self._traffic.deadline_s
-            sink = Received() if request.stream else None
+            called_at = loop.time()
+            request.deadline = called_at + self._traffic.deadline_s
+            sink = AnswerSink() if request.stream else None
             outcome = await self._send(entry, request, sink)
             self.samples.append(
                 Sample(
                     customer,
                     request.priority,
-                    began,
-                    loop.time() - began,
-                    loop.time() - called,
+                    started_at,
+                    loop.time() - started_at,
+                    loop.time() - called_at,
                     outcome,
-                    self._seen(request, body, outcome, sink),
+                    self._observed_by_caller(request, body, outcome, sink),
                 )
             )
-            after_s = _comes_again(request, outcome)
-            if after_s is None or not left:
+            delay_s = _retry_delay_s(request, outcome)
+            if delay_s is None or not retries_left:
                 return
-            left -= 1
-            await asyncio.sleep(after_s)
+            retries_left -= 1
+            await asyncio.sleep(delay_s)
             # Through another entry, as the balancer happens to choose, and
             # with the same key.
             entry = (entry + 1) % self._entries
@@ -233,22 +233,22 @@
                 request, request_id=f"{request.request_id}+"
             )
 
-    def _seen(
+    def _observed_by_caller(
         self,
         request: request_types.Request,
         body: dict,
         outcome: types.Outcome,
-        sink: Received | None,
+        sink: AnswerSink | None,
     ) -> ledger_lib.Seen:
         answer = b""
         whole = True
-        expected = self._answer_of(request, body)
+        expected = self._expected_answer(request, body)
         if isinstance(outcome, types.Answered):
             answer = outcome.body if sink is None else sink.body
             whole = sink is None or sink.body == expected
         return ledger_lib.Seen(
             request_id=request.request_id,
-            told=TOLD[type(outcome)],
+            told=LEDGER_OUTCOMES[type(outcome)],
             key=request.key,
             idempotent=request.idempotent,
             whole=whole,
@@ -258,7 +258,7 @@
         )
 
 
-def _comes_again(
+def _retry_delay_s(
     request: request_types.Request, outcome: types.Outcome
 ) -> float | None:
     """Returns after which time a caller asks again; None when it does not."""
@@ -266,18 +266,18 @@
         return outcome.retry_after_s
     if isinstance(outcome, types.Unknown) and request.key:
         # The key makes it safe to ask how it ended.
-        return _ASK_AGAIN_S
+        return _UNKNOWN_RETRY_DELAY_S
     return None
 
 
-TOLD = {
+LEDGER_OUTCOMES = {
     types.Answered: ledger_lib.Told.ANSWERED,
     types.NotRun: ledger_lib.Told.NOT_RUN,
     types.Unknown: ledger_lib.Told.UNKNOWN,
 }
 
 
-def mean_work(speed, crowding: float) -> float:
+def mean_service_time_s(speed, batch_slowdown: float) -> float:
     """Returns the mean seconds of a request at a full server, cache warm.
 
     Computed from a fixed sample of the same distribution, so that `--load`
@@ -290,7 +290,7 @@
         length = rng.lognormvariate(_TOKENS_MU, _TOKENS_SIGMA)
         tokens += int(min(_MAX_TOKENS, max(_MIN_TOKENS, length)))
     seconds = speed.base_s + speed.block_s + speed.token_s * tokens / count
-    return seconds * (1.0 + crowding)
+    return seconds * (1.0 + batch_slowdown)
 
 
 def percentile(values: list[float], share: float) -> float:
@@ -302,7 +302,7 @@
     return ordered[index]
 
 
-def reasons(samples: list[Sample]) -> dict[str, int]:
+def count_reasons(samples: list[Sample]) -> dict[str, int]:
     """Returns how many requests were not run, by reason."""
     counted = collections.Counter(
         sample.outcome.reason.value
--- a/src/clementinegw/bench/_requests_loopback.py
+++ b/src/clementinegw/bench/_requests_loopback.py
@@ -39,17 +39,17 @@
 from clementinegw.wire import connection as connection_lib
 
 SERVICE = "magazijn"
-_PARALLEL = 4
-_WORK_S = 0.25
-_BOOKINGS = 0.1
+_SERVER_CONCURRENCY = 4
+_SERVICE_TIME_S = 0.25
+_BOOKING_SHARE = 0.1
 _DEADLINE_S = 10.0
-_SETTLE_S = 1.0
+_CONNECT_WAIT_S = 1.0
 _KEYS = auth.single_key_ring(b"0" * 32)
 _ANY = types.Address("127.0.0.1", 0)
 _PLACE = types.Place("midden", "utrecht-hal")
 
 
-class _Part:
+class _LoopThread:
     """A thread with a loop, whose processor time is counted apart."""
 
     def __init__(self) -> None:
@@ -79,7 +79,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Site:
+class _Deployment:
     """Everything of one run."""
 
     ledger: ledger_lib.Ledger
@@ -87,7 +87,7 @@
     members: list[fleet_lib.Member]
     services: list[request_service.RequestService]
     urls: list[str]
-    kept: list[asyncio.Task]
+    background_tasks: list[asyncio.Task]
 
 
 async def run(plan) -> tuple[_requests_report.Result, dict[str, int]]:
@@ -101,24 +101,28 @@
       request.
     """
     logs.configure(events.Level.ERROR)
-    parts = {name: _Part() for name in ("stand_ins", "agent", "entry")}
-    site = _Site(ledger_lib.Ledger(), [], [], [], [], [])
+    threads = {name: _LoopThread() for name in ("stand_ins", "agent", "entry")}
+    deployment = _Deployment(ledger_lib.Ledger(), [], [], [], [], [])
     try:
-        backends_urls = await parts["stand_ins"].run(_stand_ins(plan, site))
-        await parts["agent"].run(_agents(backends_urls, site))
-        await parts["entry"].run(_entries(plan, site))
-        before = {name: await part.cpu_s() for name, part in parts.items()}
-        samples = await _call(plan, site)
-        after = {name: await part.cpu_s() for name, part in parts.items()}
+        backends_urls = await threads["stand_ins"].run(
+            _stand_ins(plan, deployment)
+        )
+        await threads["agent"].run(_agents(backends_urls, deployment))
+        await threads["entry"].run(_entries(plan, deployment))
+        before = {
+            name: await thread.cpu_s() for name, thread in threads.items()
+        }
+        samples = await _call(plan, deployment)
+        after = {name: await thread.cpu_s() for name, thread in threads.items()}
     finally:
-        for part in parts.values():
-            await part.close()
+        for thread in threads.values():
+            await thread.close()
     count = max(1, len(samples))
     cpu_us = {
         f"cpu_us_{name}": round((after[name] - before[name]) / count * 1e6)
         for name in ("entry", "agent")
     }
-    return _result(plan, site, samples), cpu_us
+    return _result(plan, deployment, samples), cpu_us
 
 
 async def _cancel_all() -> None:
@@ -128,22 +132,26 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _stand_ins(plan, site: _Site) -> list[str]:
+async def _stand_ins(plan, deployment: _Deployment) -> list[str]:
     urls = []
     for index in range(plan.workers):
         slowness = plan.slow if index == 0 else 1.0
         settings = plain.PlainSettings(
-            _PARALLEL, _WORK_S * slowness, _WORK_S * slowness
+            _SERVER_CONCURRENCY,
+            _SERVICE_TIME_S * slowness,
+            _SERVICE_TIME_S * slowness,
         )
-        stand_in = plain.PlainStandIn(f"b{index}", site.ledger, settings)
+        stand_in = plain.PlainStandIn(f"b{index}", deployment.ledger, settings)
         await stand_in.start()
         urls.append(stand_in.base_url)
     return urls
 
 
-async def _agents(urls: list[str], site: _Site) -> None:
+async def _agents(urls: list[str], deployment: _Deployment) -> None:
     session = sessions.create()
-    site.kept.append(asyncio.ensure_future(_keep_open(session)))
+    deployment.background_tasks.append(
+        asyncio.ensure_future(_keep_open(session))
+    )
     for index, url in enumerate(urls):
         instance, endpoint, counters = await _endpoint(
             f"a{index}", types.Role.AGENT, SERVICE
@@ -152,12 +160,12 @@
             endpoint,
             backends.PlainBackend(backend_service.PlainClient(url, session)),
             SERVICE,
-            gate_types.Limits(capacity=_PARALLEL),
+            gate_types.Limits(capacity=_SERVER_CONCURRENCY),
             counters=counters,
         )
         await gate.start()
-        site.members.append(fleet_lib.Member(instance))
-        site.counters.append(counters)
+        deployment.members.append(fleet_lib.Member(instance))
+        deployment.counters.append(counters)
 
 
 async def _keep_open(session: aiohttp.ClientSession) -> None:
@@ -168,24 +176,24 @@
         await session.close()
 
 
-async def _entries(plan, site: _Site) -> None:
+async def _entries(plan, deployment: _Deployment) -> None:
     rules = rules_lib.FixedRules({SERVICE: _rules(plan)})
     for index in range(plan.entries):
         instance, endpoint, counters = await _endpoint(
             f"e{index}", types.Role.ENTRY, ""
         )
-        site.members.append(fleet_lib.Member(instance))
+        deployment.members.append(fleet_lib.Member(instance))
         service = request_service.RequestService(
             instance,
             endpoint,
             rules,
-            lambda: site.members,
+            lambda: deployment.members,
             counters=counters,
             rng=random.Random(plan.seed + index),
         )
         await service.start()
-        site.services.append(service)
-        site.counters.append(counters)
+        deployment.services.append(service)
+        deployment.counters.append(counters)
         handlers = http_lib.Handlers(
             service.pipeline,
             clock_lib.SystemClock(),
@@ -196,10 +204,10 @@
         runner = http_lib.make_runner(http_lib.make_app(handlers))
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
-        site.urls.append(f"http://127.0.0.1:{runner.addresses[0][1]}")
-    for service in site.services:
+        deployment.urls.append(f"http://127.0.0.1:{runner.addresses[0][1]}")
+    for service in deployment.services:
         service.refresh()
-    await asyncio.sleep(_SETTLE_S)
+    await asyncio.sleep(_CONNECT_WAIT_S)
 
 
 async def _endpoint(name: str, role: types.Role, service: str):
@@ -212,10 +220,10 @@
     return instance, endpoint, counters
 
 
-async def _call(plan, site: _Site) -> list[_requests_load.Sample]:
+async def _call(plan, deployment: _Deployment) -> list[_requests_load.Sample]:
     """Offers look-ups and bookings, open loop."""
     rng = random.Random(plan.seed)
-    rate = plan.load * plan.workers * _PARALLEL / _WORK_S
+    rate = plan.load * plan.workers * _SERVER_CONCURRENCY / _SERVICE_TIME_S
     samples: list[_requests_load.Sample] = []
     tasks: set[asyncio.Task] = set()
     connector = aiohttp.TCPConnector(limit=0)
@@ -224,54 +232,62 @@
         until += plan.seconds
         while (due := due + rng.expovariate(rate)) < until:
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            url = rng.choice(site.urls)
-            books = rng.random() < _BOOKINGS
+            url = rng.choice(deployment.urls)
+            is_booking = rng.random() < _BOOKING_SHARE
             task = asyncio.ensure_future(
-                _one(session, url, len(tasks), books, samples)
+                _send_one(session, url, len(tasks), is_booking, samples)
             )
             tasks.add(task)
         await asyncio.gather(*tasks)
     return samples
 
 
-async def _one(
+async def _send_one(
     session: aiohttp.ClientSession,
     url: str,
     number: int,
-    books: bool,
+    is_booking: bool,
     samples: list[_requests_load.Sample],
 ) -> None:
-    began = time.monotonic()
-    method, path = ("POST", "bookings") if books else ("GET", f"items/{number}")
+    started_at = time.monotonic()
+    method, path = (
+        ("POST", "bookings") if is_booking else ("GET", f"items/{number}")
+    )
     headers = {"Clementine-Timeout-Ms": str(int(_DEADLINE_S * 1000))}
     async with session.request(
         method,
         f"{url}/services/{SERVICE}/{path}",
         headers=headers,
-        data=f"{number}".encode() if books else None,
+        data=f"{number}".encode() if is_booking else None,
     ) as response:
         body = await response.read()
         outcome = _outcome(response, body)
-    seconds = time.monotonic() - began
+    seconds = time.monotonic() - started_at
     seen = ledger_lib.Seen(
         response.headers["Clementine-Request-Id"],
-        _requests_load.TOLD[type(outcome)],
-        idempotent=not books,
+        _requests_load.LEDGER_OUTCOMES[type(outcome)],
+        idempotent=not is_booking,
         answer=body if isinstance(outcome, types.Answered) else b"",
     )
     samples.append(
         _requests_load.Sample(
-            0, types.Priority.NORMAL, began, seconds, seconds, outcome, seen
+            0,
+            types.Priority.NORMAL,
+            started_at,
+            seconds,
+            seconds,
+            outcome,
+            seen,
         )
     )
 
 
 def _outcome(response: aiohttp.ClientResponse, body: bytes) -> types.Outcome:
-    told = response.headers["Clementine-Outcome"]
+    outcome_header = response.headers["Clementine-Outcome"]
     reason = response.headers.get("Clementine-Reason", "")
-    if told == "answered":
+    if outcome_header == "answered":
         return types.Answered(response.status, (), body)
-    if told == "not-run":
+    if outcome_header == "not-run":
         return types.NotRun(types.NotRunReason(reason))
     return types.Unknown(types.UnknownReason(reason))
 
@@ -287,9 +303,9 @@
 
 
 def _result(
-    plan, site: _Site, samples: list[_requests_load.Sample]
+    plan, deployment: _Deployment, samples: list[_requests_load.Sample]
 ) -> _requests_report.Result:
-    rate = plan.workers * _PARALLEL / _WORK_S
+    rate = plan.workers * _SERVER_CONCURRENCY / _SERVICE_TIME_S
     return _requests_report.result(
         plan.policy,
         samples,
@@ -297,7 +313,7 @@
         _DEADLINE_S,
         rate * plan.seconds,
         plan.heavy_customer,
-        site.ledger,
-        site.counters,
+        deployment.ledger,
+        deployment.counters,
         0.0,
     )
--- a/src/clementinegw/bench/_requests_network.py
+++ b/src/clementinegw/bench/_requests_network.py
@@ -13,12 +13,14 @@
 
 from clementinegw.testing import clock as clock_lib
 
-_TICK_S = 1e-9
-_NEVER_S = 86_400.0
+_MIN_SPACING_S = 1e-9
+_HANG_S = 86_400.0
 Delay = Callable[[str, str], float]
 
 # The host that the running code stands for; tasks inherit it.
-HOST: contextvars.ContextVar[str] = contextvars.ContextVar("host", default="")
+CURRENT_HOST: contextvars.ContextVar[str] = contextvars.ContextVar(
+    "host", default=""
+)
 
 
 class _Transport(asyncio.Transport):
@@ -36,7 +38,7 @@
         self._name = name
         self._peer_name = peer_name
         self._closing = False
-        self._arrives_at = 0.0
+        self._last_arrival = 0.0
         self._context = context
         self._held: list[tuple[Callable[[_Transport], None], _Transport]] = []
         self.protocol: asyncio.BaseProtocol | None = None
@@ -45,15 +47,15 @@
     def write(self, data) -> None:
         """Delivers bytes to the other side after the network's delay."""
         if not self._closing:
-            self._later(_Receive(bytes(data)))
+            self._schedule(_Delivery(bytes(data)))
 
     def close(self) -> None:
         """Ends both sides after what was written has arrived."""
-        self._end()
+        self._close_both_sides()
 
     def abort(self) -> None:
         """Ends both sides."""
-        self._end()
+        self._close_both_sides()
 
     def is_closing(self) -> bool:
         """Returns whether this side has ended."""
@@ -78,30 +80,30 @@
                 context=self._context,
             )
 
-    def _end(self) -> None:
+    def _close_both_sides(self) -> None:
         if self._closing:
             return
-        self._later(lambda peer: peer.finish())
+        self._schedule(lambda peer: peer.finish())
         self.finish()
 
-    def _later(self, deliver: Callable[["_Transport"], None]) -> None:
+    def _schedule(self, deliver: Callable[["_Transport"], None]) -> None:
         delay = self._loop.delay(self._name, self._peer_name)
         # Bytes of one connection never overtake each other; the loop does not
         # keep the order of timers that end at the same time.
-        at = max(self._loop.time() + delay, self._arrives_at + _TICK_S)
-        self._arrives_at = at
+        at = max(self._loop.time() + delay, self._last_arrival + _MIN_SPACING_S)
+        self._last_arrival = at
         peer = self.peer
         assert peer is not None
         self._loop.call_at(
-            at, self._arrive, deliver, peer, context=peer._context
+            at, self._deliver_or_hold, deliver, peer, context=peer._context
         )
 
-    def _arrive(
+    def _deliver_or_hold(
         self,
         deliver: Callable[["_Transport"], None],
         peer: "_Transport",
     ) -> None:
-        if not self._held and not self._loop.is_cut(
+        if not self._held and not self._loop.is_partitioned(
             self._name, self._peer_name
         ):
             deliver(peer)
@@ -113,7 +115,7 @@
         self._held.append((deliver, peer))
 
     def _release(self) -> None:
-        if self._loop.is_cut(self._name, self._peer_name):
+        if self._loop.is_partitioned(self._name, self._peer_name):
             self._loop.on_heal(self._release)
             return
         held, self._held = self._held, []
@@ -122,7 +124,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Receive:
+class _Delivery:
     """Delivers bytes."""
 
     data: bytes
@@ -165,41 +167,43 @@
         """
         super().__init__(clock)
         self._delay = delay
-        self._waiting: list[Callable[[], None]] = []
+        self._heal_callbacks: list[Callable[[], None]] = []
         self._cut: set[frozenset[str]] = set()
         self._ports = itertools.count(1)
         self._contexts: dict[int, contextvars.Context] = {}
         self.listeners: dict[int, Callable[[], asyncio.BaseProtocol]] = {}
 
-    def delay(self, one: str, other: str) -> float:
+    def delay(self, host: str, other_host: str) -> float:
         """Returns the seconds one way between two hosts."""
-        return self._delay(one, other)
+        return self._delay(host, other_host)
 
-    def is_cut(self, one: str, other: str) -> bool:
+    def is_partitioned(self, host: str, other_host: str) -> bool:
         """Returns whether two hosts cannot reach each other."""
-        return bool(self._cut) and frozenset((one, other)) in self._cut
+        return bool(self._cut) and frozenset((host, other_host)) in self._cut
 
-    def cut(self, one: str, other: str, on: bool = True) -> None:
+    def set_partitioned(
+        self, host: str, other_host: str, on: bool = True
+    ) -> None:
         """Cuts two hosts off from each other, or joins them again."""
-        pair = frozenset((one, other))
+        pair = frozenset((host, other_host))
         if on:
             self._cut.add(pair)
             return
         self._cut.discard(pair)
-        self._healed()
+        self._run_heal_callbacks()
 
     def heal(self) -> None:
         """Joins all hosts again."""
         self._cut.clear()
-        self._healed()
+        self._run_heal_callbacks()
 
     def on_heal(self, release: Callable[[], None]) -> None:
         """Calls back when hosts are joined again."""
-        self._waiting.append(release)
+        self._heal_callbacks.append(release)
 
-    def _healed(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        for release in waiting:
+    def _run_heal_callbacks(self) -> None:
+        callbacks, self._heal_callbacks = self._heal_callbacks, []
+        for release in callbacks:
             release()
 
     async def create_server(  # type: ignore[override]
@@ -219,21 +223,23 @@
         Raises:
           ConnectionRefusedError: Nobody listens on the port.
         """
-        here = HOST.get()
+        local_host = CURRENT_HOST.get()
         context = self._contexts.get(port, contextvars.Context())
-        there = context.get(HOST, "")
-        await asyncio.sleep(self.delay(here, there))
-        if self.is_cut(here, there):
+        remote_host = context.get(CURRENT_HOST, "")
+        await asyncio.sleep(self.delay(local_host, remote_host))
+        if self.is_partitioned(local_host, remote_host):
             # Nobody refuses and nobody answers; the endpoint's timeout ends it.
-            await asyncio.sleep(_NEVER_S)
+            await asyncio.sleep(_HANG_S)
         accept = self.listeners.get(port)
         if accept is None:
             raise ConnectionRefusedError(f"port {port}")
-        opened = _Transport(self, here, there, contextvars.copy_context())
-        accepted = _Transport(self, there, here, context)
-        opened.peer, accepted.peer = accepted, opened
-        opened.protocol = protocol_factory()
-        accepted.protocol = context.copy().run(accept)
-        context.copy().run(accepted.protocol.connection_made, accepted)
-        opened.protocol.connection_made(opened)
-        return opened, opened.protocol
+        client_side = _Transport(
+            self, local_host, remote_host, contextvars.copy_context()
+        )
+        server_side = _Transport(self, remote_host, local_host, context)
+        client_side.peer, server_side.peer = server_side, client_side
+        client_side.protocol = protocol_factory()
+        server_side.protocol = context.copy().run(accept)
+        context.copy().run(server_side.protocol.connection_made, server_side)
+        client_side.protocol.connection_made(client_side)
+        return client_side, client_side.protocol
--- a/src/clementinegw/bench/_requests_report.py
+++ b/src/clementinegw/bench/_requests_report.py
@@ -10,7 +10,7 @@
 from clementinegw.testing import ledger as ledger_lib
 
 _MS = 1000.0
-_PROMISES = ("false_not_run", "doubled", "lost", "crossed", "cut_off")
+_GUARANTEES = ("false_not_run", "doubled", "lost", "crossed", "cut_off")
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,24 +57,24 @@
 def measure(
     plan,
     traffic: _requests_load.Traffic,
-    callers: _requests_load.Callers,
-    world,
+    generator: _requests_load.LoadGenerator,
+    cluster,
     began: float,
 ) -> Result:
     """Returns the figures of one run in virtual time."""
     start = began + traffic.warm_up_s
-    asked = sum(a.backend.asked_blocks for a in world.agents)
-    hits = sum(a.backend.hit_blocks for a in world.agents)
+    requested = sum(a.backend.requested_blocks for a in cluster.agents)
+    hits = sum(a.backend.hit_blocks for a in cluster.agents)
     return result(
         plan.policy,
-        [s for s in callers.samples if s.at >= start],
-        callers.samples,
+        [s for s in generator.samples if s.at >= start],
+        generator.samples,
         traffic.deadline_s,
         traffic.rate / plan.load * (traffic.seconds - traffic.warm_up_s),
         plan.heavy_customer,
-        world.ledger,
-        [part.counters for part in (*world.entries, *world.agents)],
-        hits / max(1, asked),
+        cluster.ledger,
+        [part.counters for part in (*cluster.entries, *cluster.agents)],
+        hits / max(1, requested),
     )
 
 
@@ -105,8 +105,8 @@
     answered = [s for s in samples if isinstance(s.outcome, types.Answered)]
     refused = [s for s in samples if isinstance(s.outcome, types.NotRun)]
     summed: collections.Counter = collections.Counter()
-    for one in counters:
-        summed.update(one.snapshot())
+    for source in counters:
+        summed.update(source.snapshot())
     return Result(
         policy=policy,
         offered=len(samples),
@@ -118,21 +118,21 @@
             s.seconds for s in answered if s.priority is types.Priority.HIGH
         ],
         seconds_others=[s.seconds for s in answered if s.customer != heavy],
-        not_run=_requests_load.reasons(samples),
+        not_run=_requests_load.count_reasons(samples),
         not_run_others=sum(s.customer != heavy for s in refused),
         unknown=sum(isinstance(s.outcome, types.Unknown) for s in samples),
         verdict=ledger.judge(s.seen for s in all_samples).counts(),
         hit_rate=hit_rate,
         counters=summed,
         sent=len(all_samples),
-        not_run_seconds=max([s.call_seconds for s in refused], default=0.0),
+        not_run_seconds=max([s.call_s for s in refused], default=0.0),
     )
 
 
 def combine(results: list[Result], cpu_s: float) -> dict[str, Any]:
     """Returns the bench's keys for one or several runs."""
 
-    def joined(name: str) -> list[float]:
+    def concatenated(name: str) -> list[float]:
         found = [getattr(r, name) for r in results]
         if isinstance(found[0], float):
             return found
@@ -148,7 +148,7 @@
         return dict(sorted(counter.items()))
 
     def ms(name: str, share: float) -> float:
-        value = _requests_load.percentile(joined(name), share)
+        value = _requests_load.percentile(concatenated(name), share)
         return round(value * _MS, 1)
 
     verdict = summed("verdict")
@@ -166,7 +166,7 @@
         "not_run_others": total("not_run_others"),
         "not_run_max_ms": ms("not_run_seconds", 1.0),
         "unknown": total("unknown"),
-        **{name: verdict[name] for name in _PROMISES},
+        **{name: verdict[name] for name in _GUARANTEES},
         "prefix_hit_rate": round(total("hit_rate") / len(results), 3),
         "cpu_us_per_request": round(cpu_s * 1e6 / max(1, total("sent"))),
         "counters": {n: int(v) for n, v in counted.items() if v},
--- a/src/clementinegw/bench/_requests_virtual.py
+++ b/src/clementinegw/bench/_requests_virtual.py
@@ -6,11 +6,11 @@
 
 from clementinegw import types
 from clementinegw.bench import _requests_backend
+from clementinegw.bench import _requests_cluster
 from clementinegw.bench import _requests_faults
 from clementinegw.bench import _requests_load
 from clementinegw.bench import _requests_network
 from clementinegw.bench import _requests_report
-from clementinegw.bench import _requests_world
 from clementinegw.requests import prefix
 from clementinegw.requests import route
 from clementinegw.requests import rules as rules_lib
@@ -19,15 +19,15 @@
 from clementinegw.telemetry import logs
 from clementinegw.testing import clock as clock_lib
 
-_IN_DOMAIN_S = 0.0003
-_BETWEEN_DOMAINS_S = 0.0005
-_BETWEEN_REGIONS_S = 0.001
-_CROWDING = 0.5
+_SAME_DOMAIN_DELAY_S = 0.0003
+_SAME_REGION_DELAY_S = 0.0005
+_CROSS_REGION_DELAY_S = 0.001
+_BATCH_SLOWDOWN = 0.5
 # What is mixed into the traffic of a run with faults.
-_REPEAT = 3
-_KEYED = 0.2
-_STREAMS = 0.3
-_POISON = 0.002
+_FAULT_RUN_RETRIES = 3
+_FAULT_RUN_KEYED_SHARE = 0.2
+_FAULT_RUN_STREAMED_SHARE = 0.3
+_FAULT_RUN_POISON_SHARE = 0.002
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 class _OracleIndex(prefix.PrefixIndex):
     """Knows every cache as it is now: the bound for prefix affinity."""
 
-    def __init__(self, agents: list[_requests_world.Agent]):
+    def __init__(self, agents: list[_requests_cluster.Agent]):
         super().__init__()
         self._agents = agents
 
@@ -81,45 +81,47 @@
     loop: _requests_network.MemoryLoop,
 ) -> _requests_report.Result:
     rng = random.Random(plan.seed)
-    shape = _requests_world.Shape(
+    config = _requests_cluster.ClusterConfig(
         entries=plan.entries,
         workers=plan.workers,
         domains=plan.domains,
         capacity=plan.capacity,
-        speed=_requests_backend.Speed(crowding=_CROWDING),
+        speed=_requests_backend.ServiceTimes(batch_slowdown=_BATCH_SLOWDOWN),
     )
-    world = _requests_world.World(
-        shape, _rules(plan), clock, rng, keyed=bool(plan.faults)
+    cluster = _requests_cluster.Cluster(
+        config, _rules(plan), clock, rng, keyed=bool(plan.faults)
     )
-    await world.start()
+    await cluster.start()
     if plan.policy == "oracle":
-        _use_oracle(world)
-    world.agents[0].backend.slowness = plan.slow
-    traffic = _traffic(plan, shape)
-    callers = _requests_load.Callers(
+        _use_oracle(cluster)
+    cluster.agents[0].backend.slowness = plan.slow
+    traffic = _traffic(plan, config)
+    generator = _requests_load.LoadGenerator(
         traffic,
-        _requests_world.SERVICE,
+        _requests_cluster.SERVICE,
         plan.entries,
         random.Random(plan.seed),
-        _Balancer(world).send,
-        _answer,
+        _Balancer(cluster).send,
+        _expected_answer,
     )
-    faults = _requests_faults.Faults(
-        world, loop, random.Random(plan.seed), plan.faults
+    faults = _requests_faults.FaultInjector(
+        cluster, loop, random.Random(plan.seed), plan.faults
     )
-    began = clock.now()
+    started_at = clock.now()
     faults.start()
-    await callers.run()
+    await generator.run()
     await faults.stop()
-    await world.stop()
-    return _requests_report.measure(plan, traffic, callers, world, began)
+    await cluster.stop()
+    return _requests_report.measure(
+        plan, traffic, generator, cluster, started_at
+    )
 
 
 class _Balancer:
     """Brings callers' requests to the entries."""
 
-    def __init__(self, world: _requests_world.World):
-        self._world = world
+    def __init__(self, cluster: _requests_cluster.Cluster):
+        self._cluster = cluster
 
     async def send(
         self,
@@ -128,48 +130,52 @@
         sink: request_types.Sink | None,
     ) -> types.Outcome:
         """Sends a request to an entry and brings its outcome back."""
-        await asyncio.sleep(_BETWEEN_REGIONS_S)
-        pipeline = self._world.entries[entry].service.pipeline
+        await asyncio.sleep(_CROSS_REGION_DELAY_S)
+        pipeline = self._cluster.entries[entry].service.pipeline
         outcome = await pipeline.run(request, sink)
-        await asyncio.sleep(_BETWEEN_REGIONS_S)
+        await asyncio.sleep(_CROSS_REGION_DELAY_S)
         return outcome
 
 
 def _traffic(
-    plan: Plan, shape: _requests_world.Shape
+    plan: Plan, config: _requests_cluster.ClusterConfig
 ) -> _requests_load.Traffic:
-    work_s = _requests_load.mean_work(shape.speed, _CROWDING)
-    capacity = plan.workers * plan.capacity / work_s
+    service_time_s = _requests_load.mean_service_time_s(
+        config.speed, _BATCH_SLOWDOWN
+    )
+    capacity = plan.workers * plan.capacity / service_time_s
     return _requests_load.Traffic(
         rate=plan.load * capacity,
         seconds=plan.seconds,
-        heavy=plan.heavy,
+        heavy_factor=plan.heavy,
         heavy_customer=plan.heavy_customer,
-        repeat=plan.repeat or (_REPEAT if plan.faults else 0),
-        keyed=_KEYED if plan.faults else 0.0,
-        streams=_STREAMS if plan.faults else 0.0,
-        poison=_POISON if "poison" in plan.faults else 0.0,
+        max_retries=plan.repeat or (_FAULT_RUN_RETRIES if plan.faults else 0),
+        keyed_share=_FAULT_RUN_KEYED_SHARE if plan.faults else 0.0,
+        streamed_share=_FAULT_RUN_STREAMED_SHARE if plan.faults else 0.0,
+        poison_share=_FAULT_RUN_POISON_SHARE
+        if "poison" in plan.faults
+        else 0.0,
     )
 
 
-def _answer(request: request_types.Request, body: dict) -> bytes:
+def _expected_answer(request: request_types.Request, body: dict) -> bytes:
     if request.stream:
-        return _requests_backend.stream_of(body)
-    return _requests_backend.answer_of(request.request_id, body)
+        return _requests_backend.streamed_answer(body)
+    return _requests_backend.expected_answer(request.request_id, body)
 
 
-def _use_oracle(world: _requests_world.World) -> None:
-    for entry in world.entries:
+def _use_oracle(cluster: _requests_cluster.Cluster) -> None:
+    for entry in cluster.entries:
         for lane in entry.service.fleet.lanes().values():
             lane.use_policy(
-                route.CacheAware(random.Random(0), _OracleIndex(world.agents))
+                route.CacheAware(random.Random(0), _OracleIndex(cluster.agents))
             )
 
 
 def _rules(plan: Plan) -> rules_lib.FixedRules:
     policy = "cache_aware" if plan.policy == "oracle" else plan.policy
     rules = rules_lib.Rules(
-        _requests_world.SERVICE,
+        _requests_cluster.SERVICE,
         types.ServiceKind.MODEL_ENGINE,
         version=_requests_backend.VERSION,
         policy=policy,
@@ -177,7 +183,7 @@
     )
     customers = {
         f"customer-{index}": {"weight": share}
-        for index, share in enumerate(_requests_load.SHARES)
+        for index, share in enumerate(_requests_load.CUSTOMER_WEIGHTS)
     }
     return rules_lib.FixedRules({rules.service: rules}, customers)
 
@@ -190,9 +196,9 @@
         """Returns the seconds one way between two hosts."""
         here, there = domain(one), domain(other)
         if here == there:
-            return _IN_DOMAIN_S
+            return _SAME_DOMAIN_DELAY_S
         if here // 2 == there // 2:
-            return _BETWEEN_DOMAINS_S
-        return _BETWEEN_REGIONS_S
+            return _SAME_REGION_DELAY_S
+        return _CROSS_REGION_DELAY_S
 
     return seconds
--- a/src/clementinegw/bench/_settings_judge.py
+++ b/src/clementinegw/bench/_settings_checker.py
@@ -51,12 +51,12 @@
     diverged: int
 
 
-class Judge:
+class ConsistencyChecker:
     """Watches every member."""
 
     def __init__(self) -> None:
         """Starts with nothing seen."""
-        self.windows: list[Window] = []
+        self.unreachable_windows: list[Window] = []
         self._accepted: dict[str, float] = {}
         self._seen: dict[str, dict[str, float]] = collections.defaultdict(dict)
         self._recent: dict[str, collections.deque[str]] = {}
@@ -113,7 +113,9 @@
             if entry.change_id not in known:
                 self._seen[entry.change_id].setdefault(name, now)
                 recent.append(entry.change_id)
-        self._reverted += sum(_is_gone(fold, change_id) for change_id in recent)
+        self._reverted += sum(
+            _is_not_accepted(fold, change_id) for change_id in recent
+        )
 
     def complete(self, members: int) -> bool:
         """Returns whether all accepted changes were in force everywhere."""
@@ -122,7 +124,7 @@
             for change_id in self._accepted
         )
 
-    def conclude(
+    def evaluate(
         self, log_fold: fold_lib.Fold, states: dict[str, tuple[int, str]]
     ) -> Verdict:
         """Returns what the run showed.
@@ -134,11 +136,11 @@
         timed, raw, missing, lost = [], [], 0, 0
         for change_id, time in self._accepted.items():
             seen = self._seen[change_id]
-            gone = log_fold.result_of(change_id) is None
-            if gone and not seen:
+            is_lost = log_fold.result_of(change_id) is None
+            if is_lost and not seen:
                 lost += 1
                 continue
-            if _is_gone(log_fold, change_id):
+            if _is_not_accepted(log_fold, change_id):
                 self._reverted += 1
             missing += len(states) - len(seen)
             for name, when in seen.items():
@@ -154,7 +156,7 @@
         """Returns from when on the member could have been told."""
         start = time
         domain = self._domains.get(name, "")
-        for window in sorted(self.windows, key=lambda w: w.start):
+        for window in sorted(self.unreachable_windows, key=lambda w: w.start):
             if window.domain not in ("", domain) or window.start >= when:
                 continue
             first = min(
@@ -170,7 +172,7 @@
         return start
 
 
-def _is_gone(fold: fold_lib.Fold, change_id: str) -> bool:
+def _is_not_accepted(fold: fold_lib.Fold, change_id: str) -> bool:
     return not isinstance(fold.result_of(change_id), results.Accepted)
 
 
--- a/src/clementinegw/bench/_settings_hosts.py
+++ b/src/clementinegw/bench/_settings_hosts.py
@@ -17,7 +17,7 @@
 
 from clementinegw import clock as clocks
 from clementinegw import types
-from clementinegw.bench import _settings_judge as judges
+from clementinegw.bench import _settings_checker as checkers
 from clementinegw.bench import _settings_network as networks
 from clementinegw.bench import _settings_platform as platforms
 from clementinegw.bench import _settings_run as runs
@@ -30,8 +30,8 @@
 from clementinegw.telemetry import logs
 from clementinegw.testing import memory
 
-_START_S = 30.0
-_STATUS_S = 0.2
+_START_TIMEOUT_S = 30.0
+_STATUS_INTERVAL_S = 0.2
 _STATUS, _FINAL, _STOP = "status", "final", "stop"
 
 
@@ -78,7 +78,7 @@
         self._rng = random.Random(spec.seed)
         self._clock = clocks.SystemClock()
         self._network = networks.Network()
-        self._judge = judges.Judge()
+        self._judge = checkers.ConsistencyChecker()
         self._usage = platforms.Usage()
         self._cpu_s = 0.0
 
@@ -104,9 +104,11 @@
     async def _receive(self) -> Any:
         return await asyncio.to_thread(self._pipe.recv)
 
-    async def _start(self, book: dict[str, tuple[str, int]], session) -> None:
+    async def _start(
+        self, endpoints: dict[str, tuple[str, int]], session
+    ) -> None:
         own = list(self._network.members.values())
-        for name, (domain, port) in book.items():
+        for name, (domain, port) in endpoints.items():
             if name in self._network.members:
                 continue
             address = types.Address("127.0.0.1", port)
@@ -256,26 +258,31 @@
             spec = Spec(part, addresses, self.plan.seed * 1000 + number)
             self._workers.append(await self._desk.employ(_main, spec))
         domains = dict(members)
-        book = {}
+        endpoints = {}
         for worker in self._workers:
             ports = await worker.receive()
-            book.update({n: (domains[n], port) for n, port in ports.items()})
+            endpoints.update(
+                {n: (domains[n], port) for n, port in ports.items()}
+            )
         for worker in self._workers:
-            worker.send(book)
-        await self._wait(lambda: self._lowest() > 0, _START_S)
-
-    async def _settle(self) -> None:
-        accepted = set(self.judge.accepted)
-        await self._wait(lambda: accepted <= self._everywhere(), _START_S)
-        await self._ask(_FINAL)
+            worker.send(endpoints)
+        await self._wait(lambda: self._min_revision() > 0, _START_TIMEOUT_S)
+
+    async def _wait_for_convergence(self) -> None:
+        accepted = set(self.checker.accepted)
+        await self._wait(
+            lambda: accepted <= self._changes_in_force_everywhere(),
+            _START_TIMEOUT_S,
+        )
+        await self._request_reports(_FINAL)
         self._merge_usage()
-        await self._read_times()
+        await self._read_append_times()
 
-    def _taken_at(self, change: changes.Change) -> float:
+    def _appended_at(self, change: changes.Change) -> float:
         """Returns now; the time is read from the log at the end."""
         return self.clock.now()
 
-    async def _read_times(self) -> None:
+    async def _read_append_times(self) -> None:
         client = self.platform.client(platforms.OPERATORS)
         offset_s = self.clock.now() - self.clock.wall()
         page = await client.read(records.STREAM, 1)
@@ -283,25 +290,25 @@
             parsed = records.parse(record.value)
             if not isinstance(parsed, changes.Change):
                 continue
-            if parsed.change_id in self.judge.accepted:
+            if parsed.change_id in self.checker.accepted:
                 moment = record.time + offset_s
-                self.judge.on_accepted(parsed.change_id, moment)
+                self.checker.on_accepted(parsed.change_id, moment)
 
     async def _wait(self, condition, within_s: float) -> None:
         end = self.clock.now() + within_s
         while self.clock.now() < end:
-            await self._ask(_STATUS)
+            await self._request_reports(_STATUS)
             if condition():
                 return
-            await asyncio.sleep(_STATUS_S)
+            await asyncio.sleep(_STATUS_INTERVAL_S)
 
-    async def _ask(self, what: str) -> None:
+    async def _request_reports(self, what: str) -> None:
         self._reports = [await w.ask(what) for w in self._workers]
 
-    def _lowest(self) -> int:
+    def _min_revision(self) -> int:
         return min(s[0] for r in self._reports for s in r.states.values())
 
-    def _everywhere(self) -> set[str]:
+    def _changes_in_force_everywhere(self) -> set[str]:
         """Returns the changes that every member has."""
         common: set[str] | None = None
         for report in self._reports:
@@ -321,12 +328,12 @@
                 appends = self.usage.appends
                 appends[second] = appends.get(second, 0) + count
 
-    def _conclude(self, fold: fold_lib.Fold) -> judges.Verdict:
+    def _evaluate(self, fold: fold_lib.Fold) -> checkers.Verdict:
         states = {}
         for report in self._reports:
             states.update(report.states)
-            self.judge.add_seen(report.seen, report.reverted)
-        return self.judge.conclude(fold, states)
+            self.checker.add_seen(report.seen, report.reverted)
+        return self.checker.evaluate(fold, states)
 
     async def _stop_members(self) -> None:
         for worker in self._workers:
--- a/src/clementinegw/bench/_settings_network.py
+++ b/src/clementinegw/bench/_settings_network.py
@@ -15,11 +15,11 @@
 Kind = connection.Kind
 
 # One way, inside a failure domain and between two (the larger of our users').
-NEAR_S = 0.0005
-FAR_S = 0.003
+SAME_DOMAIN_DELAY_S = 0.0005
+CROSS_DOMAIN_DELAY_S = 0.003
 # How long gossip takes to tell a domain, and the others, of a revision; the
 # membership's own bench measures it, here it is assumed.
-GOSSIP_S = 1.0
+GOSSIP_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -50,7 +50,7 @@
         """Starts empty."""
         self.members: dict[str, Member] = {}
         self.cut: set[str] = set()
-        self._heard: dict[str, int] = {}
+        self._gossiped: dict[str, int] = {}
         self._names: dict[str, list[str]] = {}
 
     def add(self, member: Member) -> None:
@@ -62,13 +62,13 @@
         """Returns the members of a failure domain."""
         return self._names[domain]
 
-    def reach(self, one: str, other: str) -> bool:
+    def reachable(self, one: str, other: str) -> bool:
         """Returns whether two failure domains reach each other."""
         return one == other or not self.cut & {one, other}
 
-    def heard(self, domain: str) -> int:
+    def gossiped_revision(self, domain: str) -> int:
         """Returns the newest revision that gossip told a domain."""
-        return self._heard.get(domain, 0)
+        return self._gossiped.get(domain, 0)
 
     def revision(self, name: str) -> int:
         """Returns a member's revision; 0 while it is down."""
@@ -78,20 +78,20 @@
     async def gossip(self) -> None:
         """Spreads revisions until it is cancelled."""
         while True:
-            await asyncio.sleep(GOSSIP_S)
+            await asyncio.sleep(GOSSIP_INTERVAL_S)
             own = {
                 domain: max((self.revision(n) for n in names), default=0)
                 for domain, names in self._names.items()
             }
-            before = dict(self._heard)
+            before = dict(self._gossiped)
             for domain in self._names:
                 known = [own[domain], before.get(domain, 0)]
                 known += [
                     before.get(other, 0)
                     for other in self._names
-                    if self.reach(domain, other)
+                    if self.reachable(domain, other)
                 ]
-                self._heard[domain] = max(known)
+                self._gossiped[domain] = max(known)
 
 
 class Link:
@@ -113,12 +113,12 @@
             name
             for name, member in self._network.members.items()
             if name != own.name
-            and self._network.reach(member.domain, own.domain)
+            and self._network.reachable(member.domain, own.domain)
         ]
 
     def newest_revision(self) -> int:
         """Returns what gossip told."""
-        return self._network.heard(self._member.domain)
+        return self._network.gossiped_revision(self._member.domain)
 
     def ahead_of(self, revision: int) -> list[str]:
         """Returns the members that are ahead, if gossip told of any."""
@@ -133,7 +133,7 @@
         """Asks a peer; see `exchange.Peers`."""
         other = self._network.members[peer]
         async with asyncio.timeout(timeout_s):
-            if not self._network.reach(self._member.domain, other.domain):
+            if not self._network.reachable(self._member.domain, other.domain):
                 # Across a partition a connection hangs; it is not refused.
                 await asyncio.sleep(timeout_s)
             if other.follower is None and not other.remote:
@@ -154,12 +154,12 @@
     ) -> ttypes.SettingsState:
         del timeout_s
         near = other.domain == self._member.domain
-        delay = NEAR_S if near else FAR_S
+        delay = SAME_DOMAIN_DELAY_S if near else CROSS_DOMAIN_DELAY_S
         await asyncio.sleep(delay)
         assert other.follower is not None
         state = await other.follower.answer(request)
         await asyncio.sleep(delay)
-        if not self._network.reach(self._member.domain, other.domain):
+        if not self._network.reachable(self._member.domain, other.domain):
             raise exceptions.ConnectionLost("cut off")
         return state
 
--- a/src/clementinegw/bench/_settings_run.py
+++ b/src/clementinegw/bench/_settings_run.py
@@ -6,8 +6,8 @@
 
 from clementinegw import clock as clocks
 from clementinegw import exceptions
+from clementinegw.bench import _settings_checker as checkers
 from clementinegw.bench import _settings_faults as faults
-from clementinegw.bench import _settings_judge as judges
 from clementinegw.bench import _settings_network as networks
 from clementinegw.bench import _settings_platform as platforms
 from clementinegw.platform import log as log_lib
@@ -19,10 +19,10 @@
 from clementinegw.settings import records
 from clementinegw.settings import results
 
-_LOST_SHARE = 0.3
-_SETTLE_S = 90.0
+_LOST_APPEND_SHARE = 0.3
+_CONVERGENCE_TIMEOUT_S = 90.0
 _CUSTOMERS = 20
-_AGAIN_S = 1.0
+_READ_RETRY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Account:
+class ChangeCounts:
     """What became of the operators' changes.
 
     Attributes:
@@ -88,31 +88,31 @@
             else platforms.HttpPlatform(clock, self.domains)
         )
         self.network = networks.Network()
-        self.judge = judges.Judge()
+        self.checker = checkers.ConsistencyChecker()
         self.usage = platforms.Usage()
-        self.account = Account()
+        self.change_counts = ChangeCounts()
         self.burst_ids: set[str] = set()
         self.measured_s = 0.0
 
-    async def execute(self) -> judges.Verdict:
+    async def execute(self) -> checkers.Verdict:
         """Runs it and returns what it showed."""
         await self.platform.start(self.domains)
         background: list[asyncio.Task] = []
         try:
-            await self._declare()
+            await self._publish_initial_settings()
             await self._start_members()
             background.append(asyncio.create_task(self.network.gossip()))
             start = self.clock.now()
             reads = self.usage.reads
             self.usage.most_polls = 0
-            background.append(asyncio.create_task(self._faults().run()))
-            await self._operate()
+            background.append(asyncio.create_task(self._fault_injector().run()))
+            await self._run_operators()
             background[-1].cancel()
             await asyncio.gather(background.pop(), return_exceptions=True)
-            await self._settle()
+            await self._wait_for_convergence()
             self.measured_s = self.clock.now() - start
             self.usage.reads -= reads
-            return self._conclude(
+            return self._evaluate(
                 await publisher.read_fold(self._client(platforms.OPERATORS))
             )
         finally:
@@ -121,12 +121,12 @@
             await self._stop_members()
             await self.platform.stop()
 
-    def _conclude(self, fold: fold_lib.Fold) -> judges.Verdict:
+    def _evaluate(self, fold: fold_lib.Fold) -> checkers.Verdict:
         states = {}
         for name, member in self.network.members.items():
             own = member.follower.fold if member.follower else None
             states[name] = (own.revision, own.digest) if own else (0, "")
-        return self.judge.conclude(fold, states)
+        return self.checker.evaluate(fold, states)
 
     def _client(self, domain: str) -> log_lib.LogClient:
         lossy = faults.Fault.LOST_ACK in self.plan.kinds
@@ -135,10 +135,10 @@
             self.usage,
             self.clock,
             random.Random(self.rng.random()),
-            _LOST_SHARE if lossy else 0.0,
+            _LOST_APPEND_SHARE if lossy else 0.0,
         )
 
-    async def _declare(self) -> None:
+    async def _publish_initial_settings(self) -> None:
         """Publishes the tree that the operators then change."""
         tree = {
             "regions": {"bench": {}},
@@ -150,8 +150,8 @@
         operations = tuple(changes.Set(k, value) for k, value in tree.items())
         await self._publish(0, operations)
         # Nobody was there yet to take it.
-        self.account.accepted -= 1
-        self.judge.accepted.clear()
+        self.change_counts.accepted -= 1
+        self.checker.accepted.clear()
 
     async def _start_members(self) -> None:
         for number in range(self.plan.processes):
@@ -162,7 +162,9 @@
                 await networks.listen(member, self.rng)
         for member in self.network.members.values():
             await self._start_member(member)
-        await self._until(lambda: self._lowest_revision() > 0, _SETTLE_S)
+        await self._wait_until(
+            lambda: self._min_revision() > 0, _CONVERGENCE_TIMEOUT_S
+        )
 
     async def _start_member(self, member: networks.Member) -> None:
         link = networks.VirtualLink if self.plan.virtual else networks.TcpLink
@@ -170,7 +172,7 @@
             member,
             self._client(member.domain),
             link(self.network, member),
-            self.judge,
+            self.checker,
             self.clock,
             random.Random(self.rng.random()),
         )
@@ -183,15 +185,15 @@
             if member.endpoint is not None:
                 await member.endpoint.close(0.0)
 
-    def _lowest_revision(self) -> int:
+    def _min_revision(self) -> int:
         return min(self.network.revision(n) for n in self.network.members)
 
-    def _faults(self) -> faults.Faults:
-        return faults.Faults(
+    def _fault_injector(self) -> faults.FaultInjector:
+        return faults.FaultInjector(
             self.plan.kinds,
             self.platform,
             self.network,
-            self.judge,
+            self.checker,
             self.clock,
             random.Random(self.rng.random()),
             self.domains,
@@ -207,7 +209,7 @@
             await follower.stop()
         await self._start_member(member)
 
-    async def _operate(self) -> None:
+    async def _run_operators(self) -> None:
         """Changes one after the other, then a burst of racing ones."""
         plan = self.plan
         steady = []
@@ -216,15 +218,15 @@
             await asyncio.sleep(self.rng.expovariate(1 / plan.interval_s))
         await asyncio.gather(*steady)
         if plan.burst:
-            before = set(self.judge.accepted)
+            before = set(self.checker.accepted)
             await self._burst()
-            self.burst_ids = set(self.judge.accepted) - before
+            self.burst_ids = set(self.checker.accepted) - before
 
     async def _change_once(self) -> None:
         try:
             fold = await publisher.read_fold(self._client(platforms.OPERATORS))
         except exceptions.PlatformError:
-            self.account.unpublished += 1
+            self.change_counts.unpublished += 1
             return
         await self._publish(fold.revision, self._operations())
 
@@ -247,7 +249,7 @@
             try:
                 await publisher.read_fold(client, cursor)
             except exceptions.PlatformError:
-                await asyncio.sleep(_AGAIN_S)
+                await asyncio.sleep(_READ_RETRY_S)
             else:
                 return cursor
 
@@ -262,8 +264,10 @@
         operations: tuple[changes.Operation, ...],
         cursor: cursor_lib.Cursor | None = None,
     ) -> None:
-        who = f"operator-{self.rng.randrange(self.plan.operators)}"
-        change = publisher.new_change(base, who, "", operations, self.clock)
+        operator = f"operator-{self.rng.randrange(self.plan.operators)}"
+        change = publisher.new_change(
+            base, operator, "", operations, self.clock
+        )
         change = dataclasses.replace(
             change, change_id=f"{self.rng.getrandbits(64):016x}"
         )
@@ -274,15 +278,15 @@
                 client, change, cursor, self.clock, rng
             )
         except exceptions.PlatformError:
-            self.account.unknown += 1
+            self.change_counts.unknown += 1
             return
         if isinstance(result, results.Rejected):
-            self.account.rejected += 1
+            self.change_counts.rejected += 1
             return
-        self.account.accepted += 1
-        self.judge.on_accepted(change.change_id, self._taken_at(change))
+        self.change_counts.accepted += 1
+        self.checker.on_accepted(change.change_id, self._appended_at(change))
 
-    def _taken_at(self, change: changes.Change) -> float:
+    def _appended_at(self, change: changes.Change) -> float:
         """Returns when the log took a change, in monotonic seconds."""
         offset_s = self.clock.now() - self.clock.wall()
         value = change.encode()
@@ -291,13 +295,14 @@
                 return record.time + offset_s
         return self.clock.now()
 
-    async def _settle(self) -> None:
+    async def _wait_for_convergence(self) -> None:
         members = len(self.network.members)
-        await self._until(
-            lambda: self.judge.complete(members) and self._agree(), _SETTLE_S
+        await self._wait_until(
+            lambda: self.checker.complete(members) and self._is_converged(),
+            _CONVERGENCE_TIMEOUT_S,
         )
 
-    def _agree(self) -> bool:
+    def _is_converged(self) -> bool:
         revisions = {
             self.network.revision(name) for name in self.network.members
         }
@@ -307,7 +312,7 @@
         )
         return len(revisions) == 1 and not refused
 
-    async def _until(self, condition, within_s: float) -> None:
+    async def _wait_until(self, condition, within_s: float) -> None:
         end = self.clock.now() + within_s
         while not condition() and self.clock.now() < end:  # noqa: ASYNC110
             await asyncio.sleep(0.1)
@@ -317,7 +322,7 @@
     member: networks.Member,
     client: log_lib.LogClient,
     link: networks.Link,
-    judge: judges.Judge,
+    checker: checkers.ConsistencyChecker,
     clock: clocks.Clock,
     rng: random.Random,
 ) -> None:
@@ -325,7 +330,7 @@
     follower = follower_lib.Follower(client, member.name, link, clock, rng)
     member.follower = follower
     follower.subscribe(
-        lambda _: judge.on_state(
+        lambda _: checker.on_state(
             member.name, member.domain, follower, clock.now()
         )
     )
--- a/src/clementinegw/bench/settings.py
+++ b/src/clementinegw/bench/settings.py
@@ -15,9 +15,9 @@
 from clementinegw import clock as clocks
 from clementinegw import exceptions
 from clementinegw import types
+from clementinegw.bench import _settings_checker as checkers
 from clementinegw.bench import _settings_faults as faults
 from clementinegw.bench import _settings_hosts as hosts
-from clementinegw.bench import _settings_judge as judges
 from clementinegw.bench import _settings_run as runs
 from clementinegw.bench import desk as desks
 from clementinegw.testing import clock as virtual
@@ -97,16 +97,16 @@
       The keys of `bench settings`; with several seeds the worst of each, and
       sums of what is counted.
     """
-    found = []
+    results = []
     for seed in range(flag_values.seed, flag_values.seed + flag_values.seeds):
         plan = _plan(flag_values, seed)
         if plan.virtual:
-            found.append(await asyncio.to_thread(_run_virtual, plan))
+            results.append(await asyncio.to_thread(_run_virtual, plan))
         else:
             count = 0 if plan.kinds else flag_values.hosts
             port = flag_values.desk_port
-            found.append(await _run(plan, clocks.SystemClock(), count, port))
-    return _combine(found)
+            results.append(await _run(plan, clocks.SystemClock(), count, port))
+    return _combine(results)
 
 
 def _run_virtual(plan: runs.Plan) -> dict[str, Any]:
@@ -117,29 +117,29 @@
 async def _run(
     plan: runs.Plan, clock: clocks.Clock, count: int = 0, desk_port: int = 0
 ) -> dict[str, Any]:
-    started_cpu = time.process_time()
+    cpu_start_s = time.process_time()
     desk = None
-    run_ = runs.Run(plan, clock)
+    bench_run = runs.Run(plan, clock)
     if count:
         desk = desks.Desk(types.Address("127.0.0.1", desk_port))
-        run_ = hosts.HostedRun(plan, clock, count, desk)
-    verdict = await run_.execute()
+        bench_run = hosts.HostedRun(plan, clock, count, desk)
+    verdict = await bench_run.execute()
     if desk is not None:
         desk.close()
-    cpu_s = time.process_time() - started_cpu
-    if isinstance(run_, hosts.HostedRun):
-        cpu_s = run_.cpu_s
-    quantile = judges.quantile
-    appends = run_.usage.appends
+    cpu_s = time.process_time() - cpu_start_s
+    if isinstance(bench_run, hosts.HostedRun):
+        cpu_s = bench_run.cpu_s
+    quantile = checkers.quantile
+    appends = bench_run.usage.appends
     return {
         "processes": plan.processes,
         "hosts": count,
         "virtual": plan.virtual,
         "relays": plan.relays,
-        "accepted": run_.account.accepted,
-        "rejected": run_.account.rejected,
-        "unknown": run_.account.unknown,
-        "unpublished": run_.account.unpublished,
+        "accepted": bench_run.change_counts.accepted,
+        "rejected": bench_run.change_counts.rejected,
+        "unknown": bench_run.change_counts.unknown,
+        "unpublished": bench_run.change_counts.unpublished,
         "p50_in_force_s": round(quantile(verdict.in_force_s, 0.5), 4),
         "p99_in_force_s": round(quantile(verdict.in_force_s, 0.99), 4),
         "max_in_force_s": round(max(verdict.in_force_s, default=0.0), 4),
@@ -152,10 +152,12 @@
         "lost_by_log": verdict.lost_by_log,
         "log_appends": sum(appends.values()),
         "log_appends_per_s_peak": max(appends.values(), default=0),
-        "log_reads_per_s": round(run_.usage.reads / run_.measured_s, 2),
-        "log_polls_peak": run_.usage.most_polls,
+        "log_reads_per_s": round(
+            bench_run.usage.reads / bench_run.measured_s, 2
+        ),
+        "log_polls_peak": bench_run.usage.most_polls,
         "cpu_s": round(cpu_s, 2),
-        "measured_s": round(run_.measured_s, 2),
+        "measured_s": round(bench_run.measured_s, 2),
     }
 
 
@@ -175,13 +177,13 @@
 )
 
 
-def _combine(found: list[dict[str, Any]]) -> dict[str, Any]:
+def _combine(results: list[dict[str, Any]]) -> dict[str, Any]:
     """Returns the sums of what is counted and the worst of the rest."""
-    combined = dict(found[0])
-    for row in found[1:]:
+    combined = dict(results[0])
+    for row in results[1:]:
         for key, value in row.items():
             if key in _SUMMED:
                 combined[key] = round(combined[key] + value, 2)
             else:
                 combined[key] = max(combined[key], value)
-    return {"seeds": len(found), **combined}
+    return {"seeds": len(results), **combined}
--- a/tests/requests_script.py
+++ b/tests/requests_script.py
@@ -46,7 +46,7 @@
         self.version = "v1"
 
     async def start(self, port: int = 0):
-        network.HOST.set(self.name)
+        network.CURRENT_HOST.set(self.name)
         identity = connection_lib.Identity(
             self.name, types.Role.AGENT, PLACE, self.incarnation
         )
@@ -163,7 +163,7 @@
 
 
 async def entry(clock, agents, source=None, **fields):
-    network.HOST.set("entry")
+    network.CURRENT_HOST.set("entry")
     counters = counters_lib.Counters()
     identity = connection_lib.Identity("entry", types.Role.ENTRY, PLACE, 1)
     endpoint = connection_lib.Endpoint(identity, KEYS, LOG, counters)
--- a/tests/test_requests_bench.py
+++ b/tests/test_requests_bench.py
@@ -6,7 +6,7 @@
 from clementinegw.bench import _requests_virtual
 from clementinegw.bench import requests as bench
 
-_PROMISES = ("false_not_run", "doubled", "lost", "crossed", "cut_off")
+_GUARANTEES = ("false_not_run", "doubled", "lost", "crossed", "cut_off")
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -26,7 +26,7 @@
         faults=bench.FAULTS,
     )
     result = _requests_virtual.run(plan)
-    assert result.verdict == dict.fromkeys(_PROMISES, 0)
+    assert result.verdict == dict.fromkeys(_GUARANTEES, 0)
     assert result.answered > 0.5 * result.offered
     # The faults have struck, and requests have met them.
     assert result.counters["gate.crashes"] > 0
@@ -47,6 +47,6 @@
         "not_run_by_reason",
         "unknown",
         "cpu_us_per_request",
-        *_PROMISES,
+        *_GUARANTEES,
     }
     assert figures["offered"] == figures["answered"] > 0
--- a/tests/test_requests_send.py
+++ b/tests/test_requests_send.py
@@ -328,7 +328,7 @@
         request = script.request_of(clock, wait_s=60.0)
         task = asyncio.ensure_future(service.pipeline.run(request))
         await asyncio.sleep(0.1)
-        loop.cut("entry", "a0")
+        loop.set_partitioned("entry", "a0")
         began = clock.now()
         outcome = await task
         assert clock.now() - began < 12.0
@@ -340,7 +340,7 @@
 
 def test_connecting_fails_cleanly_when_nobody_listens():
     async def test(clock, loop):
-        script.network.HOST.set("entry")
+        script.network.CURRENT_HOST.set("entry")
         identity = connection_lib.Identity(
             "e", types.Role.ENTRY, script.PLACE, 1
         )
--- a/tests/test_settings_bench.py
+++ b/tests/test_settings_bench.py
@@ -6,8 +6,8 @@
 import pytest
 
 from clementinegw import exceptions
+from clementinegw.bench import _settings_checker as checkers
 from clementinegw.bench import _settings_faults as faults
-from clementinegw.bench import _settings_judge as judges
 from clementinegw.bench import settings as bench
 from clementinegw.settings import changes
 from clementinegw.settings import fold as fold_lib
@@ -67,7 +67,7 @@
         measure("--faults=logdwn")
 
 
-class Follower:
+class FakeFollower:
     def __init__(self):
         self.fold = fold_lib.Fold()
 
@@ -80,19 +80,19 @@
 
 
 def test_judge_notices_what_is_gone_late_or_different():
-    judge = judges.Judge()
-    one, other = Follower(), Follower()
+    checker = checkers.ConsistencyChecker()
+    one, other = FakeFollower(), FakeFollower()
     accept(one.fold, "change-1", 5.0)
-    judge.on_accepted("change-1", 10.0)
-    judge.on_state("m1", "d1", one, 12.0)
+    checker.on_accepted("change-1", 10.0)
+    checker.on_state("m1", "d1", one, 12.0)
     one.fold = fold_lib.Fold()
     accept(one.fold, "change-2", 6.0)
-    judge.on_accepted("change-2", 20.0)
-    judge.on_state("m1", "d1", one, 21.5)
-    judge.on_state("m2", "d2", other, 22.0)
+    checker.on_accepted("change-2", 20.0)
+    checker.on_state("m1", "d1", one, 21.5)
+    checker.on_state("m2", "d2", other, 22.0)
 
     state = (one.fold.revision, one.fold.digest)
-    verdict = judge.conclude(one.fold, {"m1": state, "m2": (0, "")})
+    verdict = checker.evaluate(one.fold, {"m1": state, "m2": (0, "")})
 
     assert verdict.reverted == 2
     assert verdict.diverged == 1
@@ -103,19 +103,19 @@
 @pytest.mark.parametrize(
     ("window", "expected"),
     [
-        (judges.Window("d1", 11.0, 14.0), 1.0),
-        (judges.Window("d2", 11.0, 14.0), 5.0),
-        (judges.Window("", 11.0, 14.0), 1.0),
-        (judges.Window("d1", 15.5, 16.0), 5.0),
+        (checkers.Window("d1", 11.0, 14.0), 1.0),
+        (checkers.Window("d2", 11.0, 14.0), 5.0),
+        (checkers.Window("", 11.0, 14.0), 1.0),
+        (checkers.Window("d1", 15.5, 16.0), 5.0),
     ],
 )
 def test_time_cut_off_does_not_count(window, expected):
-    judge, member = judges.Judge(), Follower()
-    judge.windows.append(window)
+    checker, member = checkers.ConsistencyChecker(), FakeFollower()
+    checker.unreachable_windows.append(window)
     accept(member.fold, "change-1", 5.0)
-    judge.on_accepted("change-1", 10.0)
-    judge.on_state("m1", "d1", member, 15.0)
-    verdict = judge.conclude(member.fold, {"m1": (1, member.fold.digest)})
+    checker.on_accepted("change-1", 10.0)
+    checker.on_state("m1", "d1", member, 15.0)
+    verdict = checker.evaluate(member.fold, {"m1": (1, member.fold.digest)})
     assert verdict.in_force_s == [expected]
     assert verdict.raw_in_force_s == [5.0]
 
