--- a/src/clementinegw/bench/__init__.py
+++ b/src/clementinegw/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each with its baselines in the same run."""
+"""Benchmarks, each run together with the baselines it is compared to."""
--- a/src/clementinegw/bench/_requests_backend.py
+++ b/src/clementinegw/bench/_requests_backend.py
@@ -1,4 +1,4 @@
-"""A backend server for the bench in virtual time: times, cache, ledger."""
+"""A simulated model engine for the requests bench in virtual time."""
 
 import asyncio
 import collections
@@ -22,13 +22,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceTimes:
-    """How long work takes, in seconds.
+    """The time that a backend server needs for a request.
 
     Attributes:
-      token_s: For one token of the answer.
-      block_s: For one prompt block that is not in the cache.
-      base_s: For any request.
-      batch_slowdown: How much longer it all takes in a full batch, as a share.
+      token_s: Seconds for each token of the answer.
+      block_s: Seconds for each prompt block that is not in the cache.
+      base_s: Fixed seconds for each request.
+      batch_slowdown: Additional time in a full batch, as a fraction.
     """
 
     token_s: float = 0.004
@@ -38,7 +38,7 @@
 
 
 class ModelBackend:
-    """A model engine: the time of each request is known from its prompt."""
+    """Simulates a model engine whose times depend only on prompt and load."""
 
     kind = types.ServiceKind.MODEL_ENGINE
 
@@ -50,14 +50,14 @@
         cache_blocks: int,
         capacity: int,
     ):
-        """Starts idle with an empty cache.
+        """Creates an idle server with an empty cache.
 
         Args:
-          name: The agent beside it.
-          ledger: Where its runs are written down.
-          speed: How long work takes.
-          cache_blocks: Blocks that its prefix cache holds.
-          capacity: Requests in a full batch.
+          name: The name of its agent.
+          ledger: Records its runs.
+          speed: The times that requests need.
+          cache_blocks: Capacity of its prefix cache, in blocks.
+          capacity: Number of requests in a full batch.
         """
         self._name = name
         self._ledger = ledger
@@ -78,14 +78,14 @@
         self.requested_blocks = 0
 
     def cached(self, hashes: tuple[int, ...]) -> int:
-        """Returns how many leading blocks are in the cache right now."""
+        """Returns the number of leading blocks that are in the cache."""
         for count in range(len(hashes), 0, -1):
             if hashes[count - 1] in self._cache:
                 return count
         return 0
 
     def crash(self) -> None:
-        """Ends all runs; the server is down until `restart`."""
+        """Ends all runs and keeps the server down until `restart`."""
         self.up = False
         self._incarnation += 1
         self._cache.clear()
@@ -97,7 +97,7 @@
                 task.cancel()
 
     def restart(self) -> None:
-        """Is up again, with a cold cache."""
+        """Makes the server available again, with an empty cache."""
         self.up = True
 
     async def start(self, submit) -> backends.AnswerEvents:
@@ -173,7 +173,7 @@
 
     async def _simulate_work(self, seconds: float) -> None:
         incarnation = self._incarnation
-        # In slices, so that a crash or a stall is noticed.
+        # Sleeps in short steps to detect a crash or a stall.
         deadline = asyncio.get_running_loop().time() + seconds * self.slowness
         while True:
             left = deadline - asyncio.get_running_loop().time()
@@ -195,10 +195,14 @@
         return cached
 
     async def cancel(self, request_id: str) -> None:
-        """Does nothing: the gate drops the run's iterator."""
+        """Does nothing, since the gate closes the iterator of the run."""
 
     async def probe(self) -> backends.Health:
-        """Says that it is up, unless it is not."""
+        """Returns that the server is healthy; hangs while it is stalled.
+
+        Raises:
+          BackendUnreachable: The server is down.
+        """
         if not self.up:
             raise exceptions.BackendUnreachable("down")
         if self.stalled:
@@ -206,33 +210,33 @@
         return backends.Health(True, VERSION, DIGEST)
 
     async def prefixes(self) -> list[int]:
-        """Returns the cache as it was at the report before, without a part.
+        """Returns an incomplete list of cached blocks from the previous report.
 
-        The lag is one probe of the gate; each sixteenth block is never
-        reported, as if its event had been lost.
+        The list lags by one probe of the gate. One block in sixteen is never
+        reported, which simulates lost cache events.
         """
-        before = self._reported
+        previous = self._reported
         self._reported = [block for block in self._cache if block % 16]
-        return before[-256:]
+        return previous[-256:]
 
 
 def stream_events(body: dict) -> list[tuple[bytes, int]]:
-    """Returns the events of a streamed answer, each with its last token."""
+    """Returns pairs of a streamed event and the number of its last token."""
     tokens = int(body["max_tokens"])
     ends = [*range(TOKENS_PER_EVENT, tokens, TOKENS_PER_EVENT), tokens]
-    mark = body["prompt"][-17:]
+    suffix = body["prompt"][-17:]
     return [
-        (f'id: {end}\ndata: {{"text": "{mark}{end}"}}\n\n'.encode(), end)
+        (f'id: {end}\ndata: {{"text": "{suffix}{end}"}}\n\n'.encode(), end)
         for end in ends
     ]
 
 
 def streamed_answer(body: dict) -> bytes:
-    """Returns the only right streamed answer to a request."""
+    """Returns the expected streamed answer to a request."""
     return b"".join(event for event, _ in stream_events(body)) + DONE_EVENT
 
 
 def expected_answer(request_id: str, body: dict) -> bytes:
-    """Returns the only right answer to a request."""
+    """Returns the expected answer to a request that is not streamed."""
     text = f"{request_id}:{body['max_tokens']}:{len(body['prompt'])}"
     return json.dumps({"choices": [{"text": text}]}).encode()
--- a/src/clementinegw/bench/_requests_cluster.py
+++ b/src/clementinegw/bench/_requests_cluster.py
@@ -1,4 +1,4 @@
-"""Entries and agents for the bench in virtual time, joined in memory."""
+"""Entries and agents for the requests bench in virtual time."""
 
 import asyncio
 import contextvars
@@ -28,20 +28,20 @@
 
 SERVICE = "assistent"
 _KEYS = auth.single_key_ring(b"0" * 32)
-_ANY = types.Address("127.0.0.1", 0)
+_ANY_PORT = types.Address("127.0.0.1", 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClusterConfig:
-    """What is built.
+    """The size of the cluster.
 
     Attributes:
-      entries: Entry instances.
-      workers: Agents, each with a backend server.
-      domains: Failure domains that both are spread over.
-      capacity: Requests that a backend server runs at once.
-      cache_blocks: Prompt blocks in a backend server's cache.
-      speed: How long work takes.
+      entries: Number of entry instances.
+      workers: Number of agents, each with a backend server.
+      domains: Number of failure domains that both are distributed over.
+      capacity: Maximum number of concurrent requests of a backend server.
+      cache_blocks: Capacity of a backend server's cache, in prompt blocks.
+      speed: The times that requests need.
     """
 
     entries: int = 8
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """One entry and its request part."""
+    """One entry with its request service."""
 
     instance: types.Instance
     endpoint: connection_lib.Endpoint
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Agent:
-    """One agent, its gate and its backend server."""
+    """One agent with its gate and its backend server."""
 
     instance: types.Instance
     endpoint: connection_lib.Endpoint
@@ -85,14 +85,14 @@
         rng: random.Random,
         keyed: bool = False,
     ):
-        """Prepares an empty world; `start` builds it.
+        """Creates an empty cluster; `start` starts its instances.
 
         Args:
-          config: What to build.
-          rules: The settings in force.
+          config: The size of the cluster.
+          rules: The settings that are in force.
           clock: The virtual clock.
-          rng: Seeds each part.
-          keyed: Whether entries claim keys and know suspects.
+          rng: Seeds the random generator of each entry.
+          keyed: Whether entries run the services for claims and suspects.
         """
         self._config = config
         self._rules = rules
@@ -108,29 +108,31 @@
         self.members: list[fleet_lib.Member] = []
 
     async def start(self) -> None:
-        """Starts everything and waits until the entries know the agents."""
+        """Starts all instances and waits for the entries to find the agents."""
         for _ in range(self._config.workers):
             await self.add_agent()
         for index in range(self._config.entries):
-            self.entries.append(await self._on_host(f"e{index}", self._entry))
+            self.entries.append(
+                await self._run_on_host(f"e{index}", self._start_entry)
+            )
         for entry in self.entries:
             entry.service.refresh()
         await asyncio.sleep(1.0)
 
     async def add_agent(self) -> Agent:
-        """Starts one more agent, with its backend server."""
+        """Starts and returns another agent with its backend server."""
         name = f"a{self._next_agent}"
         self._next_agent += 1
-        agent = await self._on_host(name, self._agent)
+        agent = await self._run_on_host(name, self._start_agent)
         self.agents.append(agent)
         return agent
 
     def remove(self, agent: Agent) -> None:
-        """Takes an agent off the list of members."""
+        """Removes an agent from the list of members."""
         self.members = [m for m in self.members if m.instance != agent.instance]
 
     async def stop(self) -> None:
-        """Stops everything."""
+        """Stops all entries and agents."""
         for entry in self.entries:
             await entry.service.stop()
             for part in entry.key_services:
@@ -141,19 +143,19 @@
             await agent.endpoint.close()
 
     def place(self, index: int) -> types.Place:
-        """Returns the place of the entry or agent with this number."""
+        """Returns the place of the entry or agent with an index."""
         domain = index % self._config.domains
         return types.Place(f"region-{domain // 2}", f"domain-{domain}")
 
-    async def _on_host(self, name: str, build) -> Any:
+    async def _run_on_host(self, name: str, build) -> Any:
         def run() -> asyncio.Task:
             _requests_network.CURRENT_HOST.set(name)
             return asyncio.ensure_future(build(name))
 
         return await contextvars.copy_context().run(run)
 
-    async def _agent(self, name: str) -> Agent:
-        instance, endpoint, counters = await self._endpoint(
+    async def _start_agent(self, name: str) -> Agent:
+        instance, endpoint, counters = await self._open_endpoint(
             name, types.Role.AGENT, SERVICE
         )
         backend = _requests_backend.ModelBackend(
@@ -177,8 +179,8 @@
         gate.resume(_requests_backend.VERSION, _requests_backend.DIGEST)
         return Agent(instance, endpoint, gate, backend, counters)
 
-    async def _entry(self, name: str) -> Entry:
-        instance, endpoint, counters = await self._endpoint(
+    async def _start_entry(self, name: str) -> Entry:
+        instance, endpoint, counters = await self._open_endpoint(
             name, types.Role.ENTRY, ""
         )
         claims, suspects = None, None
@@ -220,12 +222,12 @@
     def _live_entries(self) -> list[types.Instance]:
         return [entry.instance for entry in self.entries]
 
-    async def _endpoint(self, name: str, role: types.Role, service: str):
+    async def _open_endpoint(self, name: str, role: types.Role, service: str):
         place = self.place(int(name[1:]))
         counters = counters_lib.Counters()
         identity = connection_lib.Identity(name, role, place, 1)
         endpoint = connection_lib.Endpoint(identity, _KEYS, self._log, counters)
-        address = await endpoint.listen(_ANY)
+        address = await endpoint.listen(_ANY_PORT)
         instance = types.Instance(name, role, place, address, 1, service)
         self.members.append(fleet_lib.Member(instance))
         return instance, endpoint, counters
--- a/src/clementinegw/bench/_requests_faults.py
+++ b/src/clementinegw/bench/_requests_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong during a run of the requests bench."""
+"""Fault injection for the requests bench."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,13 +11,13 @@
 _MAX_DOWN_S = 2.0
 _MAX_LOG_DOWN_S = 4.0
 _MAX_PARTITION_S = 6.0
-# Membership tells the entries this long after an agent has said it leaves.
+# Delay from the start of a drain to the update of the list of members.
 _MEMBER_LIST_DELAY_S = 3.0
 _FIRST_FAULT_DELAY_S = 3.0
 
 
 class FaultInjector:
-    """Brings about faults at random times, one task for each kind."""
+    """Injects faults at random times, with one task for each kind."""
 
     def __init__(
         self,
@@ -26,13 +26,13 @@
         rng: random.Random,
         kinds: tuple[str, ...],
     ):
-        """Prepares the faults.
+        """Creates the injector; `start` starts the tasks.
 
         Args:
-          cluster: What they strike.
-          loop: Its network.
-          rng: Decides when and whom.
-          kinds: Which kinds.
+          cluster: The cluster whose parts fail.
+          loop: The event loop with the network of the cluster.
+          rng: Chooses the times and the affected agents.
+          kinds: The kinds of faults; kinds without an injector are ignored.
         """
         self._cluster = cluster
         self._loop = loop
@@ -43,7 +43,7 @@
         self.counts: dict[str, int] = {}
 
     def start(self) -> None:
-        """Begins."""
+        """Starts one task for each kind of fault."""
         for kind in self._kinds:
             inject = self._INJECTORS.get(kind)
             if inject is not None:
@@ -53,7 +53,7 @@
                 )
 
     async def stop(self) -> None:
-        """Ends, and mends what is broken."""
+        """Stops the tasks and removes all injected faults."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -96,7 +96,7 @@
         agent.backend.stalled = False
 
     async def _drain(self, rng: random.Random) -> None:
-        """An agent leaves; the list tells late; another takes its place."""
+        """Replaces an agent; the list of members is updated with a delay."""
         agent = self._pick_agent(rng)
         self._leaving.add(agent.instance.instance_id)
         await self._cluster.add_agent()
@@ -115,7 +115,7 @@
         faults.down = False
 
     async def _partition(self, rng: random.Random) -> None:
-        """One entry loses sight of some agents, in silence."""
+        """Partitions one entry from some agents; no connection is closed."""
         entry = rng.choice(self._cluster.entries).instance.instance_id
         agents = [a.instance.instance_id for a in self._cluster.agents]
         unreachable = rng.sample(agents, max(1, len(agents) // 3))
--- a/src/clementinegw/bench/_requests_load.py
+++ b/src/clementinegw/bench/_requests_load.py
@@ -1,4 +1,4 @@
-"""The requests that callers of the bench send, and what became of them."""
+"""Load generation for the requests bench and samples of the outcomes."""
 
 import asyncio
 import collections
@@ -12,7 +12,7 @@
 from clementinegw.requests import types as request_types
 from clementinegw.testing import ledger as ledger_lib
 
-# Ten customers, a few of them large.
+# Relative request rates of ten customers, three of them large.
 CUSTOMER_WEIGHTS = (5.0, 3.0, 2.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0)
 _PRIORITIES = (types.Priority.HIGH, types.Priority.NORMAL, types.Priority.LOW)
 _PRIORITY_WEIGHTS = (0.1, 0.7, 0.2)
@@ -26,20 +26,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Traffic:
-    """What is offered.
+    """The offered load.
 
     Attributes:
-      rate: Requests a second over all entries.
-      seconds: How long.
-      warm_up_s: How long before anything is measured.
-      templates: Different prompt beginnings.
-      heavy_factor: How many times its share the last but one customer sends.
-      heavy_customer: Which customer that is.
-      deadline_s: What callers wait.
-      keyed_share: The part of requests that must not run twice and carry a key.
-      streamed_share: The part of the others whose answers are streamed.
-      poison_share: The part of requests that crash each server that runs them.
-      max_retries: How often a refused caller comes again when it is told to.
+      rate: Requests per second over all entries.
+      seconds: Duration in seconds.
+      warm_up_s: Seconds at the start that are not measured.
+      templates: Number of different prompt prefixes.
+      heavy_factor: Factor on the request rate of `heavy_customer`.
+      heavy_customer: Index of the customer with the increased rate.
+      deadline_s: Deadline of each call, in seconds.
+      keyed_share: Fraction of requests that are not idempotent and have an
+        idempotency key.
+      streamed_share: Fraction of the other requests whose answers are
+        streamed.
+      poison_share: Fraction of requests that crash every server that runs
+        them.
+      max_retries: Maximum number of retries after a retryable outcome.
     """
 
     rate: float
@@ -57,16 +60,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Sample:
-    """One request as its caller saw it.
+    """One call of a request with its outcome and durations.
 
     Attributes:
-      customer: Whose it was.
-      priority: Its urgency.
-      at: When it was sent.
-      seconds: How long until the outcome, from the first time it asked.
-      call_s: How long until the outcome of this call.
+      customer: Index of the customer.
+      priority: The priority of the request.
+      at: Time of the first call, in seconds of the loop's clock.
+      seconds: Seconds from the first call to the outcome.
+      call_s: Seconds from this call to its outcome.
       outcome: The outcome.
-      seen: The same for the ledger.
+      seen: The observation that the ledger checks.
     """
 
     customer: int
@@ -86,21 +89,21 @@
 
 
 class AnswerSink:
-    """Takes a streamed answer as a caller does."""
+    """Collects the body of a streamed answer."""
 
     def __init__(self) -> None:
         self.body = b""
 
     async def head(self, head: request_types.Head) -> None:
-        """Takes the head."""
+        """Ignores the head."""
 
     async def data(self, data: bytes) -> None:
-        """Takes events."""
+        """Appends events to the body."""
         self.body += data
 
 
 class LoadGenerator:
-    """Open-loop callers: they do not wait for each other."""
+    """Open-loop load generator: no request waits for another one."""
 
     def __init__(
         self,
@@ -111,15 +114,15 @@
         send: Send,
         expected_answer: ExpectedAnswer,
     ):
-        """Prepares the callers.
+        """Creates the generator; `run` sends the requests.
 
         Args:
-          traffic: What they offer.
-          service: The service they ask.
-          entries: Entries that the balancer spreads them over.
-          rng: Decides everything about them.
-          send: Sends a request to the entry of a number.
-          expected_answer: Returns the right answer to a request.
+          traffic: The offered load.
+          service: The requested service.
+          entries: Number of entries that requests are distributed over.
+          rng: Source of all random choices.
+          send: Sends a request to the entry with an index.
+          expected_answer: Returns the expected answer to a request.
         """
         self._traffic = traffic
         self._service = service
@@ -134,18 +137,18 @@
 
     @property
     def rate(self) -> float:
-        """Requests a second, with what the heavy customer adds."""
+        """Requests per second, including the factor of the heavy customer."""
         return self._traffic.rate * sum(self._weights) / sum(CUSTOMER_WEIGHTS)
 
     async def run(self) -> None:
-        """Sends for the set time and waits for every outcome."""
+        """Sends requests for the configured time and waits for all outcomes."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._traffic.seconds
+        end_time = loop.time() + self._traffic.seconds
         due = loop.time()
         tasks = set()
         while True:
             due += self._rng.expovariate(self.rate)
-            if due >= until:
+            if due >= end_time:
                 break
             await asyncio.sleep(max(0.0, due - loop.time()))
             task = asyncio.ensure_future(self._call(self._next_request()))
@@ -154,10 +157,10 @@
         await asyncio.gather(*tasks)
 
     def _next_request(self) -> tuple[int, int, request_types.Request, dict]:
-        """Draws everything about a request, whatever becomes of it.
+        """Returns the customer, the entry, the request and its body.
 
-        Drawn in the order of arrival and from one source, so that every policy
-        meets the same requests.
+        All random values are drawn in order of arrival and from one generator,
+        so that every policy receives the same requests.
         """
         rng = self._rng
         self._count += 1
@@ -226,8 +229,8 @@
                 return
             retries_left -= 1
             await asyncio.sleep(delay_s)
-            # Through another entry, as the balancer happens to choose, and
-            # with the same key.
+            # Retries with the same key through another entry, as a load
+            # balancer might choose it.
             entry = (entry + 1) % self._entries
             request = dataclasses.replace(
                 request, request_id=f"{request.request_id}+"
@@ -252,7 +255,7 @@
             key=request.key,
             idempotent=request.idempotent,
             whole=whole,
-            # A key that ran before gets the answer to its first request.
+            # A retried key receives the answer to its first request.
             expected=None if request.key else expected,
             answer=answer,
         )
@@ -261,11 +264,11 @@
 def _retry_delay_s(
     request: request_types.Request, outcome: types.Outcome
 ) -> float | None:
-    """Returns after which time a caller asks again; None when it does not."""
+    """Returns the seconds until a caller retries, or None if it does not."""
     if isinstance(outcome, types.NotRun):
         return outcome.retry_after_s
     if isinstance(outcome, types.Unknown) and request.key:
-        # The key makes it safe to ask how it ended.
+        # The key makes the retry safe.
         return _UNKNOWN_RETRY_DELAY_S
     return None
 
@@ -278,10 +281,10 @@
 
 
 def mean_service_time_s(speed, batch_slowdown: float) -> float:
-    """Returns the mean seconds of a request at a full server, cache warm.
+    """Returns the mean seconds of a request at a full server with a warm cache.
 
-    Computed from a fixed sample of the same distribution, so that `--load`
-    means the same for each seed.
+    The mean is computed from a fixed sample of the length distribution, so that
+    `--load` has the same meaning for each seed.
     """
     rng = random.Random(0)
     count = 20_000
@@ -294,7 +297,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Returns the value that `share` of the values do not exceed, or 0."""
+    """Returns the value at a rank given as a fraction, or 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -303,7 +306,7 @@
 
 
 def count_reasons(samples: list[Sample]) -> dict[str, int]:
-    """Returns how many requests were not run, by reason."""
+    """Returns the number of requests that were not run, by reason."""
     counted = collections.Counter(
         sample.outcome.reason.value
         for sample in samples
@@ -313,8 +316,8 @@
 
 
 def _prompt(template: int, number: int) -> str:
-    beginning = f"template {template:07d};" * (
+    prefix = f"template {template:07d};" * (
         TEMPLATE_BLOCKS * prefixes.BLOCK_CHARS // 17 + 1
     )
-    beginning = beginning[: TEMPLATE_BLOCKS * prefixes.BLOCK_CHARS]
-    return beginning + f"question {number:07d};" * 16
+    prefix = prefix[: TEMPLATE_BLOCKS * prefixes.BLOCK_CHARS]
+    return prefix + f"question {number:07d};" * 16
--- a/src/clementinegw/bench/_requests_loopback.py
+++ b/src/clementinegw/bench/_requests_loopback.py
@@ -1,9 +1,10 @@
 """One run of the requests bench over TCP, in real time.
 
-Entries, agents and stand-ins each have a thread and a loop of their own, so
-that the processor time of each part can be told apart. They share one
-interpreter: latencies here contain the wait for it and are no measure of a
-fleet. The service is a plain one, look-ups and bookings over HTTP.
+Entries, agents and stand-ins each have a thread with its own event loop, so
+that the processor time of each can be measured separately. They share one
+interpreter. The latencies include the wait for its lock and are therefore not
+representative of a deployment. The service is a plain one with lookups and
+bookings over HTTP.
 """
 
 import asyncio
@@ -45,12 +46,12 @@
 _DEADLINE_S = 10.0
 _CONNECT_WAIT_S = 1.0
 _KEYS = auth.single_key_ring(b"0" * 32)
-_ANY = types.Address("127.0.0.1", 0)
+_ANY_PORT = types.Address("127.0.0.1", 0)
 _PLACE = types.Place("midden", "utrecht-hal")
 
 
 class _LoopThread:
-    """A thread with a loop, whose processor time is counted apart."""
+    """A thread with an event loop, whose processor time is measured."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -58,7 +59,7 @@
         self._thread.start()
 
     async def run(self, coroutine: Coroutine) -> Any:
-        """Runs a coroutine in the thread."""
+        """Runs a coroutine in the thread and returns its result."""
         future = asyncio.run_coroutine_threadsafe(coroutine, self.loop)
         return await asyncio.wrap_future(future)
 
@@ -71,7 +72,7 @@
         return await self.run(read())
 
     async def close(self) -> None:
-        """Ends everything in the thread, and the thread."""
+        """Cancels all tasks of the thread and ends it."""
         await self.run(_cancel_all())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join()
@@ -80,7 +81,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Deployment:
-    """Everything of one run."""
+    """The parts of one run that the threads share."""
 
     ledger: ledger_lib.Ledger
     counters: list[counters_lib.Counters]
@@ -91,23 +92,23 @@
 
 
 async def run(plan) -> tuple[_requests_report.Result, dict[str, int]]:
-    """Runs a plan.
+    """Runs a plan and returns its figures.
 
     Args:
-      plan: As `_requests_virtual.Plan`; faults are left out.
+      plan: A `_requests_virtual.Plan`; its faults are ignored.
 
     Returns:
-      What was measured, and the processor time of each part in microseconds a
-      request.
+      The result, and the processor time of entries and agents in microseconds
+      per request.
     """
     logs.configure(events.Level.ERROR)
     threads = {name: _LoopThread() for name in ("stand_ins", "agent", "entry")}
     deployment = _Deployment(ledger_lib.Ledger(), [], [], [], [], [])
     try:
-        backends_urls = await threads["stand_ins"].run(
+        backend_urls = await threads["stand_ins"].run(
             _stand_ins(plan, deployment)
         )
-        await threads["agent"].run(_agents(backends_urls, deployment))
+        await threads["agent"].run(_agents(backend_urls, deployment))
         await threads["entry"].run(_entries(plan, deployment))
         before = {
             name: await thread.cpu_s() for name, thread in threads.items()
@@ -169,7 +170,7 @@
 
 
 async def _keep_open(session: aiohttp.ClientSession) -> None:
-    """Closes a session when its part ends."""
+    """Keeps a session open until its thread is closed, then closes it."""
     try:
         await asyncio.Event().wait()
     finally:
@@ -215,13 +216,13 @@
     endpoint = connection_lib.Endpoint(
         connection_lib.Identity(name, role, _PLACE, 1), _KEYS, None, counters
     )
-    address = await endpoint.listen(_ANY)
+    address = await endpoint.listen(_ANY_PORT)
     instance = types.Instance(name, role, _PLACE, address, 1, service)
     return instance, endpoint, counters
 
 
 async def _call(plan, deployment: _Deployment) -> list[_requests_load.Sample]:
-    """Offers look-ups and bookings, open loop."""
+    """Sends lookups and bookings in an open loop and returns the samples."""
     rng = random.Random(plan.seed)
     rate = plan.load * plan.workers * _SERVER_CONCURRENCY / _SERVICE_TIME_S
     samples: list[_requests_load.Sample] = []
--- a/src/clementinegw/bench/_requests_network.py
+++ b/src/clementinegw/bench/_requests_network.py
@@ -1,7 +1,7 @@
-"""TCP in memory and in virtual time: the real endpoints over fake sockets.
+"""In-memory TCP connections in virtual time.
 
-`MemoryLoop` answers `create_server` and `create_connection` with transports
-that hand bytes to each other after a delay. Everything above the socket is the
+`MemoryLoop` implements `create_server` and `create_connection` with transports
+that deliver bytes to each other after a delay. All code above the socket is the
 code that runs in production.
 """
 
@@ -17,14 +17,14 @@
 _HANG_S = 86_400.0
 Delay = Callable[[str, str], float]
 
-# The host that the running code stands for; tasks inherit it.
+# Name of the host that the current code simulates; tasks inherit it.
 CURRENT_HOST: contextvars.ContextVar[str] = contextvars.ContextVar(
     "host", default=""
 )
 
 
 class _Transport(asyncio.Transport):
-    """One side of a connection in memory."""
+    """One side of an in-memory connection."""
 
     def __init__(
         self,
@@ -45,33 +45,33 @@
         self.peer: _Transport | None = None
 
     def write(self, data) -> None:
-        """Delivers bytes to the other side after the network's delay."""
+        """Delivers bytes to the other side after the delay of the network."""
         if not self._closing:
             self._schedule(_Delivery(bytes(data)))
 
     def close(self) -> None:
-        """Ends both sides after what was written has arrived."""
+        """Closes both sides after all written bytes were delivered."""
         self._close_both_sides()
 
     def abort(self) -> None:
-        """Ends both sides."""
+        """Closes both sides, like `close`."""
         self._close_both_sides()
 
     def is_closing(self) -> bool:
-        """Returns whether this side has ended."""
+        """Returns whether this side is closed."""
         return self._closing
 
     def get_extra_info(self, name, default=None):
-        """Returns nothing: there is no socket."""
+        """Returns the default, since there is no socket."""
         return default
 
     def receive(self, data: bytes) -> None:
-        """Takes bytes from the other side."""
+        """Passes bytes from the other side to the protocol."""
         if not self._closing:
             self.protocol.data_received(data)  # type: ignore[union-attr]
 
     def finish(self) -> None:
-        """Tells the protocol, once, that the connection ended."""
+        """Notifies the protocol once that the connection is closed."""
         if not self._closing:
             self._closing = True
             self._loop.call_soon(
@@ -88,7 +88,7 @@
 
     def _schedule(self, deliver: Callable[["_Transport"], None]) -> None:
         delay = self._loop.delay(self._name, self._peer_name)
-        # Bytes of one connection never overtake each other; the loop does not
+        # Keeps the bytes of a connection in order, because the loop does not
         # keep the order of timers that end at the same time.
         at = max(self._loop.time() + delay, self._last_arrival + _MIN_SPACING_S)
         self._last_arrival = at
@@ -108,8 +108,8 @@
         ):
             deliver(peer)
             return
-        # TCP sends again what a partition swallowed: bytes come late and in
-        # order, or the connection is given up, but none is ever left out.
+        # TCP retransmits bytes lost in a partition. They arrive late and in
+        # order, or the connection is closed, but no bytes are skipped.
         if not self._held:
             self._loop.on_heal(self._release)
         self._held.append((deliver, peer))
@@ -125,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Delivery:
-    """Delivers bytes."""
+    """Passes bytes to the receiving transport."""
 
     data: bytes
 
@@ -134,7 +134,7 @@
 
 
 class _Server:
-    """What `create_server` returns: enough for an endpoint."""
+    """The subset of `asyncio.Server` that an endpoint uses."""
 
     def __init__(self, loop: "MemoryLoop", port: int):
         self._loop = loop
@@ -142,7 +142,7 @@
         self.sockets = [_Socket(port)]
 
     def close(self) -> None:
-        """Stops accepting."""
+        """Stops accepting connections."""
         self._loop.listeners.pop(self._port, None)
 
 
@@ -151,19 +151,19 @@
         self._port = port
 
     def getsockname(self) -> tuple[str, int]:
-        """Returns the address that the server listens on."""
+        """Returns the host and port of the server."""
         return "127.0.0.1", self._port
 
 
 class MemoryLoop(clock_lib.VirtualTimeLoop):
-    """A virtual-time loop whose connections stay in memory."""
+    """An event loop in virtual time whose connections stay in memory."""
 
     def __init__(self, clock: clock_lib.VirtualClock, delay: Delay):
-        """Starts without listeners.
+        """Creates a loop without listeners.
 
         Args:
           clock: The clock to advance.
-          delay: Returns the seconds one way between two named hosts.
+          delay: Returns the one-way delay between two hosts, in seconds.
         """
         super().__init__(clock)
         self._delay = delay
@@ -174,17 +174,17 @@
         self.listeners: dict[int, Callable[[], asyncio.BaseProtocol]] = {}
 
     def delay(self, host: str, other_host: str) -> float:
-        """Returns the seconds one way between two hosts."""
+        """Returns the one-way delay between two hosts, in seconds."""
         return self._delay(host, other_host)
 
     def is_partitioned(self, host: str, other_host: str) -> bool:
-        """Returns whether two hosts cannot reach each other."""
+        """Returns whether a partition separates two hosts."""
         return bool(self._cut) and frozenset((host, other_host)) in self._cut
 
     def set_partitioned(
         self, host: str, other_host: str, on: bool = True
     ) -> None:
-        """Cuts two hosts off from each other, or joins them again."""
+        """Starts or ends a partition between two hosts."""
         pair = frozenset((host, other_host))
         if on:
             self._cut.add(pair)
@@ -193,12 +193,12 @@
         self._run_heal_callbacks()
 
     def heal(self) -> None:
-        """Joins all hosts again."""
+        """Ends all partitions."""
         self._cut.clear()
         self._run_heal_callbacks()
 
     def on_heal(self, release: Callable[[], None]) -> None:
-        """Calls back when hosts are joined again."""
+        """Registers a callback for the end of the next partition."""
         self._heal_callbacks.append(release)
 
     def _run_heal_callbacks(self) -> None:
@@ -209,7 +209,7 @@
     async def create_server(  # type: ignore[override]
         self, protocol_factory, host=None, port=None, **kwargs
     ):
-        """Listens in memory."""
+        """Starts an in-memory listener."""
         port = port or next(self._ports)
         self.listeners[port] = protocol_factory
         self._contexts[port] = contextvars.copy_context()
@@ -218,17 +218,17 @@
     async def create_connection(  # type: ignore[override]
         self, protocol_factory, host=None, port=None, **kwargs
     ):
-        """Connects in memory.
+        """Opens an in-memory connection.
 
         Raises:
-          ConnectionRefusedError: Nobody listens on the port.
+          ConnectionRefusedError: The port has no listener.
         """
         local_host = CURRENT_HOST.get()
         context = self._contexts.get(port, contextvars.Context())
         remote_host = context.get(CURRENT_HOST, "")
         await asyncio.sleep(self.delay(local_host, remote_host))
         if self.is_partitioned(local_host, remote_host):
-            # Nobody refuses and nobody answers; the endpoint's timeout ends it.
+            # A partition drops packets; the endpoint's timeout ends the call.
             await asyncio.sleep(_HANG_S)
         accept = self.listeners.get(port)
         if accept is None:
--- a/src/clementinegw/bench/_requests_report.py
+++ b/src/clementinegw/bench/_requests_report.py
@@ -1,4 +1,4 @@
-"""From what callers, ledgers and counters saw to the keys of the bench."""
+"""Aggregates samples, ledgers and counters into the figures of the bench."""
 
 import collections
 import dataclasses
@@ -15,25 +15,26 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """One run.
+    """The figures of one run.
 
     Attributes:
       policy: The routing policy.
-      offered: Requests that were sent in the measured time.
-      answered: Of these, answered.
-      in_time: Of these, answered before the deadline.
-      capacity: Requests that the workers could have answered.
-      seconds: Latencies of all that were answered.
-      seconds_high: Latencies of high priority.
-      seconds_others: Latencies of all customers but the heavy one.
-      not_run: Not run, by reason.
-      not_run_others: Not run, of all customers but the heavy one.
-      unknown: Outcomes that could not be known.
-      verdict: Promises broken, by the ledgers.
-      hit_rate: Part of the prompt blocks that were found in a cache.
-      counters: The entries' and agents' counters.
-      sent: All requests, the warm-up included.
-      not_run_seconds: The longest time to a refusal.
+      offered: Requests that were sent in the measured period.
+      answered: Offered requests that were answered.
+      in_time: Offered requests that were answered before the deadline.
+      capacity: Requests that the workers could answer in that period.
+      seconds: Latencies of all answered requests, in seconds.
+      seconds_high: Latencies of those with high priority.
+      seconds_others: Latencies of all customers except the heavy one.
+      not_run: Requests that were not run, by reason.
+      not_run_others: Requests that were not run, of all customers except
+        the heavy one.
+      unknown: Requests with an unknown outcome.
+      verdict: Violations of each guarantee, according to the ledger.
+      hit_rate: Fraction of the prompt blocks that were cached.
+      counters: Sums of the counters of entries and agents.
+      sent: All requests, including the warm-up.
+      not_run_seconds: Maximum time to an outcome "not run", in seconds.
     """
 
     policy: str
@@ -93,14 +94,14 @@
 
     Args:
       policy: The routing policy.
-      samples: What callers saw in the measured time.
-      all_samples: What they saw at all; promises are judged by it.
-      deadline_s: What callers waited.
-      capacity: Requests that the workers could have answered.
-      heavy: The customer that may send more than its share.
-      ledger: What the workers wrote down.
-      counters: Of all entries and agents.
-      hit_rate: Part of the prompt blocks that were found in a cache.
+      samples: The samples of the measured period.
+      all_samples: All samples; the guarantees are checked against them.
+      deadline_s: Deadline of the requests, in seconds.
+      capacity: Requests that the workers could answer in that period.
+      heavy: Index of the heavy customer.
+      ledger: The runs that the backend servers recorded.
+      counters: The counters of all entries and agents.
+      hit_rate: Fraction of the prompt blocks that were cached.
     """
     answered = [s for s in samples if isinstance(s.outcome, types.Answered)]
     refused = [s for s in samples if isinstance(s.outcome, types.NotRun)]
@@ -130,13 +131,13 @@
 
 
 def combine(results: list[Result], cpu_s: float) -> dict[str, Any]:
-    """Returns the bench's keys for one or several runs."""
+    """Returns the printed figures for one or more runs."""
 
     def concatenated(name: str) -> list[float]:
-        found = [getattr(r, name) for r in results]
-        if isinstance(found[0], float):
-            return found
-        return [value for values in found for value in values]
+        per_run = [getattr(r, name) for r in results]
+        if isinstance(per_run[0], float):
+            return per_run
+        return [value for values in per_run for value in values]
 
     def total(name: str) -> float:
         return sum(getattr(r, name) for r in results)
@@ -152,7 +153,7 @@
         return round(value * _MS, 1)
 
     verdict = summed("verdict")
-    counted = summed("counters")
+    counter_totals = summed("counters")
     return {
         "policy": results[0].policy,
         "offered": total("offered"),
@@ -169,5 +170,5 @@
         **{name: verdict[name] for name in _GUARANTEES},
         "prefix_hit_rate": round(total("hit_rate") / len(results), 3),
         "cpu_us_per_request": round(cpu_s * 1e6 / max(1, total("sent"))),
-        "counters": {n: int(v) for n, v in counted.items() if v},
+        "counters": {n: int(v) for n, v in counter_totals.items() if v},
     }
--- a/src/clementinegw/bench/_requests_virtual.py
+++ b/src/clementinegw/bench/_requests_virtual.py
@@ -23,7 +23,7 @@
 _SAME_REGION_DELAY_S = 0.0005
 _CROSS_REGION_DELAY_S = 0.001
 _BATCH_SLOWDOWN = 0.5
-# What is mixed into the traffic of a run with faults.
+# Retries and fractions of requests in the traffic of a run with faults.
 _FAULT_RUN_RETRIES = 3
 _FAULT_RUN_KEYED_SHARE = 0.2
 _FAULT_RUN_STREAMED_SHARE = 0.3
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What to run; the flags of the bench say what each field means."""
+    """Parameters of a run; the flags of the bench describe each field."""
 
     entries: int = 8
     workers: int = 12
@@ -51,14 +51,14 @@
 
 
 class _OracleIndex(prefix.PrefixIndex):
-    """Knows every cache as it is now: the bound for prefix affinity."""
+    """An index of the current caches: the upper bound for prefix affinity."""
 
     def __init__(self, agents: list[_requests_cluster.Agent]):
         super().__init__()
         self._agents = agents
 
     def matches(self, prefixes, now: float) -> dict[str, int]:
-        """Returns the blocks that each worker has cached right now."""
+        """Returns the number of leading blocks that each worker has cached."""
         del now
         return {
             agent.instance.instance_id: agent.backend.cached(prefixes)
@@ -67,10 +67,10 @@
 
 
 def run(plan: Plan) -> _requests_report.Result:
-    """Runs a plan in a loop of its own and returns what was measured."""
+    """Runs a plan in a new event loop and returns the result."""
     logs.configure(events.Level.ERROR)
     clock = clock_lib.VirtualClock()
-    loop = _requests_network.MemoryLoop(clock, _delays(plan))
+    loop = _requests_network.MemoryLoop(clock, _delay_function(plan))
     with asyncio.Runner(loop_factory=lambda: loop) as runner:
         return runner.run(_run(plan, clock, loop))
 
@@ -118,7 +118,7 @@
 
 
 class _Balancer:
-    """Brings callers' requests to the entries."""
+    """Sends requests to the entries with the delay between regions."""
 
     def __init__(self, cluster: _requests_cluster.Cluster):
         self._cluster = cluster
@@ -129,7 +129,7 @@
         request: request_types.Request,
         sink: request_types.Sink | None,
     ) -> types.Outcome:
-        """Sends a request to an entry and brings its outcome back."""
+        """Sends a request to an entry and returns its outcome."""
         await asyncio.sleep(_CROSS_REGION_DELAY_S)
         pipeline = self._cluster.entries[entry].service.pipeline
         outcome = await pipeline.run(request, sink)
@@ -188,12 +188,12 @@
     return rules_lib.FixedRules({rules.service: rules}, customers)
 
 
-def _delays(plan: Plan) -> _requests_network.Delay:
+def _delay_function(plan: Plan) -> _requests_network.Delay:
     def domain(host: str) -> int:
         return int(host[1:]) % plan.domains if host else 0
 
     def seconds(one: str, other: str) -> float:
-        """Returns the seconds one way between two hosts."""
+        """Returns the one-way delay between two hosts, in seconds."""
         here, there = domain(one), domain(other)
         if here == there:
             return _SAME_DOMAIN_DELAY_S
--- a/src/clementinegw/bench/_settings_checker.py
+++ b/src/clementinegw/bench/_settings_checker.py
@@ -1,4 +1,4 @@
-"""Judges a run of `bench settings`: in force when, reverted, diverged."""
+"""Checks a run of `bench settings` for delays, reverts and divergence."""
 
 import collections
 import dataclasses
@@ -8,18 +8,18 @@
 from clementinegw.settings import follower as follower_lib
 from clementinegw.settings import results
 
-_RECENT = 64
+_MAX_RECENT_CHANGES = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """A time in which a failure domain could not be told of changes.
+    """A period in which a failure domain could not receive changes.
 
     Attributes:
       domain: The failure domain; empty for an outage of the log, in which a
-        change that nobody has read yet can reach nobody.
-      start: Monotonic seconds.
-      end: Monotonic seconds.
+        change that no member has read yet cannot reach any member.
+      start: Start in monotonic seconds.
+      end: End in monotonic seconds.
     """
 
     domain: str
@@ -29,18 +29,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a run showed.
+    """The results of checking a run.
 
     Attributes:
-      in_force_s: Seconds from the log's record to force, a change and member
-        each, without windows in which the member could not be told.
-      raw_in_force_s: The same with those windows.
-      missing: Pairs of a change and a member where it never came into force.
-      reverted: Times at which an accepted change was no longer accepted or a
-        revision fell, in force at some member.
-      lost_by_log: Changes named accepted that the log lost before any member
-        had read them.
-      diverged: Members whose settings at the end are not those of the log.
+      in_force_s: Seconds from appending a change to the log until it came into
+        force, for each change and member, excluding the windows in which the
+        member was unreachable.
+      raw_in_force_s: The same, including those windows.
+      missing: Number of pairs of a change and a member at which it never came
+        into force.
+      reverted: Number of times that an accepted change was no longer accepted
+        or the revision decreased, in force at some member.
+      lost_by_log: Number of changes reported as accepted that the log lost
+        before any member had read them.
+      diverged: Number of members whose settings at the end differ from those
+        of the log.
     """
 
     in_force_s: list[float]
@@ -52,10 +55,10 @@
 
 
 class ConsistencyChecker:
-    """Watches every member."""
+    """Records when changes come into force at members and checks them."""
 
     def __init__(self) -> None:
-        """Starts with nothing seen."""
+        """Creates a checker without observations."""
         self.unreachable_windows: list[Window] = []
         self._accepted: dict[str, float] = {}
         self._seen: dict[str, dict[str, float]] = collections.defaultdict(dict)
@@ -66,29 +69,29 @@
 
     @property
     def accepted(self) -> dict[str, float]:
-        """When the log took each change that was named accepted."""
+        """The append time of each change that was reported as accepted."""
         return self._accepted
 
     @property
     def seen(self) -> dict[str, dict[str, float]]:
-        """When each change came into force, by member."""
+        """The time at which each change came into force, by member."""
         return self._seen
 
     @property
     def reverted(self) -> int:
-        """See `Verdict`."""
+        """The number of reverts; see `Verdict`."""
         return self._reverted
 
     def add_seen(
         self, seen: dict[str, dict[str, float]], reverted: int
     ) -> None:
-        """Takes what the judge of another process saw."""
-        for change_id, moments in seen.items():
-            self._seen[change_id].update(moments)
+        """Adds the observations of a checker in another process."""
+        for change_id, times in seen.items():
+            self._seen[change_id].update(times)
         self._reverted += reverted
 
     def on_accepted(self, change_id: str, time: float) -> None:
-        """Notes that an operator was told that a change is accepted."""
+        """Records that a change was reported as accepted to an operator."""
         self._accepted[change_id] = time
 
     def on_state(
@@ -98,7 +101,7 @@
         follower: follower_lib.Follower,
         now: float,
     ) -> None:
-        """Takes a member's newer settings."""
+        """Records new settings of a member."""
         fold = follower.fold
         assert fold is not None
         self._domains[name] = domain
@@ -106,10 +109,10 @@
             self._reverted += 1
         self._revision[name] = fold.revision
         recent = self._recent.setdefault(
-            name, collections.deque(maxlen=_RECENT)
+            name, collections.deque(maxlen=_MAX_RECENT_CHANGES)
         )
         known = set(recent)
-        for entry in fold.history()[-_RECENT:]:
+        for entry in fold.history()[-_MAX_RECENT_CHANGES:]:
             if entry.change_id not in known:
                 self._seen[entry.change_id].setdefault(name, now)
                 recent.append(entry.change_id)
@@ -118,7 +121,7 @@
         )
 
     def complete(self, members: int) -> bool:
-        """Returns whether all accepted changes were in force everywhere."""
+        """Returns whether every accepted change came into force everywhere."""
         return all(
             len(self._seen[change_id]) >= members
             for change_id in self._accepted
@@ -127,11 +130,11 @@
     def evaluate(
         self, log_fold: fold_lib.Fold, states: dict[str, tuple[int, str]]
     ) -> Verdict:
-        """Returns what the run showed.
+        """Returns the results of checking the run.
 
         Args:
           log_fold: The fold of the whole log at the end.
-          states: Each member's revision and digest.
+          states: Revision and digest of each member.
         """
         timed, raw, missing, lost = [], [], 0, 0
         for change_id, time in self._accepted.items():
@@ -153,7 +156,7 @@
     def _start(
         self, time: float, name: str, when: float, seen: dict[str, float]
     ) -> float:
-        """Returns from when on the member could have been told."""
+        """Returns the time from which on the member could receive a change."""
         start = time
         domain = self._domains.get(name, "")
         for window in sorted(self.unreachable_windows, key=lambda w: w.start):
@@ -177,7 +180,7 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Returns a quantile; 0 without values."""
+    """Returns the quantile of a fraction, or 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/src/clementinegw/bench/_settings_faults.py
+++ b/src/clementinegw/bench/_settings_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in `bench settings`, and when."""
+"""Fault injection for `bench settings`."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -28,18 +28,18 @@
 
 @dataclasses.dataclass(slots=True)
 class FaultInjector:
-    """Brings faults about until it is cancelled.
+    """Injects faults until it is cancelled.
 
     Attributes:
-      kinds: Which.
-      platform: The log.
-      network: The members.
-      checker: Is told when members could not be told of changes.
+      kinds: The kinds of faults to inject.
+      platform: The platform that serves the log.
+      network: The members and the partitions between them.
+      checker: Receives the time windows in which members were unreachable.
       clock: The source of time.
-      rng: Chooses when and what.
-      domains: The failure domains.
-      mean_duration_s: Mean length of an outage or partition, in seconds.
-      restart: Replaces a member by an empty one.
+      rng: Chooses the times and the affected parts.
+      domains: Names of the failure domains.
+      mean_duration_s: Mean duration of an outage or partition, in seconds.
+      restart: Replaces a member with one that has no state.
     """
 
     kinds: frozenset[Fault]
@@ -53,7 +53,7 @@
     restart: Callable[[networks.Member], Awaitable[None]]
 
     async def run(self) -> None:
-        """Runs all kinds side by side."""
+        """Injects all kinds of faults concurrently."""
         coroutines = []
         if self.kinds & {Fault.LOG_DOWN, Fault.TRUNCATE}:
             coroutines.append(self._outages())
@@ -64,7 +64,7 @@
         await asyncio.gather(*coroutines)
 
     async def _outages(self) -> None:
-        """The log goes down and may come back without its last records."""
+        """Makes the log unavailable and possibly removes records meanwhile."""
         while True:
             await asyncio.sleep(
                 self.rng.uniform(0.5, 1.5) * self.mean_duration_s
@@ -85,26 +85,26 @@
                 self.checker.unreachable_windows.append(window)
 
     def _truncate(self) -> None:
-        """Loses the end of the log, or lets its beginning expire."""
+        """Removes the last records of the log, or expires its first ones."""
         log = self.platform.records
-        kept = log.all(records.STREAM)
-        if len(kept) <= _MAX_LOST_RECORDS:
+        stored = log.all(records.STREAM)
+        if len(stored) <= _MAX_LOST_RECORDS:
             return
-        lost = self.rng.randint(1, _MAX_LOST_RECORDS)
+        lost_count = self.rng.randint(1, _MAX_LOST_RECORDS)
         if self.rng.random() < 0.75:
-            log.roll_back(records.STREAM, kept[-lost].offset)
+            log.roll_back(records.STREAM, stored[-lost_count].offset)
         else:
-            log.truncate(records.STREAM, kept[-lost].offset)
+            log.truncate(records.STREAM, stored[-lost_count].offset)
 
     async def _restarts(self) -> None:
-        """Members are replaced, one after the other."""
+        """Replaces members, one at a time."""
         names = sorted(self.network.members)
         while True:
             await asyncio.sleep(self.rng.expovariate(_RESTARTS_PER_S))
             await self.restart(self.network.members[self.rng.choice(names)])
 
     async def _partitions(self) -> None:
-        """A failure domain is cut off from the log and from the others."""
+        """Partitions a failure domain from the log and the other domains."""
         while True:
             await asyncio.sleep(
                 self.rng.uniform(0.5, 1.5) * self.mean_duration_s
--- a/src/clementinegw/bench/_settings_hosts.py
+++ b/src/clementinegw/bench/_settings_hosts.py
@@ -1,9 +1,9 @@
-"""Spreads the members of `bench settings` over several processes.
+"""Distributes the members of `bench settings` over several processes.
 
-Hundreds of members that share one processor core wait for one another, which
-those of a real deployment do not. Each host process here runs some of them,
-over the same loopback TCP; the log has a process, and the operators stay in the
-first one. The processes are started by the shell; see `desk`.
+Hundreds of members on one processor core wait for one another, which members of
+a real deployment do not. Each host process runs some of the members over
+loopback TCP. The log has a process of its own, and the operators run in the
+first process. The processes are started by the shell; see `desk`.
 """
 
 import asyncio
@@ -37,12 +37,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Spec:
-    """What one host process runs.
+    """The members and addresses that one host process receives.
 
     Attributes:
-      members: Names and failure domains.
-      log_addresses: The log's base URL by failure domain.
-      seed: The seed of its random choices.
+      members: Pairs of a member's name and its failure domain.
+      log_addresses: Base URL of the log by failure domain.
+      seed: Seed of its random choices.
     """
 
     members: tuple[tuple[str, str], ...]
@@ -52,14 +52,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What a host process saw.
+    """The state and measurements of the members of a host process.
 
     Attributes:
-      states: Revision and digest by member.
-      seen: When each change came into force, monotonic seconds, by member.
-      reverted: See `judges.Verdict`.
-      usage: What its members asked of the log.
-      cpu_s: Processor time since the members had started.
+      states: Revision and digest by member; the digest is empty until the
+        final report.
+      seen: Monotonic seconds at which each change came into force, by change
+        and member.
+      reverted: See `checkers.Verdict`.
+      usage: The calls of its members to the log.
+      cpu_s: Processor time since the members started, in seconds.
     """
 
     states: dict[str, tuple[int, str]]
@@ -83,7 +85,7 @@
         self._cpu_s = 0.0
 
     async def run(self) -> None:
-        """Answers the first process until it says stop."""
+        """Runs the members and sends reports until `_STOP` is received."""
         for name, domain in self._spec.members:
             member = networks.Member(name, domain)
             await networks.listen(member, self._rng)
@@ -93,8 +95,8 @@
         self._pipe.send(ports)
         async with platforms.session() as session:
             await self._start(await self._receive(), session)
-            while (asked := await self._receive()) != _STOP:
-                self._pipe.send(self._report(asked == _FINAL))
+            while (command := await self._receive()) != _STOP:
+                self._pipe.send(self._report(command == _FINAL))
             for member in self._network.members.values():
                 if member.follower is not None:
                     await member.follower.stop()
@@ -140,7 +142,8 @@
         for member in self._network.members.values():
             if member.follower is not None:
                 fold = member.follower.fold
-                # Digests take a while, and the members would wait for them.
+                # Computing a digest blocks the members, so only the final
+                # report has it.
                 digest = fold.digest if fold and final else ""
                 states[member.name] = (member.follower.revision, digest)
         return Report(
@@ -158,7 +161,7 @@
 
 
 async def _serve_log(domains: list[str], pipe: sockets.Connection) -> None:
-    """Runs the log stand-in until it is told to stop."""
+    """Runs the log stand-in until the first process sends a message."""
     platform = platforms.HttpPlatform(clocks.SystemClock(), domains)
     await platform.start(domains)
     names = [*domains, platforms.OPERATORS]
@@ -173,7 +176,7 @@
 
 
 class _RemotePlatform:
-    """The log in a process of its own; see `platforms.Platform`."""
+    """A `platforms.Platform` whose log runs in a separate process."""
 
     def __init__(self, desk: desks.Desk) -> None:
         self._desk = desk
@@ -183,42 +186,42 @@
 
     @property
     def records(self) -> memory.MemoryLog:
-        """The records, which are out of reach."""
+        """Not supported, since the records are in another process."""
         raise NotImplementedError
 
     async def start(self, domains: list[str]) -> None:
-        """Gives the log to a host."""
+        """Starts the log in a host process."""
         self._worker = await self._desk.employ(_log_main, domains)
         self._addresses = await self._worker.receive()
         self._session = platforms.session()
 
     async def stop(self) -> None:
-        """Ends the process."""
+        """Stops the process of the log."""
         if self._session is not None:
             await self._session.close()
         if self._worker is not None:
             self._worker.send(_STOP)
 
     def client(self, domain: str) -> log_lib.LogClient:
-        """Returns the client of a failure domain."""
+        """Returns the client for a failure domain."""
         assert self._session is not None
         return platforms.http_log(self._addresses[domain], self._session)
 
     def address(self, domain: str) -> str:
-        """Returns the log's base URL for a failure domain."""
+        """Returns the base URL of the log for a failure domain."""
         return self._addresses[domain]
 
     def set_down(self, down: bool) -> None:
-        """Is not offered."""
+        """Not supported."""
         raise NotImplementedError
 
     def cut(self, domain: str, is_cut: bool) -> None:
-        """Is not offered."""
+        """Not supported."""
         raise NotImplementedError
 
 
 class HostedRun(runs.Run):
-    """A run whose members live in other processes; without faults."""
+    """A run without faults whose members are in other processes."""
 
     def __init__(
         self,
@@ -227,13 +230,14 @@
         hosts: int,
         desk: desks.Desk,
     ):
-        """Prepares it.
+        """Creates a run; `execute` starts the host processes.
 
         Args:
-          plan: What to run.
-          clock: The machine's clock, which all processes share.
-          hosts: How many processes.
-          desk: Where they come; one more comes for the log.
+          plan: Parameters of the run.
+          clock: The clock of the machine, which all processes share.
+          hosts: Number of processes for members.
+          desk: Accepts the connections of these processes and of one more for
+            the log.
         """
         super().__init__(plan, clock)
         self.platform = _RemotePlatform(desk)
@@ -244,7 +248,7 @@
 
     @property
     def cpu_s(self) -> float:
-        """Processor time of all hosts since their members had started."""
+        """Processor seconds of all hosts since their members started."""
         return sum(report.cpu_s for report in self._reports)
 
     async def _start_members(self) -> None:
@@ -254,8 +258,8 @@
             for n in range(self.plan.processes)
         ]
         for number in range(self._hosts):
-            part = tuple(members[number :: self._hosts])
-            spec = Spec(part, addresses, self.plan.seed * 1000 + number)
+            assigned = tuple(members[number :: self._hosts])
+            spec = Spec(assigned, addresses, self.plan.seed * 1000 + number)
             self._workers.append(await self._desk.employ(_main, spec))
         domains = dict(members)
         endpoints = {}
@@ -279,7 +283,7 @@
         await self._read_append_times()
 
     def _appended_at(self, change: changes.Change) -> float:
-        """Returns now; the time is read from the log at the end."""
+        """Returns the current time; `_read_append_times` corrects it later."""
         return self.clock.now()
 
     async def _read_append_times(self) -> None:
@@ -291,25 +295,25 @@
             if not isinstance(parsed, changes.Change):
                 continue
             if parsed.change_id in self.checker.accepted:
-                moment = record.time + offset_s
-                self.checker.on_accepted(parsed.change_id, moment)
+                append_time = record.time + offset_s
+                self.checker.on_accepted(parsed.change_id, append_time)
 
-    async def _wait(self, condition, within_s: float) -> None:
-        end = self.clock.now() + within_s
+    async def _wait(self, condition, timeout_s: float) -> None:
+        end = self.clock.now() + timeout_s
         while self.clock.now() < end:
             await self._request_reports(_STATUS)
             if condition():
                 return
             await asyncio.sleep(_STATUS_INTERVAL_S)
 
-    async def _request_reports(self, what: str) -> None:
-        self._reports = [await w.ask(what) for w in self._workers]
+    async def _request_reports(self, command: str) -> None:
+        self._reports = [await w.ask(command) for w in self._workers]
 
     def _min_revision(self) -> int:
         return min(s[0] for r in self._reports for s in r.states.values())
 
     def _changes_in_force_everywhere(self) -> set[str]:
-        """Returns the changes that every member has."""
+        """Returns the ids of the changes that are in force at every member."""
         common: set[str] | None = None
         for report in self._reports:
             complete = {
--- a/src/clementinegw/bench/_settings_network.py
+++ b/src/clementinegw/bench/_settings_network.py
@@ -1,4 +1,4 @@
-"""How the members of `bench settings` reach one another."""
+"""Network and gossip between the members of `bench settings`."""
 
 import asyncio
 import dataclasses
@@ -14,25 +14,26 @@
 
 Kind = connection.Kind
 
-# One way, inside a failure domain and between two (the larger of our users').
+# One-way delays inside a failure domain and between two, from the larger of the
+# users' deployments.
 SAME_DOMAIN_DELAY_S = 0.0005
 CROSS_DOMAIN_DELAY_S = 0.003
-# How long gossip takes to tell a domain, and the others, of a revision; the
-# membership's own bench measures it, here it is assumed.
+# Assumed time for gossip to spread a revision within a domain or to the others;
+# the membership bench measures it.
 GOSSIP_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """One process.
+    """One process that follows the settings.
 
     Attributes:
-      name: Its id.
+      name: Its instance id.
       domain: Its failure domain.
-      follower: Its follower; None while it is down.
-      endpoint: Its connections; None in virtual time.
-      address: Where it listens; None in virtual time.
-      remote: Whether it lives in another process.
+      follower: Its follower; None while the process is down.
+      endpoint: Its endpoint; None in virtual time.
+      address: The address of its endpoint; None in virtual time.
+      remote: Whether it runs in another operating system process.
     """
 
     name: str
@@ -44,10 +45,10 @@
 
 
 class Network:
-    """The members, the partitions between them, and what gossip told."""
+    """The members, their partitions and the revisions spread by gossip."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates a network without members."""
         self.members: dict[str, Member] = {}
         self.cut: set[str] = set()
         self._gossiped: dict[str, int] = {}
@@ -59,19 +60,19 @@
         self._names.setdefault(member.domain, []).append(member.name)
 
     def names(self, domain: str) -> list[str]:
-        """Returns the members of a failure domain."""
+        """Returns the names of the members of a failure domain."""
         return self._names[domain]
 
     def reachable(self, one: str, other: str) -> bool:
-        """Returns whether two failure domains reach each other."""
+        """Returns whether two failure domains can reach each other."""
         return one == other or not self.cut & {one, other}
 
     def gossiped_revision(self, domain: str) -> int:
-        """Returns the newest revision that gossip told a domain."""
+        """Returns the largest revision that a domain received by gossip."""
         return self._gossiped.get(domain, 0)
 
     def revision(self, name: str) -> int:
-        """Returns a member's revision; 0 while it is down."""
+        """Returns the revision of a member, or 0 while it is down."""
         follower = self.members[name].follower
         return follower.revision if follower else 0
 
@@ -95,19 +96,19 @@
 
 
 class Link:
-    """The `exchange.Peers` of one member."""
+    """An implementation of `exchange.Peers` for one member."""
 
     def __init__(self, network: Network, member: Member):
-        """Keeps both."""
+        """Creates the link of a member to the others in a network."""
         self._network = network
         self._member = member
 
     def domain(self) -> list[str]:
-        """Returns the members of the failure domain."""
+        """Returns the names of the members of the same failure domain."""
         return self._network.names(self._member.domain)
 
     def others(self) -> list[str]:
-        """Returns the members that can be reached."""
+        """Returns the names of the other members that can be reached."""
         own = self._member
         return [
             name
@@ -117,11 +118,14 @@
         ]
 
     def newest_revision(self) -> int:
-        """Returns what gossip told."""
+        """Returns the largest revision received by gossip."""
         return self._network.gossiped_revision(self._member.domain)
 
     def ahead_of(self, revision: int) -> list[str]:
-        """Returns the members that are ahead, if gossip told of any."""
+        """Returns the reachable members with a larger revision.
+
+        The list is empty unless gossip reported a larger revision.
+        """
         if self.newest_revision() <= revision:
             return []
         network = self._network
@@ -130,11 +134,11 @@
     async def pull(
         self, peer: str, request: ttypes.SettingsPull, timeout_s: float
     ) -> ttypes.SettingsState:
-        """Asks a peer; see `exchange.Peers`."""
+        """Requests settings from a peer; see `exchange.Peers`."""
         other = self._network.members[peer]
         async with asyncio.timeout(timeout_s):
             if not self._network.reachable(self._member.domain, other.domain):
-                # Across a partition a connection hangs; it is not refused.
+                # During a partition, connections hang and are not refused.
                 await asyncio.sleep(timeout_s)
             if other.follower is None and not other.remote:
                 raise exceptions.ConnectionLost(f"{peer} is down")
@@ -147,7 +151,7 @@
 
 
 class VirtualLink(Link):
-    """Calls a member in virtual time, with the links' delay."""
+    """Calls a member in virtual time, with the delay of the network."""
 
     async def _call(
         self, other: Member, request: ttypes.SettingsPull, timeout_s: float
@@ -160,7 +164,7 @@
         state = await other.follower.answer(request)
         await asyncio.sleep(delay)
         if not self._network.reachable(self._member.domain, other.domain):
-            raise exceptions.ConnectionLost("cut off")
+            raise exceptions.ConnectionLost(f"{other.name} is partitioned")
         return state
 
 
@@ -181,7 +185,7 @@
 
 
 async def listen(member: Member, rng: random.Random) -> None:
-    """Opens a member's endpoint and answers its peers."""
+    """Starts the endpoint of a member, which answers pulls of its peers."""
     identity = connection.Identity(
         member.name,
         types.Role.AGENT,
@@ -195,7 +199,7 @@
         exchange: connection.Exchange,
         frame: connection.Frame,
     ) -> None:
-        """Answers a peer that asks for settings."""
+        """Answers a peer that pulls settings."""
         del conn
         if member.follower is None:
             return
--- a/src/clementinegw/bench/_settings_platform.py
+++ b/src/clementinegw/bench/_settings_platform.py
@@ -1,4 +1,4 @@
-"""The log that `bench settings` runs against, in virtual time or over HTTP."""
+"""The log for `bench settings`, in virtual time or over HTTP."""
 
 import asyncio
 import dataclasses
@@ -14,19 +14,19 @@
 from clementinegw.testing import platform as stand_ins
 
 OPERATORS = "operators"
-_CALL_S = 0.002
+_CALL_DURATION_S = 0.002
 _POLL_TIMEOUT_S = 5.0
 
 
 @dataclasses.dataclass(slots=True)
 class Usage:
-    """What all processes together asked of the log.
+    """Counts of the calls of all processes to the log.
 
     Attributes:
-      appends: Appends that reached the log, by whole second.
-      reads: Reads.
-      polls: Long polls that are open.
-      most_polls: The most that were open at once.
+      appends: Number of appends that reached the log, by second.
+      reads: Number of reads.
+      polls: Number of open long polls.
+      most_polls: Maximum number of long polls that were open at once.
     """
 
     appends: dict[int, int] = dataclasses.field(default_factory=dict)
@@ -36,7 +36,7 @@
 
 
 class CountingLog:
-    """A log client that counts, and loses some answers of appends."""
+    """A log client that counts calls and loses some answers to appends."""
 
     def __init__(
         self,
@@ -46,14 +46,14 @@
         rng: random.Random,
         lost_share: float,
     ):
-        """Wraps a client.
+        """Creates a client that wraps another one.
 
         Args:
-          inner: The client.
-          usage: Where it counts.
+          inner: The wrapped client.
+          usage: Receives the counts.
           clock: The source of time.
-          rng: Chooses the answers that are lost.
-          lost_share: Share of appends without an answer; half of them take
+          rng: Chooses the lost answers.
+          lost_share: Fraction of appends without an answer; half of them take
             effect and half do not.
         """
         self._inner = inner
@@ -91,36 +91,36 @@
 
 
 class Platform(Protocol):
-    """The log and its faults."""
+    """A log whose faults can be set."""
 
     @property
     def records(self) -> memory.MemoryLog:
-        """The records themselves, for faults and for the judge."""
+        """The stored records, for fault injection and for the checker."""
 
     async def start(self, domains: list[str]) -> None:
-        """Starts to serve."""
+        """Starts the log."""
 
     async def stop(self) -> None:
-        """Ends."""
+        """Stops the log."""
 
     def client(self, domain: str) -> log_lib.LogClient:
-        """Returns the client of a failure domain, or of `OPERATORS`."""
+        """Returns the client for a failure domain, or for `OPERATORS`."""
 
     def address(self, domain: str) -> str:
-        """Returns the log's base URL for a failure domain."""
+        """Returns the base URL of the log for a failure domain."""
 
     def set_down(self, down: bool) -> None:
         """Starts or ends an outage of the log."""
 
     def cut(self, domain: str, is_cut: bool) -> None:
-        """Cuts a failure domain off from the log, or joins it again."""
+        """Starts or ends a partition between a failure domain and the log."""
 
 
 class VirtualPlatform:
-    """The log in memory, each call taking two milliseconds."""
+    """An in-memory log with a fixed duration of each call."""
 
     def __init__(self, clock: clocks.Clock):
-        """Starts empty."""
+        """Creates an empty log."""
         self._records = memory.MemoryLog(clock)
         self._clients: dict[str, memory.MemoryLog] = {}
         self._down = False
@@ -132,10 +132,10 @@
         return self._records
 
     async def start(self, domains: list[str]) -> None:
-        """Makes a client a failure domain."""
+        """Creates a client for each failure domain and for the operators."""
         for domain in [*domains, OPERATORS]:
             client = self.records.client()
-            client.faults.slow_s = _CALL_S
+            client.faults.slow_s = _CALL_DURATION_S
             client.faults.timeout_s = _POLL_TIMEOUT_S
             self._clients[domain] = client
 
@@ -147,7 +147,7 @@
         return self._clients[domain]
 
     def address(self, domain: str) -> str:
-        """Returns nothing to connect to."""
+        """Returns an empty string, since there is no server."""
         return ""
 
     def set_down(self, down: bool) -> None:
@@ -156,22 +156,22 @@
         self._set_faults()
 
     def cut(self, domain: str, is_cut: bool) -> None:
-        """Cuts a failure domain off; see `Platform`."""
+        """Starts or ends a partition; see `Platform`."""
         (self._cut.add if is_cut else self._cut.discard)(domain)
         self._set_faults()
 
     def _set_faults(self) -> None:
         for domain, client in self._clients.items():
             client.faults.down = self._down
-            # Across a partition a connection hangs; it is not refused.
+            # During a partition, connections hang and are not refused.
             client.faults.stalled = domain in self._cut
 
 
 class HttpPlatform:
-    """The log stand-in over HTTP on the loopback."""
+    """The log stand-in, served over HTTP on the loopback interface."""
 
     def __init__(self, clock: clocks.Clock, domains: list[str]):
-        """Prepares the stand-in with a port a failure domain."""
+        """Creates the stand-in with one port for each failure domain."""
         self._stand_in = stand_ins.PlatformStandIn(
             clock, places=[*domains, OPERATORS]
         )
@@ -183,13 +183,13 @@
         return self._stand_in.log.log
 
     async def start(self, domains: list[str]) -> None:
-        """Listens."""
+        """Starts the server and opens a client session."""
         del domains
         await self._stand_in.start()
         self._session = session()
 
     async def stop(self) -> None:
-        """Closes the ports."""
+        """Closes the client session and stops the server."""
         if self._session is not None:
             await self._session.close()
         await asyncio.sleep(0)
@@ -201,7 +201,7 @@
         return http_log(self.address(domain), self._session)
 
     def address(self, domain: str) -> str:
-        """Returns the log's base URL for a failure domain; see `Platform`."""
+        """Returns the base URL of the log for a failure domain."""
         return self._stand_in.log.front(domain).address
 
     def set_down(self, down: bool) -> None:
@@ -209,17 +209,20 @@
         self._stand_in.log.faults.down = down
 
     def cut(self, domain: str, is_cut: bool) -> None:
-        """Cuts a failure domain off; see `Platform`."""
+        """Starts or ends a partition; see `Platform`."""
         self._stand_in.log.front(domain).faults.stalled = is_cut
 
 
 def session() -> aiohttp.ClientSession:
-    """Returns a session for as many long polls as there are members."""
+    """Returns a session without a limit on connections.
+
+    Each member may have an open long poll.
+    """
     return aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
 
 def http_log(
     address: str, client_session: aiohttp.ClientSession
 ) -> log_lib.LogClient:
-    """Returns a client of the log at a base URL."""
+    """Returns a client for the log at a base URL."""
     return log_lib.HttpLog(address, client_session)
--- a/src/clementinegw/bench/_settings_run.py
+++ b/src/clementinegw/bench/_settings_run.py
@@ -1,4 +1,4 @@
-"""One run of `bench settings`: members, operators, faults, verdict."""
+"""One run of `bench settings` with members, operators and faults."""
 
 import asyncio
 import dataclasses
@@ -21,26 +21,26 @@
 
 _LOST_APPEND_SHARE = 0.3
 _CONVERGENCE_TIMEOUT_S = 90.0
-_CUSTOMERS = 20
+_CUSTOMER_COUNT = 20
 _READ_RETRY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What to run.
+    """Parameters of a run.
 
     Attributes:
-      processes: Members.
-      domains: Failure domains.
-      changes: Changes one after the other.
-      burst: Changes at once after those.
-      operators: Operators that race.
-      interval_s: Mean time between two changes before the burst.
-      relays: Members of a failure domain that follow the log; 0 for all.
-      seed: The seed of every random choice.
-      kinds: The faults.
-      fault_s: Mean length of an outage or a partition.
-      virtual: Whether it runs in virtual time, without sockets.
+      processes: Number of members.
+      domains: Number of failure domains.
+      changes: Number of changes before the burst.
+      burst: Number of concurrent changes after those.
+      operators: Number of concurrent operators.
+      interval_s: Mean seconds between two changes before the burst.
+      relays: Members per failure domain that follow the log; 0 for all.
+      seed: Seed of all random choices.
+      kinds: The kinds of faults to inject.
+      fault_s: Mean duration of an outage or partition, in seconds.
+      virtual: Whether to run in virtual time, without sockets.
     """
 
     processes: int
@@ -58,13 +58,13 @@
 
 @dataclasses.dataclass(slots=True)
 class ChangeCounts:
-    """What became of the operators' changes.
+    """Number of the operators' changes by outcome.
 
     Attributes:
-      accepted: Named accepted.
-      rejected: Named rejected.
-      unknown: Given up without knowing.
-      unpublished: Not published, since the log could not be read first.
+      accepted: Reported as accepted.
+      rejected: Reported as rejected.
+      unknown: Abandoned with an unknown outcome.
+      unpublished: Not published, because reading the log failed.
     """
 
     accepted: int = 0
@@ -74,10 +74,10 @@
 
 
 class Run:
-    """Everything of one run."""
+    """One run of the bench and its state."""
 
     def __init__(self, plan: Plan, clock: clocks.Clock):
-        """Prepares it; `execute` runs it."""
+        """Creates a run; `execute` starts it."""
         self.plan = plan
         self.clock = clock
         self.rng = random.Random(plan.seed)
@@ -95,7 +95,7 @@
         self.measured_s = 0.0
 
     async def execute(self) -> checkers.Verdict:
-        """Runs it and returns what it showed."""
+        """Executes the run and returns the results of checking it."""
         await self.platform.start(self.domains)
         background: list[asyncio.Task] = []
         try:
@@ -139,17 +139,17 @@
         )
 
     async def _publish_initial_settings(self) -> None:
-        """Publishes the tree that the operators then change."""
+        """Publishes the settings that the operators change later."""
         tree = {
             "regions": {"bench": {}},
             "failure_domains": {d: {"region": "bench"} for d in self.domains},
             "services": {"assistent": {"kind": "model_engine"}},
-            "customers": {f"c{n}": {} for n in range(_CUSTOMERS)},
+            "customers": {f"c{n}": {} for n in range(_CUSTOMER_COUNT)},
             "defaults": {"replication": {"relays": self.plan.relays}},
         }
         operations = tuple(changes.Set(k, value) for k, value in tree.items())
         await self._publish(0, operations)
-        # Nobody was there yet to take it.
+        # Not measured, because no member was running yet.
         self.change_counts.accepted -= 1
         self.checker.accepted.clear()
 
@@ -202,7 +202,7 @@
         )
 
     async def _restart(self, member: networks.Member) -> None:
-        """Replaces a member; the judge goes on with what it had in force."""
+        """Replaces a member; the checker keeps its earlier observations."""
         follower = member.follower
         member.follower = None
         if follower is not None:
@@ -210,13 +210,13 @@
         await self._start_member(member)
 
     async def _run_operators(self) -> None:
-        """Changes one after the other, then a burst of racing ones."""
+        """Publishes changes at random intervals, then a concurrent burst."""
         plan = self.plan
-        steady = []
+        sequential = []
         for _ in range(plan.changes):
-            steady.append(asyncio.create_task(self._change_once()))
+            sequential.append(asyncio.create_task(self._change_once()))
             await asyncio.sleep(self.rng.expovariate(1 / plan.interval_s))
-        await asyncio.gather(*steady)
+        await asyncio.gather(*sequential)
         if plan.burst:
             before = set(self.checker.accepted)
             await self._burst()
@@ -231,7 +231,7 @@
         await self._publish(fold.revision, self._operations())
 
     async def _burst(self) -> None:
-        """All operators saw the same revision and publish at once."""
+        """Publishes concurrent changes that are based on the same revision."""
         cursors = [await self._read_first() for _ in range(self.plan.burst)]
         bases = [cursor.fold.revision for cursor in cursors if cursor.fold]
         await asyncio.gather(
@@ -242,7 +242,7 @@
         )
 
     async def _read_first(self) -> cursor_lib.Cursor:
-        """Returns a cursor that has read the log, once it can be read."""
+        """Returns a cursor that has read the log; retries until it succeeds."""
         while True:
             cursor = cursor_lib.Cursor()
             client = self._client(platforms.OPERATORS)
@@ -254,7 +254,7 @@
                 return cursor
 
     def _operations(self) -> tuple[changes.Operation, ...]:
-        customer = self.rng.randrange(_CUSTOMERS)
+        customer = self.rng.randrange(_CUSTOMER_COUNT)
         path = f"customers.c{customer}.settings.limits.requests_per_s"
         return (changes.Set(path, float(self.rng.randrange(1, 10_000))),)
 
@@ -287,7 +287,7 @@
         self.checker.on_accepted(change.change_id, self._appended_at(change))
 
     def _appended_at(self, change: changes.Change) -> float:
-        """Returns when the log took a change, in monotonic seconds."""
+        """Returns the append time of a change, in monotonic seconds."""
         offset_s = self.clock.now() - self.clock.wall()
         value = change.encode()
         for record in self.platform.records.all(records.STREAM):
@@ -312,8 +312,8 @@
         )
         return len(revisions) == 1 and not refused
 
-    async def _wait_until(self, condition, within_s: float) -> None:
-        end = self.clock.now() + within_s
+    async def _wait_until(self, condition, timeout_s: float) -> None:
+        end = self.clock.now() + timeout_s
         while not condition() and self.clock.now() < end:  # noqa: ASYNC110
             await asyncio.sleep(0.1)
 
@@ -326,7 +326,7 @@
     clock: clocks.Clock,
     rng: random.Random,
 ) -> None:
-    """Starts a member's follower and lets the judge watch it."""
+    """Starts the follower of a member and reports its state to the checker."""
     follower = follower_lib.Follower(client, member.name, link, clock, rng)
     member.follower = follower
     follower.subscribe(
--- a/src/clementinegw/bench/requests.py
+++ b/src/clementinegw/bench/requests.py
@@ -1,15 +1,15 @@
-"""How requests fare under load and faults, by routing policy.
+"""Measures requests under load and faults, by routing policy.
 
 usage: clementinegw bench requests [--load=X] [--policy=NAME] [--json]
 
-Offers requests of ten customers, a few of them large, to entries before
-workers, and counts what became of each. Promises are judged by the workers' own
-ledgers.
+Sends requests of ten customers, three of them large, through entries to workers
+and counts the outcomes. Guarantees are checked against the ledgers of the
+workers.
 
---mode=virtual runs the real entries and agents over connections in memory and
-in virtual time, where only queueing counts; the policies are compared there.
---mode=loopback runs them over TCP beside stand-ins of the backend servers, in
-real time, where this machine's processor counts as well.
+--mode=virtual runs the real entries and agents over in-memory connections and
+in virtual time, where only queueing affects latencies; use it to compare the
+policies. --mode=loopback runs them over TCP with stand-ins for the backend
+servers, in real time, where the processor of this machine matters as well.
 """
 
 import asyncio
@@ -34,35 +34,58 @@
 FAULTS = ("crash", "drain", "stall", "poison", "logdown", "partition")
 
 
-# Name, default, smallest, largest, meaning.
+# Name, default, minimum, maximum, help text.
 _INTEGERS = (
     ("entries", 8, 1, 64, "Entry instances."),
     ("workers", 12, 1, 200, "Workers of the service."),
-    ("domains", 1, 1, 8, "Failure domains that both are spread over."),
+    ("domains", 1, 1, 8, "Failure domains that both are distributed over."),
     ("seed", 1, 0, None, "Seed."),
     ("seeds", 1, 1, 100, "Runs with this and the following seeds."),
-    ("heavy_customer", 0, 0, 9, "The heavy one: 0 is the largest, 9 small."),
-    ("repeat", 0, 0, 20, "Times a refused caller comes again when told to."),
+    (
+        "heavy_customer",
+        0,
+        0,
+        9,
+        "Index of the heavy customer, from 0 (the largest) to 9 (small).",
+    ),
+    (
+        "repeat",
+        0,
+        0,
+        20,
+        "Maximum retries of a request after a retryable outcome.",
+    ),
 )
 _FLOATS = (
     ("load", 0.8, 0.01, 10.0, "Offered load; 1.0 is the workers' capacity."),
-    ("seconds", 60.0, 1.0, 3600.0, "How long requests are offered."),
-    ("heavy", 1.0, 0.1, 100.0, "Times its share that one customer sends."),
-    ("slow", 1.0, 1.0, 100.0, "How many times slower one worker is."),
+    ("seconds", 60.0, 1.0, 3600.0, "Duration of the load, in seconds."),
+    (
+        "heavy",
+        1.0,
+        0.1,
+        100.0,
+        "Factor on the request rate of the heavy customer.",
+    ),
+    ("slow", 1.0, 1.0, 100.0, "Factor on the processing times of one worker."),
 )
-# In real time the default must end in well under a minute.
+# Seconds; in real time the default must finish in well under a minute.
 _LOOPBACK_SECONDS = 20.0
 
 
 def define(flag_values) -> None:
     """Defines the bench's flags."""
-    for name, default, least, most, meaning in _INTEGERS:
+    for name, default, minimum, maximum, help_text in _INTEGERS:
         flags.DEFINE_integer(
-            name, default, meaning, least, most, flag_values=flag_values
+            name, default, help_text, minimum, maximum, flag_values=flag_values
         )
-    for name, value, low, high, meaning in _FLOATS:
+    for name, value, minimum_value, maximum_value, help_text in _FLOATS:
         flags.DEFINE_float(
-            name, value, meaning, low, high, flag_values=flag_values
+            name,
+            value,
+            help_text,
+            minimum_value,
+            maximum_value,
+            flag_values=flag_values,
         )
     flags.DEFINE_enum(
         "mode",
@@ -81,7 +104,7 @@
     flags.DEFINE_boolean(
         "hedging",
         False,
-        "Send a second attempt beside a late one.",
+        "Send a second attempt when the first one is late.",
         flag_values=flag_values,
     )
     flags.DEFINE_list(
@@ -94,20 +117,22 @@
 
 async def run(flag_values) -> dict[str, Any]:
     """Runs the bench and returns its figures."""
-    wrong = sorted(set(flag_values.faults) - set(FAULTS))
-    if wrong:
+    unknown = sorted(set(flag_values.faults) - set(FAULTS))
+    if unknown:
         raise exceptions.UsageError(
-            f"--faults: expected some of {', '.join(FAULTS)}, found {wrong[0]}"
+            f"--faults: expected some of {', '.join(FAULTS)},"
+            f" found {unknown[0]}"
         )
     if flag_values.mode == "loopback":
         return await _run_loopback(flag_values)
-    began = time.process_time()
+    cpu_start_s = time.process_time()
     results = []
     for seed in range(flag_values.seed, flag_values.seed + flag_values.seeds):
         plan = _plan(flag_values, seed)
-        # A loop of its own in a thread: the command's loop runs in real time.
+        # Runs in a thread with its own loop, because the loop of the command
+        # runs in real time.
         results.append(await asyncio.to_thread(_requests_virtual.run, plan))
-    return _requests_report.combine(results, time.process_time() - began)
+    return _requests_report.combine(results, time.process_time() - cpu_start_s)
 
 
 async def _run_loopback(flag_values) -> dict[str, Any]:
--- a/src/clementinegw/bench/settings.py
+++ b/src/clementinegw/bench/settings.py
@@ -1,9 +1,9 @@
 """Measures settings: clementinegw bench settings [--faults=logdown,...].
 
-Members follow a log stand-in while operators change settings, one change after
-the other and then a burst at once. Without --virtual all members run in this
-one process over loopback TCP, and its one core is what they share; with it they
-run in virtual time, with assumed delays of links and log.
+Members follow a log stand-in while operators change settings, first at random
+intervals and then in a concurrent burst. Without --virtual all members run in
+this process over loopback TCP and share one processor core. With --virtual they
+run in virtual time, with assumed delays of the network and the log.
 """
 
 import asyncio
@@ -24,24 +24,36 @@
 
 _INTEGERS = (
     ("processes", 300, "Members that follow the settings."),
-    ("domains", 4, "Failure domains that they are spread over."),
-    ("changes", 40, "Changes one after the other."),
-    ("burst", 50, "Changes at once after those."),
-    ("operators", 10, "Operators that race one another."),
-    ("relays", 3, "Members of a failure domain on the log; 0 for all."),
-    ("seed", 1, "The seed of every random choice."),
-    ("hosts", 0, "Host processes that members are spread over; 0 for none."),
-    ("desk_port", 7700, "Where host processes come; see `bench host`."),
-    ("seeds", 1, "Runs, each with the next seed; the worst is told."),
+    ("domains", 4, "Failure domains that they are distributed over."),
+    ("changes", 40, "Changes before the burst."),
+    ("burst", 50, "Concurrent changes after those."),
+    ("operators", 10, "Concurrent operators."),
+    ("relays", 3, "Members per failure domain that follow the log; 0 for all."),
+    ("seed", 1, "Seed of all random choices."),
+    (
+        "hosts",
+        0,
+        "Host processes that members are distributed over; 0 for none.",
+    ),
+    (
+        "desk_port",
+        7700,
+        "Port that host processes connect to; see `bench host`.",
+    ),
+    (
+        "seeds",
+        1,
+        "Runs, each with the next seed; the worst values are reported.",
+    ),
 )
 _FLOATS = (
     ("interval_s", 0.25, "Mean seconds between two changes."),
-    ("fault_s", 15.0, "Mean seconds of an outage or a partition."),
+    ("fault_s", 15.0, "Mean seconds of an outage or partition."),
 )
 
 
 def define(flag_values: flags.FlagValues) -> None:
-    """Defines the measurement's flags."""
+    """Defines the flags of the bench."""
     for name, default, text in _INTEGERS:
         flags.DEFINE_integer(
             name, default, text, lower_bound=0, flag_values=flag_values
@@ -53,7 +65,7 @@
     flags.DEFINE_list(
         "faults",
         [],
-        "What goes wrong: logdown,lostack,truncate,partition,restart.",
+        "Faults: logdown,lostack,truncate,partition,restart.",
         flag_values=flag_values,
     )
     flags.DEFINE_boolean(
@@ -91,11 +103,11 @@
 
 
 async def run(flag_values: Any) -> dict[str, Any]:
-    """Runs the measurement.
+    """Runs the bench and returns its figures.
 
     Returns:
-      The keys of `bench settings`; with several seeds the worst of each, and
-      sums of what is counted.
+      The printed keys of `bench settings`. With several seeds, counts are
+      summed and the worst of the other values is taken.
     """
     results = []
     for seed in range(flag_values.seed, flag_values.seed + flag_values.seeds):
@@ -178,7 +190,7 @@
 
 
 def _combine(results: list[dict[str, Any]]) -> dict[str, Any]:
-    """Returns the sums of what is counted and the worst of the rest."""
+    """Returns the sums of the counts and the maximum of the other values."""
     combined = dict(results[0])
     for row in results[1:]:
         for key, value in row.items():
--- a/tests/test_requests_bench.py
+++ b/tests/test_requests_bench.py
@@ -1,4 +1,4 @@
-"""The requests bench itself: promises under all faults, and its keys."""
+"""Tests of the requests bench: guarantees under faults, and its keys."""
 
 import pytest
 
@@ -10,12 +10,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_promises_hold_under_all_faults_together(seed):
-    """Symptom: a promise that only breaks when two things go wrong at once.
+def test_guarantees_hold_under_concurrent_faults(seed):
+    """Guards against violations that need two concurrent faults.
 
-    Sequence: servers crash, stall and leave, requests kill them, the log is
-    down and links are cut, at random and together. Cause: any of the filters.
-    The backend servers' ledger is the judge, not the system.
+    Servers crash, stall, leave and run requests that crash them, the log is
+    down and links are partitioned, at random and together. Any of the filters
+    may cause a violation. The guarantees are checked against the ledger of the
+    backend servers, not against reports of the system.
     """
     plan = _requests_virtual.Plan(
         entries=3,
@@ -28,12 +29,12 @@
     result = _requests_virtual.run(plan)
     assert result.verdict == dict.fromkeys(_GUARANTEES, 0)
     assert result.answered > 0.5 * result.offered
-    # The faults have struck, and requests have met them.
+    # Faults were injected and affected requests.
     assert result.counters["gate.crashes"] > 0
     assert sum(result.not_run.values()) + result.unknown > 0
 
 
-def test_the_keys_that_others_read_are_there():
+def test_figures_contain_required_keys():
     plan = _requests_virtual.Plan(entries=2, workers=2, seconds=12.0)
     figures = _requests_report.combine([_requests_virtual.run(plan)], 1.0)
     assert set(figures) >= {
--- a/tests/test_settings_bench.py
+++ b/tests/test_settings_bench.py
@@ -1,4 +1,4 @@
-"""`bench settings`: what it promises to notice, and the faults in small."""
+"""Tests of `bench settings`: its checks, and small runs with faults."""
 
 import asyncio
 
@@ -33,13 +33,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 3, 4, 5])
-def test_all_faults_together_revert_nothing(seed):
-    # Symptom: 41 to 258 times an accepted change was no longer in force, and
-    # one run never came to rest. Sequence: the log comes back without its last
-    # records, changes are accepted in it, and then the lost ones are put back;
-    # or its beginning has expired as well. Cause: changes that touched a lost
-    # one were dropped, and there was no snapshot that anybody could start from.
-    found = measure(
+def test_concurrent_faults_revert_no_change(seed):
+    # Guards against reverted changes: 41 to 258 accepted changes were no longer
+    # in force, and one run never converged. The log returns without its last
+    # records, accepts changes, and then the lost records are restored, or its
+    # first records have expired as well. Changes that overlapped a lost one
+    # were dropped, and there was no snapshot to start from.
+    figures = measure(
         "--virtual",
         "--processes=16",
         "--changes=60",
@@ -47,22 +47,22 @@
         f"--seed={seed}",
         "--faults=logdown,lostack,truncate,partition,restart",
     )
-    assert found.keys() >= KEYS
-    assert found["accepted"] > 20
+    assert figures.keys() >= KEYS
+    assert figures["accepted"] > 20
     for key in ("reverted", "diverged", "missing"):
-        assert found[key] == 0, key
+        assert figures[key] == 0, key
 
 
-def test_few_follow_the_log():
-    few = measure("--virtual", "--processes=24", "--changes=5", "--burst=5")
-    every = measure(
+def test_only_relays_follow_the_log():
+    relayed = measure("--virtual", "--processes=24", "--changes=5", "--burst=5")
+    direct = measure(
         "--virtual", "--processes=24", "--changes=5", "--burst=5", "--relays=0"
     )
-    assert (few["log_polls_peak"], every["log_polls_peak"]) == (12, 24)
-    assert few["max_in_force_s"] < 1.0
+    assert (relayed["log_polls_peak"], direct["log_polls_peak"]) == (12, 24)
+    assert relayed["max_in_force_s"] < 1.0
 
 
-def test_mistaken_fault_is_named():
+def test_unknown_fault_is_reported():
     with pytest.raises(exceptions.UsageError, match="logdwn"):
         measure("--faults=logdwn")
 
@@ -79,7 +79,7 @@
     fold.apply(fold.position, change.encode(), 1.0)
 
 
-def test_judge_notices_what_is_gone_late_or_different():
+def test_checker_detects_reverted_late_and_diverged_changes():
     checker = checkers.ConsistencyChecker()
     one, other = FakeFollower(), FakeFollower()
     accept(one.fold, "change-1", 5.0)
@@ -109,7 +109,7 @@
         (checkers.Window("d1", 15.5, 16.0), 5.0),
     ],
 )
-def test_time_cut_off_does_not_count(window, expected):
+def test_time_in_unreachable_windows_is_excluded(window, expected):
     checker, member = checkers.ConsistencyChecker(), FakeFollower()
     checker.unreachable_windows.append(window)
     accept(member.fold, "change-1", 5.0)
@@ -120,7 +120,7 @@
     assert verdict.raw_in_force_s == [5.0]
 
 
-def test_every_fault_can_be_named():
+def test_fault_names():
     assert {fault.value for fault in faults.Fault} == {
         "logdown",
         "lostack",
