--- a/src/clementinegw/bench/_requests_load.py
+++ b/src/clementinegw/bench/_requests_load.py
@@ -65,7 +65,7 @@
     Attributes:
       customer: Index of the customer.
       priority: The priority of the request.
-      at: Time of the first call, in seconds of the loop's clock.
+      at: Time of the first call of the request, in seconds of the loop's clock.
       seconds: Seconds from the first call to the outcome.
       call_s: Seconds from this call to its outcome.
       outcome: The outcome.
@@ -297,7 +297,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Returns the value at a rank given as a fraction, or 0 without values."""
+    """Returns the quantile for a fraction, or 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/src/clementinegw/bench/_settings_hosts.py
+++ b/src/clementinegw/bench/_settings_hosts.py
@@ -80,7 +80,7 @@
         self._rng = random.Random(spec.seed)
         self._clock = clocks.SystemClock()
         self._network = networks.Network()
-        self._judge = checkers.ConsistencyChecker()
+        self._checker = checkers.ConsistencyChecker()
         self._usage = platforms.Usage()
         self._cpu_s = 0.0
 
@@ -131,7 +131,7 @@
                 member,
                 client,
                 networks.TcpLink(self._network, member),
-                self._judge,
+                self._checker,
                 self._clock,
                 random.Random(self._rng.random()),
             )
@@ -148,8 +148,8 @@
                 states[member.name] = (member.follower.revision, digest)
         return Report(
             states,
-            self._judge.seen,
-            self._judge.reverted,
+            self._checker.seen,
+            self._checker.reverted,
             self._usage,
             time.process_time() - self._cpu_s,
         )
