--- a/src/clementinegw/bench/_requests_virtual.py
+++ b/src/clementinegw/bench/_requests_virtual.py
@@ -166,8 +166,8 @@
 
 def _use_oracle(cluster: _requests_cluster.Cluster) -> None:
     for entry in cluster.entries:
-        for lane in entry.service.fleet.lanes().values():
-            lane.use_policy(
+        for dispatcher in entry.service.fleet.dispatchers().values():
+            dispatcher.set_policy(
                 route.CacheAware(random.Random(0), _OracleIndex(cluster.agents))
             )
 
--- a/src/clementinegw/requests/admit.py
+++ b/src/clementinegw/requests/admit.py
@@ -1,36 +1,37 @@
-"""Which requests an entry takes in, and how long they may wait.
+"""Admission control: which requests an entry accepts and how long they wait.
 
-A request waits at the entry until a worker has room. Whoever cannot be served
-in time is refused at once, with the time after which to come again: that costs
-little, and the work that is taken in gets done.
+Accepted requests wait at the entry until a worker has capacity. A request that
+cannot be served in time is rejected immediately with a time to retry after.
+Rejections are cheap, so the capacity goes to the accepted requests.
 """
 
 import dataclasses
 import random
 
 from clementinegw import types
-from clementinegw.requests import fair
+from clementinegw.requests import fair_queue
 
-# Allowed queueing delay by priority, in multiples of the target.
-_ALLOWANCE = {
+# Maximum queueing delay by priority, as a multiple of the target or of a share
+# of the mean run time, whichever is longer.
+_MAX_DELAY_RATIOS = {
     types.Priority.LOW: 2.0,
     types.Priority.NORMAL: 4.0,
     types.Priority.HIGH: 20.0,
 }
-# Where requests run long, a wait is short in proportion to them.
-_RUN_SHARE = 0.1
-_SMOOTHING = 0.05
+# A wait of this share of the mean run time is acceptable if requests run long.
+_RUN_TIME_RATIO = 0.1
+_SMOOTHING_FACTOR = 0.05
 _MIN_RETRY_S = 0.5
 _MAX_RETRY_S = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shed:
-    """The request is refused now.
+class Rejection:
+    """Rejection of a request.
 
     Attributes:
-      reason: Why.
-      retry_after_s: When to come again, in seconds.
+      reason: Why the request is rejected.
+      retry_after_s: After how long the caller should retry, in seconds.
     """
 
     reason: types.NotRunReason
@@ -38,13 +39,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Bounds:
-    """What the settings allow.
+class AdmissionLimits:
+    """Limits on the queue of a service, from the settings.
 
     Attributes:
-      max_queue: Requests that may wait.
-      target_s: The queueing delay from which low priorities are refused.
-      interval_s: How long the delay must exceed it.
+      max_queue: The maximum number of queued requests.
+      target_s: The target for the queueing delay, in seconds. The maximum delay
+        of each priority is a multiple of it.
+      interval_s: How long the delay must exceed the maximum before requests are
+        rejected, in seconds.
     """
 
     max_queue: int = 256
@@ -53,105 +56,120 @@
 
 
 class Admission:
-    """Decides who may join the queue of one service, and who must leave it."""
+    """Decides which requests may join and stay in the queue of one service."""
 
-    def __init__(self, queue: fair.FairQueue, rng: random.Random):
-        """Starts without knowledge of how long requests run.
+    def __init__(self, queue: fair_queue.FairQueue, rng: random.Random):
+        """Starts without an estimate of the run time.
 
         Args:
-          queue: The requests that wait.
-          rng: Spreads the times at which refused callers come again.
+          queue: The queued requests.
+          rng: Randomizes the times after which rejected callers retry.
         """
         self._queue = queue
         self._rng = rng
-        self._run_s = 0.0
+        self._mean_run_s = 0.0
         self._running = 0.0
-        self._late_since: dict[tuple[str, types.Priority], float] = {}
+        self._delayed_since: dict[tuple[str, types.Priority], float] = {}
 
     @property
-    def run_s(self) -> float:
-        """The smoothed time that a mean request takes once it is sent."""
-        return self._run_s
+    def mean_run_s(self) -> float:
+        """The smoothed run time of a request of mean cost, in seconds."""
+        return self._mean_run_s
 
-    def refusal(
-        self, ticket: fair.Ticket, bounds: Bounds, now: float
-    ) -> Shed | None:
-        """Decides on a request that has just come.
+    def check_arrival(
+        self, ticket: fair_queue.Ticket, limits: AdmissionLimits, now: float
+    ) -> Rejection | None:
+        """Returns the rejection of a new request; None if it may be queued.
 
-        Returns:
-          None when it may join the queue.
+        Args:
+          ticket: The ticket of the request.
+          limits: The limits on the queue.
+          now: The current time, in monotonic seconds.
         """
-        slack_s = ticket.deadline - now - self._run_s * ticket.cost
+        slack_s = ticket.deadline - now - self._mean_run_s * ticket.cost
         if ticket.deadline <= now:
-            return Shed(types.NotRunReason.DEADLINE, _MIN_RETRY_S)
+            return Rejection(types.NotRunReason.DEADLINE, _MIN_RETRY_S)
         if not len(self._queue):
-            self._late_since.clear()
+            self._delayed_since.clear()
             return None
-        wait_s = max(self.predict(ticket), self._queue.age(ticket, now))
+        wait_s = max(
+            self.predicted_wait_s(ticket), self._queue.head_wait_s(ticket, now)
+        )
         if wait_s > max(0.0, slack_s):
-            return self._shed(types.NotRunReason.DEADLINE, wait_s)
-        allowed_s = self.allowance(ticket.priority, bounds)
+            return self._reject(types.NotRunReason.DEADLINE, wait_s)
+        max_delay_s = self.max_delay_s(ticket.priority, limits)
         key = (ticket.customer, ticket.priority)
-        if wait_s <= allowed_s:
-            self._late_since.pop(key, None)
+        if wait_s <= max_delay_s:
+            self._delayed_since.pop(key, None)
             return None
-        since = self._late_since.setdefault(key, now)
-        if now - since < bounds.interval_s:
+        delayed_since = self._delayed_since.setdefault(key, now)
+        if now - delayed_since < limits.interval_s:
             return None
-        return self._shed(types.NotRunReason.OVERLOADED, wait_s - allowed_s)
+        return self._reject(types.NotRunReason.OVERLOADED, wait_s - max_delay_s)
+
+    def check_waiting(
+        self, ticket: fair_queue.Ticket, limits: AdmissionLimits, now: float
+    ) -> Rejection | None:
+        """Returns the rejection of a queued request; None if it may wait.
 
-    def overdue(
-        self, ticket: fair.Ticket, bounds: Bounds, now: float
-    ) -> Shed | None:
-        """Decides on a request that waits.
+        A request that waits much longer than predicted is rejected now. If it
+        were held until its deadline, its caller would learn too late that it
+        should have retried elsewhere.
 
-        One that turns out to wait far longer than was foreseen is told so now:
-        to hold it until its deadline would only hide the refusal.
+        Args:
+          ticket: The ticket of the request.
+          limits: The limits on the queue.
+          now: The current time, in monotonic seconds.
         """
-        if now + self._run_s * ticket.cost * 0.5 >= ticket.deadline:
-            return self._shed(types.NotRunReason.DEADLINE, self._run_s)
+        if now + self._mean_run_s * ticket.cost * 0.5 >= ticket.deadline:
+            return self._reject(types.NotRunReason.DEADLINE, self._mean_run_s)
         waited_s = now - ticket.queued_at
-        allowed_s = self.allowance(ticket.priority, bounds)
-        if waited_s <= allowed_s + bounds.interval_s:
+        max_delay_s = self.max_delay_s(ticket.priority, limits)
+        if waited_s <= max_delay_s + limits.interval_s:
             return None
-        return self._shed(types.NotRunReason.OVERLOADED, waited_s)
+        return self._reject(types.NotRunReason.OVERLOADED, waited_s)
 
-    def displaced(self) -> Shed:
-        """Returns the refusal of a request that a full queue gives up."""
-        wait_s = len(self._queue) * self._run_s / max(1.0, self._running)
-        return self._shed(types.NotRunReason.OVERLOADED, wait_s)
+    def queue_full_rejection(self) -> Rejection:
+        """Returns the rejection of a request that a full queue drops."""
+        wait_s = len(self._queue) * self._mean_run_s / max(1.0, self._running)
+        return self._reject(types.NotRunReason.OVERLOADED, wait_s)
 
-    def allowance(self, priority: types.Priority, bounds: Bounds) -> float:
-        """Returns the queueing delay that a priority may meet, in seconds."""
-        unit_s = max(bounds.target_s, _RUN_SHARE * self._run_s)
-        return _ALLOWANCE[priority] * unit_s
+    def max_delay_s(
+        self, priority: types.Priority, limits: AdmissionLimits
+    ) -> float:
+        """Returns the maximum queueing delay of a priority, in seconds."""
+        unit_s = max(limits.target_s, _RUN_TIME_RATIO * self._mean_run_s)
+        return _MAX_DELAY_RATIOS[priority] * unit_s
 
-    def predict(self, ticket: fair.Ticket) -> float:
-        """Returns how long a new request would wait, in seconds.
+    def predicted_wait_s(self, ticket: fair_queue.Ticket) -> float:
+        """Returns the predicted wait of a new request, in seconds.
 
-        Little's law: work leaves at the rate of what runs over its time.
+        By Little's law, requests complete at the rate of the running cost
+        divided by the mean run time.
         """
-        ahead = self._queue.ahead(ticket)
-        return ahead * self._run_s / max(1.0, self._running)
+        cost_ahead = self._queue.cost_ahead(ticket)
+        return cost_ahead * self._mean_run_s / max(1.0, self._running)
 
-    def started(self, ticket: fair.Ticket) -> None:
-        """Notes that a request was sent to a worker."""
+    def record_started(self, ticket: fair_queue.Ticket) -> None:
+        """Records that a request was sent to a worker."""
         self._running += ticket.cost
 
-    def ended(self, ticket: fair.Ticket, run_s: float | None) -> None:
-        """Notes that a request left its worker.
+    def record_ended(
+        self, ticket: fair_queue.Ticket, run_s: float | None
+    ) -> None:
+        """Records that a request ended at its worker.
 
         Args:
-          ticket: Its ticket.
-          run_s: How long it took; None when it was not answered.
+          ticket: The ticket of the request.
+          run_s: The run time, in seconds; None if it is not a valid sample.
         """
         self._running = max(0.0, self._running - ticket.cost)
         if run_s is None:
             return
-        weight = _SMOOTHING if self._run_s else 1.0
-        self._run_s += weight * (run_s / ticket.cost - self._run_s)
+        weight = _SMOOTHING_FACTOR if self._mean_run_s else 1.0
+        self._mean_run_s += weight * (run_s / ticket.cost - self._mean_run_s)
 
-    def _shed(self, reason: types.NotRunReason, excess_s: float) -> Shed:
-        spread = 1.0 + self._rng.random()
+    def _reject(self, reason: types.NotRunReason, excess_s: float) -> Rejection:
+        jitter = 1.0 + self._rng.random()
         after_s = min(_MAX_RETRY_S, max(_MIN_RETRY_S, excess_s))
-        return Shed(reason, after_s * spread)
+        return Rejection(reason, after_s * jitter)
--- a/src/clementinegw/requests/baselines.py
+++ b/src/clementinegw/requests/baselines.py
@@ -1,4 +1,4 @@
-"""The usual routing policies, which ours is measured against."""
+"""Common routing policies, as baselines for the cache-aware policy."""
 
 from collections.abc import Sequence
 import random
@@ -7,13 +7,13 @@
 from clementinegw.requests import workers as workers_lib
 
 Choice = choices.Choice
-Query = choices.Query
-Situation = choices.Situation
+RoutingQuery = choices.RoutingQuery
+RoutingContext = choices.RoutingContext
 Worker = workers_lib.Worker
 
 
-class _First:
-    """A policy that serves in order and looks at one request only."""
+class _FirstInQueue:
+    """A policy that considers only the first request in the queue."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -21,65 +21,70 @@
     def choose(
         self,
         workers: workers_lib.Workers,
-        queries: Sequence[Query],
-        situation: Situation,
+        queries: Sequence[RoutingQuery],
+        context: RoutingContext,
         now: float,
     ) -> Choice | None:
-        """Returns the first request and a worker for it."""
-        del situation
-        able = _able(workers, queries[0], now)
-        return Choice(0, self._pick(able)) if able else None
+        """Returns the first request and its worker; None if none is usable."""
+        del context
+        eligible = _eligible(workers, queries[0], now)
+        return Choice(0, self._pick(eligible)) if eligible else None
 
-    def _pick(self, able: list[Worker]) -> Worker:
+    def _pick(self, eligible: list[Worker]) -> Worker:
         raise NotImplementedError
 
 
-class RoundRobin(_First):
-    """Each usable worker in turn."""
+class RoundRobin(_FirstInQueue):
+    """Chooses each usable worker in turn."""
 
     def __init__(self, rng: random.Random):
-        """Starts at a random worker."""
+        """Starts at a random worker.
+
+        Args:
+          rng: Chooses the first worker.
+        """
         super().__init__(rng)
         self._next = rng.randrange(1 << 16)
 
-    def _pick(self, able: list[Worker]) -> Worker:
+    def _pick(self, eligible: list[Worker]) -> Worker:
         self._next += 1
-        return able[self._next % len(able)]
+        return eligible[self._next % len(eligible)]
 
 
-class Random(_First):
-    """Any usable worker."""
+class Random(_FirstInQueue):
+    """Chooses a random usable worker."""
 
-    def _pick(self, able: list[Worker]) -> Worker:
-        return self._rng.choice(able)
+    def _pick(self, eligible: list[Worker]) -> Worker:
+        return self._rng.choice(eligible)
 
 
-class LeastInFlight(_First):
-    """The worker with the fewest requests of this entry."""
+class LeastInFlight(_FirstInQueue):
+    """Chooses the worker with the fewest requests of this entry."""
 
-    def _pick(self, able: list[Worker]) -> Worker:
-        return min(able, key=lambda w: (w.own, self._rng.random()))
+    def _pick(self, eligible: list[Worker]) -> Worker:
+        return min(eligible, key=lambda w: (w.own_requests, self._rng.random()))
 
 
-class PowerOfTwo(_First):
-    """The less loaded of two random workers."""
+class PowerOfTwo(_FirstInQueue):
+    """Chooses the less loaded of two random workers."""
 
-    def _pick(self, able: list[Worker]) -> Worker:
-        pair = self._rng.sample(able, min(2, len(able)))
+    def _pick(self, eligible: list[Worker]) -> Worker:
+        pair = self._rng.sample(eligible, min(2, len(eligible)))
         return min(pair, key=lambda w: w.load)
 
 
-def _able(
-    workers: workers_lib.Workers, query: Query, now: float
+def _eligible(
+    workers: workers_lib.Workers, query: RoutingQuery, now: float
 ) -> list[Worker]:
-    """Returns the workers that may run the request at all.
+    """Returns the usable workers with the required version.
 
-    Workers that failed it before come back when there is no other.
+    Workers where the request failed before are included only if there is no
+    other.
     """
-    able = [
+    eligible = [
         w
         for w in workers
         if w.usable(now) and (not query.version or w.version == query.version)
     ]
-    fresh = [w for w in able if w.name not in query.avoid]
-    return fresh or able
+    untried = [w for w in eligible if w.name not in query.avoid]
+    return untried or eligible
