--- a/src/clementinegw/bench/_requests_world.py
+++ b/src/clementinegw/bench/_requests_cluster.py
@@ -1,4 +1,4 @@
-"""Entries and agents for the bench in virtual time, joined in memory."""
+"""Entries and agents for the requests bench in virtual time."""
 
 import asyncio
 import contextvars
@@ -28,20 +28,20 @@
 
 SERVICE = "assistent"
 _KEYS = auth.single_key_ring(b"0" * 32)
-_ANY = types.Address("127.0.0.1", 0)
+_ANY_PORT = types.Address("127.0.0.1", 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shape:
-    """What is built.
+class ClusterConfig:
+    """The size of the cluster.
 
     Attributes:
-      entries: Entry instances.
-      workers: Agents, each with a backend server.
-      domains: Failure domains that both are spread over.
-      capacity: Requests that a backend server runs at once.
-      cache_blocks: Prompt blocks in a backend server's cache.
-      speed: How long work takes.
+      entries: Number of entry instances.
+      workers: Number of agents, each with a backend server.
+      domains: Number of failure domains that both are distributed over.
+      capacity: Maximum number of concurrent requests of a backend server.
+      cache_blocks: Capacity of a backend server's cache, in prompt blocks.
+      speed: The times that requests need.
     """
 
     entries: int = 8
@@ -49,23 +49,23 @@
     domains: int = 1
     capacity: int = 8
     cache_blocks: int = 160
-    speed: _requests_backend.Speed = _requests_backend.Speed()
+    speed: _requests_backend.ServiceTimes = _requests_backend.ServiceTimes()
 
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """One entry and its request part."""
+    """One entry with its request service."""
 
     instance: types.Instance
     endpoint: connection_lib.Endpoint
     service: request_service.RequestService
     counters: counters_lib.Counters
-    parts: list[mode.Service]
+    key_services: list[mode.Service]
 
 
 @dataclasses.dataclass(slots=True)
 class Agent:
-    """One agent, its gate and its backend server."""
+    """One agent with its gate and its backend server."""
 
     instance: types.Instance
     endpoint: connection_lib.Endpoint
@@ -74,27 +74,27 @@
     counters: counters_lib.Counters
 
 
-class World:
+class Cluster:
     """All entries and agents of one run."""
 
     def __init__(
         self,
-        shape: Shape,
+        config: ClusterConfig,
         rules: rules_lib.RulesSource,
         clock: clock_lib.Clock,
         rng: random.Random,
         keyed: bool = False,
     ):
-        """Prepares an empty world; `start` builds it.
+        """Creates an empty cluster; `start` starts its instances.
 
         Args:
-          shape: What to build.
-          rules: The settings in force.
+          config: The size of the cluster.
+          rules: The settings that are in force.
           clock: The virtual clock.
-          rng: Seeds each part.
-          keyed: Whether entries claim keys and know suspects.
+          rng: Seeds the random generator of each entry.
+          keyed: Whether entries run the services for claims and suspects.
         """
-        self._shape = shape
+        self._config = config
         self._rules = rules
         self._clock = clock
         self._rng = rng
@@ -108,32 +108,34 @@
         self.members: list[fleet_lib.Member] = []
 
     async def start(self) -> None:
-        """Starts everything and waits until the entries know the agents."""
-        for _ in range(self._shape.workers):
+        """Starts all instances and waits for the entries to find the agents."""
+        for _ in range(self._config.workers):
             await self.add_agent()
-        for index in range(self._shape.entries):
-            self.entries.append(await self._on_host(f"e{index}", self._entry))
+        for index in range(self._config.entries):
+            self.entries.append(
+                await self._run_on_host(f"e{index}", self._start_entry)
+            )
         for entry in self.entries:
             entry.service.refresh()
         await asyncio.sleep(1.0)
 
     async def add_agent(self) -> Agent:
-        """Starts one more agent, with its backend server."""
+        """Starts and returns another agent with its backend server."""
         name = f"a{self._next_agent}"
         self._next_agent += 1
-        agent = await self._on_host(name, self._agent)
+        agent = await self._run_on_host(name, self._start_agent)
         self.agents.append(agent)
         return agent
 
     def remove(self, agent: Agent) -> None:
-        """Takes an agent off the list of members."""
+        """Removes an agent from the list of members."""
         self.members = [m for m in self.members if m.instance != agent.instance]
 
     async def stop(self) -> None:
-        """Stops everything."""
+        """Stops all entries and agents."""
         for entry in self.entries:
             await entry.service.stop()
-            for part in entry.parts:
+            for part in entry.key_services:
                 await part.stop()
             await entry.endpoint.close()
         for agent in self.agents:
@@ -141,33 +143,33 @@
             await agent.endpoint.close()
 
     def place(self, index: int) -> types.Place:
-        """Returns the place of the entry or agent with this number."""
-        domain = index % self._shape.domains
+        """Returns the place of the entry or agent with an index."""
+        domain = index % self._config.domains
         return types.Place(f"region-{domain // 2}", f"domain-{domain}")
 
-    async def _on_host(self, name: str, build) -> Any:
+    async def _run_on_host(self, name: str, build) -> Any:
         def run() -> asyncio.Task:
-            _requests_network.HOST.set(name)
+            _requests_network.CURRENT_HOST.set(name)
             return asyncio.ensure_future(build(name))
 
         return await contextvars.copy_context().run(run)
 
-    async def _agent(self, name: str) -> Agent:
-        instance, endpoint, counters = await self._endpoint(
+    async def _start_agent(self, name: str) -> Agent:
+        instance, endpoint, counters = await self._open_endpoint(
             name, types.Role.AGENT, SERVICE
         )
         backend = _requests_backend.ModelBackend(
             name,
             self.ledger,
-            self._shape.speed,
-            self._shape.cache_blocks,
-            self._shape.capacity,
+            self._config.speed,
+            self._config.cache_blocks,
+            self._config.capacity,
         )
         gate = gate_service.GateService(
             endpoint,
             backend,
             SERVICE,
-            gate_types.Limits(capacity=self._shape.capacity),
+            gate_types.Limits(capacity=self._config.capacity),
             clock=self._clock,
             log=self._log,
             counters=counters,
@@ -177,8 +179,8 @@
         gate.resume(_requests_backend.VERSION, _requests_backend.DIGEST)
         return Agent(instance, endpoint, gate, backend, counters)
 
-    async def _entry(self, name: str) -> Entry:
-        instance, endpoint, counters = await self._endpoint(
+    async def _start_entry(self, name: str) -> Entry:
+        instance, endpoint, counters = await self._open_endpoint(
             name, types.Role.ENTRY, ""
         )
         claims, suspects = None, None
@@ -214,18 +216,18 @@
             rng=random.Random(self._rng.random()),
         )
         await service.start()
-        parts = [part for part in (claims, suspects) if part is not None]
-        return Entry(instance, endpoint, service, counters, parts)
+        key_services = [part for part in (claims, suspects) if part is not None]
+        return Entry(instance, endpoint, service, counters, key_services)
 
     def _live_entries(self) -> list[types.Instance]:
         return [entry.instance for entry in self.entries]
 
-    async def _endpoint(self, name: str, role: types.Role, service: str):
+    async def _open_endpoint(self, name: str, role: types.Role, service: str):
         place = self.place(int(name[1:]))
         counters = counters_lib.Counters()
         identity = connection_lib.Identity(name, role, place, 1)
         endpoint = connection_lib.Endpoint(identity, _KEYS, self._log, counters)
-        address = await endpoint.listen(_ANY)
+        address = await endpoint.listen(_ANY_PORT)
         instance = types.Instance(name, role, place, address, 1, service)
         self.members.append(fleet_lib.Member(instance))
         return instance, endpoint, counters
--- a/src/clementinegw/bench/_requests_load.py
+++ b/src/clementinegw/bench/_requests_load.py
@@ -1,4 +1,4 @@
-"""The requests that callers of the bench send, and what became of them."""
+"""Load generation for the requests bench and samples of the outcomes."""
 
 import asyncio
 import collections
@@ -12,11 +12,11 @@
 from clementinegw.requests import types as request_types
 from clementinegw.testing import ledger as ledger_lib
 
-# Ten customers, a few of them large.
-SHARES = (5.0, 3.0, 2.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0)
+# Relative request rates of ten customers, three of them large.
+CUSTOMER_WEIGHTS = (5.0, 3.0, 2.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0)
 _PRIORITIES = (types.Priority.HIGH, types.Priority.NORMAL, types.Priority.LOW)
 _PRIORITY_WEIGHTS = (0.1, 0.7, 0.2)
-_ASK_AGAIN_S = 0.5
+_UNKNOWN_RETRY_DELAY_S = 0.5
 _TOKENS_MU = 3.9
 _TOKENS_SIGMA = 0.6
 _MIN_TOKENS = 4
@@ -26,54 +26,57 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Traffic:
-    """What is offered.
+    """The offered load.
 
     Attributes:
-      rate: Requests a second over all entries.
-      seconds: How long.
-      warm_up_s: How long before anything is measured.
-      templates: Different prompt beginnings.
-      heavy: How many times its share the last but one customer sends.
-      heavy_customer: Which customer that is.
-      deadline_s: What callers wait.
-      keyed: The part of requests that must not run twice and carry a key.
-      streams: The part of the others whose answers are streamed.
-      poison: The part of requests that crash each server that runs them.
-      repeat: How often a refused caller comes again when it is told to.
+      rate: Requests per second over all entries.
+      seconds: Duration in seconds.
+      warm_up_s: Seconds at the start that are not measured.
+      templates: Number of different prompt prefixes.
+      heavy_factor: Factor on the request rate of `heavy_customer`.
+      heavy_customer: Index of the customer with the increased rate.
+      deadline_s: Deadline of each call, in seconds.
+      keyed_share: Fraction of requests that are not idempotent and have an
+        idempotency key.
+      streamed_share: Fraction of the other requests whose answers are
+        streamed.
+      poison_share: Fraction of requests that crash every server that runs
+        them.
+      max_retries: Maximum number of retries after a retryable outcome.
     """
 
     rate: float
     seconds: float
     warm_up_s: float = 10.0
     templates: int = 40
-    heavy: float = 1.0
+    heavy_factor: float = 1.0
     heavy_customer: int = 0
     deadline_s: float = 10.0
-    keyed: float = 0.0
-    streams: float = 0.0
-    poison: float = 0.0
-    repeat: int = 0
+    keyed_share: float = 0.0
+    streamed_share: float = 0.0
+    poison_share: float = 0.0
+    max_retries: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class Sample:
-    """One request as its caller saw it.
+    """One call of a request with its outcome and durations.
 
     Attributes:
-      customer: Whose it was.
-      priority: Its urgency.
-      at: When it was sent.
-      seconds: How long until the outcome, from the first time it asked.
-      call_seconds: How long until the outcome of this call.
+      customer: Index of the customer.
+      priority: The priority of the request.
+      at: Time of the first call of the request, in seconds of the loop's clock.
+      seconds: Seconds from the first call to the outcome.
+      call_s: Seconds from this call to its outcome.
       outcome: The outcome.
-      seen: The same for the ledger.
+      seen: The observation that the ledger checks.
     """
 
     customer: int
     priority: types.Priority
     at: float
     seconds: float
-    call_seconds: float
+    call_s: float
     outcome: types.Outcome
     seen: ledger_lib.CallerRecord
 
@@ -82,25 +85,25 @@
     [int, request_types.Request, request_types.Sink | None],
     Awaitable[types.Outcome],
 ]
-AnswerOf = Callable[[request_types.Request, dict], bytes]
+ExpectedAnswer = Callable[[request_types.Request, dict], bytes]
 
 
-class Received:
-    """Takes a streamed answer as a caller does."""
+class AnswerSink:
+    """Collects the body of a streamed answer."""
 
     def __init__(self) -> None:
         self.body = b""
 
     async def head(self, head: request_types.Head) -> None:
-        """Takes the head."""
+        """Ignores the head."""
 
     async def data(self, data: bytes) -> None:
-        """Takes events."""
+        """Appends events to the body."""
         self.body += data
 
 
-class Callers:
-    """Open-loop callers: they do not wait for each other."""
+class LoadGenerator:
+    """Open-loop load generator: no request waits for another one."""
 
     def __init__(
         self,
@@ -109,67 +112,67 @@
         entries: int,
         rng: random.Random,
         send: Send,
-        answer_of: AnswerOf,
+        expected_answer: ExpectedAnswer,
     ):
-        """Prepares the callers.
+        """Creates the generator; `run` sends the requests.
 
         Args:
-          traffic: What they offer.
-          service: The service they ask.
-          entries: Entries that the balancer spreads them over.
-          rng: Decides everything about them.
-          send: Sends a request to the entry of a number.
-          answer_of: Returns the right answer to a request.
+          traffic: The offered load.
+          service: The requested service.
+          entries: Number of entries that requests are distributed over.
+          rng: Source of all random choices.
+          send: Sends a request to the entry with an index.
+          expected_answer: Returns the expected answer to a request.
         """
         self._traffic = traffic
         self._service = service
         self._entries = entries
         self._rng = rng
         self._send = send
-        self._answer_of = answer_of
-        self._weights = list(SHARES)
-        self._weights[traffic.heavy_customer] *= traffic.heavy
+        self._expected_answer = expected_answer
+        self._weights = list(CUSTOMER_WEIGHTS)
+        self._weights[traffic.heavy_customer] *= traffic.heavy_factor
         self._count = 0
         self.samples: list[Sample] = []
 
     @property
     def rate(self) -> float:
-        """Requests a second, with what the heavy customer adds."""
-        return self._traffic.rate * sum(self._weights) / sum(SHARES)
+        """Requests per second, including the factor of the heavy customer."""
+        return self._traffic.rate * sum(self._weights) / sum(CUSTOMER_WEIGHTS)
 
     async def run(self) -> None:
-        """Sends for the set time and waits for every outcome."""
+        """Sends requests for the configured time and waits for all outcomes."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._traffic.seconds
+        end_time = loop.time() + self._traffic.seconds
         due = loop.time()
         tasks = set()
         while True:
             due += self._rng.expovariate(self.rate)
-            if due >= until:
+            if due >= end_time:
                 break
             await asyncio.sleep(max(0.0, due - loop.time()))
-            task = asyncio.ensure_future(self._call(self._next()))
+            task = asyncio.ensure_future(self._call(self._next_request()))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
 
-    def _next(self) -> tuple[int, int, request_types.Request, dict]:
-        """Draws everything about a request, whatever becomes of it.
+    def _next_request(self) -> tuple[int, int, request_types.Request, dict]:
+        """Returns the customer, the entry, the request and its body.
 
-        Drawn in the order of arrival and from one source, so that every policy
-        meets the same requests.
+        All random values are drawn in order of arrival and from one generator,
+        so that every policy receives the same requests.
         """
         rng = self._rng
         self._count += 1
         number = self._count
-        customer = rng.choices(range(len(SHARES)), self._weights)[0]
+        customer = rng.choices(range(len(CUSTOMER_WEIGHTS)), self._weights)[0]
         priority = rng.choices(_PRIORITIES, _PRIORITY_WEIGHTS)[0]
         length = rng.lognormvariate(_TOKENS_MU, _TOKENS_SIGMA)
         tokens = int(min(_MAX_TOKENS, max(_MIN_TOKENS, length)))
         template = rng.randrange(self._traffic.templates)
-        keyed = rng.random() < self._traffic.keyed
-        stream = not keyed and rng.random() < self._traffic.streams
-        poison = rng.random() < self._traffic.poison
+        keyed = rng.random() < self._traffic.keyed_share
+        stream = not keyed and rng.random() < self._traffic.streamed_share
+        poison = rng.random() < self._traffic.poison_share
         entry = rng.randrange(self._entries)
         prompt = _prompt(template, number)
         body = {
@@ -203,85 +206,85 @@
     ) -> None:
         customer, entry, request, body = drawn
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        left = self._traffic.repeat
+        started_at = loop.time()
+        retries_left = self._traffic.max_retries
         while True:
-            called = loop.time()
-            request.deadline = called + self._traffic.deadline_s
-            sink = Received() if request.stream else None
+            called_at = loop.time()
+            request.deadline = called_at + self._traffic.deadline_s
+            sink = AnswerSink() if request.stream else None
             outcome = await self._send(entry, request, sink)
             self.samples.append(
                 Sample(
                     customer,
                     request.priority,
-                    began,
-                    loop.time() - began,
-                    loop.time() - called,
+                    started_at,
+                    loop.time() - started_at,
+                    loop.time() - called_at,
                     outcome,
-                    self._seen(request, body, outcome, sink),
+                    self._observed_by_caller(request, body, outcome, sink),
                 )
             )
-            after_s = _comes_again(request, outcome)
-            if after_s is None or not left:
+            delay_s = _retry_delay_s(request, outcome)
+            if delay_s is None or not retries_left:
                 return
-            left -= 1
-            await asyncio.sleep(after_s)
-            # Through another entry, as the balancer happens to choose, and
-            # with the same key.
+            retries_left -= 1
+            await asyncio.sleep(delay_s)
+            # Retries with the same key through another entry, as a load
+            # balancer might choose it.
             entry = (entry + 1) % self._entries
             request = dataclasses.replace(
                 request, request_id=f"{request.request_id}+"
             )
 
-    def _seen(
+    def _observed_by_caller(
         self,
         request: request_types.Request,
         body: dict,
         outcome: types.Outcome,
-        sink: Received | None,
+        sink: AnswerSink | None,
     ) -> ledger_lib.CallerRecord:
         answer = b""
         whole = True
-        expected = self._answer_of(request, body)
+        expected = self._expected_answer(request, body)
         if isinstance(outcome, types.Answered):
             answer = outcome.body if sink is None else sink.body
             whole = sink is None or sink.body == expected
         return ledger_lib.CallerRecord(
             request_id=request.request_id,
-            outcome=TOLD[type(outcome)],
+            outcome=LEDGER_OUTCOMES[type(outcome)],
             key=request.key,
             idempotent=request.idempotent,
             complete=whole,
-            # A key that ran before gets the answer to its first request.
+            # A retried key receives the answer to its first request.
             expected=None if request.key else expected,
             answer=answer,
         )
 
 
-def _comes_again(
+def _retry_delay_s(
     request: request_types.Request, outcome: types.Outcome
 ) -> float | None:
-    """Returns after which time a caller asks again; None when it does not."""
+    """Returns the seconds until a caller retries, or None if it does not."""
     if isinstance(outcome, types.NotRun):
         return outcome.retry_after_s
     if isinstance(outcome, types.Unknown) and request.key:
-        # The key makes it safe to ask how it ended.
-        return _ASK_AGAIN_S
+        # The key makes the retry safe.
+        return _UNKNOWN_RETRY_DELAY_S
     return None
 
 
-TOLD = {
+LEDGER_OUTCOMES = {
     types.Answered: ledger_lib.CallerOutcome.ANSWERED,
     types.NotRun: ledger_lib.CallerOutcome.NOT_RUN,
     types.Unknown: ledger_lib.CallerOutcome.UNKNOWN,
 }
 
 
-def mean_work(speed, crowding: float) -> float:
-    """Returns the mean seconds of a request at a full server, cache warm.
+def mean_service_time_s(speed, batch_slowdown: float) -> float:
+    """Returns the mean seconds of a request at a full server with a warm cache.
 
-    Computed from a fixed sample of the same distribution, so that `--load`
-    means the same for each seed.
+    The mean is computed from a fixed sample of the length distribution, so that
+    `--load` has the same meaning for each seed.
     """
     rng = random.Random(0)
     count = 20_000
@@ -290,11 +293,11 @@
         length = rng.lognormvariate(_TOKENS_MU, _TOKENS_SIGMA)
         tokens += int(min(_MAX_TOKENS, max(_MIN_TOKENS, length)))
     seconds = speed.base_s + speed.block_s + speed.token_s * tokens / count
-    return seconds * (1.0 + crowding)
+    return seconds * (1.0 + batch_slowdown)
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Returns the value that `share` of the values do not exceed, or 0."""
+    """Returns the quantile for a fraction, or 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -302,8 +305,8 @@
     return ordered[index]
 
 
-def reasons(samples: list[Sample]) -> dict[str, int]:
-    """Returns how many requests were not run, by reason."""
+def count_reasons(samples: list[Sample]) -> dict[str, int]:
+    """Returns the number of requests that were not run, by reason."""
     counted = collections.Counter(
         sample.outcome.reason.value
         for sample in samples
@@ -313,8 +316,8 @@
 
 
 def _prompt(template: int, number: int) -> str:
-    beginning = f"template {template:07d};" * (
+    prefix = f"template {template:07d};" * (
         TEMPLATE_BLOCKS * prefixes.BLOCK_CHARS // 17 + 1
     )
-    beginning = beginning[: TEMPLATE_BLOCKS * prefixes.BLOCK_CHARS]
-    return beginning + f"question {number:07d};" * 16
+    prefix = prefix[: TEMPLATE_BLOCKS * prefixes.BLOCK_CHARS]
+    return prefix + f"question {number:07d};" * 16
--- a/tests/test_requests_send.py
+++ b/tests/test_requests_send.py
@@ -336,7 +336,7 @@
         request = script.make_request(clock, wait_s=60.0)
         task = asyncio.ensure_future(service.pipeline.run(request))
         await asyncio.sleep(0.1)
-        loop.cut("entry", "a0")
+        loop.set_partitioned("entry", "a0")
         started_at = clock.now()
         outcome = await task
         assert clock.now() - started_at < 12.0
@@ -348,7 +348,7 @@
 
 def test_connecting_without_a_listener_raises_connection_lost():
     async def test(clock, loop):
-        script.network.HOST.set("entry")
+        script.network.CURRENT_HOST.set("entry")
         identity = connection_lib.Identity(
             "e", types.Role.ENTRY, script.PLACE, 1
         )
