--- a/src/clementinegw/capacity/__init__.py
+++ b/src/clementinegw/capacity/__init__.py
@@ -1,8 +1,8 @@
 """What each role costs at a given size, from measured slopes."""
 
-from clementinegw.capacity import border
+from clementinegw.capacity import inputs
 from clementinegw.capacity import model
 from clementinegw.capacity import quantities
 from clementinegw.capacity import table
 
-__all__ = ["border", "model", "quantities", "table"]
+__all__ = ["inputs", "model", "quantities", "table"]
--- a/src/clementinegw/capacity/_lines.py
+++ b/src/clementinegw/capacity/_row_definitions.py
@@ -3,23 +3,23 @@
 from clementinegw.capacity import _formulas
 from clementinegw.capacity import quantities
 
-_CONTROL_CORE = (
+_CONTROL_CPU_SLOPES = (
     "control_core_base",
     "control_core_per_member",
     "settings_cpu_us_per_change",
 )
-_CONTROL_BYTES = ("control_bytes_base", "control_bytes_per_member")
-_STATUS = (
+_MEMBERSHIP_TRAFFIC_SLOPES = ("control_bytes_base", "control_bytes_per_member")
+_STATUS_SLOPES = (
     "status_bytes",
     "status_per_s",
     "load_bytes",
     "load_per_s",
     "far_part",
 )
-_MEMORY = ("memory_mb_base", "memory_mb_per_member")
+_MEMORY_SLOPES = ("memory_mb_base", "memory_mb_per_member")
 
-LINES = (
-    quantities.Line(
+ROW_DEFINITIONS = (
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.STATE,
         "members known, all failure domains",
@@ -28,37 +28,41 @@
         lambda sizes, _: sizes.members,
         "own failure domain by SWIM, others as records from bridges",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.MESSAGES,
         "membership, sent and received",
         "KB/s",
-        (*_CONTROL_BYTES, "control_bytes_per_other_domain"),
-        _formulas.entry_bytes,
+        (*_MEMBERSHIP_TRAFFIC_SLOPES, "control_bytes_per_other_domain"),
+        _formulas.entry_membership_traffic,
         "probes at fixed periods, bounded piggyback, digests at rest",
-        _formulas.bytes_budget,
+        _formulas.control_traffic_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.MESSAGES,
         "status notices of agents while load changes",
         "KB/s",
-        _STATUS,
-        _formulas.status_bytes(quantities.Role.ENTRY),
+        _STATUS_SLOPES,
+        _formulas.status_traffic(quantities.Role.ENTRY),
         "a subset of connections; load alone between whole notices",
-        _formulas.bytes_budget,
+        _formulas.control_traffic_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.MESSAGES,
         "membership and status notices together",
         "KB/s",
-        (*_CONTROL_BYTES, "control_bytes_per_other_domain", *_STATUS),
-        _formulas.control_bytes(quantities.Role.ENTRY),
+        (
+            *_MEMBERSHIP_TRAFFIC_SLOPES,
+            "control_bytes_per_other_domain",
+            *_STATUS_SLOPES,
+        ),
+        _formulas.control_traffic(quantities.Role.ENTRY),
         "both of the above",
-        _formulas.bytes_budget,
+        _formulas.control_traffic_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.MESSAGES,
         "requests",
@@ -67,7 +71,7 @@
         _formulas.requests(quantities.Role.ENTRY),
         "the platform's balancer spreads them over the entries",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.MESSAGES,
         "tokens passed on",
@@ -76,45 +80,45 @@
         _formulas.tokens(quantities.Role.ENTRY),
         "one frame an event on the kept connection to the agent",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.PROCESSOR,
         "control",
         "% of a core",
-        _CONTROL_CORE,
-        _formulas.control_core,
+        _CONTROL_CPU_SLOPES,
+        _formulas.control_cpu,
         "cost of probes does not depend on the members",
-        _formulas.core_budget,
+        _formulas.control_cpu_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.PROCESSOR,
         "requests",
         "% of a core",
         ("entry_cpu_us_per_request",),
-        _formulas.core_for_requests(quantities.Role.ENTRY),
+        _formulas.request_cpu(quantities.Role.ENTRY),
         "more entries carry more",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.PROCESSOR,
         "tokens passed on",
         "% of a core",
         ("token_cpu_us",),
-        _formulas.core_for_tokens(quantities.Role.ENTRY),
+        _formulas.token_cpu(quantities.Role.ENTRY),
         "more entries carry more",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.MEMORY,
         "libraries and member records",
         "MB",
-        _MEMORY,
+        _MEMORY_SLOPES,
         _formulas.memory(lambda sizes: sizes.members),
         "one record a member, tombstones for two minutes",
         _formulas.memory_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.ENTRY,
         quantities.Kind.MEMORY,
         "claims remembered, more at the owner of a shard",
@@ -123,13 +127,13 @@
         lambda sizes, slopes: (
             slopes["claim_bytes"]
             * sizes.claim_horizon_s
-            * _formulas.claims(sizes)
+            * _formulas.claims_per_s(sizes)
             / slopes["claim_shards"]
-            / _formulas.MB
+            / _formulas.BYTES_PER_MB
         ),
         "the horizon bounds them; a restart folds them from the log",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.STATE,
         "members known, own failure domain",
@@ -138,48 +142,51 @@
         lambda sizes, _: sizes.members_per_domain,
         "agents keep no records of other failure domains",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.STATE,
         "who holds which chunk, in a burst",
         "KB",
         (),
         lambda sizes, _: (
-            sizes.replicas * sizes.chunks / _formulas.BITS / _formulas.KB
+            sizes.replicas
+            * sizes.chunks
+            / _formulas.BITS_PER_BYTE
+            / _formulas.BYTES_PER_KB
         ),
         "a bit a chunk and replica",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.MESSAGES,
         "membership, sent and received",
         "KB/s",
-        _CONTROL_BYTES,
-        _formulas.agent_bytes,
+        _MEMBERSHIP_TRAFFIC_SLOPES,
+        _formulas.agent_membership_traffic,
         "probes at fixed periods, bounded piggyback, digests at rest",
-        _formulas.bytes_budget,
+        _formulas.control_traffic_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.MESSAGES,
         "status notices of agents while load changes",
         "KB/s",
-        _STATUS,
-        _formulas.status_bytes(quantities.Role.AGENT),
+        _STATUS_SLOPES,
+        _formulas.status_traffic(quantities.Role.AGENT),
         "a subset of connections; load alone between whole notices",
-        _formulas.bytes_budget,
+        _formulas.control_traffic_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.MESSAGES,
         "membership and status notices together",
         "KB/s",
-        (*_CONTROL_BYTES, *_STATUS),
-        _formulas.control_bytes(quantities.Role.AGENT),
+        (*_MEMBERSHIP_TRAFFIC_SLOPES, *_STATUS_SLOPES),
+        _formulas.control_traffic(quantities.Role.AGENT),
         "both of the above",
-        _formulas.bytes_budget,
+        _formulas.control_traffic_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.MESSAGES,
         "requests",
@@ -188,7 +195,7 @@
         _formulas.requests(quantities.Role.AGENT),
         "entries choose by load and cached prefixes",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.MESSAGES,
         "copies of a version sent in a burst, the most",
@@ -198,35 +205,35 @@
         "swarm with balanced shares",
         lambda _: 2.0,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.PROCESSOR,
         "control",
         "% of a core",
-        _CONTROL_CORE,
-        _formulas.control_core,
+        _CONTROL_CPU_SLOPES,
+        _formulas.control_cpu,
         "cost of probes does not depend on the members",
-        _formulas.core_budget,
+        _formulas.control_cpu_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.PROCESSOR,
         "requests",
         "% of a core",
         ("agent_cpu_us_per_request",),
-        _formulas.core_for_requests(quantities.Role.AGENT),
+        _formulas.request_cpu(quantities.Role.AGENT),
         "one agent beside each backend server",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.PROCESSOR,
         "tokens passed on",
         "% of a core",
         ("token_cpu_us",),
-        _formulas.core_for_tokens(quantities.Role.AGENT),
+        _formulas.token_cpu(quantities.Role.AGENT),
         "one agent beside each backend server",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.PROCESSOR,
         "one rollout, live requests meanwhile included",
@@ -235,17 +242,17 @@
         lambda _, slopes: slopes["agent_cpu_s_per_version"],
         "transfers give way to live requests",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.AGENT,
         quantities.Kind.MEMORY,
         "libraries and member records",
         "MB",
-        _MEMORY,
+        _MEMORY_SLOPES,
         _formulas.memory(lambda sizes: sizes.members_per_domain),
         "chunks are staged in the engine, not in the agent",
         _formulas.memory_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.COMMAND,
         quantities.Kind.STATE,
         "kept between runs",
@@ -254,7 +261,7 @@
         lambda _sizes, _: 0.0,
         "all state is in the log",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.COMMAND,
         quantities.Kind.MESSAGES,
         "changes, all operators",
@@ -263,7 +270,7 @@
         lambda sizes, _: sizes.changes_per_day,
         "one append a change; a lost answer is settled by reading",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.COMMAND,
         quantities.Kind.PROCESSOR,
         "one change",
@@ -272,7 +279,7 @@
         lambda _, slopes: slopes["command_cpu_ms"],
         "modules are imported when they are named",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.COMMAND,
         quantities.Kind.MEMORY,
         "one run",
@@ -282,19 +289,19 @@
         "modules are imported when they are named",
         _formulas.memory_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.LOG,
         quantities.Kind.MESSAGES,
         "appends of claims",
         "1/s",
         ("appends_per_claim",),
         lambda sizes, slopes: (
-            _formulas.claims(sizes) * slopes["appends_per_claim"]
+            _formulas.claims_per_s(sizes) * slopes["appends_per_claim"]
         ),
         "claims of a shard are committed in groups",
-        _formulas.log_budget,
+        _formulas.append_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.LOG,
         quantities.Kind.MESSAGES,
         "appends of settings",
@@ -302,13 +309,13 @@
         ("settings_appends_per_change",),
         lambda sizes, slopes: (
             sizes.changes_per_day
-            / _formulas.DAY_S
+            / _formulas.S_PER_DAY
             * slopes["settings_appends_per_change"]
         ),
         "one append a change; followers append nothing",
-        _formulas.log_budget,
+        _formulas.append_budget,
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.LOG,
         quantities.Kind.MESSAGES,
         "open long polls for settings",
@@ -319,7 +326,7 @@
         ),
         "a few relays a failure domain read, the others ask them",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.LOG,
         quantities.Kind.PROCESSOR,
         "the log itself",
@@ -328,7 +335,7 @@
         lambda _, slopes: slopes["log_core_percent"],
         "it is the platform's",
     ),
-    quantities.Line(
+    quantities.RowDefinition(
         quantities.Role.LOG,
         quantities.Kind.MEMORY,
         "the log itself",
--- a/src/clementinegw/capacity/border.py
+++ b/src/clementinegw/capacity/inputs.py
@@ -67,9 +67,9 @@
         ) from error
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(str(part) for part in first["loc"]) or "the file"
+        field = ".".join(str(part) for part in first["loc"]) or "the file"
         raise exceptions.UsageError(
-            f"--sizes={path}: {place}: {first['msg']}"
+            f"--sizes={path}: {field}: {first['msg']}"
         ) from error
     return quantities.Sizes(**sizes.model_dump())
 
--- a/src/clementinegw/capacity/model.py
+++ b/src/clementinegw/capacity/model.py
@@ -4,11 +4,11 @@
 slope has not been measured the row says so, and nothing is put in its place.
 """
 
-from clementinegw.capacity import _lines
+from clementinegw.capacity import _row_definitions
 from clementinegw.capacity import quantities
 
 
-def rows(
+def compute_rows(
     sizes: quantities.Sizes, slopes: quantities.Slopes
 ) -> list[quantities.Row]:
     """Returns the table for some sizes.
@@ -20,30 +20,37 @@
     Raises:
       KeyError: A slope that a row needs is not even listed.
     """
-    return [_row(line, sizes, slopes) for line in _lines.LINES]
+    return [
+        _compute_row(definition, sizes, slopes)
+        for definition in _row_definitions.ROW_DEFINITIONS
+    ]
 
 
-def first_to_break(found: list[quantities.Row]) -> quantities.Row | None:
+def bottleneck(rows: list[quantities.Row]) -> quantities.Row | None:
     """Returns the row that uses the largest share of its budget."""
-    known = [row for row in found if row.used is not None]
-    return max(known, key=lambda row: row.used or 0.0, default=None)
+    bounded = [row for row in rows if row.used is not None]
+    return max(bounded, key=lambda row: row.used or 0.0, default=None)
 
 
-def _row(
-    line: quantities.Line, sizes: quantities.Sizes, slopes: quantities.Slopes
+def _compute_row(
+    definition: quantities.RowDefinition,
+    sizes: quantities.Sizes,
+    slopes: quantities.Slopes,
 ) -> quantities.Row:
-    values = {name: slopes[name].value for name in line.slopes}
-    known = {n: v for n, v in values.items() if v is not None}
+    values = {name: slopes[name].value for name in definition.slopes}
+    measured = {
+        name: value for name, value in values.items() if value is not None
+    }
     value = None
-    if len(known) == len(values):
-        value = line.formula(sizes, known)
+    if len(measured) == len(values):
+        value = definition.formula(sizes, measured)
     return quantities.Row(
-        line.role,
-        line.kind,
-        line.what,
+        definition.role,
+        definition.kind,
+        definition.what,
         value,
-        line.unit,
-        line.budget(sizes),
-        line.slopes,
-        line.mechanism,
+        definition.unit,
+        definition.budget(sizes),
+        definition.slopes,
+        definition.mechanism,
     )
--- a/src/clementinegw/capacity/quantities.py
+++ b/src/clementinegw/capacity/quantities.py
@@ -128,7 +128,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
+class RowDefinition:
     """How one row is worked out.
 
     Attributes:
--- a/src/clementinegw/capacity/table.py
+++ b/src/clementinegw/capacity/table.py
@@ -6,27 +6,33 @@
 
 _NOT_MEASURED = "not measured"
 _PERCENT = 100.0
-_HEAD = ("role", "what", "figure", "budget", "room", "slopes", "mechanism")
-_SLOPES_HEAD = ("slope", "figure", "unit", "measured by", "holds for")
+_HEADERS = ("role", "what", "figure", "budget", "room", "slopes", "mechanism")
+_SLOPE_HEADERS = ("slope", "figure", "unit", "measured by", "holds for")
 
 
-def render(found: Sequence[quantities.Row]) -> str:
+def render(rows: Sequence[quantities.Row]) -> str:
     """Returns the table of roles."""
-    return _markdown(_HEAD, (_cells(row) for row in found))
+    return _markdown(_HEADERS, (_cells(row) for row in rows))
 
 
 def render_slopes(slopes: Iterable[quantities.Slope]) -> str:
     """Returns the table of slopes."""
     return _markdown(
-        _SLOPES_HEAD,
+        _SLOPE_HEADERS,
         (
-            (s.name, number(s.value), s.unit, f"`{s.command}`", s.note)
-            for s in slopes
+            (
+                slope.name,
+                format_number(slope.value),
+                slope.unit,
+                f"`{slope.command}`",
+                slope.note,
+            )
+            for slope in slopes
         ),
     )
 
 
-def number(value: float | None) -> str:
+def format_number(value: float | None) -> str:
     """Returns a figure with three digits that count."""
     if value is None:
         return _NOT_MEASURED
@@ -38,29 +44,31 @@
 
 
 def _cells(row: quantities.Row) -> tuple[str, ...]:
-    figure = number(row.value)
+    figure = format_number(row.value)
     if row.value is not None:
         figure = f"{figure} {row.unit}"
-    budget = "" if row.budget is None else f"{number(row.budget)} {row.unit}"
-    room = ""
+    budget = (
+        "" if row.budget is None else f"{format_number(row.budget)} {row.unit}"
+    )
+    headroom = ""
     if row.used is not None:
-        room = f"{(1 - row.used) * _PERCENT:.0f}%"
+        headroom = f"{(1 - row.used) * _PERCENT:.0f}%"
     return (
         str(row.role),
         f"{row.kind}: {row.what}",
         figure,
         budget,
-        room,
+        headroom,
         ", ".join(row.slopes) or "the sizes",
         row.mechanism,
     )
 
 
-def _markdown(head: Sequence[str], body: Iterable[Sequence[str]]) -> str:
-    lines = [_line(head), _line(["---"] * len(head))]
-    lines += [_line(cells) for cells in body]
-    return "\n".join(lines)
+def _markdown(headers: Sequence[str], body: Iterable[Sequence[str]]) -> str:
+    table_rows = [_table_row(headers), _table_row(["---"] * len(headers))]
+    table_rows += [_table_row(cells) for cells in body]
+    return "\n".join(table_rows)
 
 
-def _line(cells: Sequence[str]) -> str:
+def _table_row(cells: Sequence[str]) -> str:
     return f"| {' | '.join(cells)} |"
--- a/src/clementinegw/commands/capacity.py
+++ b/src/clementinegw/commands/capacity.py
@@ -6,7 +6,7 @@
 from absl import flags
 
 from clementinegw import exceptions
-from clementinegw.capacity import border
+from clementinegw.capacity import inputs
 from clementinegw.capacity import model
 from clementinegw.capacity import quantities
 from clementinegw.capacity import table
@@ -43,9 +43,9 @@
         raise exceptions.UsageError(f"{NAME}: unexpected {args[0]!r}")
     sizes = quantities.Sizes()
     if flag_values.sizes is not None:
-        sizes = border.read_sizes(flag_values.sizes)
-    slopes = border.read_slopes()
-    rows = model.rows(sizes, slopes)
+        sizes = inputs.read_sizes(flag_values.sizes)
+    slopes = inputs.read_slopes()
+    rows = model.compute_rows(sizes, slopes)
     if flag_values.json:
         print(json.dumps(_as_json(sizes, rows)))
         return 0
@@ -59,7 +59,7 @@
 
 
 def _summary(rows: list[quantities.Row]) -> str:
-    first = model.first_to_break(rows)
+    first = model.bottleneck(rows)
     unknown = sum(row.value is None for row in rows)
     if first is None or first.used is None:
         return f"No row has a budget; {unknown} rows are not measured."
@@ -70,7 +70,7 @@
 
 
 def _as_json(sizes: quantities.Sizes, rows: list[quantities.Row]) -> dict:
-    first = model.first_to_break(rows)
+    first = model.bottleneck(rows)
     return {
         "sizes": dataclasses.asdict(sizes),
         "rows": [{**dataclasses.asdict(r), "used": r.used} for r in rows],
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -6,7 +6,7 @@
 import pytest
 
 from clementinegw import exceptions
-from clementinegw.capacity import border
+from clementinegw.capacity import inputs
 from clementinegw.capacity import model
 from clementinegw.capacity import quantities
 from clementinegw.capacity import table
@@ -19,19 +19,19 @@
 PAGE = pathlib.Path(__file__).parent.parent / "docs" / "CAPACITY.md"
 
 
-def slopes(**changed):
-    known = dict.fromkeys(border.read_slopes(), 1.0) | changed
+def make_slopes(**overrides):
+    values = dict.fromkeys(inputs.read_slopes(), 1.0) | overrides
     return {
         name: quantities.Slope(name, value, "", "", "")
-        for name, value in known.items()
+        for name, value in values.items()
     }
 
 
-def row(found, role, kind, start):
+def find_row(rows, role, kind, prefix):
     (only,) = [
         r
-        for r in found
-        if r.role == role and r.kind == kind and r.what.startswith(start)
+        for r in rows
+        if r.role == role and r.kind == kind and r.what.startswith(prefix)
     ]
     return only
 
@@ -40,46 +40,48 @@
     sizes = quantities.Sizes(
         entries=10, agents=30, failure_domains=4, requests_per_s=100.0
     )
-    found = model.rows(
+    rows = model.compute_rows(
         sizes,
-        slopes(
+        make_slopes(
             entry_cpu_us_per_request=2000.0,
             memory_mb_base=60.0,
             memory_mb_per_member=0.5,
             appends_per_claim=0.5,
         ),
     )
-    processor = row(found, "entry", "processor time", "requests")
+    processor = find_row(rows, "entry", "processor time", "requests")
     assert processor.value == pytest.approx(10 * 2000e-6 * 100)
-    entry = row(found, "entry", "memory", "libraries")
+    entry = find_row(rows, "entry", "memory", "libraries")
     assert entry.value == pytest.approx(60 + 0.5 * 40)
     assert entry.used == pytest.approx(80 / 128)
-    agent = row(found, "agent", "memory", "libraries")
+    agent = find_row(rows, "agent", "memory", "libraries")
     assert agent.value == pytest.approx(60 + 0.5 * 10)
-    log = row(found, "platform log", "messages", "appends of claims")
+    log = find_row(rows, "platform log", "messages", "appends of claims")
     assert log.value == pytest.approx(100 * 0.1 * 0.5)
 
 
 def test_slope_that_is_not_measured_leaves_its_rows_open():
-    found = model.rows(quantities.Sizes(), slopes(token_cpu_us=None))
-    tokens = row(found, "entry", "processor time", "tokens")
+    rows = model.compute_rows(
+        quantities.Sizes(), make_slopes(token_cpu_us=None)
+    )
+    tokens = find_row(rows, "entry", "processor time", "tokens")
     assert tokens.value is None
     assert "not measured" in table.render([tokens])
 
 
 def test_least_room_is_found():
     sizes = quantities.Sizes(budget_memory_mb=1.0)
-    found = model.rows(sizes, slopes(memory_mb_base=1e6))
-    first = model.first_to_break(found)
+    rows = model.compute_rows(sizes, make_slopes(memory_mb_base=1e6))
+    first = model.bottleneck(rows)
     assert first.kind == "memory"
     assert first.used > 1
 
 
 def test_every_slope_names_its_command_and_is_used():
-    shipped = border.read_slopes()
+    shipped = inputs.read_slopes()
     used = {
         name
-        for r in model.rows(quantities.Sizes(), shipped)
+        for r in model.compute_rows(quantities.Sizes(), shipped)
         for name in r.slopes
     }
     assert used == set(shipped)
@@ -90,14 +92,14 @@
         )
 
 
-def framed(kind, notice):
+def frame_size(kind, notice):
     frame = frame_types.Frame(kind, 0, codec.encode(notice))
-    length = 4
-    return len(codec.encode(frame)) + length
+    length_prefix = 4
+    return len(codec.encode(frame)) + length_prefix
 
 
 def test_status_slopes_are_those_of_the_program():
-    shipped = border.read_slopes()
+    shipped = inputs.read_slopes()
     status = requests_types.AgentStatus(
         "agent-assistent-123",
         1_764_700_000_000,
@@ -115,23 +117,27 @@
     )
     load = requests_types.AgentLoad(1_764_700_000_000, 12, 3)
     kinds = frame_types.Kind
-    assert framed(kinds.AGENT_STATUS, status) == shipped["status_bytes"].value
-    assert framed(kinds.AGENT_LOAD, load) == shipped["load_bytes"].value
+    assert (
+        frame_size(kinds.AGENT_STATUS, status) == shipped["status_bytes"].value
+    )
+    assert frame_size(kinds.AGENT_LOAD, load) == shipped["load_bytes"].value
     timing = _context.Timing()
-    whole = shipped["status_per_s"].value
-    assert 1 / timing.status_interval_s == whole
-    assert 1 / timing.probe_interval_s == whole + shipped["load_per_s"].value
+    status_rate = shipped["status_per_s"].value
+    assert 1 / timing.status_interval_s == status_rate
+    assert (
+        1 / timing.probe_interval_s == status_rate + shipped["load_per_s"].value
+    )
     assert timing.max_notify_delay_s >= 2 * timing.probe_interval_s
 
 
 def test_control_of_a_process_is_within_its_budget_at_the_target():
-    found = model.rows(quantities.Sizes(), border.read_slopes())
+    rows = model.compute_rows(quantities.Sizes(), inputs.read_slopes())
     for role in ("entry", "agent"):
         parts = [
-            row(found, role, "messages", "membership, sent"),
-            row(found, role, "messages", "status notices"),
+            find_row(rows, role, "messages", "membership, sent"),
+            find_row(rows, role, "messages", "status notices"),
         ]
-        total = row(found, role, "messages", "membership and status")
+        total = find_row(rows, role, "messages", "membership and status")
         assert total.value == pytest.approx(sum(part.value for part in parts))
         assert total.used < 1
 
@@ -168,4 +174,4 @@
     if text is not None:
         file.write_text(text)
     with pytest.raises(exceptions.UsageError, match=expected):
-        border.read_sizes(str(file))
+        inputs.read_sizes(str(file))
