--- a/src/clementinegw/capacity/__init__.py
+++ b/src/clementinegw/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""What each role costs at a given size, from measured slopes."""
+"""Computes each role's resource use at given sizes from measured slopes."""
 
 from clementinegw.capacity import inputs
 from clementinegw.capacity import model
--- a/src/clementinegw/capacity/_formulas.py
+++ b/src/clementinegw/capacity/_formulas.py
@@ -1,4 +1,4 @@
-"""The formulas of the capacity table."""
+"""Formulas for the rows of the capacity table."""
 
 from collections.abc import Callable, Mapping
 
@@ -13,7 +13,7 @@
 
 
 def control_cpu(sizes: quantities.Sizes, slopes: Mapping[str, float]) -> float:
-    """Returns the share of a core for control, in percent."""
+    """Returns the processor time for control, in percent of a core."""
     membership = (
         slopes["control_core_base"]
         + slopes["control_core_per_member"] * sizes.members_per_domain
@@ -26,7 +26,7 @@
 def agent_membership_traffic(
     sizes: quantities.Sizes, slopes: Mapping[str, float]
 ) -> float:
-    """Returns what an agent sends and receives for membership, KB/s."""
+    """Returns an agent's membership traffic, both directions, in KB/s."""
     return (
         slopes["control_bytes_base"]
         + slopes["control_bytes_per_member"] * sizes.members_per_domain
@@ -36,14 +36,14 @@
 def entry_membership_traffic(
     sizes: quantities.Sizes, slopes: Mapping[str, float]
 ) -> float:
-    """Returns what an entry sends and receives for membership, KB/s."""
+    """Returns an entry's membership traffic, both directions, in KB/s."""
     other_domains = sizes.failure_domains - 1
     summaries = slopes["control_bytes_per_other_domain"] * other_domains
     return agent_membership_traffic(sizes, slopes) + summaries / BYTES_PER_KB
 
 
 def connections(sizes: quantities.Sizes, slopes: Mapping[str, float]) -> float:
-    """Returns the agents that an entry is connected to."""
+    """Returns the number of agents that an entry is connected to."""
     remote_per_domain = max(1, sizes.subset_size // int(slopes["far_part"]))
     other_domains = sizes.failure_domains - 1
     local = min(sizes.subset_size, sizes.agents / sizes.failure_domains)
@@ -51,7 +51,7 @@
 
 
 def status_traffic(role: quantities.Role) -> quantities.Formula:
-    """Returns the formula for status notices of a role, KB/s."""
+    """Returns the formula for a role's status notices, in KB/s."""
 
     def formula(sizes: quantities.Sizes, slopes: Mapping[str, float]) -> float:
         total_connections = connections(sizes, slopes) * sizes.entries
@@ -70,7 +70,7 @@
 
 
 def control_traffic(role: quantities.Role) -> quantities.Formula:
-    """Returns the formula for all control traffic of a role, KB/s."""
+    """Returns the formula for a role's whole control traffic, in KB/s."""
     membership = {
         quantities.Role.ENTRY: entry_membership_traffic,
         quantities.Role.AGENT: agent_membership_traffic,
@@ -82,7 +82,7 @@
 
 
 def request_cpu(role: quantities.Role) -> quantities.Formula:
-    """Returns the formula for a role's requests, % of a core."""
+    """Returns the formula for a role's request processing, in % of a core."""
 
     def formula(sizes: quantities.Sizes, slopes: Mapping[str, float]) -> float:
         cost = slopes[f"{role}_cpu_us_per_request"]
@@ -92,7 +92,7 @@
 
 
 def token_cpu(role: quantities.Role) -> quantities.Formula:
-    """Returns the formula for a role's tokens, % of a core."""
+    """Returns the formula for a role's token forwarding, in % of a core."""
 
     def formula(sizes: quantities.Sizes, slopes: Mapping[str, float]) -> float:
         cost = slopes["token_cpu_us"]
@@ -102,24 +102,28 @@
 
 
 def process_count(sizes: quantities.Sizes, role: quantities.Role) -> int:
-    """Returns how many processes have a role."""
+    """Returns the number of processes that have a role."""
     return sizes.entries if role is quantities.Role.ENTRY else sizes.agents
 
 
 def requests(role: quantities.Role) -> quantities.Formula:
-    """Returns the formula for a role's requests a second."""
+    """Returns the formula for requests per second in one process of a role."""
     return lambda sizes, _: sizes.requests_per_s / process_count(sizes, role)
 
 
 def tokens(role: quantities.Role) -> quantities.Formula:
-    """Returns the formula for a role's tokens a second."""
+    """Returns the formula for tokens per second in one process of a role."""
     return lambda sizes, _: sizes.tokens_per_s / process_count(sizes, role)
 
 
 def memory(
     member_count: Callable[[quantities.Sizes], float],
 ) -> quantities.Formula:
-    """Returns the formula for memory from the members known, MB."""
+    """Returns the formula for a process's memory, in MB.
+
+    Args:
+      member_count: Returns the number of members that the process knows.
+    """
     return lambda sizes, slopes: (
         slopes["memory_mb_base"]
         + slopes["memory_mb_per_member"] * member_count(sizes)
@@ -127,25 +131,25 @@
 
 
 def claims_per_s(sizes: quantities.Sizes) -> float:
-    """Returns the claims a second."""
+    """Returns the number of claims per second."""
     return sizes.requests_per_s * sizes.keyed_share
 
 
 def control_cpu_budget(sizes: quantities.Sizes) -> float:
-    """Returns the budget of a core, in percent."""
+    """Returns the processor budget for control, in percent of a core."""
     return sizes.budget_core_percent
 
 
 def memory_budget(sizes: quantities.Sizes) -> float:
-    """Returns the budget of memory, MB."""
+    """Returns the memory budget of a process, in MB."""
     return sizes.budget_memory_mb
 
 
 def control_traffic_budget(sizes: quantities.Sizes) -> float:
-    """Returns the budget of control, KB/s."""
+    """Returns the budget for a process's control traffic, in KB/s."""
     return sizes.budget_control_kb_per_s
 
 
 def append_budget(sizes: quantities.Sizes) -> float:
-    """Returns the appends a second that the log takes."""
+    """Returns the number of appends per second that the log accepts."""
     return sizes.budget_appends_per_s
--- a/src/clementinegw/capacity/_row_definitions.py
+++ b/src/clementinegw/capacity/_row_definitions.py
@@ -1,4 +1,7 @@
-"""The lines of the capacity table."""
+"""Definitions of the rows of the capacity table.
+
+docs/CAPACITY.md contains the texts of the rows as the command prints them.
+"""
 
 from clementinegw.capacity import _formulas
 from clementinegw.capacity import quantities
--- a/src/clementinegw/capacity/inputs.py
+++ b/src/clementinegw/capacity/inputs.py
@@ -14,7 +14,7 @@
 
 
 class SizesModel(pydantic.BaseModel):
-    """A user's sizes; what is left out keeps the two-year target's value."""
+    """A user's sizes; omitted fields take the two-year target's values."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
@@ -38,7 +38,7 @@
 
 
 class SlopeModel(pydantic.BaseModel):
-    """One slope as the package's file has it."""
+    """One slope in the package's slopes file."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
@@ -53,10 +53,10 @@
 
 
 def read_sizes(path: str) -> quantities.Sizes:
-    """Reads a JSON object of sizes.
+    """Reads sizes from a JSON file.
 
     Raises:
-      exceptions.UsageError: The file cannot be read or does not fit.
+      exceptions.UsageError: The file cannot be read or is not valid.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -75,7 +75,7 @@
 
 
 def read_slopes() -> dict[str, quantities.Slope]:
-    """Reads the slopes that ship with the package, by name."""
+    """Returns the slopes that ship with the package, by name."""
     file = importlib.resources.files(__package__) / _SLOPES_FILE
     loaded = _SLOPES.validate_python(json.loads(file.read_text("utf-8")))
     return {
--- a/src/clementinegw/capacity/model.py
+++ b/src/clementinegw/capacity/model.py
@@ -1,7 +1,7 @@
-"""The arithmetic of capacity: sizes and measured slopes in, rows out.
+"""Computes the rows of the capacity table from sizes and measured slopes.
 
-A slope is what one measurement gave; a row multiplies slopes by sizes. Where a
-slope has not been measured the row says so, and nothing is put in its place.
+A slope is the result of one measurement; a row multiplies slopes by sizes. A
+row that needs an unmeasured slope has no value; no estimate replaces it.
 """
 
 from clementinegw.capacity import _row_definitions
@@ -11,14 +11,14 @@
 def compute_rows(
     sizes: quantities.Sizes, slopes: quantities.Slopes
 ) -> list[quantities.Row]:
-    """Returns the table for some sizes.
+    """Returns the rows of the capacity table for the given sizes.
 
     Args:
-      sizes: How large the deployment is.
-      slopes: The measured figures by name.
+      sizes: The sizes of the deployment.
+      slopes: The slopes by name.
 
     Raises:
-      KeyError: A slope that a row needs is not even listed.
+      KeyError: A slope that a row needs is missing from `slopes`.
     """
     return [
         _compute_row(definition, sizes, slopes)
@@ -27,7 +27,7 @@
 
 
 def bottleneck(rows: list[quantities.Row]) -> quantities.Row | None:
-    """Returns the row that uses the largest share of its budget."""
+    """Returns the row that uses the largest share of its budget, if any."""
     bounded = [row for row in rows if row.used is not None]
     return max(bounded, key=lambda row: row.used or 0.0, default=None)
 
--- a/src/clementinegw/capacity/quantities.py
+++ b/src/clementinegw/capacity/quantities.py
@@ -1,4 +1,4 @@
-"""What capacity is told in: sizes, slopes, rows and their lines."""
+"""Types of the capacity model: sizes, slopes, rows and row definitions."""
 
 from collections.abc import Callable, Mapping
 import dataclasses
@@ -6,7 +6,7 @@
 
 
 class Role(enum.StrEnum):
-    """Whose capacity a row is about."""
+    """The process or service whose capacity a row describes."""
 
     ENTRY = "entry"
     AGENT = "agent"
@@ -15,7 +15,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What a row counts."""
+    """The resource that a row measures."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -25,24 +25,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sizes:
-    """How large a deployment is.
+    """The sizes and budgets of a deployment.
 
     Attributes:
       entries: Entry instances.
       agents: Backend server instances, each with its agent.
-      failure_domains: Over which both are spread evenly.
-      requests_per_s: Requests at the peak.
-      tokens_per_s: Tokens generated at the peak.
-      keyed_share: The part of requests that are claimed in the log.
-      claim_horizon_s: How long a claim is remembered.
+      failure_domains: Failure domains; entries and agents are spread evenly.
+      requests_per_s: Requests per second at peak load.
+      tokens_per_s: Tokens generated per second at peak load.
+      keyed_share: The fraction of requests that are claimed in the log.
+      claim_horizon_s: How long a claim is kept, in seconds.
       subset_size: Agents of its failure domain that an entry connects to.
-      replicas: Instances that one new version goes to.
-      chunks: Chunks of one version.
-      changes_per_day: Changes of the settings.
-      budget_core_percent: Of one core, for control.
-      budget_memory_mb: Resident memory of a process.
-      budget_control_kb_per_s: Bytes sent and received for control.
-      budget_appends_per_s: What the log takes.
+      replicas: Instances that receive one new version.
+      chunks: Number of chunks in one version.
+      changes_per_day: Changes to the settings per day.
+      budget_core_percent: Processor time for control, in percent of a core.
+      budget_memory_mb: Resident memory of a process, in MB.
+      budget_control_kb_per_s: Control traffic of a process, sent and
+        received, in KB/s.
+      budget_appends_per_s: Appends per second that the log accepts.
     """
 
     entries: int = 320
@@ -63,25 +64,25 @@
 
     @property
     def members(self) -> int:
-        """All processes of the system."""
+        """The number of processes in the system."""
         return self.entries + self.agents
 
     @property
     def members_per_domain(self) -> float:
-        """The processes of one failure domain."""
+        """The mean number of processes in a failure domain."""
         return self.members / self.failure_domains
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slope:
-    """One measured figure.
+    """One measured coefficient of the capacity model.
 
     Attributes:
-      name: What rows call it by.
-      value: The figure; None when it has not been measured.
-      unit: Its unit.
-      command: The command that measures it again.
-      note: What it holds for.
+      name: The name by which rows refer to it.
+      value: The measured value; None if it has not been measured.
+      unit: The unit of the value.
+      command: The command that repeats the measurement.
+      note: The conditions under which it holds.
     """
 
     name: str
@@ -93,17 +94,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One line of the table.
+    """One row of the capacity table.
 
     Attributes:
-      role: Whose capacity it is.
-      kind: What it counts.
-      what: What it is about.
-      value: The figure; None when a slope has not been measured.
-      unit: Its unit.
-      budget: The most it may be; None when there is no bound.
-      slopes: The slopes it was worked out from.
-      mechanism: What keeps it at that.
+      role: The process or service that the row describes.
+      kind: The resource that the row measures.
+      what: A description of the measured load.
+      value: The computed value; None if a slope has not been measured.
+      unit: The unit of the value.
+      budget: The maximum value; None if there is no limit.
+      slopes: The names of the slopes in the formula.
+      mechanism: The mechanism that limits the value.
     """
 
     role: Role
@@ -117,7 +118,10 @@
 
     @property
     def used(self) -> float | None:
-        """The share of the budget in use; None when it cannot be told."""
+        """The used fraction of the budget; None if value or budget is absent.
+
+        A budget of zero counts as absent.
+        """
         if self.value is None or not self.budget:
             return None
         return self.value / self.budget
@@ -129,17 +133,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowDefinition:
-    """How one row is worked out.
+    """The definition of how one row is computed.
 
     Attributes:
-      role: Whose capacity it is.
-      kind: What it counts.
-      what: What it is about.
-      unit: Its unit.
-      slopes: The slopes that the formula needs.
-      formula: From sizes and slopes to the figure.
-      mechanism: What keeps it at that.
-      budget: From sizes to the most it may be; None without a bound.
+      role: The process or service that the row describes.
+      kind: The resource that the row measures.
+      what: A description of the measured load.
+      unit: The unit of the value.
+      slopes: The names of the slopes that the formula needs.
+      formula: Computes the value from sizes and slopes.
+      mechanism: The mechanism that limits the value.
+      budget: Returns the maximum value for some sizes; None if there is no
+        limit.
     """
 
     role: Role
--- a/src/clementinegw/capacity/table.py
+++ b/src/clementinegw/capacity/table.py
@@ -1,4 +1,4 @@
-"""Writes the rows of capacity as a Markdown table."""
+"""Renders capacity rows and slopes as Markdown tables."""
 
 from collections.abc import Iterable, Sequence
 
@@ -11,12 +11,12 @@
 
 
 def render(rows: Sequence[quantities.Row]) -> str:
-    """Returns the table of roles."""
+    """Returns the rows as a Markdown table."""
     return _markdown(_HEADERS, (_cells(row) for row in rows))
 
 
 def render_slopes(slopes: Iterable[quantities.Slope]) -> str:
-    """Returns the table of slopes."""
+    """Returns the slopes as a Markdown table."""
     return _markdown(
         _SLOPE_HEADERS,
         (
@@ -33,7 +33,7 @@
 
 
 def format_number(value: float | None) -> str:
-    """Returns a figure with three digits that count."""
+    """Returns a value with three significant digits, or whole from 1000 up."""
     if value is None:
         return _NOT_MEASURED
     if value == 0:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: the arithmetic, the shipped slopes, and the page's table."""
+"""Tests of the capacity formulas, the shipped slopes and the docs page."""
 
 import json
 import pathlib
@@ -60,7 +60,7 @@
     assert log.value == pytest.approx(100 * 0.1 * 0.5)
 
 
-def test_slope_that_is_not_measured_leaves_its_rows_open():
+def test_unmeasured_slope_leaves_its_rows_without_value():
     rows = model.compute_rows(
         quantities.Sizes(), make_slopes(token_cpu_us=None)
     )
@@ -69,15 +69,15 @@
     assert "not measured" in table.render([tokens])
 
 
-def test_least_room_is_found():
+def test_bottleneck_has_largest_used_share_of_budget():
     sizes = quantities.Sizes(budget_memory_mb=1.0)
     rows = model.compute_rows(sizes, make_slopes(memory_mb_base=1e6))
-    first = model.bottleneck(rows)
-    assert first.kind == "memory"
-    assert first.used > 1
+    row = model.bottleneck(rows)
+    assert row.kind == "memory"
+    assert row.used > 1
 
 
-def test_every_slope_names_its_command_and_is_used():
+def test_every_slope_has_a_command_and_is_used():
     shipped = inputs.read_slopes()
     used = {
         name
@@ -94,11 +94,11 @@
 
 def frame_size(kind, notice):
     frame = frame_types.Frame(kind, 0, codec.encode(notice))
-    length_prefix = 4
-    return len(codec.encode(frame)) + length_prefix
+    length_prefix_bytes = 4
+    return len(codec.encode(frame)) + length_prefix_bytes
 
 
-def test_status_slopes_are_those_of_the_program():
+def test_status_slopes_match_frame_sizes_and_timing():
     shipped = inputs.read_slopes()
     status = requests_types.AgentStatus(
         "agent-assistent-123",
@@ -130,7 +130,7 @@
     assert timing.max_notify_delay_s >= 2 * timing.probe_interval_s
 
 
-def test_control_of_a_process_is_within_its_budget_at_the_target():
+def test_control_traffic_is_within_budget_at_target_sizes():
     rows = model.compute_rows(quantities.Sizes(), inputs.read_slopes())
     for role in ("entry", "agent"):
         parts = [
@@ -142,7 +142,7 @@
         assert total.used < 1
 
 
-def test_page_has_the_tables_that_the_command_prints(capsys):
+def test_page_contains_the_printed_tables(capsys):
     assert main.main(["capacity", "--slopes"]) == 0
     printed = capsys.readouterr().out
     page = PAGE.read_text(encoding="utf-8")
@@ -150,7 +150,7 @@
         assert block in page
 
 
-def test_own_sizes_are_read(tmp_path, capsys):
+def test_sizes_file_is_read(tmp_path, capsys):
     file = tmp_path / "sizes.json"
     file.write_text('{"entries": 8, "agents": 10, "failure_domains": 3}')
     assert main.main(["capacity", f"--sizes={file}", "--json"]) == 0
@@ -169,7 +169,7 @@
         (None, "No such file"),
     ],
 )
-def test_bad_sizes_are_one_clear_error(tmp_path, text, expected):
+def test_invalid_sizes_raise_usage_error(tmp_path, text, expected):
     file = tmp_path / "sizes.json"
     if text is not None:
         file.write_text(text)
