--- a/src/clementinegw/matrix/member_faults.py
+++ b/src/clementinegw/matrix/member_faults.py
@@ -67,7 +67,7 @@
     guards.Guard(
         "no_refutation",
         "not_known",
-        (guards.Patch(_core.Core, "_about_self", _silent),),
+        (guards.Patch(_core.Core, "_apply_own_update", _silent),),
         ("join",),
         ("newcomer_sleeps@started",),
     ),
--- a/src/clementinegw/membership/_core.py
+++ b/src/clementinegw/membership/_core.py
@@ -6,13 +6,13 @@
 from clementinegw.membership import _events
 from clementinegw.membership import _records
 from clementinegw.membership import actions
-from clementinegw.membership import budget
 from clementinegw.membership import detector
 from clementinegw.membership import dissemination
 from clementinegw.membership import domains
 from clementinegw.membership import parameters
 from clementinegw.membership import sync
 from clementinegw.membership import table as tables
+from clementinegw.membership import token_bucket
 from clementinegw.wire.gen.membership import ttypes
 
 State = _records.State
@@ -43,36 +43,36 @@
     ):
         self.options = options
         self.rng = rng
-        self.own = _records.member_of(instance, "")
+        self.own_member = _records.member_of(instance, "")
         self.key = _records.key_of(instance.instance_id)
-        self.report = ttypes.Report(self.key, instance.incarnation, 0, 0, 0)
+        self.own_report = ttypes.Report(self.key, instance.incarnation, 0, 0, 0)
         self.newest_revision = 0
         self.settled = False
         self.table = tables.Table()
         self.detector = detector.Detector(options)
-        self.news = dissemination.Dissemination(options, rng)
+        self.dissemination = dissemination.Dissemination(options, rng)
         self.domains = domains.Domains(
-            self.own.failure_domain, self.table, options
+            self.own_member.failure_domain, self.table, options
         )
         self.sync = sync.Sync(self.table, options, rng)
-        self.pushes = budget.Budget(
+        self.push_budget = token_bucket.TokenBucket(
             options.urgent_rate, options.urgent_burst, now
         )
-        self.lost: dict[str, types.Address] = {}
-        self.reclaims: dict[str, types.Address] = {}
+        self.lost_addresses: dict[str, types.Address] = {}
+        self.disputed_addresses: dict[str, types.Address] = {}
         # A restarted process starts above the sequences of its former life.
         self._sequence = instance.incarnation << 20
-        self.table.apply(self.own, now)
+        self.table.apply(self.own_member, now)
 
     @property
     def own_id(self) -> str:
         """This process's instance id."""
-        return self.own.instance_id
+        return self.own_member.instance_id
 
     @property
     def own_domain(self) -> str:
         """This process's failure domain."""
-        return self.own.failure_domain
+        return self.own_member.failure_domain
 
     def next_sequence(self) -> int:
         """Returns a sequence that no datagram of this process had."""
@@ -84,7 +84,7 @@
         bridges = self.domains.bridges(self.own_domain)
         return any(r.member.instance_id == self.own_id for r in bridges)
 
-    def keeps_remote(self, member: ttypes.Member) -> bool:
+    def tracks_remote_domains(self, member: ttypes.Member) -> bool:
         """Returns whether a member needs to know other failure domains."""
         if member.role == _ENTRY:
             return True
@@ -93,7 +93,7 @@
         bridges = self.domains.bridges(member.failure_domain)
         return any(r.member.instance_id == member.instance_id for r in bridges)
 
-    def gossip(
+    def new_message(
         self, kind: int, now: float, receiver: ttypes.Member | None = None
     ) -> ttypes.Gossip:
         """Returns a datagram with the news that its receiver needs.
@@ -106,7 +106,7 @@
         message = ttypes.Gossip(
             kind,
             self.own_id,
-            self.own.incarnation,
+            self.own_member.incarnation,
             self.next_sequence(),
             0,
             self.newest_revision,
@@ -115,43 +115,53 @@
             [],
         )
         if receiver is None:
-            message.domains = [self.domains.own_summary_bare()]
+            message.domains = [self.domains.own_digest_summary()]
             return message
         if receiver.failure_domain != self.own_domain:
             message.domains = [self.domains.own_summary()]
-            message.updates = self.news.updates(self._concerns_others)
+            message.updates = self.dissemination.take_updates(
+                self._is_relevant_remotely
+            )
             return message
-        message.reports = self.news.reports(self.report)
-        if self.own.role == receiver.role == _ENTRY or (
-            self.keeps_remote(receiver) and self.keeps_remote(self.own)
+        message.reports = self.dissemination.take_reports(self.own_report)
+        if self.own_member.role == receiver.role == _ENTRY or (
+            self.tracks_remote_domains(receiver)
+            and self.tracks_remote_domains(self.own_member)
         ):
             message.domains = self.domains.summaries(now)
-            message.updates = self.news.updates(_any)
+            message.updates = self.dissemination.take_updates(_accept_all)
         else:
-            message.domains = [self.domains.own_summary_bare()]
-            message.updates = self.news.updates(self._is_local)
+            message.domains = [self.domains.own_digest_summary()]
+            message.updates = self.dissemination.take_updates(self._is_local)
         return message
 
-    def take_in(
+    def apply_update(
         self, member: ttypes.Member, now: float
     ) -> list[actions.Action]:
         """Takes in a statement about a member, perhaps about oneself."""
         if member.instance_id == self.own_id:
-            return self._about_self(member, now)
-        if not self._wanted(member):
+            return self._apply_own_update(member, now)
+        if not self._is_tracked(member):
             return []
         before = self.table.get(member.instance_id)
-        was = before.member.state if before is not None else State.ALIVE
+        previous_state = (
+            before.member.state if before is not None else State.ALIVE
+        )
         if not self.table.apply(member, now):
             return []
         local = self._is_local(member)
-        urgent = local and (member.state != State.ALIVE or was != State.ALIVE)
-        self.news.add(member, len(self.table), urgent)
+        urgent = local and (
+            member.state != State.ALIVE or previous_state != State.ALIVE
+        )
+        self.dissemination.add(member, len(self.table), urgent)
         if local:
-            self._follow(member, now)
-        return [actions.Changed(member.instance_id), *_noted(member)]
+            self._update_detector(member, now)
+        return [
+            actions.MemberChanged(member.instance_id),
+            *_state_change_actions(member),
+        ]
 
-    def restate_self(
+    def update_self(
         self, state: int, now: float, above: int = 0, version: str | None = None
     ) -> list[actions.Action]:
         """Says with a new incarnation what this process is.
@@ -162,100 +172,108 @@
           above: An incarnation that the new one must exceed.
           version: The version served; None for the one said last.
         """
-        incarnation = max(self.own.incarnation, above) + 1
-        self.own = _records.restate(self.own, state, incarnation)
+        incarnation = max(self.own_member.incarnation, above) + 1
+        self.own_member = _records.with_state(
+            self.own_member, state, incarnation
+        )
         if version is not None:
-            self.own.version = version
-        self.table.apply(self.own, now)
-        self.news.add(self.own, len(self.table), urgent=True)
-        return [actions.Changed(self.own_id)]
+            self.own_member.version = version
+        self.table.apply(self.own_member, now)
+        self.dissemination.add(self.own_member, len(self.table), urgent=True)
+        return [actions.MemberChanged(self.own_id)]
 
-    def new_report(self, load: float, settings_revision: int) -> None:
+    def update_report(self, load: float, settings_revision: int) -> None:
         """Replaces this process's report."""
-        self.report = ttypes.Report(
+        self.own_report = ttypes.Report(
             self.key,
-            self.own.incarnation,
-            self.report.sequence + 1,
+            self.own_member.incarnation,
+            self.own_report.sequence + 1,
             round(load * _PER_MILLE),
             settings_revision,
         )
         self.newest_revision = max(self.newest_revision, settings_revision)
-        self.table.report(self.report)
+        self.table.apply_report(self.own_report)
 
-    def peers(self, count: int, without: str = "") -> list[_records.Record]:
+    def random_peers(
+        self, count: int, excluded: str = ""
+    ) -> list[_records.Record]:
         """Returns up to `count` random live members of the failure domain."""
         ring = self.table.domain(self.own_domain).ring
-        drawn = self.rng.sample(ring, min(len(ring), count + 2))
+        sampled = self.rng.sample(ring, min(len(ring), count + 2))
         chosen = []
-        for _, instance_id in drawn:
+        for _, instance_id in sampled:
             record = self.table.get(instance_id)
-            if instance_id in (self.own_id, without) or record is None:
+            if instance_id in (self.own_id, excluded) or record is None:
                 continue
             if record.member.state in (State.ALIVE, State.LEAVING):
                 chosen.append(record)
         return chosen[:count]
 
-    def _about_self(
+    def _apply_own_update(
         self, member: ttypes.Member, now: float
     ) -> list[actions.Action]:
-        if self.own.state == State.LEFT:
+        if self.own_member.state == State.LEFT:
             return []
-        if not _records.replaces(member, self.own):
+        if not _records.supersedes(member, self.own_member):
             return []
         # A former life of this process with a faster clock, or a suspicion:
         # both are overruled by an incarnation above the one that was named.
         return [
-            *self.restate_self(self.own.state, now, above=member.incarnation),
+            *self.update_self(
+                self.own_member.state, now, above=member.incarnation
+            ),
             actions.Count("membership.refutations"),
-            actions.Note(_events.SUSPICION_REFUTED, self.own_id),
+            actions.LogEvent(_events.SUSPICION_REFUTED, self.own_id),
         ]
 
-    def _follow(self, member: ttypes.Member, now: float) -> None:
+    def _update_detector(self, member: ttypes.Member, now: float) -> None:
         instance_id = member.instance_id
         if member.state == State.SUSPECT:
             self.detector.suspect(instance_id, member.incarnation, now, False)
             return
-        self.detector.trust(instance_id)
+        self.detector.clear_suspicion(instance_id)
         if member.state == State.DEAD:
-            if len(self.lost) >= self.options.lost_bound:
-                self.lost.pop(next(iter(self.lost)))
-            self.lost[instance_id] = types.Address(member.host, member.port)
+            if len(self.lost_addresses) >= self.options.max_lost_addresses:
+                self.lost_addresses.pop(next(iter(self.lost_addresses)))
+            self.lost_addresses[instance_id] = types.Address(
+                member.host, member.port
+            )
             return
-        self.lost.pop(instance_id, None)
-        self.reclaims.pop(instance_id, None)
+        self.lost_addresses.pop(instance_id, None)
+        self.disputed_addresses.pop(instance_id, None)
 
-    def _wanted(self, member: ttypes.Member) -> bool:
+    def _is_tracked(self, member: ttypes.Member) -> bool:
         if self._is_local(member):
             return True
         # Another failure domain's suspicions are its own matter: their end
         # would come by another way than their beginning.
         if member.state == State.SUSPECT:
             return False
-        return self.keeps_remote(self.own)
+        return self.tracks_remote_domains(self.own_member)
 
     def _is_local(self, member: ttypes.Member) -> bool:
         return member.failure_domain == self.own_domain
 
-    def _concerns_others(self, member: ttypes.Member) -> bool:
+    def _is_relevant_remotely(self, member: ttypes.Member) -> bool:
         return self._is_local(member) and member.state != State.SUSPECT
 
 
-def _any(member: ttypes.Member) -> bool:
+def _accept_all(member: ttypes.Member) -> bool:
     return True
 
 
-_NOTES = {
+_STATE_EVENTS = {
     State.SUSPECT: (_events.MEMBER_SUSPECTED, "membership.suspected"),
     State.DEAD: (_events.MEMBER_DEAD, "membership.dead"),
 }
 
 
-def _noted(member: ttypes.Member) -> list[actions.Action]:
-    noted = _NOTES.get(member.state)
+def _state_change_actions(member: ttypes.Member) -> list[actions.Action]:
+    noted = _STATE_EVENTS.get(member.state)
     if noted is None:
         return []
     event, counter = noted
     return [
-        actions.Note(event, member.instance_id),
+        actions.LogEvent(event, member.instance_id),
         actions.Count(counter),
     ]
--- a/src/clementinegw/membership/_probing.py
+++ b/src/clementinegw/membership/_probing.py
@@ -6,8 +6,8 @@
 from clementinegw.membership import _core
 from clementinegw.membership import _records
 from clementinegw.membership import actions
-from clementinegw.membership import budget
 from clementinegw.membership import detector
+from clementinegw.membership import token_bucket
 from clementinegw.membership import view
 from clementinegw.wire.gen.membership import ttypes
 
@@ -23,44 +23,66 @@
     def __init__(self, core: _core.Core, now: float):
         self._core = core
         self._options = core.options
-        self._rounds = detector.RandomRounds(core.rng)
+        self._random_rounds = detector.RandomRounds(core.rng)
         self._seeds: list[view.Seed] = []
-        self._successor = 0
-        self._remote_turn = 0
+        self._successor_index = 0
+        self._remote_domain_index = 0
         options = core.options
         # Suspicions cost datagrams. Where many arise at once because this
         # process or the network is overloaded, more datagrams make it worse.
-        self._extra = budget.Budget(
+        self._extra_budget = token_bucket.TokenBucket(
             options.extra_rate, options.extra_burst, now
         )
         self._timers = [
-            _Timer(now, options.ring_probe_s, core.rng.random(), self._ring),
-            _Timer(now, options.random_probe_s, core.rng.random(), self._any),
-            _Timer(now, options.retry_s, 0.0, self._retry),
-            _Timer(now, options.bridge_s, core.rng.random(), self._bridge),
-            _Timer(now, options.join_s, 0.0, self._join),
-            _Timer(now, options.rejoin_s, core.rng.random(), self._rejoin),
+            _Timer(
+                now,
+                options.ring_probe_s,
+                core.rng.random(),
+                self._probe_ring_successor,
+            ),
+            _Timer(
+                now,
+                options.random_probe_s,
+                core.rng.random(),
+                self._probe_random_member,
+            ),
+            _Timer(now, options.suspect_ping_s, 0.0, self._ping_suspects),
+            _Timer(
+                now,
+                options.bridge_s,
+                core.rng.random(),
+                self._probe_remote_domain,
+            ),
+            _Timer(now, options.join_s, 0.0, self._probe_seeds),
+            _Timer(
+                now,
+                options.rejoin_s,
+                core.rng.random(),
+                self._probe_lost_member,
+            ),
         ]
 
     def set_seeds(self, seeds: Iterable[view.Seed]) -> None:
         """Replaces the addresses where members may be found."""
-        own = types.Address(self._core.own.host, self._core.own.port)
+        own = types.Address(
+            self._core.own_member.host, self._core.own_member.port
+        )
         self._seeds = [seed for seed in seeds if seed.address != own]
 
     def tick(self, now: float) -> list[actions.Action]:
         """Runs what is due."""
-        found = self._judge(now)
+        found = self._process_deadlines(now)
         for timer in self._timers:
-            if timer.due(now):
+            if timer.check_due(now):
                 found += timer.run(now)
-        found += self._reclaim(now)
-        found += self._push(now)
+        found += self._ping_disputed(now)
+        found += self._push_urgent(now)
         return found
 
-    def farewell(self, now: float) -> list[actions.Action]:
+    def tick_after_leave(self, now: float) -> list[actions.Action]:
         """Goes on telling that this process has left, and nothing else."""
-        self._core.news.add(self._core.own, 1, urgent=True)
-        return self._push(now)
+        self._core.dissemination.add(self._core.own_member, 1, urgent=True)
+        return self._push_urgent(now)
 
     def ping(
         self,
@@ -71,9 +93,9 @@
         """Pings a member, or whoever listens at an address."""
         core = self._core
         member = record.member if record is not None else None
-        message = core.gossip(Kind.PING, now, member)
+        message = core.new_message(Kind.PING, now, member)
         if member is None or member.state >= State.DEAD:
-            message.introduction = core.own
+            message.introduction = core.own_member
         if member is not None and member.state != State.ALIVE:
             # Whoever is suspected must hear of it to be able to refute.
             message.updates = [member, *message.updates]
@@ -85,17 +107,17 @@
             now + self._options.probe_timeout_s,
         )
         if record is not None and self._is_local(record):
-            probe.help_at = now + self._options.direct_timeout_s
-        core.detector.sent(probe)
+            probe.indirect_at = now + self._options.direct_timeout_s
+        core.detector.add_probe(probe)
         return [actions.Send(address, message)]
 
-    def stranger(
+    def ping_unverified(
         self, address: types.Address, now: float
     ) -> list[actions.Action]:
         """Pings an address whose claim to be a member has no fresh proof."""
-        if self._core.detector.waits_for(address):
+        if self._core.detector.has_open_probe(address):
             return []
-        if not self._extra.take(1, now):
+        if not self._extra_budget.take(1, now):
             return [actions.Count("membership.strangers_limited")]
         return self.ping(address, now)
 
@@ -103,27 +125,29 @@
         self, record: _records.Record, updates: list, now: float
     ) -> list[actions.Action]:
         """Pushes statements to one member at once."""
-        message = self._core.gossip(Kind.UPDATES, now, None)
+        message = self._core.new_message(Kind.UPDATES, now, None)
         message.updates = updates
         return [actions.Send(record.address, message)]
 
-    def _judge(self, now: float) -> list[actions.Action]:
+    def _process_deadlines(self, now: float) -> list[actions.Action]:
         core = self._core
         found: list[actions.Action] = []
-        for probe in core.detector.late(now):
-            found += self._ask_helpers(probe, now)
-        for probe in core.detector.failed(now):
-            found += self._missed(probe, now)
-        for instance_id, incarnation in core.detector.due(now):
+        for probe in core.detector.take_indirect_due(now):
+            found += self._request_indirect_pings(probe, now)
+        for probe in core.detector.take_failed_probes(now):
+            found += self._on_probe_failed(probe, now)
+        for instance_id, incarnation in core.detector.take_expired_suspicions(
+            now
+        ):
             record = core.table.get(instance_id)
             if record is None or record.member.incarnation != incarnation:
                 continue
-            found += core.take_in(
-                _records.restate(record.member, State.DEAD), now
+            found += core.apply_update(
+                _records.with_state(record.member, State.DEAD), now
             )
         return found
 
-    def _ask_helpers(
+    def _request_indirect_pings(
         self, probe: detector.Probe, now: float
     ) -> list[actions.Action]:
         core = self._core
@@ -131,17 +155,17 @@
         if record is None or not self._is_local(record):
             return []
         found: list[actions.Action] = []
-        granted = self._extra.take(self._options.helpers, now)
-        helpers = core.peers(granted, without=probe.instance_id)
+        granted = self._extra_budget.take(self._options.helpers, now)
+        helpers = core.random_peers(granted, excluded=probe.instance_id)
         for helper in helpers:
-            message = core.gossip(Kind.PING_REQUEST, now, helper.member)
+            message = core.new_message(Kind.PING_REQUEST, now, helper.member)
             message.target = record.member
             message.answers = probe.sequence
             found.append(actions.Send(helper.address, message))
         found.append(actions.Count("membership.indirect_pings"))
         return found
 
-    def _missed(
+    def _on_probe_failed(
         self, probe: detector.Probe, now: float
     ) -> list[actions.Action]:
         record = self._core.table.get(probe.instance_id)
@@ -151,30 +175,30 @@
             # The ping went to a former life, perhaps at another address; its
             # silence says nothing about the process that took its place.
             return [actions.Count("membership.probes_outdated")]
-        if probe.confirms:
+        if probe.is_confirmation:
             return self._suspect(record, now)
-        return self._confirm(record, now)
+        return self._send_second_probe(record, now)
 
-    def _confirm(
+    def _send_second_probe(
         self, record: _records.Record, now: float
     ) -> list[actions.Action]:
         # One lost round is common at 5% loss and 295 members, and a suspicion
         # costs datagrams at all of them twice, there and back. A second round
         # before anybody is told makes such suspicions rare.
         core = self._core
-        if not self._extra.take(1, now):
+        if not self._extra_budget.take(1, now):
             return [actions.Count("membership.confirmations_limited")]
-        message = core.gossip(Kind.PING, now, record.member)
+        message = core.new_message(Kind.PING, now, record.member)
         probe = detector.Probe(
             message.sequence,
             record.member.instance_id,
             record.member.incarnation,
             record.address,
             now + self._options.confirm_timeout_s,
-            confirms=True,
+            is_confirmation=True,
         )
-        core.detector.sent(probe)
-        found = self._ask_helpers(probe, now)
+        core.detector.add_probe(probe)
+        found = self._request_indirect_pings(probe, now)
         return [actions.Send(record.address, message), *found]
 
     def _suspect(
@@ -186,17 +210,19 @@
         if member.state == State.LEAVING:
             # Its own word outranks a suspicion, so it is only timed here.
             return []
-        suspect = _records.restate(member, State.SUSPECT)
-        found = core.take_in(suspect, now)
+        suspect = _records.with_state(member, State.SUSPECT)
+        found = core.apply_update(suspect, now)
         return found + self.push_to(record, [suspect], now)
 
-    def _retry(self, now: float) -> list[actions.Action]:
+    def _ping_suspects(self, now: float) -> list[actions.Action]:
         # What a suspect answers carries its refutation, should it have missed
         # every other way to hear of the suspicion or to be heard.
         core = self._core
-        own = [i for i, s in core.detector.suspicions.items() if s.own]
-        wanted = min(len(own), self._options.retries)
-        chosen = core.rng.sample(own, self._extra.take(wanted, now))
+        own = [
+            i for i, s in core.detector.suspicions.items() if s.detected_here
+        ]
+        wanted = min(len(own), self._options.suspect_pings)
+        chosen = core.rng.sample(own, self._extra_budget.take(wanted, now))
         found: list[actions.Action] = []
         for instance_id in chosen:
             record = core.table.get(instance_id)
@@ -208,14 +234,16 @@
         domain = record.member.failure_domain
         return record.present and domain == self._core.own_domain
 
-    def _ring(self, now: float) -> list[actions.Action]:
+    def _probe_ring_successor(self, now: float) -> list[actions.Action]:
         # Each member is probed by its two predecessors, at fixed periods, so
         # that the time to the first probe after a death has a bound; random
         # probes alone leave a tail. Suspects are passed over, so that a
         # neighbour that died too does not hide the one behind it.
         core = self._core
-        self._successor = (self._successor + 1) % self._options.ring_successors
-        left = self._successor
+        self._successor_index = (
+            self._successor_index + 1
+        ) % self._options.ring_successors
+        left = self._successor_index
         domain = core.table.domain(core.own_domain)
         for instance_id in domain.successors(core.key, core.own_id):
             record = core.table.get(instance_id)
@@ -226,11 +254,11 @@
             left -= 1
         return []
 
-    def _any(self, now: float) -> list[actions.Action]:
+    def _probe_random_member(self, now: float) -> list[actions.Action]:
         core = self._core
         ring = core.table.domain(core.own_domain).ring
         present = [instance_id for _, instance_id in ring]
-        for instance_id in self._rounds.next(present):
+        for instance_id in self._random_rounds.next(present):
             record = core.table.get(instance_id)
             if record is None or instance_id == core.own_id:
                 continue
@@ -238,9 +266,9 @@
                 return self.ping(record.address, now, record)
         return []
 
-    def _bridge(self, now: float) -> list[actions.Action]:
+    def _probe_remote_domain(self, now: float) -> list[actions.Action]:
         core = self._core
-        found = self._entry_round(now)
+        found = self._ping_random_entry(now)
         if not core.is_bridge():
             return found
         names = set(core.table.domains)
@@ -248,14 +276,16 @@
         others = sorted(names - {core.own_domain, ""})
         if not others:
             return found
-        self._remote_turn = (self._remote_turn + 1) % len(others)
-        return found + self._ping_domain(others[self._remote_turn], now)
+        self._remote_domain_index = (self._remote_domain_index + 1) % len(
+            others
+        )
+        return found + self._ping_domain(others[self._remote_domain_index], now)
 
-    def _entry_round(self, now: float) -> list[actions.Action]:
+    def _ping_random_entry(self, now: float) -> list[actions.Action]:
         # What bridges learn spreads among the entries by digests alone, so
         # each entry compares with one more entry a period.
         core = self._core
-        if not core.keeps_remote(core.own):
+        if not core.tracks_remote_domains(core.own_member):
             return []
         entries = [
             record
@@ -282,7 +312,7 @@
             return []
         return self.ping(core.rng.choice(usable), now)
 
-    def _join(self, now: float) -> list[actions.Action]:
+    def _probe_seeds(self, now: float) -> list[actions.Action]:
         core = self._core
         if len(core.table.domain(core.own_domain).ring) > 1:
             return []
@@ -293,19 +323,19 @@
             found += self.ping(seed, now)
         return found
 
-    def _rejoin(self, now: float) -> list[actions.Action]:
+    def _probe_lost_member(self, now: float) -> list[actions.Action]:
         # After a partition each half holds the other for dead and would never
         # speak to it again; one probe a period to a random lost member or
         # unknown seed finds it. One side's probes together are frequent.
         core = self._core
         known = {r.address for r in core.table.present(core.own_domain)}
         usable = [s for s in self._local_seeds() if s not in known]
-        usable += [a for a in core.lost.values() if a not in known]
+        usable += [a for a in core.lost_addresses.values() if a not in known]
         if not usable:
             return []
         address = core.rng.choice(usable)
         record = None
-        for instance_id, lost in core.lost.items():
+        for instance_id, lost in core.lost_addresses.items():
             if lost == address:
                 record = core.table.get(instance_id)
         return self.ping(address, now, record)
@@ -314,32 +344,32 @@
         own = self._core.own_domain
         return [s.address for s in self._seeds if s.failure_domain in ("", own)]
 
-    def _reclaim(self, now: float) -> list[actions.Action]:
+    def _ping_disputed(self, now: float) -> list[actions.Action]:
         # A member that a peer holds for alive and this process for dead is
         # told so and refutes; a few each tick, so that a healed partition
         # does not become a storm.
         core = self._core
         found: list[actions.Action] = []
-        for instance_id in list(core.reclaims)[
-            : self._options.reclaims_per_tick
+        for instance_id in list(core.disputed_addresses)[
+            : self._options.disputed_per_tick
         ]:
-            address = core.reclaims.pop(instance_id)
+            address = core.disputed_addresses.pop(instance_id)
             record = core.table.get(instance_id)
             if record is not None and not record.present:
                 found += self.ping(address, now, record)
         return found
 
-    def _push(self, now: float) -> list[actions.Action]:
+    def _push_urgent(self, now: float) -> list[actions.Action]:
         core = self._core
-        updates = core.news.take_urgent(self._options.records_per_sync)
+        updates = core.dissemination.take_urgent(self._options.records_per_sync)
         if not updates:
             return []
-        count = core.pushes.take(self._options.fanout, now)
+        count = core.push_budget.take(self._options.fanout, now)
         if not count:
             # The piggyback queue still has them.
             return [actions.Count("membership.pushes_limited")]
         found: list[actions.Action] = []
-        for record in core.peers(count):
+        for record in core.random_peers(count):
             found += self.push_to(record, updates, now)
         return found
 
@@ -360,7 +390,7 @@
         self._period = period
         self.run = run
 
-    def due(self, now: float) -> bool:
+    def check_due(self, now: float) -> bool:
         """Returns whether to run now, and sets the next time."""
         if now < self._next:
             return False
--- a/src/clementinegw/membership/_receiving.py
+++ b/src/clementinegw/membership/_receiving.py
@@ -8,9 +8,9 @@
 from clementinegw.membership import _probing
 from clementinegw.membership import _records
 from clementinegw.membership import actions
-from clementinegw.membership import budget
 from clementinegw.membership import detector
 from clementinegw.membership import sync
+from clementinegw.membership import token_bucket
 from clementinegw.membership import window
 from clementinegw.wire.gen.membership import ttypes
 
@@ -21,15 +21,15 @@
 class Trust(enum.Enum):
     """How far a datagram's sender is believed.
 
-    KNOWN: a live member. STRANGER: not known, or said to be newer than the
+    KNOWN: a live member. UNVERIFIED: not known, or said to be newer than the
     dead one that is: it must answer a ping first, because a recording of its
-    former life would look the same. DISBELIEVED: dead or suspect here, or an
+    former life would look the same. UNTRUSTED: dead or suspect here, or an
     older life; it is told so, and refutes if it is well.
     """
 
     KNOWN = "known"
-    STRANGER = "stranger"
-    DISBELIEVED = "disbelieved"
+    UNVERIFIED = "stranger"
+    UNTRUSTED = "disbelieved"
 
 
 class Receiving:
@@ -38,19 +38,19 @@
     def __init__(self, core: _core.Core, probing: _probing.Probing, now: float):
         self._core = core
         self._probing = probing
-        self._windows: dict[str, window.ReplayWindow] = {}
-        self._sync_answers = budget.Budget(
+        self._replay_windows: dict[str, window.ReplayWindow] = {}
+        self._sync_answer_budget = token_bucket.TokenBucket(
             core.options.sync_answers_rate,
             core.options.sync_answers_rate,
             now,
         )
-        self._agreed = 0
+        self._matching_digests = 0
         self._handlers = {
             Kind.PING: self._on_ping,
             Kind.ACK: self._on_ack,
             Kind.PING_REQUEST: self._on_ping_request,
             Kind.UPDATES: self._on_updates,
-            Kind.SYNC_ASK: self._on_sync_ask,
+            Kind.SYNC_ASK: self._on_sync_request,
             Kind.SYNC_RECORDS: self._on_sync_records,
         }
 
@@ -63,34 +63,38 @@
             return [actions.Count("membership.refused.unknown_kind")]
         if message.sender == self._core.own_id:
             return [actions.Count("membership.refused.own_datagram")]
-        trust = self._judge(message)
+        trust = self._sender_trust(message)
         if trust is None:
             return [actions.Count("membership.refused.replayed")]
         return handler(message, source, trust, now)
 
-    def forget(self, now: float) -> None:
+    def drop_tombstones(self, now: float) -> None:
         """Drops old tombstones and the replay windows of their members."""
         core = self._core
-        for instance_id in core.table.forget(now - core.options.tombstone_s):
-            self._windows.pop(instance_id, None)
+        for instance_id in core.table.drop_tombstones(
+            now - core.options.tombstone_s
+        ):
+            self._replay_windows.pop(instance_id, None)
 
-    def _judge(self, message: ttypes.Gossip) -> Trust | None:
+    def _sender_trust(self, message: ttypes.Gossip) -> Trust | None:
         record = self._core.table.get(message.sender)
         if record is None:
-            return Trust.STRANGER
+            return Trust.UNVERIFIED
         known = record.member
-        seen = self._windows.setdefault(message.sender, window.ReplayWindow())
+        seen = self._replay_windows.setdefault(
+            message.sender, window.ReplayWindow()
+        )
         if not seen.accept(message.sequence):
             return None
         if message.incarnation > known.incarnation:
             if record.present:
                 return Trust.KNOWN
-            return Trust.STRANGER
+            return Trust.UNVERIFIED
         if message.incarnation < known.incarnation:
-            return Trust.DISBELIEVED
+            return Trust.UNTRUSTED
         if known.state in (State.ALIVE, State.LEAVING):
             return Trust.KNOWN
-        return Trust.DISBELIEVED
+        return Trust.UNTRUSTED
 
     def _on_ping(
         self,
@@ -100,21 +104,21 @@
         now: float,
     ) -> list[actions.Action]:
         core = self._core
-        found = self._absorb(message, source, trust, now)
+        found = self._apply_contents(message, source, trust, now)
         record = core.table.get(message.sender)
         known = trust is Trust.KNOWN and record is not None
-        answer = core.gossip(
+        answer = core.new_message(
             Kind.ACK, now, record.member if known and record else None
         )
         answer.answers = message.sequence
         answer.settled = core.settled
         if not known or message.introduction is not None:
-            answer.introduction = core.own
-        if trust is Trust.DISBELIEVED and record is not None:
+            answer.introduction = core.own_member
+        if trust is Trust.UNTRUSTED and record is not None:
             answer.updates = [record.member]
         found.append(actions.Send(source, answer))
-        if trust is Trust.STRANGER:
-            found += self._probing.stranger(source, now)
+        if trust is Trust.UNVERIFIED:
+            found += self._probing.ping_unverified(source, now)
         return found
 
     def _on_ack(
@@ -125,45 +129,45 @@
         now: float,
     ) -> list[actions.Action]:
         core = self._core
-        relay = core.detector.relay_of(message.answers)
+        relay = core.detector.take_relay(message.answers)
         if relay is not None:
-            return self._pass_on(message, relay, now)
-        probe = core.detector.answered(message.answers)
+            return self._forward_ack(message, relay, now)
+        probe = core.detector.take_probe(message.answers)
         if probe is None:
             return [actions.Count("membership.late_answers")]
-        if message.target is None and trust is Trust.STRANGER:
-            trust = self._welcome(message)
-            found = self._introduce(message, now)
+        if message.target is None and trust is Trust.UNVERIFIED:
+            trust = self._verify_introduction(message)
+            found = self._apply_introduction(message, now)
         else:
             found = []
-        return found + self._absorb(message, source, trust, now)
+        return found + self._apply_contents(message, source, trust, now)
 
-    def _welcome(self, message: ttypes.Gossip) -> Trust:
+    def _verify_introduction(self, message: ttypes.Gossip) -> Trust:
         # The answer names the sequence of a ping sent just now, so it is no
         # recording.
         introduction = message.introduction
         if introduction is None or introduction.instance_id != message.sender:
-            return Trust.STRANGER
+            return Trust.UNVERIFIED
         fresh = window.ReplayWindow()
         fresh.accept(message.sequence)
-        self._windows[message.sender] = fresh
+        self._replay_windows[message.sender] = fresh
         return Trust.KNOWN
 
-    def _introduce(
+    def _apply_introduction(
         self, message: ttypes.Gossip, now: float
     ) -> list[actions.Action]:
         if message.introduction is None:
             return []
-        return self._core.take_in(message.introduction, now)
+        return self._core.apply_update(message.introduction, now)
 
-    def _pass_on(
+    def _forward_ack(
         self, message: ttypes.Gossip, relay: detector.Relay, now: float
     ) -> list[actions.Action]:
         record = self._core.table.get(message.sender)
-        answer = self._core.gossip(Kind.ACK, now, None)
+        answer = self._core.new_message(Kind.ACK, now, None)
         answer.answers = relay.sequence
         answer.target = record.member if record is not None else None
-        return [actions.Send(relay.asker, answer)]
+        return [actions.Send(relay.requester, answer)]
 
     def _on_ping_request(
         self,
@@ -176,9 +180,9 @@
         if trust is not Trust.KNOWN or target is None:
             return [actions.Count("membership.refused.ping_request")]
         core = self._core
-        found = self._absorb(message, source, trust, now)
-        ping = core.gossip(Kind.PING, now, target)
-        core.detector.relayed(
+        found = self._apply_contents(message, source, trust, now)
+        ping = core.new_message(Kind.PING, now, target)
+        core.detector.add_relay(
             ping.sequence,
             detector.Relay(
                 source, message.answers, now + core.options.probe_timeout_s
@@ -195,9 +199,9 @@
         trust: Trust,
         now: float,
     ) -> list[actions.Action]:
-        return self._absorb(message, source, trust, now)
+        return self._apply_contents(message, source, trust, now)
 
-    def _on_sync_ask(
+    def _on_sync_request(
         self,
         message: ttypes.Gossip,
         source: types.Address,
@@ -209,22 +213,24 @@
         # stay strangers to it. Where an agent is all that a bridge has heard
         # of, an unanswered ask would leave the whole failure domain unknown
         # to its entries. An answer tells what any member may know.
-        if trust is Trust.DISBELIEVED:
+        if trust is Trust.UNTRUSTED:
             return [actions.Count("membership.refused.sync")]
-        granted = self._sync_answers.take(core.options.datagrams_per_sync, now)
+        granted = self._sync_answer_budget.take(
+            core.options.datagrams_per_sync, now
+        )
         if not granted:
             return [actions.Count("membership.sync_limited")]
         name = message.sync_domain or ""
-        ask = sync.Ask(
+        ask = sync.SyncRequest(
             message.prints or b"", max(message.parts or 1, 1), message.part or 0
         )
         found: list[actions.Action] = []
-        for members in core.sync.missing(name, ask, granted) or [[]]:
-            answer = core.gossip(Kind.SYNC_RECORDS, now, None)
+        for members in core.sync.missing_records(name, ask, granted) or [[]]:
+            answer = core.new_message(Kind.SYNC_RECORDS, now, None)
             answer.sync_domain = name
             answer.updates = members
             if not found:
-                answer.prints = core.sync.unknown(name, ask)
+                answer.prints = core.sync.unknown_fingerprints(name, ask)
             found.append(actions.Send(source, answer))
         return found
 
@@ -239,16 +245,18 @@
             return [actions.Count("membership.refused.sync")]
         core = self._core
         found: list[actions.Action] = [actions.Count("membership.syncs")]
-        found += self._absorb(message, source, trust, now)
-        found += self._gone(message, now)
-        buried = self._buried(message)
-        if buried:
-            reply = core.gossip(Kind.UPDATES, now, None)
-            reply.updates = buried
+        found += self._apply_contents(message, source, trust, now)
+        found += self._mark_unlisted_dead(message, now)
+        dead_members = self._dead_remote_members(message)
+        if dead_members:
+            reply = core.new_message(Kind.UPDATES, now, None)
+            reply.updates = dead_members
             found.append(actions.Send(source, reply))
         return found
 
-    def _gone(self, message: ttypes.Gossip, now: float) -> list[actions.Action]:
+    def _mark_unlisted_dead(
+        self, message: ttypes.Gossip, now: float
+    ) -> list[actions.Action]:
         # A failure domain that was cut off for longer than its tombstones
         # last no longer knows who died there. Its own list is complete, so a
         # member that it does not know has gone.
@@ -260,11 +268,17 @@
         if sender.member.failure_domain != name:
             return []
         found: list[actions.Action] = []
-        for member in core.sync.named(name, message.prints or b""):
-            found += core.take_in(_records.restate(member, State.DEAD), now)
+        for member in core.sync.members_by_fingerprint(
+            name, message.prints or b""
+        ):
+            found += core.apply_update(
+                _records.with_state(member, State.DEAD), now
+            )
         return found
 
-    def _buried(self, message: ttypes.Gossip) -> list[ttypes.Member]:
+    def _dead_remote_members(
+        self, message: ttypes.Gossip
+    ) -> list[ttypes.Member]:
         # The dead of other failure domains are told to a peer that still
         # names them. Those of the own one are not: two halves that were cut
         # off hold each other for dead, and the first exchange after the cut
@@ -278,7 +292,7 @@
         ]
         return [r.member for r in records if r is not None and not r.present]
 
-    def _absorb(
+    def _apply_contents(
         self,
         message: ttypes.Gossip,
         source: types.Address,
@@ -291,24 +305,26 @@
             # Hearing that one is suspected does no harm, whoever says it.
             about = [m for m in message.updates if m.instance_id == core.own_id]
             for member in about:
-                found += core.take_in(member, now)
+                found += core.apply_update(member, now)
             return [*found, actions.Count(f"membership.{trust.value}")]
         for member in message.updates:
-            found += self._merge(member, now)
+            found += self._apply_update(member, now)
         for report in message.reports:
-            if core.table.report(report):
-                core.news.add_report(report)
+            if core.table.apply_report(report):
+                core.dissemination.add_report(report)
         core.newest_revision = max(
             core.newest_revision, message.newest_revision
         )
         for summary in message.domains:
-            found += self._compare(summary, source, message, now)
+            found += self._compare_digest(summary, source, message, now)
         return found
 
-    def _merge(self, member: ttypes.Member, now: float) -> list[actions.Action]:
+    def _apply_update(
+        self, member: ttypes.Member, now: float
+    ) -> list[actions.Action]:
         core = self._core
         record = core.table.get(member.instance_id)
-        found = core.take_in(member, now)
+        found = core.apply_update(member, now)
         if found or record is None or record.present:
             return found
         if (
@@ -316,10 +332,10 @@
             and member.incarnation == record.member.incarnation
             and member.failure_domain == core.own_domain
         ):
-            core.reclaims[member.instance_id] = record.address
+            core.disputed_addresses[member.instance_id] = record.address
         return found
 
-    def _compare(
+    def _compare_digest(
         self,
         summary: ttypes.DomainSummary,
         source: types.Address,
@@ -329,23 +345,23 @@
         core = self._core
         name = summary.failure_domain
         local = name == core.own_domain
-        core.domains.take_in(summary, now)
-        if not local and not core.keeps_remote(core.own):
+        core.domains.apply_summary(summary, now)
+        if not local and not core.tracks_remote_domains(core.own_member):
             return []
         found: list[actions.Action] = []
-        if core.sync.compare(name, summary.digest, core.settled, now):
-            wanted = core.sync.ask(name)
-            ask = core.gossip(Kind.SYNC_ASK, now, None)
+        if core.sync.needs_request(name, summary.digest, core.settled, now):
+            wanted = core.sync.build_request(name)
+            ask = core.new_message(Kind.SYNC_ASK, now, None)
             ask.sync_domain = name
-            ask.prints = wanted.prints
+            ask.prints = wanted.fingerprints
             ask.parts = wanted.parts
             ask.part = wanted.part
             found.append(actions.Send(source, ask))
         if local and message.kind == Kind.ACK and not core.settled:
-            found += self._settle(summary, message)
+            found += self._update_settled(summary, message)
         return found
 
-    def _settle(
+    def _update_settled(
         self, summary: ttypes.DomainSummary, message: ttypes.Gossip
     ) -> list[actions.Action]:
         # Two processes that have just started agree easily: neither knows
@@ -353,11 +369,11 @@
         # restart of everything, where none is, several in a row do.
         core = self._core
         if core.table.domain(core.own_domain).digest != summary.digest:
-            self._agreed = 0
+            self._matching_digests = 0
             return []
-        self._agreed += 1
-        enough = self._agreed >= core.options.settle_answers
+        self._matching_digests += 1
+        enough = self._matching_digests >= core.options.settle_matches
         if not enough and not message.settled:
             return []
         core.settled = True
-        return [actions.Note(_events.VIEW_SETTLED, core.own_id)]
+        return [actions.LogEvent(_events.VIEW_SETTLED, core.own_id)]
--- a/src/clementinegw/membership/_records.py
+++ b/src/clementinegw/membership/_records.py
@@ -19,7 +19,7 @@
     State.LEFT: view.MemberState.LEFT,
 }
 
-PRINT_BYTES = 4
+SHORT_FINGERPRINT_BYTES = 4
 
 _SIGNED_64 = 1 << 63
 _MASK_32 = (1 << 32) - 1
@@ -33,8 +33,9 @@
       member: The newest statement, as it is passed on.
       address: Where it listens.
       key: The 64-bit hash of its id: its place on the ring.
-      print: The 64-bit hash that it adds to the digest; 0 when not present.
-      short: Four bytes of it, for synchronisation.
+      fingerprint: The 64-bit hash that it adds to the digest; 0 when it is not
+        present.
+      short_fingerprint: Four bytes of it, for synchronisation.
       changed_at: When the statement was taken in, in monotonic seconds.
       report: Its newest report, or None.
     """
@@ -42,8 +43,8 @@
     member: ttypes.Member
     address: types.Address
     key: int
-    print: int
-    short: bytes
+    fingerprint: int
+    short_fingerprint: bytes
     changed_at: float
     report: ttypes.Report | None = None
 
@@ -75,23 +76,23 @@
 
 def record_of(member: ttypes.Member, now: float) -> Record:
     """Returns the record for a statement."""
-    whole = fingerprint(member)
+    full_fingerprint = fingerprint(member)
     return Record(
         member,
         types.Address(member.host, member.port),
         key_of(member.instance_id),
-        whole,
-        (whole & _MASK_32).to_bytes(PRINT_BYTES, "big"),
+        full_fingerprint,
+        (full_fingerprint & _MASK_32).to_bytes(SHORT_FINGERPRINT_BYTES, "big"),
         now,
     )
 
 
-def replaces(new: ttypes.Member, old: ttypes.Member) -> bool:
+def supersedes(new: ttypes.Member, old: ttypes.Member) -> bool:
     """Returns whether `new` says more than `old` about the same member."""
     return (new.incarnation, new.state) > (old.incarnation, old.state)
 
 
-def restate(
+def with_state(
     member: ttypes.Member, state: int, incarnation: int | None = None
 ) -> ttypes.Member:
     """Returns the statement with another state, perhaps incarnation."""
--- a/src/clementinegw/membership/actions.py
+++ b/src/clementinegw/membership/actions.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Changed:
+class MemberChanged:
     """Tell the subscribers that a member changed.
 
     Attributes:
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Note:
+class LogEvent:
     """Write a numbered event.
 
     Attributes:
@@ -55,4 +55,4 @@
     subject: str
 
 
-Action = Send | Changed | Count | Note
+Action = Send | MemberChanged | Count | LogEvent
--- a/src/clementinegw/membership/detector.py
+++ b/src/clementinegw/membership/detector.py
@@ -22,8 +22,8 @@
       incarnation: The incarnation that was pinged.
       address: Where the ping went.
       deadline: When it has failed, in monotonic seconds.
-      help_at: When helpers are asked; infinite when they need not be.
-      confirms: Whether it is the second one, which leads to a suspicion.
+      indirect_at: When helpers are asked; infinite when they need not be.
+      is_confirmation: Whether it is the second one, which leads to a suspicion.
     """
 
     sequence: int
@@ -31,8 +31,8 @@
     incarnation: int
     address: types.Address
     deadline: float
-    help_at: float = math.inf
-    confirms: bool = False
+    indirect_at: float = math.inf
+    is_confirmation: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,12 +40,12 @@
     """A ping that was sent for somebody else.
 
     Attributes:
-      asker: Where its answer is passed on to.
+      requester: Where its answer is passed on to.
       sequence: The asker's own sequence.
       expires_at: Monotonic seconds.
     """
 
-    asker: types.Address
+    requester: types.Address
     sequence: int
     expires_at: float
 
@@ -57,12 +57,12 @@
     Attributes:
       incarnation: The incarnation that is suspected.
       deadline: When it is declared dead, in monotonic seconds.
-      own: Whether this process found it silent itself.
+      detected_here: Whether this process found it silent itself.
     """
 
     incarnation: int
     deadline: float
-    own: bool = False
+    detected_here: bool = False
 
 
 class Detector:
@@ -79,34 +79,34 @@
         """The suspicions by instance id."""
         return self._suspicions
 
-    def sent(self, probe: Probe) -> None:
+    def add_probe(self, probe: Probe) -> None:
         """Remembers a ping that went out."""
         self._probes[probe.sequence] = probe
 
-    def relayed(self, sequence: int, relay: Relay) -> None:
+    def add_relay(self, sequence: int, relay: Relay) -> None:
         """Remembers a ping that went out for somebody else."""
         self._relays[sequence] = relay
 
-    def answered(self, sequence: int) -> Probe | None:
+    def take_probe(self, sequence: int) -> Probe | None:
         """Takes the open probe that an answer belongs to."""
         return self._probes.pop(sequence, None)
 
-    def relay_of(self, sequence: int) -> Relay | None:
+    def take_relay(self, sequence: int) -> Relay | None:
         """Takes the relay that an answer belongs to."""
         return self._relays.pop(sequence, None)
 
-    def waits_for(self, address: types.Address) -> bool:
+    def has_open_probe(self, address: types.Address) -> bool:
         """Returns whether a ping to an address is open."""
         return any(p.address == address for p in self._probes.values())
 
-    def late(self, now: float) -> list[Probe]:
+    def take_indirect_due(self, now: float) -> list[Probe]:
         """Returns the probes that now need helpers, each one once."""
-        late = [p for p in self._probes.values() if p.help_at <= now]
+        late = [p for p in self._probes.values() if p.indirect_at <= now]
         for probe in late:
-            probe.help_at = math.inf
+            probe.indirect_at = math.inf
         return late
 
-    def failed(self, now: float) -> list[Probe]:
+    def take_failed_probes(self, now: float) -> list[Probe]:
         """Takes the probes that were not answered in time."""
         failed = [p for p in self._probes.values() if p.deadline <= now]
         for probe in failed:
@@ -117,21 +117,27 @@
         return failed
 
     def suspect(
-        self, instance_id: str, incarnation: int, now: float, own: bool
+        self,
+        instance_id: str,
+        incarnation: int,
+        now: float,
+        detected_here: bool,
     ) -> bool:
         """Starts a suspicion; returns False when there is one already."""
         known = self._suspicions.get(instance_id)
         if known is not None and known.incarnation >= incarnation:
             return False
         deadline = now + self._options.suspicion_s
-        self._suspicions[instance_id] = Suspicion(incarnation, deadline, own)
+        self._suspicions[instance_id] = Suspicion(
+            incarnation, deadline, detected_here
+        )
         return True
 
-    def trust(self, instance_id: str) -> None:
+    def clear_suspicion(self, instance_id: str) -> None:
         """Ends a suspicion."""
         self._suspicions.pop(instance_id, None)
 
-    def due(self, now: float) -> list[tuple[str, int]]:
+    def take_expired_suspicions(self, now: float) -> list[tuple[str, int]]:
         """Takes the suspicions that ran out, as (id, incarnation)."""
         if not self._suspicions:
             return []
@@ -144,7 +150,7 @@
             del self._suspicions[instance_id]
         return due
 
-    def delay(self, seconds: float) -> None:
+    def extend_deadlines(self, seconds: float) -> None:
         """Gives open probes and suspicions more time.
 
         Args:
@@ -152,13 +158,13 @@
         """
         for probe in self._probes.values():
             probe.deadline += seconds
-            probe.help_at += seconds
+            probe.indirect_at += seconds
         for instance_id, known in list(self._suspicions.items()):
             self._suspicions[instance_id] = Suspicion(
-                known.incarnation, known.deadline + seconds, known.own
+                known.incarnation, known.deadline + seconds, known.detected_here
             )
 
-    def restart(self, now: float) -> None:
+    def reset_deadlines(self, now: float) -> None:
         """Forgets open probes and gives each suspect its whole time again.
 
         A process that was paused finds every probe unanswered and every
@@ -172,7 +178,7 @@
             self._suspicions[instance_id] = Suspicion(
                 known.incarnation,
                 now + self._options.suspicion_s,
-                known.own,
+                known.detected_here,
             )
 
 
--- a/src/clementinegw/membership/dissemination.py
+++ b/src/clementinegw/membership/dissemination.py
@@ -11,13 +11,13 @@
 from clementinegw.wire.gen.membership import ttypes
 
 # Updates that are looked at for one datagram; not all suit each receiver.
-_LOOKED_AT = 32
+_MAX_EXAMINED = 32
 
 
 @dataclasses.dataclass(slots=True)
-class _News:
+class _QueuedUpdate:
     member: ttypes.Member
-    left: int
+    remaining: int
 
 
 class Dissemination:
@@ -28,7 +28,7 @@
         self._rng = rng
         # The least sent come first: new ones go to the front, and each one
         # that was sent goes to the back.
-        self._news: collections.OrderedDict[str, _News] = (
+        self._queue: collections.OrderedDict[str, _QueuedUpdate] = (
             collections.OrderedDict()
         )
         self._urgent: dict[str, ttypes.Member] = {}
@@ -38,7 +38,7 @@
     @property
     def pending(self) -> int:
         """How many updates still have transmissions left."""
-        return len(self._news)
+        return len(self._queue)
 
     def add(self, member: ttypes.Member, members: int, urgent: bool) -> None:
         """Queues an update.
@@ -48,20 +48,20 @@
           members: The size of the group, for the retransmit count.
           urgent: Whether it is also pushed to some peers at once.
         """
-        left = self._options.retransmits
+        remaining = self._options.retransmits
         if urgent:
             rounds = math.log2(members + 2)
-            left = math.ceil(self._options.urgent_factor * rounds)
+            remaining = math.ceil(self._options.urgent_factor * rounds)
             self._urgent[member.instance_id] = member
-        self._news[member.instance_id] = _News(member, left)
-        self._news.move_to_end(member.instance_id, last=False)
+        self._queue[member.instance_id] = _QueuedUpdate(member, remaining)
+        self._queue.move_to_end(member.instance_id, last=False)
 
     def add_report(self, report: ttypes.Report) -> None:
         """Queues a report to be passed on once or so."""
         self._reports.pop(report.member_key, None)
         self._reports[report.member_key] = report
 
-    def updates(
+    def take_updates(
         self, wanted: Callable[[ttypes.Member], bool]
     ) -> list[ttypes.Member]:
         """Takes the updates for one datagram, the least sent first.
@@ -70,32 +70,34 @@
           wanted: Whether the receiver keeps statements about that member.
         """
         chosen: list[ttypes.Member] = []
-        if not self._news:
+        if not self._queue:
             return chosen
-        for news in list(itertools.islice(self._news.values(), _LOOKED_AT)):
+        for queued in list(
+            itertools.islice(self._queue.values(), _MAX_EXAMINED)
+        ):
             if len(chosen) == self._options.updates_per_datagram:
                 break
-            if wanted(news.member):
-                chosen.append(news.member)
-                self._sent(news)
+            if wanted(queued.member):
+                chosen.append(queued.member)
+                self._count_transmission(queued)
         return chosen
 
-    def take_urgent(self, bound: int) -> list[ttypes.Member]:
-        """Takes the updates that must go out at once, at most `bound`."""
-        chosen = list(self._urgent)[:bound]
+    def take_urgent(self, max_updates: int) -> list[ttypes.Member]:
+        """Takes the updates that must go out at once, at most `max_updates`."""
+        chosen = list(self._urgent)[:max_updates]
         return [self._urgent.pop(instance_id) for instance_id in chosen]
 
-    def reports(self, own: ttypes.Report) -> list[ttypes.Report]:
+    def take_reports(self, own: ttypes.Report) -> list[ttypes.Report]:
         """Takes the reports for one datagram, one's own first."""
-        room = self._options.reports_per_datagram - 1
+        max_others = self._options.reports_per_datagram - 1
         chosen = [own]
-        while self._reports and len(chosen) <= room:
+        while self._reports and len(chosen) <= max_others:
             chosen.append(self._reports.popitem()[1])
         return chosen
 
-    def _sent(self, news: _News) -> None:
-        news.left -= 1
-        if news.left > 0:
-            self._news.move_to_end(news.member.instance_id)
+    def _count_transmission(self, queued: _QueuedUpdate) -> None:
+        queued.remaining -= 1
+        if queued.remaining > 0:
+            self._queue.move_to_end(queued.member.instance_id)
         else:
-            del self._news[news.member.instance_id]
+            del self._queue[queued.member.instance_id]
--- a/src/clementinegw/membership/domains.py
+++ b/src/clementinegw/membership/domains.py
@@ -12,14 +12,14 @@
 from clementinegw.wire.gen.membership import ttypes
 
 _PER_MILLE = 1000
-_NEVER_MS = 2**31 - 1
-_BRIDGE_SEED = 7
+_MAX_AGE_MS = 2**31 - 1
+_BRIDGE_HASH_SEED = 7
 
 
 @dataclasses.dataclass(slots=True)
-class _Heard:
+class _DomainInfo:
     region: str
-    at: float
+    received_at: float
     services: list[ttypes.ServiceSummary]
 
 
@@ -28,16 +28,16 @@
 
     def __init__(
         self,
-        own: str,
+        own_domain: str,
         table: tables.Table,
         options: parameters.Parameters,
     ):
-        self._own = own
+        self._own_domain = own_domain
         self._table = table
         self._options = options
-        self._heard: dict[str, _Heard] = {}
+        self._received: dict[str, _DomainInfo] = {}
         # Ranking takes a sort, so it is done once for each view.
-        self._ranked: dict[str, tuple[int, list[_records.Record]]] = {}
+        self._bridge_cache: dict[str, tuple[int, list[_records.Record]]] = {}
 
     def bridges(self, failure_domain: str) -> list[_records.Record]:
         """Returns the members that talk to other failure domains.
@@ -47,65 +47,71 @@
         while, which costs some datagrams and nothing else.
         """
         digest = self._table.domain(failure_domain).digest
-        ranked = self._ranked.get(failure_domain)
+        ranked = self._bridge_cache.get(failure_domain)
         if ranked is None or ranked[0] != digest:
             ranked = (digest, self._rank_bridges(failure_domain))
-            self._ranked[failure_domain] = ranked
+            self._bridge_cache[failure_domain] = ranked
         return ranked[1]
 
-    def take_in(self, summary: ttypes.DomainSummary, now: float) -> bool:
+    def apply_summary(self, summary: ttypes.DomainSummary, now: float) -> bool:
         """Takes in a summary if it is fresher than the known one."""
-        if summary.failure_domain == self._own:
+        if summary.failure_domain == self._own_domain:
             return False
-        at = now - summary.age_ms / _PER_MILLE
-        known = self._heard.get(summary.failure_domain)
-        if known is not None and known.at >= at:
+        received_at = now - summary.age_ms / _PER_MILLE
+        known = self._received.get(summary.failure_domain)
+        if known is not None and known.received_at >= received_at:
             return False
-        self._heard[summary.failure_domain] = _Heard(
-            summary.region, at, summary.services
+        self._received[summary.failure_domain] = _DomainInfo(
+            summary.region, received_at, summary.services
         )
         return True
 
     def summaries(self, now: float) -> list[ttypes.DomainSummary]:
         """Returns what one entry tells another, its own domain first."""
         summaries = [self.own_summary()]
-        for name, heard in self._heard.items():
-            age_ms = min(int((now - heard.at) * _PER_MILLE), _NEVER_MS)
+        for name, info in self._received.items():
+            age_ms = min(
+                int((now - info.received_at) * _PER_MILLE), _MAX_AGE_MS
+            )
             digest = self._table.domain(name).digest
             summaries.append(
                 ttypes.DomainSummary(
-                    name, heard.region, digest, age_ms, heard.services
+                    name, info.region, digest, age_ms, info.services
                 )
             )
         return summaries
 
     def own_summary(self) -> ttypes.DomainSummary:
         """Returns what this process tells of its own failure domain."""
-        domain = self._table.domain(self._own)
+        domain = self._table.domain(self._own_domain)
         return ttypes.DomainSummary(
-            self._own, domain.region, domain.digest, 0, self._own_services()
+            self._own_domain,
+            domain.region,
+            domain.digest,
+            0,
+            self._own_services(),
         )
 
-    def own_summary_bare(self) -> ttypes.DomainSummary:
+    def own_digest_summary(self) -> ttypes.DomainSummary:
         """Returns the digest of the own failure domain, without services."""
-        domain = self._table.domain(self._own)
+        domain = self._table.domain(self._own_domain)
         return ttypes.DomainSummary(
-            self._own, domain.region, domain.digest, 0, []
+            self._own_domain, domain.region, domain.digest, 0, []
         )
 
     def reachable(self, failure_domain: str, now: float) -> bool:
         """Returns whether a failure domain was heard recently."""
-        if failure_domain == self._own:
+        if failure_domain == self._own_domain:
             return True
-        heard = self._heard.get(failure_domain)
-        if heard is None:
+        info = self._received.get(failure_domain)
+        if info is None:
             return False
-        return now - heard.at <= self._options.domain_timeout_s
+        return now - info.received_at <= self._options.domain_timeout_s
 
     def load(self, failure_domain: str, service: str) -> float:
         """Returns the mean load of a service in another failure domain."""
-        heard = self._heard.get(failure_domain)
-        for summary in heard.services if heard is not None else ():
+        info = self._received.get(failure_domain)
+        for summary in info.services if info is not None else ():
             if summary.service_name == service:
                 return summary.load_permille / _PER_MILLE
         return 0.0
@@ -115,17 +121,17 @@
         return [
             view.DomainView(
                 name,
-                heard.region,
-                now - heard.at,
+                info.region,
+                now - info.received_at,
                 self.reachable(name, now),
                 {
                     s.service_name: view.ServiceLoad(
                         s.agents, s.load_permille / _PER_MILLE
                     )
-                    for s in heard.services
+                    for s in info.services
                 },
             )
-            for name, heard in sorted(self._heard.items())
+            for name, info in sorted(self._received.items())
         ]
 
     def _rank_bridges(self, failure_domain: str) -> list[_records.Record]:
@@ -140,7 +146,7 @@
 
     def _own_services(self) -> list[ttypes.ServiceSummary]:
         loads: dict[str, list[int]] = {}
-        for record in self._table.present(self._own):
+        for record in self._table.present(self._own_domain):
             if record.member.state != _records.State.ALIVE:
                 continue
             if record.member.service_name:
@@ -154,5 +160,5 @@
 
 def _rank(record: _records.Record) -> int:
     return xxhash.xxh64_intdigest(
-        record.member.instance_id.encode(), seed=_BRIDGE_SEED
+        record.member.instance_id.encode(), seed=_BRIDGE_HASH_SEED
     )
--- a/src/clementinegw/membership/parameters.py
+++ b/src/clementinegw/membership/parameters.py
@@ -22,9 +22,10 @@
       confirm_timeout_s: After this, the second probe has failed, too.
       helpers: Members asked for an indirect ping.
       suspicion_s: How long a suspect has to refute.
-      retry_s: Between two pings of a suspect by those who found it silent.
-      retries: Suspects pinged again in one such period.
-      settle_answers: Agreeing answers in a row after which a view is settled
+      suspect_ping_s: Between two pings of a suspect by those who found it
+        silent.
+      suspect_pings: Suspects pinged again in one such period.
+      settle_matches: Agreeing answers in a row after which a view is settled
         though no settled peer was met.
       extra_rate: Datagrams a second beyond the regular probes: to helpers,
         strangers and suspects.
@@ -39,21 +40,21 @@
       updates_per_datagram: Records piggybacked on one datagram.
       reports_per_datagram: Reports piggybacked on one datagram.
       records_per_sync: Records in one datagram of a synchronisation.
-      prints_per_ask: Members whose fingerprints one request names.
+      fingerprints_per_request: Members whose fingerprints one request names.
       datagrams_per_sync: Datagrams that answer one request of it.
       sync_s: Between two synchronisations a member asks for.
       sync_unsettled_s: The same while its view is not settled.
       sync_busy_s: The same while updates keep coming in.
-      sync_patience_s: How long no update may have come in for it to ask soon.
+      sync_quiet_s: How long no update may have come in for it to ask soon.
       sync_answers_rate: Datagrams a second that answer synchronisations.
       rejoin_s: Between two probes of a lost member or an unknown seed.
       join_s: The same while no peer is known.
-      reclaims_per_tick: Members told at once that they are held for dead.
+      disputed_per_tick: Members told at once that they are held for dead.
       bridges: Members of a failure domain that talk to the other domains.
       bridge_s: Between two probes of another failure domain by a bridge.
       domain_timeout_s: A failure domain not heard for so long is suspect.
       tombstone_s: How long a dead or departed member is remembered.
-      lost_bound: Addresses of dead members kept for rejoin probes.
+      max_lost_addresses: Addresses of dead members kept for rejoin probes.
       leave_s: How long a departing member goes on spreading that it left.
     """
 
@@ -66,9 +67,9 @@
     confirm_timeout_s: float = 0.6
     helpers: int = 3
     suspicion_s: float = 1.6
-    retry_s: float = 0.4
-    retries: int = 4
-    settle_answers: int = 3
+    suspect_ping_s: float = 0.4
+    suspect_pings: int = 4
+    settle_matches: int = 3
     extra_rate: float = 20.0
     extra_burst: float = 60.0
     pause_s: float = 1.5
@@ -80,19 +81,19 @@
     updates_per_datagram: int = 6
     reports_per_datagram: int = 4
     records_per_sync: int = 12
-    prints_per_ask: int = 300
+    fingerprints_per_request: int = 300
     datagrams_per_sync: int = 4
     sync_s: float = 1.0
     sync_unsettled_s: float = 0.3
     sync_busy_s: float = 4.0
-    sync_patience_s: float = 1.0
+    sync_quiet_s: float = 1.0
     sync_answers_rate: float = 8.0
     rejoin_s: float = 5.0
     join_s: float = 1.0
-    reclaims_per_tick: int = 2
+    disputed_per_tick: int = 2
     bridges: int = 2
     bridge_s: float = 1.0
     domain_timeout_s: float = 10.0
     tombstone_s: float = 120.0
-    lost_bound: int = 512
+    max_lost_addresses: int = 512
     leave_s: float = 1.0
--- a/src/clementinegw/membership/service.py
+++ b/src/clementinegw/membership/service.py
@@ -24,14 +24,14 @@
 
 Callback = Callable[[view.MemberView], None]
 
-_LIST_PERIOD_S = 10.0
+_SEED_LIST_PERIOD_S = 10.0
 # The list lags: what starts together with others reads it before they are on
 # it, and would stay alone for a whole period.
-_LONELY_LIST_PERIOD_S = 1.0
+_ALONE_SEED_LIST_PERIOD_S = 1.0
 _MILLIS = 1000
 # Datagrams read in one turn of the loop, and the bytes read of each.
-_READ_BOUND = 64
-_READ_BYTES = datagram.MAX_BYTES + 1
+_MAX_READS_PER_TURN = 64
+_RECEIVE_BYTES = datagram.MAX_BYTES + 1
 
 
 class SeedSource(Protocol):
@@ -83,7 +83,7 @@
         )
         self._keys = keys
         self._file_seeds = seeds
-        self._source = source
+        self._seed_source = source
         self._options = options or parameters.Parameters()
         self._rng = rng or random.Random()
         self._log_events = log or logs.Log()
@@ -151,7 +151,7 @@
         if self._swim is None:
             return
         now = self._clock.now()
-        self._run(
+        self._execute(
             self._swim.set_self(now, state, version, load, settings_revision)
         )
 
@@ -174,8 +174,8 @@
         loop = asyncio.get_running_loop()
         loop.add_reader(self._socket, self._on_readable)
         self.add_future(self._tick())
-        if self._source is not None:
-            self.add_future(self._follow_list(self._source))
+        if self._seed_source is not None:
+            self.add_future(self._poll_seed_list(self._seed_source))
 
     async def on_stop(self) -> None:
         """Closes the socket."""
@@ -189,10 +189,10 @@
         while not self.should_stop:
             # Answers that wait in the socket count before any timeout does.
             self._on_readable()
-            self._run(self._swim.on_tick(self._clock.now()))
+            self._execute(self._swim.on_tick(self._clock.now()))
             await asyncio.sleep(self._options.tick_s)
 
-    async def _follow_list(self, source: SeedSource) -> None:
+    async def _poll_seed_list(self, source: SeedSource) -> None:
         assert self._swim is not None
         while not self.should_stop:
             try:
@@ -201,21 +201,21 @@
                 self._counters.add("membership.list_unavailable")
             else:
                 self._swim.set_seeds([*self._file_seeds, *listed])
-            await asyncio.sleep(self._list_period_s())
+            await asyncio.sleep(self._seed_list_period_s())
 
-    def _list_period_s(self) -> float:
+    def _seed_list_period_s(self) -> float:
         is_alone = len(self.members()) <= 1
-        return _LONELY_LIST_PERIOD_S if is_alone else _LIST_PERIOD_S
+        return _ALONE_SEED_LIST_PERIOD_S if is_alone else _SEED_LIST_PERIOD_S
 
     def _on_readable(self) -> None:
         # A transport of asyncio takes one datagram a turn of the loop. In a
         # process that is late its answers then wait behind its timers, it
         # suspects everybody, and the datagrams about that make it later still.
-        for _ in range(_READ_BOUND):
+        for _ in range(_MAX_READS_PER_TURN):
             if self._socket is None:
                 return
             try:
-                data, source = self._socket.recvfrom(_READ_BYTES)
+                data, source = self._socket.recvfrom(_RECEIVE_BYTES)
             except OSError:
                 # Nothing waits, or a peer's port was closed.
                 return
@@ -235,11 +235,13 @@
             )
             return
         address = types.Address(source[0], source[1])
-        self._run(self._swim.on_datagram(message, address, self._clock.now()))
+        self._execute(
+            self._swim.on_datagram(message, address, self._clock.now())
+        )
 
-    def _run(self, found: list[actions.Action]) -> None:
+    def _execute(self, found: list[actions.Action]) -> None:
         for action in found:
-            _RUNNERS[type(action)](self, action)
+            _HANDLERS[type(action)](self, action)
 
     def _send(self, action: actions.Send) -> None:
         if self._socket is None:
@@ -254,7 +256,7 @@
             # As lost as on the way; whoever needed it asks again.
             self._counters.add("membership.sends_failed")
 
-    def _changed(self, action: actions.Changed) -> None:
+    def _notify_subscribers(self, action: actions.MemberChanged) -> None:
         assert self._swim is not None
         member = self._swim.member(action.instance_id, self._clock.now())
         if member is None:
@@ -265,7 +267,7 @@
     def _count(self, action: actions.Count) -> None:
         self._counters.add(action.name)
 
-    def _note(self, action: actions.Note) -> None:
+    def _log_event(self, action: actions.LogEvent) -> None:
         self._log_events.write(action.event, subject=action.subject)
 
 
@@ -283,9 +285,9 @@
     return bound
 
 
-_RUNNERS: dict[type, Callable] = {
+_HANDLERS: dict[type, Callable] = {
     actions.Send: Membership._send,
-    actions.Changed: Membership._changed,
+    actions.MemberChanged: Membership._notify_subscribers,
     actions.Count: Membership._count,
-    actions.Note: Membership._note,
+    actions.LogEvent: Membership._log_event,
 }
--- a/src/clementinegw/membership/swim.py
+++ b/src/clementinegw/membership/swim.py
@@ -27,10 +27,10 @@
     view.MemberState.LEAVING: State.LEAVING,
     view.MemberState.LEFT: State.LEFT,
 }
-_LATE_TICKS = 2.0
+_LATE_TICK_FACTOR = 2.0
 # How long a process without peers waits for its seeds before it takes itself
 # for the only member.
-_ALONE_S = 5.0
+_ALONE_SETTLE_S = 5.0
 
 
 class Swim:
@@ -74,7 +74,7 @@
     @property
     def incarnation(self) -> int:
         """This process's incarnation."""
-        return self._core.own.incarnation
+        return self._core.own_member.incarnation
 
     @property
     def newest_revision(self) -> int:
@@ -103,27 +103,27 @@
           settings_revision: The settings revision in force here.
         """
         core = self._core
-        core.new_report(
+        core.update_report(
             _report_load(core) if load is None else load,
-            core.report.settings_revision
+            core.own_report.settings_revision
             if settings_revision is None
             else settings_revision,
         )
-        wanted = core.own.state if state is None else _OWN_STATES[state]
-        same_version = version is None or version == core.own.version
-        if wanted == core.own.state and same_version:
+        wanted = core.own_member.state if state is None else _OWN_STATES[state]
+        same_version = version is None or version == core.own_member.version
+        if wanted == core.own_member.state and same_version:
             return []
-        return core.restate_self(wanted, now, version=version)
+        return core.update_self(wanted, now, version=version)
 
     def on_tick(self, now: float) -> list[actions.Action]:
         """Runs what is due; called every `Parameters.tick_s`."""
-        found = self._notice_pause(now)
-        if self._core.own.state != State.LEFT:
+        found = self._handle_pause(now)
+        if self._core.own_member.state != State.LEFT:
             found += self._probing.tick(now)
         else:
-            found += self._probing.farewell(now)
-        self._receiving.forget(now)
-        self._notice_alone(now)
+            found += self._probing.tick_after_leave(now)
+        self._receiving.drop_tombstones(now)
+        self._check_alone(now)
         return found
 
     def on_datagram(
@@ -136,8 +136,8 @@
           source: Where it came from.
           now: Monotonic seconds.
         """
-        found = self._notice_pause(now)
-        if self._core.own.state == State.LEFT:
+        found = self._handle_pause(now)
+        if self._core.own_member.state == State.LEFT:
             return found
         return found + self._receiving.handle(message, source, now)
 
@@ -185,37 +185,37 @@
             load,
         )
 
-    def _notice_pause(self, now: float) -> list[actions.Action]:
+    def _handle_pause(self, now: float) -> list[actions.Action]:
         gap = now - self._ticked_at
         self._ticked_at = now
         core = self._core
-        if gap <= self._options.tick_s * _LATE_TICKS:
+        if gap <= self._options.tick_s * _LATE_TICK_FACTOR:
             return []
         if gap < self._options.pause_s:
             # A late tick has read no answers meanwhile; without this, peers
             # that answered in time would be suspected.
-            core.detector.delay(gap)
+            core.detector.extend_deadlines(gap)
             return []
         # The process was stopped, or its machine was. Its view is old and its
         # peers may hold it for dead; it says so with a new incarnation and
         # compares its view before it counts as settled again.
-        core.detector.restart(now)
-        core.sync.hurry()
+        core.detector.reset_deadlines(now)
+        core.sync.reset_request_times()
         core.settled = False
         self._alone_since = now
         return [
-            *core.restate_self(core.own.state, now),
+            *core.update_self(core.own_member.state, now),
             actions.Count("membership.pauses"),
-            actions.Note(_events.PROCESS_PAUSED, core.own_id),
+            actions.LogEvent(_events.PROCESS_PAUSED, core.own_id),
         ]
 
-    def _notice_alone(self, now: float) -> None:
+    def _check_alone(self, now: float) -> None:
         core = self._core
         if len(core.table.domain(core.own_domain).ring) > 1:
             self._alone_since = now
-        elif now - self._alone_since >= _ALONE_S:
+        elif now - self._alone_since >= _ALONE_SETTLE_S:
             core.settled = True
 
 
 def _report_load(core: _core.Core) -> float:
-    return core.report.load_permille / 1000
+    return core.own_report.load_permille / 1000
--- a/src/clementinegw/membership/sync.py
+++ b/src/clementinegw/membership/sync.py
@@ -15,20 +15,20 @@
 from clementinegw.membership import table as tables
 from clementinegw.wire.gen.membership import ttypes
 
-_PRINT_BYTES = _records.PRINT_BYTES
+_FINGERPRINT_BYTES = _records.SHORT_FINGERPRINT_BYTES
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class SyncRequest:
     """What a request says.
 
     Attributes:
-      prints: The short fingerprints of the members the asker knows.
+      fingerprints: The short fingerprints of the members the asker knows.
       parts: In how many parts the failure domain is compared.
       part: Which of them this is.
     """
 
-    prints: bytes
+    fingerprints: bytes
     parts: int
     part: int
 
@@ -45,9 +45,9 @@
         self._table = table
         self._options = options
         self._rng = rng
-        self._asked_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
-    def compare(
+    def needs_request(
         self, failure_domain: str, digest: int, settled: bool, now: float
     ) -> bool:
         """Compares with a peer's digest; returns whether to ask it now.
@@ -66,40 +66,43 @@
         if mine.digest == digest:
             return False
         options = self._options
-        quiet = now - mine.changed_at >= options.sync_patience_s
+        quiet = now - mine.changed_at >= options.sync_quiet_s
         period = options.sync_s if quiet else options.sync_busy_s
         if not settled:
             period = options.sync_unsettled_s
-        asked_at = self._asked_at.get(failure_domain)
-        if asked_at is not None and now - asked_at < period:
+        requested_at = self._requested_at.get(failure_domain)
+        if requested_at is not None and now - requested_at < period:
             return False
-        self._asked_at[failure_domain] = now
+        self._requested_at[failure_domain] = now
         return True
 
-    def hurry(self) -> None:
+    def reset_request_times(self) -> None:
         """Lets the next difference be asked about, as after a pause."""
-        self._asked_at.clear()
+        self._requested_at.clear()
 
-    def ask(self, failure_domain: str) -> Ask:
+    def build_request(self, failure_domain: str) -> SyncRequest:
         """Returns a request for what one does not know."""
         size = len(self._table.domain(failure_domain).ring)
         # A larger datagram would be cut into fragments, and lost with any.
-        parts = -(-size // self._options.prints_per_ask) or 1
+        parts = -(-size // self._options.fingerprints_per_request) or 1
         part = self._rng.randrange(parts)
-        prints = b"".join(
-            record.short for record in self._part(failure_domain, parts, part)
+        fingerprints = b"".join(
+            record.short_fingerprint
+            for record in self._part(failure_domain, parts, part)
         )
-        return Ask(prints, parts, part)
+        return SyncRequest(fingerprints, parts, part)
 
-    def missing(
-        self, failure_domain: str, ask: Ask, datagrams: int
+    def missing_records(
+        self, failure_domain: str, request: SyncRequest, datagrams: int
     ) -> list[list[ttypes.Member]]:
         """Returns the records that an asker lacks, for each datagram."""
-        known = _split(ask.prints)
+        known = _split(request.fingerprints)
         members = [
             record.member
-            for record in self._part(failure_domain, ask.parts, ask.part)
-            if record.short not in known
+            for record in self._part(
+                failure_domain, request.parts, request.part
+            )
+            if record.short_fingerprint not in known
         ]
         # Askers who start together are told different members first, and
         # then tell each other.
@@ -110,21 +113,27 @@
             for start in range(0, len(members), size)
         ][:datagrams]
 
-    def unknown(self, failure_domain: str, ask: Ask) -> bytes:
+    def unknown_fingerprints(
+        self, failure_domain: str, request: SyncRequest
+    ) -> bytes:
         """Returns the asker's fingerprints that one does not know."""
         mine = {
-            record.short
-            for record in self._part(failure_domain, ask.parts, ask.part)
+            record.short_fingerprint
+            for record in self._part(
+                failure_domain, request.parts, request.part
+            )
         }
-        return b"".join(_split(ask.prints) - mine)
+        return b"".join(_split(request.fingerprints) - mine)
 
-    def named(self, failure_domain: str, prints: bytes) -> list[ttypes.Member]:
+    def members_by_fingerprint(
+        self, failure_domain: str, fingerprints: bytes
+    ) -> list[ttypes.Member]:
         """Returns one's own members with some short fingerprints."""
-        wanted = _split(prints)
+        wanted = _split(fingerprints)
         return [
             record.member
             for record in self._table.present(failure_domain)
-            if record.short in wanted
+            if record.short_fingerprint in wanted
         ]
 
     def _part(
@@ -136,8 +145,8 @@
         return [r for r in records if r.key % parts == part]
 
 
-def _split(prints: bytes) -> set[bytes]:
+def _split(fingerprints: bytes) -> set[bytes]:
     return {
-        prints[start : start + _PRINT_BYTES]
-        for start in range(0, len(prints), _PRINT_BYTES)
+        fingerprints[start : start + _FINGERPRINT_BYTES]
+        for start in range(0, len(fingerprints), _FINGERPRINT_BYTES)
     }
--- a/src/clementinegw/membership/table.py
+++ b/src/clementinegw/membership/table.py
@@ -23,26 +23,26 @@
         self.region = region
         self.changed_at = 0.0
         self.entries = 0
-        self._total = 0
+        self._hash = 0
         # Sorted (key, id): the ring on which each member probes the next.
         self._ring: list[tuple[int, str]] = []
 
     @property
     def digest(self) -> int:
         """The hash over all present members, signed 64 bits."""
-        return self._total - _SIGNED_64
+        return self._hash - _SIGNED_64
 
     @property
     def ring(self) -> list[tuple[int, str]]:
         """The present members in ring order, as (key, id)."""
         return self._ring
 
-    def toggle(self, fingerprint: int, now: float) -> None:
+    def toggle_fingerprint(self, fingerprint: int, now: float) -> None:
         """Adds a member's fingerprint to the digest, or takes it out."""
-        self._total ^= fingerprint
+        self._hash ^= fingerprint
         self.changed_at = now
 
-    def enter(self, key: int, instance_id: str) -> None:
+    def insert(self, key: int, instance_id: str) -> None:
         """Puts a member on the ring."""
         place = bisect.bisect_left(self._ring, (key, instance_id))
         if self._ring[place : place + 1] != [(key, instance_id)]:
@@ -108,18 +108,18 @@
         """
         known = self._records.get(member.instance_id)
         if known is not None:
-            if not _records.replaces(member, known.member):
+            if not _records.supersedes(member, known.member):
                 return False
-            self._take_out(known, now)
+            self._unindex(known, now)
         record = _records.record_of(member, now)
         if known is not None:
             record.report = known.report
         self._records[member.instance_id] = record
         self._by_key[record.key] = record
-        self._put_in(record, now)
+        self._index(record, now)
         return True
 
-    def report(self, report: ttypes.Report) -> bool:
+    def apply_report(self, report: ttypes.Report) -> bool:
         """Takes in a report if it is newer than the known one."""
         record = self._by_key.get(report.member_key)
         if record is None:
@@ -133,7 +133,7 @@
         record.report = report
         return True
 
-    def forget(self, before: float) -> list[str]:
+    def drop_tombstones(self, before: float) -> list[str]:
         """Drops old tombstones.
 
         Args:
@@ -158,17 +158,17 @@
         ring = self.domain(failure_domain).ring
         return [self._records[instance_id] for _, instance_id in ring]
 
-    def _put_in(self, record: _records.Record, now: float) -> None:
+    def _index(self, record: _records.Record, now: float) -> None:
         member = record.member
         if not record.present:
             self._tombstones.add(member.instance_id)
             return
         domain = self.domain(member.failure_domain, member.region)
-        domain.enter(record.key, member.instance_id)
+        domain.insert(record.key, member.instance_id)
         domain.entries += member.role == types.Role.ENTRY
-        domain.toggle(record.print, now)
+        domain.toggle_fingerprint(record.fingerprint, now)
 
-    def _take_out(self, record: _records.Record, now: float) -> None:
+    def _unindex(self, record: _records.Record, now: float) -> None:
         member = record.member
         if not record.present:
             self._tombstones.discard(member.instance_id)
@@ -176,4 +176,4 @@
         domain = self.domain(member.failure_domain, member.region)
         domain.remove(record.key, member.instance_id)
         domain.entries -= member.role == types.Role.ENTRY
-        domain.toggle(record.print, now)
+        domain.toggle_fingerprint(record.fingerprint, now)
--- a/src/clementinegw/membership/budget.py
+++ b/src/clementinegw/membership/token_bucket.py
@@ -1,7 +1,7 @@
 """A token bucket: how many datagrams of one kind may go out now."""
 
 
-class Budget:
+class TokenBucket:
     """Grows by `rate` a second up to `burst`."""
 
     __slots__ = ("_burst", "_rate", "_tokens", "_updated")
--- a/tests/membership_network.py
+++ b/tests/membership_network.py
@@ -29,7 +29,7 @@
     """One process on the network."""
 
     instance: types.Instance
-    decisions: swim.Swim
+    swim: swim.Swim
     options: parameters.Parameters
     running: bool = True
     group: int = 0
@@ -68,11 +68,11 @@
             int(self.now * 1000),
             "assistent" if role is types.Role.AGENT else "",
         )
-        decisions = swim.Swim(
+        member = swim.Swim(
             instance, self.options, random.Random(self.rng.random()), self.now
         )
-        decisions.set_seeds(self.seeds() if seeds is None else seeds)
-        self.nodes[name] = Node(instance, decisions, self.options)
+        member.set_seeds(self.seeds() if seeds is None else seeds)
+        self.nodes[name] = Node(instance, member, self.options)
         self.by_address[address] = name
         self._at(self.rng.random() * self.options.tick_s, "tick", name, port)
         return self.nodes[name]
@@ -127,23 +127,23 @@
         for node in self.nodes.values():
             node.group = 0
 
-    def do(self, name, **changes):
+    def set_self(self, name, **changes):
         """Changes what a process says about itself."""
-        decisions = self.nodes[name].decisions
-        self._act(name, decisions.set_self(self.now, **changes))
+        member = self.nodes[name].swim
+        self._act(name, member.set_self(self.now, **changes))
 
     def inject(self, name, data, source):
         """Delivers bytes that the network itself did not carry."""
         message = datagram.unseal(data, KEYS)
         node = self.nodes[name]
-        self._act(name, node.decisions.on_datagram(message, source, self.now))
+        self._act(name, node.swim.on_datagram(message, source, self.now))
 
     def states(self, of, domain=None):
         """What each running process believes of a member."""
         return [
             found.state if found is not None else None
             for found in (
-                n.decisions.member(of, self.now)
+                n.swim.member(of, self.now)
                 for name, n in self.nodes.items()
                 if name != of
                 and (
@@ -174,7 +174,7 @@
         """The members of a failure domain that a process holds for alive."""
         return [
             m.instance
-            for m in node.decisions.members(self.now)
+            for m in node.swim.members(self.now)
             if m.instance.place.failure_domain == domain
             and m.state is view.MemberState.ALIVE
         ]
@@ -195,7 +195,7 @@
         if node.instance.address.host != f"127.0.{port // 250}.{port % 250}":
             return
         if node.running:
-            self._act(name, node.decisions.on_tick(self.now))
+            self._act(name, node.swim.on_tick(self.now))
         self._at(self.options.tick_s, "tick", name, port)
 
     def _on_arrival(self, name, data, source):
@@ -209,7 +209,7 @@
         if self.sealed:
             self.bytes[name] += len(data) + UDP_HEADER_BYTES
             message = datagram.unseal(data, KEYS)
-        self._act(name, node.decisions.on_datagram(message, source, self.now))
+        self._act(name, node.swim.on_datagram(message, source, self.now))
 
     def _act(self, name, found):
         for action in found:
@@ -217,7 +217,7 @@
                 self._send(name, action)
             elif isinstance(action, actions.Count):
                 self.counts[action.name] += 1
-            elif isinstance(action, actions.Changed):
+            elif isinstance(action, actions.MemberChanged):
                 self.changes.append((self.now, name, action.instance_id))
 
     def _send(self, name, action):
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -82,7 +82,7 @@
     @stateful.precondition(lambda self: len(self.network.nodes) > 3)
     def leave(self, index):
         name = self.pick(index)
-        self.network.do(name, state=view.MemberState.LEFT)
+        self.network.set_self(name, state=view.MemberState.LEFT)
         self.network.run(0.2)
         self.network.kill(name)
 
