--- a/src/clementinegw/membership/__init__.py
+++ b/src/clementinegw/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Membership: who is there, who is leaving, who is dead.
+"""Group membership: which members are alive, leaving or dead.
 
-`service.Membership` is what the daemons run; `swim.Swim` holds its decisions
-and `view` what it tells.
+The daemons run `service.Membership`. `swim.Swim` implements the protocol
+without I/O, and `view` holds the types that membership returns.
 """
 
 from clementinegw.membership import parameters
--- a/src/clementinegw/membership/_core.py
+++ b/src/clementinegw/membership/_core.py
@@ -1,4 +1,4 @@
-"""What probing and receiving share: the own record, the table, the news."""
+"""State shared by probing and receiving: own record, table, updates."""
 
 import random
 
@@ -22,16 +22,27 @@
 
 
 class Core:
-    """The state of one member, and how a statement is taken in.
+    """The protocol state of one member; applies updates to it.
 
     Attributes:
-      own: This process's newest statement about itself.
-      report: This process's newest report.
-      newest_revision: The largest settings revision heard of.
-      settled: Whether the view was compared with a peer's since the start or
-        the last pause.
-      lost: Addresses of members that died, by id, for rejoin probes.
-      reclaims: Members that are held for dead here and alive by a peer.
+      options: Periods and limits.
+      rng: The source of random targets.
+      own_member: This process's newest record of itself.
+      key: The hash of this process's id.
+      own_report: This process's newest report.
+      newest_revision: The largest settings revision received.
+      settled: Whether the view agreed with a peer's, or no peer was found,
+        since the start or the last pause.
+      table: The known members.
+      detector: Open probes, relays and suspicions.
+      dissemination: Updates and reports to send.
+      domains: What is known of the other failure domains.
+      sync: Decides on synchronisations.
+      push_budget: Limits the datagrams with urgent updates.
+      lost_addresses: Addresses of members that died, by id, for rejoin
+        probes.
+      disputed_addresses: Addresses of members, by id, that are dead in this
+        process's view and alive in a peer's.
     """
 
     def __init__(
@@ -60,7 +71,8 @@
         )
         self.lost_addresses: dict[str, types.Address] = {}
         self.disputed_addresses: dict[str, types.Address] = {}
-        # A restarted process starts above the sequences of its former life.
+        # A restarted process starts above the sequences of its earlier
+        # incarnations.
         self._sequence = instance.incarnation << 20
         self.table.apply(self.own_member, now)
 
@@ -75,17 +87,17 @@
         return self.own_member.failure_domain
 
     def next_sequence(self) -> int:
-        """Returns a sequence that no datagram of this process had."""
+        """Returns a sequence that no datagram of this process has used."""
         self._sequence += 1
         return self._sequence
 
     def is_bridge(self) -> bool:
-        """Returns whether this process talks to other failure domains."""
+        """Returns whether this process probes other failure domains."""
         bridges = self.domains.bridges(self.own_domain)
         return any(r.member.instance_id == self.own_id for r in bridges)
 
     def tracks_remote_domains(self, member: ttypes.Member) -> bool:
-        """Returns whether a member needs to know other failure domains."""
+        """Returns whether a member tracks other failure domains' members."""
         if member.role == _ENTRY:
             return True
         if self.table.domain(member.failure_domain).entries:
@@ -96,12 +108,12 @@
     def new_message(
         self, kind: int, now: float, receiver: ttypes.Member | None = None
     ) -> ttypes.Gossip:
-        """Returns a datagram with the news that its receiver needs.
+        """Returns a message with the updates that its receiver needs.
 
         Args:
           kind: A `GossipKind`.
           now: Monotonic seconds.
-          receiver: Who will get it; None when that is not known.
+          receiver: The member it is sent to; None if it is not known.
         """
         message = ttypes.Gossip(
             kind,
@@ -138,7 +150,7 @@
     def apply_update(
         self, member: ttypes.Member, now: float
     ) -> list[actions.Action]:
-        """Takes in a statement about a member, perhaps about oneself."""
+        """Applies an update about a member, which may be this process."""
         if member.instance_id == self.own_id:
             return self._apply_own_update(member, now)
         if not self._is_tracked(member):
@@ -164,13 +176,13 @@
     def update_self(
         self, state: int, now: float, above: int = 0, version: str | None = None
     ) -> list[actions.Action]:
-        """Says with a new incarnation what this process is.
+        """Replaces this process's record under a new incarnation.
 
         Args:
           state: A `MemberState`.
           now: Monotonic seconds.
           above: An incarnation that the new one must exceed.
-          version: The version served; None for the one said last.
+          version: The version served; None keeps the previous one.
         """
         incarnation = max(self.own_member.incarnation, above) + 1
         self.own_member = _records.with_state(
@@ -216,8 +228,9 @@
             return []
         if not _records.supersedes(member, self.own_member):
             return []
-        # A former life of this process with a faster clock, or a suspicion:
-        # both are overruled by an incarnation above the one that was named.
+        # The update is a suspicion, or stems from an earlier run of this
+        # process whose clock was ahead. An incarnation above the update's
+        # overrides both.
         return [
             *self.update_self(
                 self.own_member.state, now, above=member.incarnation
@@ -245,8 +258,8 @@
     def _is_tracked(self, member: ttypes.Member) -> bool:
         if self._is_local(member):
             return True
-        # Another failure domain's suspicions are its own matter: their end
-        # would come by another way than their beginning.
+        # Suspicions of other failure domains are ignored: their end would
+        # arrive by another path than their start.
         if member.state == State.SUSPECT:
             return False
         return self.tracks_remote_domains(self.own_member)
@@ -269,10 +282,10 @@
 
 
 def _state_change_actions(member: ttypes.Member) -> list[actions.Action]:
-    noted = _STATE_EVENTS.get(member.state)
-    if noted is None:
+    state_event = _STATE_EVENTS.get(member.state)
+    if state_event is None:
         return []
-    event, counter = noted
+    event, counter = state_event
     return [
         actions.LogEvent(event, member.instance_id),
         actions.Count(counter),
--- a/src/clementinegw/membership/_probing.py
+++ b/src/clementinegw/membership/_probing.py
@@ -1,4 +1,4 @@
-"""What a member does by itself at each tick: probe, suspect, push, rejoin."""
+"""Periodic work of a member: probes, suspicions, pushes and rejoins."""
 
 from collections.abc import Callable, Iterable
 
@@ -18,7 +18,7 @@
 
 
 class Probing:
-    """The timers of one member."""
+    """Runs the timers of one member."""
 
     def __init__(self, core: _core.Core, now: float):
         self._core = core
@@ -28,8 +28,8 @@
         self._successor_index = 0
         self._remote_domain_index = 0
         options = core.options
-        # Suspicions cost datagrams. Where many arise at once because this
-        # process or the network is overloaded, more datagrams make it worse.
+        # Suspicions cost datagrams. If many arise at once because this process
+        # or the network is overloaded, more datagrams increase the overload.
         self._extra_budget = token_bucket.TokenBucket(
             options.extra_rate, options.extra_burst, now
         )
@@ -63,24 +63,24 @@
         ]
 
     def set_seeds(self, seeds: Iterable[view.Seed]) -> None:
-        """Replaces the addresses where members may be found."""
+        """Replaces the addresses at which members may listen."""
         own = types.Address(
             self._core.own_member.host, self._core.own_member.port
         )
         self._seeds = [seed for seed in seeds if seed.address != own]
 
     def tick(self, now: float) -> list[actions.Action]:
-        """Runs what is due."""
-        found = self._process_deadlines(now)
+        """Processes expired deadlines and runs the timers that are due."""
+        result = self._process_deadlines(now)
         for timer in self._timers:
             if timer.check_due(now):
-                found += timer.run(now)
-        found += self._ping_disputed(now)
-        found += self._push_urgent(now)
-        return found
+                result += timer.run(now)
+        result += self._ping_disputed(now)
+        result += self._push_urgent(now)
+        return result
 
     def tick_after_leave(self, now: float) -> list[actions.Action]:
-        """Goes on telling that this process has left, and nothing else."""
+        """Pushes the update that this process has left, and nothing else."""
         self._core.dissemination.add(self._core.own_member, 1, urgent=True)
         return self._push_urgent(now)
 
@@ -90,14 +90,14 @@
         now: float,
         record: _records.Record | None = None,
     ) -> list[actions.Action]:
-        """Pings a member, or whoever listens at an address."""
+        """Pings a member, or an address whose member is not known."""
         core = self._core
         member = record.member if record is not None else None
         message = core.new_message(Kind.PING, now, member)
         if member is None or member.state >= State.DEAD:
             message.introduction = core.own_member
         if member is not None and member.state != State.ALIVE:
-            # Whoever is suspected must hear of it to be able to refute.
+            # A suspect can refute only after it has received the suspicion.
             message.updates = [member, *message.updates]
         probe = detector.Probe(
             message.sequence,
@@ -114,7 +114,10 @@
     def ping_unverified(
         self, address: types.Address, now: float
     ) -> list[actions.Action]:
-        """Pings an address whose claim to be a member has no fresh proof."""
+        """Pings an address to verify that its sender is a live member.
+
+        The datagram received from it may be a replay.
+        """
         if self._core.detector.has_open_probe(address):
             return []
         if not self._extra_budget.take(1, now):
@@ -124,28 +127,28 @@
     def push_to(
         self, record: _records.Record, updates: list, now: float
     ) -> list[actions.Action]:
-        """Pushes statements to one member at once."""
+        """Sends updates to one member without waiting for a probe."""
         message = self._core.new_message(Kind.UPDATES, now, None)
         message.updates = updates
         return [actions.Send(record.address, message)]
 
     def _process_deadlines(self, now: float) -> list[actions.Action]:
         core = self._core
-        found: list[actions.Action] = []
+        result: list[actions.Action] = []
         for probe in core.detector.take_indirect_due(now):
-            found += self._request_indirect_pings(probe, now)
+            result += self._request_indirect_pings(probe, now)
         for probe in core.detector.take_failed_probes(now):
-            found += self._on_probe_failed(probe, now)
+            result += self._on_probe_failed(probe, now)
         for instance_id, incarnation in core.detector.take_expired_suspicions(
             now
         ):
             record = core.table.get(instance_id)
             if record is None or record.member.incarnation != incarnation:
                 continue
-            found += core.apply_update(
+            result += core.apply_update(
                 _records.with_state(record.member, State.DEAD), now
             )
-        return found
+        return result
 
     def _request_indirect_pings(
         self, probe: detector.Probe, now: float
@@ -154,16 +157,16 @@
         record = core.table.get(probe.instance_id)
         if record is None or not self._is_local(record):
             return []
-        found: list[actions.Action] = []
+        result: list[actions.Action] = []
         granted = self._extra_budget.take(self._options.helpers, now)
         helpers = core.random_peers(granted, excluded=probe.instance_id)
         for helper in helpers:
             message = core.new_message(Kind.PING_REQUEST, now, helper.member)
             message.target = record.member
             message.answers = probe.sequence
-            found.append(actions.Send(helper.address, message))
-        found.append(actions.Count("membership.indirect_pings"))
-        return found
+            result.append(actions.Send(helper.address, message))
+        result.append(actions.Count("membership.indirect_pings"))
+        return result
 
     def _on_probe_failed(
         self, probe: detector.Probe, now: float
@@ -172,8 +175,9 @@
         if record is None or not self._is_local(record):
             return [actions.Count("membership.probes_failed")]
         if record.member.incarnation != probe.incarnation:
-            # The ping went to a former life, perhaps at another address; its
-            # silence says nothing about the process that took its place.
+            # The ping went to an earlier incarnation, perhaps at another
+            # address. That it got no answer says nothing about the current
+            # one.
             return [actions.Count("membership.probes_outdated")]
         if probe.is_confirmation:
             return self._suspect(record, now)
@@ -182,9 +186,10 @@
     def _send_second_probe(
         self, record: _records.Record, now: float
     ) -> list[actions.Action]:
-        # One lost round is common at 5% loss and 295 members, and a suspicion
-        # costs datagrams at all of them twice, there and back. A second round
-        # before anybody is told makes such suspicions rare.
+        # With 5% loss and 295 members one failed probe is common, and each
+        # suspicion costs every member datagrams twice, for the suspicion and
+        # for its refutation. A second probe before the suspicion is spread
+        # makes false suspicions rare.
         core = self._core
         if not self._extra_budget.take(1, now):
             return [actions.Count("membership.confirmations_limited")]
@@ -198,8 +203,8 @@
             is_confirmation=True,
         )
         core.detector.add_probe(probe)
-        found = self._request_indirect_pings(probe, now)
-        return [actions.Send(record.address, message), *found]
+        result = self._request_indirect_pings(probe, now)
+        return [actions.Send(record.address, message), *result]
 
     def _suspect(
         self, record: _records.Record, now: float
@@ -208,50 +213,51 @@
         member = record.member
         core.detector.suspect(member.instance_id, member.incarnation, now, True)
         if member.state == State.LEAVING:
-            # Its own word outranks a suspicion, so it is only timed here.
+            # LEAVING, announced by the member itself, supersedes SUSPECT, so
+            # the suspicion is only timed here and not spread.
             return []
         suspect = _records.with_state(member, State.SUSPECT)
-        found = core.apply_update(suspect, now)
-        return found + self.push_to(record, [suspect], now)
+        result = core.apply_update(suspect, now)
+        return result + self.push_to(record, [suspect], now)
 
     def _ping_suspects(self, now: float) -> list[actions.Action]:
-        # What a suspect answers carries its refutation, should it have missed
-        # every other way to hear of the suspicion or to be heard.
+        # The suspect's answer carries its refutation, in case the suspicion or
+        # an earlier refutation was lost on every other path.
         core = self._core
-        own = [
+        detected = [
             i for i, s in core.detector.suspicions.items() if s.detected_here
         ]
-        wanted = min(len(own), self._options.suspect_pings)
-        chosen = core.rng.sample(own, self._extra_budget.take(wanted, now))
-        found: list[actions.Action] = []
+        wanted = min(len(detected), self._options.suspect_pings)
+        chosen = core.rng.sample(detected, self._extra_budget.take(wanted, now))
+        result: list[actions.Action] = []
         for instance_id in chosen:
             record = core.table.get(instance_id)
             if record is not None:
-                found += self.ping(record.address, now, record)
-        return found
+                result += self.ping(record.address, now, record)
+        return result
 
     def _is_local(self, record: _records.Record) -> bool:
         domain = record.member.failure_domain
         return record.present and domain == self._core.own_domain
 
     def _probe_ring_successor(self, now: float) -> list[actions.Action]:
-        # Each member is probed by its two predecessors, at fixed periods, so
-        # that the time to the first probe after a death has a bound; random
-        # probes alone leave a tail. Suspects are passed over, so that a
-        # neighbour that died too does not hide the one behind it.
+        # Each member is probed by its two predecessors at fixed periods, which
+        # bounds the time to the first probe after a death; with random probes
+        # alone it has a long tail. Suspects are skipped: otherwise a dead
+        # neighbour would delay the detection of the member after it.
         core = self._core
         self._successor_index = (
             self._successor_index + 1
         ) % self._options.ring_successors
-        left = self._successor_index
+        remaining = self._successor_index
         domain = core.table.domain(core.own_domain)
         for instance_id in domain.successors(core.key, core.own_id):
             record = core.table.get(instance_id)
             if record is None or instance_id in core.detector.suspicions:
                 continue
-            if left == 0:
+            if remaining == 0:
                 return self.ping(record.address, now, record)
-            left -= 1
+            remaining -= 1
         return []
 
     def _probe_random_member(self, now: float) -> list[actions.Action]:
@@ -268,22 +274,25 @@
 
     def _probe_remote_domain(self, now: float) -> list[actions.Action]:
         core = self._core
-        found = self._ping_random_entry(now)
+        result = self._ping_random_entry(now)
         if not core.is_bridge():
-            return found
+            return result
         names = set(core.table.domains)
         names |= {seed.failure_domain for seed in self._seeds}
         others = sorted(names - {core.own_domain, ""})
         if not others:
-            return found
+            return result
         self._remote_domain_index = (self._remote_domain_index + 1) % len(
             others
         )
-        return found + self._ping_domain(others[self._remote_domain_index], now)
+        return result + self._ping_domain(
+            others[self._remote_domain_index], now
+        )
 
     def _ping_random_entry(self, now: float) -> list[actions.Action]:
-        # What bridges learn spreads among the entries by digests alone, so
-        # each entry compares with one more entry a period.
+        # Records of other failure domains reach the entries only through the
+        # comparison of digests, so each entry pings one more entry each
+        # period.
         core = self._core
         if not core.tracks_remote_domains(core.own_member):
             return []
@@ -305,8 +314,8 @@
         if known and (core.domains.reachable(name, now) or not seeds):
             record = core.rng.choice(known)
             return self.ping(record.address, now, record)
-        # All bridges that were known there may be gone since: any seed and
-        # any member will do to hear who is there now.
+        # All known bridges of that failure domain may have gone. Any seed or
+        # member can answer with its current members.
         usable = seeds or [r.address for r in core.table.present(name)]
         if not usable:
             return []
@@ -318,15 +327,16 @@
             return []
         usable = self._local_seeds()
         chosen = core.rng.sample(usable, min(len(usable), _JOIN_PROBES))
-        found: list[actions.Action] = []
+        result: list[actions.Action] = []
         for seed in chosen:
-            found += self.ping(seed, now)
-        return found
+            result += self.ping(seed, now)
+        return result
 
     def _probe_lost_member(self, now: float) -> list[actions.Action]:
-        # After a partition each half holds the other for dead and would never
-        # speak to it again; one probe a period to a random lost member or
-        # unknown seed finds it. One side's probes together are frequent.
+        # After a partition each half considers the other dead and would never
+        # contact it again. One probe each period to a random lost member or
+        # unknown seed restores contact; over all members of one half such
+        # probes are frequent.
         core = self._core
         known = {r.address for r in core.table.present(core.own_domain)}
         usable = [s for s in self._local_seeds() if s not in known]
@@ -345,19 +355,19 @@
         return [s.address for s in self._seeds if s.failure_domain in ("", own)]
 
     def _ping_disputed(self, now: float) -> list[actions.Action]:
-        # A member that a peer holds for alive and this process for dead is
-        # told so and refutes; a few each tick, so that a healed partition
-        # does not become a storm.
+        # A member that is alive for a peer and dead for this process gets a
+        # ping that says so, and refutes. Only a few are pinged each tick, so
+        # that the end of a partition does not cause a burst of datagrams.
         core = self._core
-        found: list[actions.Action] = []
+        result: list[actions.Action] = []
         for instance_id in list(core.disputed_addresses)[
             : self._options.disputed_per_tick
         ]:
             address = core.disputed_addresses.pop(instance_id)
             record = core.table.get(instance_id)
             if record is not None and not record.present:
-                found += self.ping(address, now, record)
-        return found
+                result += self.ping(address, now, record)
+        return result
 
     def _push_urgent(self, now: float) -> list[actions.Action]:
         core = self._core
@@ -366,16 +376,16 @@
             return []
         count = core.push_budget.take(self._options.fanout, now)
         if not count:
-            # The piggyback queue still has them.
+            # The updates are still in the piggyback queue.
             return [actions.Count("membership.pushes_limited")]
-        found: list[actions.Action] = []
+        result: list[actions.Action] = []
         for record in core.random_peers(count):
-            found += self.push_to(record, updates, now)
-        return found
+            result += self.push_to(record, updates, now)
+        return result
 
 
 class _Timer:
-    """Runs an action each period, from a random point of the first one."""
+    """Runs a function each period; the first time after a part of one."""
 
     __slots__ = ("_next", "_period", "run")
 
@@ -391,9 +401,9 @@
         self.run = run
 
     def check_due(self, now: float) -> bool:
-        """Returns whether to run now, and sets the next time."""
+        """Returns whether to run now, and if so sets the next time."""
         if now < self._next:
             return False
-        # After a delay the missed runs are dropped, not made up for.
+        # Runs missed during a delay are skipped.
         self._next = max(self._next + self._period, now)
         return True
--- a/src/clementinegw/membership/_receiving.py
+++ b/src/clementinegw/membership/_receiving.py
@@ -1,4 +1,4 @@
-"""What a member does with a datagram: whom it believes, what it answers."""
+"""Handling of datagrams: trust in the sender, updates and answers."""
 
 import enum
 
@@ -19,12 +19,17 @@
 
 
 class Trust(enum.Enum):
-    """How far a datagram's sender is believed.
+    """How far the sender of a datagram is trusted.
 
-    KNOWN: a live member. UNVERIFIED: not known, or said to be newer than the
-    dead one that is: it must answer a ping first, because a recording of its
-    former life would look the same. UNTRUSTED: dead or suspect here, or an
-    older life; it is told so, and refutes if it is well.
+    The values are parts of counter names.
+
+    Attributes:
+      KNOWN: A live member.
+      UNVERIFIED: An unknown member, or a newer incarnation of a dead one. It
+        must answer a ping first, because a replayed datagram of an earlier
+        incarnation would look the same.
+      UNTRUSTED: A dead or suspect member, or an older incarnation. The answer
+        to its ping says so, and it refutes if it is alive.
     """
 
     KNOWN = "known"
@@ -33,7 +38,7 @@
 
 
 class Receiving:
-    """Handles datagrams of peers."""
+    """Handles the datagrams of peers."""
 
     def __init__(self, core: _core.Core, probing: _probing.Probing, now: float):
         self._core = core
@@ -57,7 +62,7 @@
     def handle(
         self, message: ttypes.Gossip, source: types.Address, now: float
     ) -> list[actions.Action]:
-        """Takes in one datagram whose proof of the key was checked."""
+        """Handles one datagram whose proof of the key has been checked."""
         handler = self._handlers.get(message.kind)
         if handler is None:
             return [actions.Count("membership.refused.unknown_kind")]
@@ -104,7 +109,7 @@
         now: float,
     ) -> list[actions.Action]:
         core = self._core
-        found = self._apply_contents(message, source, trust, now)
+        result = self._apply_contents(message, source, trust, now)
         record = core.table.get(message.sender)
         known = trust is Trust.KNOWN and record is not None
         answer = core.new_message(
@@ -116,10 +121,10 @@
             answer.introduction = core.own_member
         if trust is Trust.UNTRUSTED and record is not None:
             answer.updates = [record.member]
-        found.append(actions.Send(source, answer))
+        result.append(actions.Send(source, answer))
         if trust is Trust.UNVERIFIED:
-            found += self._probing.ping_unverified(source, now)
-        return found
+            result += self._probing.ping_unverified(source, now)
+        return result
 
     def _on_ack(
         self,
@@ -137,14 +142,14 @@
             return [actions.Count("membership.late_answers")]
         if message.target is None and trust is Trust.UNVERIFIED:
             trust = self._verify_introduction(message)
-            found = self._apply_introduction(message, now)
+            result = self._apply_introduction(message, now)
         else:
-            found = []
-        return found + self._apply_contents(message, source, trust, now)
+            result = []
+        return result + self._apply_contents(message, source, trust, now)
 
     def _verify_introduction(self, message: ttypes.Gossip) -> Trust:
-        # The answer names the sequence of a ping sent just now, so it is no
-        # recording.
+        # The answer contains the sequence of an open probe, so it is not a
+        # replay.
         introduction = message.introduction
         if introduction is None or introduction.instance_id != message.sender:
             return Trust.UNVERIFIED
@@ -180,7 +185,7 @@
         if trust is not Trust.KNOWN or target is None:
             return [actions.Count("membership.refused.ping_request")]
         core = self._core
-        found = self._apply_contents(message, source, trust, now)
+        result = self._apply_contents(message, source, trust, now)
         ping = core.new_message(Kind.PING, now, target)
         core.detector.add_relay(
             ping.sequence,
@@ -189,8 +194,8 @@
             ),
         )
         address = types.Address(target.host, target.port)
-        found.append(actions.Send(address, ping))
-        return found
+        result.append(actions.Send(address, ping))
+        return result
 
     def _on_updates(
         self,
@@ -209,10 +214,11 @@
         now: float,
     ) -> list[actions.Action]:
         core = self._core
-        # An agent keeps no members of other failure domains, so their bridges
-        # stay strangers to it. Where an agent is all that a bridge has heard
-        # of, an unanswered ask would leave the whole failure domain unknown
-        # to its entries. An answer tells what any member may know.
+        # An agent stores no members of other failure domains, so their bridges
+        # stay unverified to it. If a bridge knows only an agent of this
+        # failure domain and got no answer from it, its entries would never
+        # learn the other members. The answer contains only what any member
+        # may know.
         if trust is Trust.UNTRUSTED:
             return [actions.Count("membership.refused.sync")]
         granted = self._sync_answer_budget.take(
@@ -224,15 +230,15 @@
         ask = sync.SyncRequest(
             message.prints or b"", max(message.parts or 1, 1), message.part or 0
         )
-        found: list[actions.Action] = []
+        result: list[actions.Action] = []
         for members in core.sync.missing_records(name, ask, granted) or [[]]:
             answer = core.new_message(Kind.SYNC_RECORDS, now, None)
             answer.sync_domain = name
             answer.updates = members
-            if not found:
+            if not result:
                 answer.prints = core.sync.unknown_fingerprints(name, ask)
-            found.append(actions.Send(source, answer))
-        return found
+            result.append(actions.Send(source, answer))
+        return result
 
     def _on_sync_records(
         self,
@@ -244,22 +250,22 @@
         if trust is not Trust.KNOWN:
             return [actions.Count("membership.refused.sync")]
         core = self._core
-        found: list[actions.Action] = [actions.Count("membership.syncs")]
-        found += self._apply_contents(message, source, trust, now)
-        found += self._mark_unlisted_dead(message, now)
+        result: list[actions.Action] = [actions.Count("membership.syncs")]
+        result += self._apply_contents(message, source, trust, now)
+        result += self._mark_unlisted_dead(message, now)
         dead_members = self._dead_remote_members(message)
         if dead_members:
             reply = core.new_message(Kind.UPDATES, now, None)
             reply.updates = dead_members
-            found.append(actions.Send(source, reply))
-        return found
+            result.append(actions.Send(source, reply))
+        return result
 
     def _mark_unlisted_dead(
         self, message: ttypes.Gossip, now: float
     ) -> list[actions.Action]:
-        # A failure domain that was cut off for longer than its tombstones
-        # last no longer knows who died there. Its own list is complete, so a
-        # member that it does not know has gone.
+        # A failure domain that was partitioned for longer than its tombstones
+        # are kept no longer knows which of its members died. Its own list is
+        # complete, so a member that is missing there has gone.
         core = self._core
         name = message.sync_domain or ""
         sender = core.table.get(message.sender)
@@ -267,23 +273,23 @@
             return []
         if sender.member.failure_domain != name:
             return []
-        found: list[actions.Action] = []
+        result: list[actions.Action] = []
         for member in core.sync.members_by_fingerprint(
             name, message.prints or b""
         ):
-            found += core.apply_update(
+            result += core.apply_update(
                 _records.with_state(member, State.DEAD), now
             )
-        return found
+        return result
 
     def _dead_remote_members(
         self, message: ttypes.Gossip
     ) -> list[ttypes.Member]:
-        # The dead of other failure domains are told to a peer that still
-        # names them. Those of the own one are not: two halves that were cut
-        # off hold each other for dead, and the first exchange after the cut
-        # would bury a half that is well, and its members would flap until
-        # each has refuted.
+        # A peer that still lists dead members of another failure domain gets
+        # their death as an update. For this process's own failure domain it
+        # does not: after a partition the halves consider each other dead, the
+        # first exchange would spread the death of a whole live half, and its
+        # members would flap until each has refuted.
         if message.sync_domain == self._core.own_domain:
             return []
         records = [
@@ -300,15 +306,16 @@
         now: float,
     ) -> list[actions.Action]:
         core = self._core
-        found: list[actions.Action] = []
+        result: list[actions.Action] = []
         if trust is not Trust.KNOWN:
-            # Hearing that one is suspected does no harm, whoever says it.
+            # An update about this process is harmless from any sender: it only
+            # causes a refutation.
             about = [m for m in message.updates if m.instance_id == core.own_id]
             for member in about:
-                found += core.apply_update(member, now)
-            return [*found, actions.Count(f"membership.{trust.value}")]
+                result += core.apply_update(member, now)
+            return [*result, actions.Count(f"membership.{trust.value}")]
         for member in message.updates:
-            found += self._apply_update(member, now)
+            result += self._apply_update(member, now)
         for report in message.reports:
             if core.table.apply_report(report):
                 core.dissemination.add_report(report)
@@ -316,24 +323,24 @@
             core.newest_revision, message.newest_revision
         )
         for summary in message.domains:
-            found += self._compare_digest(summary, source, message, now)
-        return found
+            result += self._compare_digest(summary, source, message, now)
+        return result
 
     def _apply_update(
         self, member: ttypes.Member, now: float
     ) -> list[actions.Action]:
         core = self._core
         record = core.table.get(member.instance_id)
-        found = core.apply_update(member, now)
-        if found or record is None or record.present:
-            return found
+        result = core.apply_update(member, now)
+        if result or record is None or record.present:
+            return result
         if (
             member.state < State.DEAD
             and member.incarnation == record.member.incarnation
             and member.failure_domain == core.own_domain
         ):
             core.disputed_addresses[member.instance_id] = record.address
-        return found
+        return result
 
     def _compare_digest(
         self,
@@ -348,7 +355,7 @@
         core.domains.apply_summary(summary, now)
         if not local and not core.tracks_remote_domains(core.own_member):
             return []
-        found: list[actions.Action] = []
+        result: list[actions.Action] = []
         if core.sync.needs_request(name, summary.digest, core.settled, now):
             wanted = core.sync.build_request(name)
             ask = core.new_message(Kind.SYNC_ASK, now, None)
@@ -356,17 +363,18 @@
             ask.prints = wanted.fingerprints
             ask.parts = wanted.parts
             ask.part = wanted.part
-            found.append(actions.Send(source, ask))
+            result.append(actions.Send(source, ask))
         if local and message.kind == Kind.ACK and not core.settled:
-            found += self._update_settled(summary, message)
-        return found
+            result += self._update_settled(summary, message)
+        return result
 
     def _update_settled(
         self, summary: ttypes.DomainSummary, message: ttypes.Gossip
     ) -> list[actions.Action]:
-        # Two processes that have just started agree easily: neither knows
-        # anybody. So one answer counts only from a settled peer, and after a
-        # restart of everything, where none is, several in a row do.
+        # Two processes that have just started agree trivially, because neither
+        # knows any member. So one matching digest suffices only from a settled
+        # peer. After a restart of the whole deployment no peer is settled;
+        # then several matching digests in a row suffice.
         core = self._core
         if core.table.domain(core.own_domain).digest != summary.digest:
             self._matching_digests = 0
--- a/src/clementinegw/membership/_records.py
+++ b/src/clementinegw/membership/_records.py
@@ -1,4 +1,4 @@
-"""Records of members, and the rule by which one statement replaces another."""
+"""Records of members, and the rule by which updates supersede each other."""
 
 import dataclasses
 import functools
@@ -27,16 +27,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """What is known of one member.
+    """A member as stored in the table.
 
     Attributes:
-      member: The newest statement, as it is passed on.
-      address: Where it listens.
-      key: The 64-bit hash of its id: its place on the ring.
+      member: The newest update, as sent to other members.
+      address: The address it listens at.
+      key: The 64-bit hash of its id, which is its position on the ring.
       fingerprint: The 64-bit hash that it adds to the digest; 0 when it is not
         present.
-      short_fingerprint: Four bytes of it, for synchronisation.
-      changed_at: When the statement was taken in, in monotonic seconds.
+      short_fingerprint: The low four bytes of the fingerprint, for
+        synchronisation.
+      changed_at: When the update was applied, in monotonic seconds.
       report: Its newest report, or None.
     """
 
@@ -50,20 +51,21 @@
 
     @property
     def present(self) -> bool:
-        """Whether the member counts as one of the group."""
+        """Whether the member is neither dead nor has left."""
         return self.member.state < State.DEAD
 
 
 @functools.lru_cache(maxsize=8192)
 def key_of(instance_id: str) -> int:
-    """Returns the signed 64-bit hash of an id, the same in all processes."""
+    """Returns the signed 64-bit hash of an id; equal in all processes."""
     return xxhash.xxh64_intdigest(instance_id.encode()) - _SIGNED_64
 
 
 def fingerprint(member: ttypes.Member) -> int:
-    """Returns what a member adds to a digest.
+    """Returns the hash that a member adds to a digest.
 
-    A suspicion is left out, so that digests differ by lasting facts only.
+    It does not cover suspicions, so that digests differ only by lasting
+    changes.
     """
     if member.state >= State.DEAD:
         return 0
@@ -75,7 +77,7 @@
 
 
 def record_of(member: ttypes.Member, now: float) -> Record:
-    """Returns the record for a statement."""
+    """Returns the record for an update."""
     full_fingerprint = fingerprint(member)
     return Record(
         member,
@@ -88,14 +90,14 @@
 
 
 def supersedes(new: ttypes.Member, old: ttypes.Member) -> bool:
-    """Returns whether `new` says more than `old` about the same member."""
+    """Returns whether `new` supersedes `old`, an update on the same member."""
     return (new.incarnation, new.state) > (old.incarnation, old.state)
 
 
 def with_state(
     member: ttypes.Member, state: int, incarnation: int | None = None
 ) -> ttypes.Member:
-    """Returns the statement with another state, perhaps incarnation."""
+    """Returns a copy with another state and, if given, incarnation."""
     if incarnation is None:
         incarnation = member.incarnation
     return ttypes.Member(
@@ -113,7 +115,7 @@
 
 
 def member_of(instance: types.Instance, version: str) -> ttypes.Member:
-    """Returns the statement of a process about itself."""
+    """Returns the record that a process announces of itself."""
     return ttypes.Member(
         instance.instance_id,
         str(instance.role),
@@ -131,7 +133,7 @@
 def instance_of(
     member: ttypes.Member, address: types.Address
 ) -> types.Instance:
-    """Returns the member as the rest of the system knows it."""
+    """Returns the member as a `types.Instance`."""
     return types.Instance(
         member.instance_id,
         types.Role(member.role),
--- a/src/clementinegw/membership/actions.py
+++ b/src/clementinegw/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the decisions of membership ask the service to do."""
+"""Actions that `swim` returns and the service executes."""
 
 import dataclasses
 
@@ -12,8 +12,8 @@
     """Send one datagram.
 
     Attributes:
-      address: Where to.
-      gossip: What.
+      address: The receiver's address.
+      gossip: The message.
     """
 
     address: types.Address
@@ -22,10 +22,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """Tell the subscribers that a member changed.
+    """Notify the subscribers that a member changed.
 
     Attributes:
-      instance_id: Which member.
+      instance_id: The id of the member.
     """
 
     instance_id: str
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Write a numbered event.
+    """Log a numbered event.
 
     Attributes:
       event: The event.
--- a/src/clementinegw/membership/datagram.py
+++ b/src/clementinegw/membership/datagram.py
@@ -1,8 +1,8 @@
-"""One datagram: a proof of the deployment's key over an encoded message.
+"""The format of a datagram: an encoded message with a proof of the key.
 
 Layout: version (1 byte), length of the key id (1 byte), key id, proof (32
-bytes), message. The proof covers the message; a recorded datagram is found by
-its sequence, see `window` and `_receiving`.
+bytes), message. The proof is a keyed hash of the message. Replayed datagrams
+are detected by their sequence, see `window` and `_receiving`.
 """
 
 from clementinegw import exceptions
@@ -10,7 +10,7 @@
 from clementinegw.wire import codec
 from clementinegw.wire.gen.membership import ttypes
 
-# The largest datagram that is read; more would be cut into fragments.
+# Larger datagrams are rejected; IP would split them into more fragments.
 MAX_BYTES = 8192
 
 _VERSION = 1
@@ -28,11 +28,11 @@
 
 
 def unseal(data: bytes, keys: auth.KeyRing) -> ttypes.Gossip:
-    """Returns the message of a datagram.
+    """Returns the message of a datagram with a valid proof.
 
     Raises:
-      exceptions.DecodeError: The proof or the form is wrong. Nothing is
-        decoded before the proof has been checked.
+      exceptions.DecodeError: The proof is invalid or the datagram is
+        malformed. The message is decoded only after the proof was checked.
     """
     if not _HEAD_BYTES <= len(data) <= MAX_BYTES or data[0] != _VERSION:
         raise exceptions.DecodeError("datagram: wrong size or version")
--- a/src/clementinegw/membership/detector.py
+++ b/src/clementinegw/membership/detector.py
@@ -1,6 +1,7 @@
-"""Failure detection: open probes, indirect pings, suspicions with a deadline.
+"""Failure detection: open probes, indirect pings and suspicions.
 
-Knows members by id only; what is sent and believed is decided by `swim`.
+This module tracks deadlines by member id. `_probing` and `_receiving` decide
+what is sent and which updates are applied.
 """
 
 from collections.abc import Iterator
@@ -14,16 +15,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """A ping that waits for its answer.
+    """A ping that has not been answered yet.
 
     Attributes:
       sequence: The sequence of the ping.
-      instance_id: The member that was pinged; empty for a bare address.
+      instance_id: The member that was pinged; empty if only its address is
+        known.
       incarnation: The incarnation that was pinged.
-      address: Where the ping went.
-      deadline: When it has failed, in monotonic seconds.
-      indirect_at: When helpers are asked; infinite when they need not be.
-      is_confirmation: Whether it is the second one, which leads to a suspicion.
+      address: The address that the ping was sent to.
+      deadline: When the probe fails, in monotonic seconds.
+      indirect_at: When helpers are asked for indirect pings, in monotonic
+        seconds; infinite if they are not.
+      is_confirmation: Whether it is the second probe, whose failure leads to a
+        suspicion.
     """
 
     sequence: int
@@ -37,12 +41,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """A ping that was sent for somebody else.
+    """An indirect ping sent on behalf of another member.
 
     Attributes:
-      requester: Where its answer is passed on to.
-      sequence: The asker's own sequence.
-      expires_at: Monotonic seconds.
+      requester: The address that the answer is forwarded to.
+      sequence: The sequence of the requester's own probe.
+      expires_at: When the relay is dropped, in monotonic seconds.
     """
 
     requester: types.Address
@@ -52,12 +56,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspicion:
-    """A member that will be declared dead.
+    """A member that will be declared dead unless it refutes.
 
     Attributes:
       incarnation: The incarnation that is suspected.
       deadline: When it is declared dead, in monotonic seconds.
-      detected_here: Whether this process found it silent itself.
+      detected_here: Whether this process's own probes of it failed.
     """
 
     incarnation: int
@@ -80,34 +84,37 @@
         return self._suspicions
 
     def add_probe(self, probe: Probe) -> None:
-        """Remembers a ping that went out."""
+        """Stores a ping that was sent."""
         self._probes[probe.sequence] = probe
 
     def add_relay(self, sequence: int, relay: Relay) -> None:
-        """Remembers a ping that went out for somebody else."""
+        """Stores an indirect ping that was sent for another member."""
         self._relays[sequence] = relay
 
     def take_probe(self, sequence: int) -> Probe | None:
-        """Takes the open probe that an answer belongs to."""
+        """Removes and returns the open probe that an answer belongs to."""
         return self._probes.pop(sequence, None)
 
     def take_relay(self, sequence: int) -> Relay | None:
-        """Takes the relay that an answer belongs to."""
+        """Removes and returns the relay that an answer belongs to."""
         return self._relays.pop(sequence, None)
 
     def has_open_probe(self, address: types.Address) -> bool:
-        """Returns whether a ping to an address is open."""
+        """Returns whether a probe of an address is open."""
         return any(p.address == address for p in self._probes.values())
 
     def take_indirect_due(self, now: float) -> list[Probe]:
-        """Returns the probes that now need helpers, each one once."""
+        """Returns the probes that now need indirect pings, each only once."""
         late = [p for p in self._probes.values() if p.indirect_at <= now]
         for probe in late:
             probe.indirect_at = math.inf
         return late
 
     def take_failed_probes(self, now: float) -> list[Probe]:
-        """Takes the probes that were not answered in time."""
+        """Removes and returns the probes that were not answered in time.
+
+        Expired relays are removed too.
+        """
         failed = [p for p in self._probes.values() if p.deadline <= now]
         for probe in failed:
             del self._probes[probe.sequence]
@@ -123,7 +130,7 @@
         now: float,
         detected_here: bool,
     ) -> bool:
-        """Starts a suspicion; returns False when there is one already."""
+        """Starts a suspicion; returns False if there is one already."""
         known = self._suspicions.get(instance_id)
         if known is not None and known.incarnation >= incarnation:
             return False
@@ -138,7 +145,7 @@
         self._suspicions.pop(instance_id, None)
 
     def take_expired_suspicions(self, now: float) -> list[tuple[str, int]]:
-        """Takes the suspicions that ran out, as (id, incarnation)."""
+        """Removes and returns expired suspicions as (id, incarnation)."""
         if not self._suspicions:
             return []
         due = [
@@ -151,7 +158,7 @@
         return due
 
     def extend_deadlines(self, seconds: float) -> None:
-        """Gives open probes and suspicions more time.
+        """Extends the deadlines of open probes and suspicions.
 
         Args:
           seconds: How long this process did not run.
@@ -165,12 +172,11 @@
             )
 
     def reset_deadlines(self, now: float) -> None:
-        """Forgets open probes and gives each suspect its whole time again.
+        """Drops open probes and relays and restarts each suspicion's timeout.
 
-        A process that was paused finds every probe unanswered and every
-        suspicion run out, and would declare its peers dead at once: their
-        answers wait unread in its socket. Nothing that it timed before the
-        pause counts.
+        After a pause of the process every probe seems unanswered and every
+        suspicion expired, because the answers are still unread in the socket.
+        Without this reset the process would at once declare its peers dead.
         """
         self._probes.clear()
         self._relays.clear()
@@ -183,10 +189,10 @@
 
 
 class RandomRounds:
-    """Goes through all members in random order, then shuffles again.
+    """Iterates over all members in random order, then shuffles again.
 
-    Each member is probed once a round, so that none waits much longer than
-    the others, as it would with independent draws.
+    Each member is probed once a round. With independent random choices some
+    members would wait much longer than others.
     """
 
     def __init__(self, rng: random.Random):
@@ -194,7 +200,7 @@
         self._order: list[str] = []
 
     def next(self, present: list[str]) -> Iterator[str]:
-        """Yields members until the caller takes one."""
+        """Yields members until the caller stops at one that it can probe."""
         for _ in range(2):
             while self._order:
                 yield self._order.pop()
--- a/src/clementinegw/membership/dissemination.py
+++ b/src/clementinegw/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Piggyback: which news rides on the next datagram, and how often."""
+"""Chooses the updates and reports piggybacked on each datagram."""
 
 import collections
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from clementinegw.membership import parameters
 from clementinegw.wire.gen.membership import ttypes
 
-# Updates that are looked at for one datagram; not all suit each receiver.
+# Queued updates examined for one datagram; not every receiver needs each one.
 _MAX_EXAMINED = 32
 
 
@@ -21,32 +21,32 @@
 
 
 class Dissemination:
-    """Updates with a retransmit count, and the newest reports of others."""
+    """Queues of updates to retransmit and of reports to forward."""
 
     def __init__(self, options: parameters.Parameters, rng: random.Random):
         self._options = options
         self._rng = rng
-        # The least sent come first: new ones go to the front, and each one
-        # that was sent goes to the back.
+        # The updates sent least often come first: a new one goes to the front,
+        # one that was sent goes to the back.
         self._queue: collections.OrderedDict[str, _QueuedUpdate] = (
             collections.OrderedDict()
         )
         self._urgent: dict[str, ttypes.Member] = {}
-        # Reports in the order in which they came; the newest are sent first.
+        # In the order of arrival; the latest are sent first.
         self._reports: dict[int, ttypes.Report] = {}
 
     @property
     def pending(self) -> int:
-        """How many updates still have transmissions left."""
+        """The number of updates with transmissions left."""
         return len(self._queue)
 
     def add(self, member: ttypes.Member, members: int, urgent: bool) -> None:
         """Queues an update.
 
         Args:
-          member: The statement to pass on; replaces an older one.
-          members: The size of the group, for the retransmit count.
-          urgent: Whether it is also pushed to some peers at once.
+          member: The update; replaces an older one of the same member.
+          members: The number of known members, for the retransmit count.
+          urgent: Whether it is also pushed to some peers immediately.
         """
         remaining = self._options.retransmits
         if urgent:
@@ -57,17 +57,17 @@
         self._queue.move_to_end(member.instance_id, last=False)
 
     def add_report(self, report: ttypes.Report) -> None:
-        """Queues a report to be passed on once or so."""
+        """Queues a report to be sent once; replaces an older one."""
         self._reports.pop(report.member_key, None)
         self._reports[report.member_key] = report
 
     def take_updates(
         self, wanted: Callable[[ttypes.Member], bool]
     ) -> list[ttypes.Member]:
-        """Takes the updates for one datagram, the least sent first.
+        """Returns updates for one datagram, those sent least often first.
 
         Args:
-          wanted: Whether the receiver keeps statements about that member.
+          wanted: Whether the receiver needs updates about that member.
         """
         chosen: list[ttypes.Member] = []
         if not self._queue:
@@ -83,12 +83,12 @@
         return chosen
 
     def take_urgent(self, max_updates: int) -> list[ttypes.Member]:
-        """Takes the updates that must go out at once, at most `max_updates`."""
+        """Removes and returns up to `max_updates` updates to push now."""
         chosen = list(self._urgent)[:max_updates]
         return [self._urgent.pop(instance_id) for instance_id in chosen]
 
     def take_reports(self, own: ttypes.Report) -> list[ttypes.Report]:
-        """Takes the reports for one datagram, one's own first."""
+        """Returns the reports for one datagram, this process's own first."""
         max_others = self._options.reports_per_datagram - 1
         chosen = [own]
         while self._reports and len(chosen) <= max_others:
--- a/src/clementinegw/membership/domains.py
+++ b/src/clementinegw/membership/domains.py
@@ -1,4 +1,4 @@
-"""Other failure domains: who bridges, when each was heard, what it serves."""
+"""Other failure domains: bridges, reachability and services."""
 
 import dataclasses
 
@@ -24,7 +24,7 @@
 
 
 class Domains:
-    """What is known of each failure domain beyond its members."""
+    """The bridges and the received summaries of failure domains."""
 
     def __init__(
         self,
@@ -36,15 +36,15 @@
         self._table = table
         self._options = options
         self._received: dict[str, _DomainInfo] = {}
-        # Ranking takes a sort, so it is done once for each view.
+        # Caches the ranking, which needs a sort, by digest.
         self._bridge_cache: dict[str, tuple[int, list[_records.Record]]] = {}
 
     def bridges(self, failure_domain: str) -> list[_records.Record]:
-        """Returns the members that talk to other failure domains.
+        """Returns the members that probe other failure domains.
 
-        The entries with the lowest rendezvous ranks; agents where there is no
-        entry. Two processes whose views differ choose different bridges for a
-        while, which costs some datagrams and nothing else.
+        These are the entries with the lowest rendezvous ranks, or agents if
+        there is no entry. While the views of two processes differ they may
+        choose different bridges, which only costs additional datagrams.
         """
         digest = self._table.domain(failure_domain).digest
         ranked = self._bridge_cache.get(failure_domain)
@@ -54,7 +54,7 @@
         return ranked[1]
 
     def apply_summary(self, summary: ttypes.DomainSummary, now: float) -> bool:
-        """Takes in a summary if it is fresher than the known one."""
+        """Applies a summary if it is newer than the known one."""
         if summary.failure_domain == self._own_domain:
             return False
         received_at = now - summary.age_ms / _PER_MILLE
@@ -67,7 +67,7 @@
         return True
 
     def summaries(self, now: float) -> list[ttypes.DomainSummary]:
-        """Returns what one entry tells another, its own domain first."""
+        """Returns the summaries that entries exchange, the own domain first."""
         summaries = [self.own_summary()]
         for name, info in self._received.items():
             age_ms = min(
@@ -82,7 +82,7 @@
         return summaries
 
     def own_summary(self) -> ttypes.DomainSummary:
-        """Returns what this process tells of its own failure domain."""
+        """Returns the summary of this process's failure domain."""
         domain = self._table.domain(self._own_domain)
         return ttypes.DomainSummary(
             self._own_domain,
@@ -93,14 +93,14 @@
         )
 
     def own_digest_summary(self) -> ttypes.DomainSummary:
-        """Returns the digest of the own failure domain, without services."""
+        """Returns the summary of this failure domain without services."""
         domain = self._table.domain(self._own_domain)
         return ttypes.DomainSummary(
             self._own_domain, domain.region, domain.digest, 0, []
         )
 
     def reachable(self, failure_domain: str, now: float) -> bool:
-        """Returns whether a failure domain was heard recently."""
+        """Returns whether a recent summary of a failure domain is known."""
         if failure_domain == self._own_domain:
             return True
         info = self._received.get(failure_domain)
@@ -117,7 +117,7 @@
         return 0.0
 
     def views(self, now: float) -> list[view.DomainView]:
-        """Returns the other failure domains."""
+        """Returns the other failure domains in the order of their names."""
         return [
             view.DomainView(
                 name,
--- a/src/clementinegw/membership/parameters.py
+++ b/src/clementinegw/membership/parameters.py
@@ -1,7 +1,7 @@
-"""The periods, bounds and budgets of membership.
+"""The periods, limits and rates of membership.
 
-The defaults are chosen for 295 members a failure domain; docs/design/
-membership.md derives the detection time from them.
+The defaults suit 295 members in each failure domain. docs/design/membership.md
+derives the detection time from them.
 """
 
 import dataclasses
@@ -9,53 +9,66 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Parameters:
-    """Periods in seconds, sizes in bytes, counts a datagram or a period.
+    """Periods and timeouts in seconds, counts, and rates per second.
 
     Attributes:
       tick_s: How often `Swim.on_tick` is called.
-      ring_probe_s: Between two probes of a ring successor.
-      ring_successors: Successors on the ring that are probed in turn.
-      random_probe_s: Between two probes of any member.
-      direct_timeout_s: After this, helpers are asked to ping the target.
-      probe_timeout_s: After this, a probe has failed and is made once more,
-        with helpers from the start.
-      confirm_timeout_s: After this, the second probe has failed, too.
-      helpers: Members asked for an indirect ping.
+      ring_probe_s: The period of the probes of ring successors.
+      ring_successors: The number of ring successors probed in turn.
+      random_probe_s: The period of the probes of random members.
+      direct_timeout_s: The time after which helpers are asked to ping the
+        target.
+      probe_timeout_s: The time after which a probe has failed; a second probe
+        follows, with indirect pings from the start.
+      confirm_timeout_s: The time after which the second probe has failed.
+      helpers: The number of members asked for an indirect ping.
       suspicion_s: How long a suspect has to refute.
-      suspect_ping_s: Between two pings of a suspect by those who found it
-        silent.
-      suspect_pings: Suspects pinged again in one such period.
-      settle_matches: Agreeing answers in a row after which a view is settled
-        though no settled peer was met.
-      extra_rate: Datagrams a second beyond the regular probes: to helpers,
-        strangers and suspects.
-      extra_burst: How many of them may go out at once.
-      pause_s: A gap between two ticks that counts as a pause of the process.
-      fanout: Peers that urgent news is pushed to at once.
-      urgent_rate: Pushed datagrams a second, on average.
-      urgent_burst: Pushed datagrams that may go out at once.
-      urgent_factor: Times log2(members) that urgent news is piggybacked.
-      retransmits: Times that other news is piggybacked; a member that misses
-        all copies learns it by synchronisation.
-      updates_per_datagram: Records piggybacked on one datagram.
-      reports_per_datagram: Reports piggybacked on one datagram.
-      records_per_sync: Records in one datagram of a synchronisation.
-      fingerprints_per_request: Members whose fingerprints one request names.
-      datagrams_per_sync: Datagrams that answer one request of it.
-      sync_s: Between two synchronisations a member asks for.
+      suspect_ping_s: The period at which a member pings those suspects whose
+        probes by it failed.
+      suspect_pings: The maximum number of suspects pinged in one such period.
+      settle_matches: The number of matching digests in a row after which a
+        view is settled without a settled peer.
+      extra_rate: The rate of datagrams beyond the regular probes: to helpers,
+        unverified addresses and suspects.
+      extra_burst: The maximum burst of these datagrams.
+      pause_s: The gap between two ticks that counts as a pause of the process.
+      fanout: The number of peers that urgent updates are pushed to.
+      urgent_rate: The rate of pushed datagrams.
+      urgent_burst: The maximum burst of pushed datagrams.
+      urgent_factor: How often an urgent update is piggybacked, as a multiple
+        of log2(members).
+      retransmits: How often any other update is piggybacked. A member that
+        misses all copies receives it by synchronisation.
+      updates_per_datagram: The maximum number of records piggybacked on one
+        datagram.
+      reports_per_datagram: The maximum number of reports piggybacked on one
+        datagram.
+      records_per_sync: The maximum number of records in one datagram of a
+        synchronisation.
+      fingerprints_per_request: The approximate maximum number of fingerprints
+        in one synchronisation request.
+      datagrams_per_sync: The maximum number of datagrams that answer one
+        synchronisation request.
+      sync_s: The minimum time between two synchronisation requests of a member
+        for one failure domain.
       sync_unsettled_s: The same while its view is not settled.
-      sync_busy_s: The same while updates keep coming in.
-      sync_quiet_s: How long no update may have come in for it to ask soon.
-      sync_answers_rate: Datagrams a second that answer synchronisations.
-      rejoin_s: Between two probes of a lost member or an unknown seed.
-      join_s: The same while no peer is known.
-      disputed_per_tick: Members told at once that they are held for dead.
-      bridges: Members of a failure domain that talk to the other domains.
-      bridge_s: Between two probes of another failure domain by a bridge.
-      domain_timeout_s: A failure domain not heard for so long is suspect.
-      tombstone_s: How long a dead or departed member is remembered.
-      max_lost_addresses: Addresses of dead members kept for rejoin probes.
-      leave_s: How long a departing member goes on spreading that it left.
+      sync_busy_s: The same while it keeps receiving updates.
+      sync_quiet_s: How long no update may have been applied for `sync_s` to be
+        used instead of `sync_busy_s`.
+      sync_answers_rate: The rate of datagrams that answer synchronisation
+        requests.
+      rejoin_s: The period of the probes of lost members and unknown seeds.
+      join_s: The period of the probes of seeds while no peer is known.
+      disputed_per_tick: The maximum number of members pinged in one tick that
+        are dead in this process's view and alive in a peer's.
+      bridges: The number of members of a failure domain that probe the others.
+      bridge_s: The period of a bridge's probes of other failure domains.
+      domain_timeout_s: The time without a summary after which the members of
+        another failure domain are suspect.
+      tombstone_s: How long a member that died or left is remembered.
+      max_lost_addresses: The maximum number of addresses of dead members kept
+        for rejoin probes.
+      leave_s: How long a leaving member keeps spreading that it has left.
     """
 
     tick_s: float = 0.1
--- a/src/clementinegw/membership/service.py
+++ b/src/clementinegw/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership over UDP: the thin service around the decisions of `swim`."""
+"""Membership over UDP: sockets, timers and seeds for `swim.Swim`."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,28 +25,29 @@
 Callback = Callable[[view.MemberView], None]
 
 _SEED_LIST_PERIOD_S = 10.0
-# The list lags: what starts together with others reads it before they are on
-# it, and would stay alone for a whole period.
+# The platform's list lags. A process that starts together with others reads it
+# before they are listed, and would stay alone for a whole regular period.
 _ALONE_SEED_LIST_PERIOD_S = 1.0
 _MILLIS = 1000
-# Datagrams read in one turn of the loop, and the bytes read of each.
+# The maximum number of datagrams read in one turn of the event loop.
 _MAX_READS_PER_TURN = 64
+# One more byte than allowed, so that larger datagrams are recognised.
 _RECEIVE_BYTES = datagram.MAX_BYTES + 1
 
 
 class SeedSource(Protocol):
-    """Where addresses of members come from; the platform's list lags."""
+    """A source of seeds, such as the platform's list, which lags."""
 
     async def seeds(self) -> list[view.Seed]:
-        """Returns the known addresses.
+        """Returns the listed seeds.
 
         Raises:
-          exceptions.PlatformError: The list cannot be read now.
+          exceptions.PlatformError: The list is unavailable.
         """
 
 
 class Membership(mode.Service):
-    """This process's place among the members, and its view of the others."""
+    """Runs this process as a member and provides its view of the others."""
 
     def __init__(
         self,
@@ -61,19 +62,20 @@
         log: logs.Log | None = None,
         counters: counting.Counters | None = None,
     ):
-        """Prepares membership; it begins with `start`.
+        """Initializes the service; `start` joins the other members.
 
         Args:
-          instance: This process; port 0 lets the kernel choose one. Its
-            incarnation is replaced by the wall clock when that is larger.
+          instance: This process; with port 0 the kernel chooses a port. Its
+            incarnation is replaced by the wall clock in milliseconds if that
+            is larger.
           keys: The deployment's keys.
           seeds: Addresses from the instance file.
           source: The platform's list; None for the file's seeds only.
-          options: Periods and bounds.
+          options: Periods and limits.
           clock: The source of time.
-          rng: For random targets.
-          log: For numbered events.
-          counters: For refusals and costs.
+          rng: The source of random targets.
+          log: Receives numbered events.
+          counters: Counts datagrams, bytes and refusals.
         """
         super().__init__()
         self._clock = clock or clocks.SystemClock()
@@ -94,38 +96,38 @@
 
     @property
     def instance(self) -> types.Instance:
-        """This process, with the port that the kernel chose."""
+        """This process, with the port that it is bound to."""
         return self._instance
 
     @property
     def settled(self) -> bool:
-        """Whether the view was compared with a peer's since the last pause."""
+        """Whether the view is settled since the last pause."""
         return self._swim is not None and self._swim.settled
 
     @property
     def size(self) -> int:
-        """The number of members in this failure domain, oneself included."""
+        """The number of members in this failure domain, with this process."""
         return 0 if self._swim is None else self._swim.size
 
     @property
     def newest_settings_revision(self) -> int:
-        """The largest settings revision that any member was heard to hold."""
+        """The largest settings revision that any member has reported."""
         return 0 if self._swim is None else self._swim.newest_revision
 
     def set_keys(self, keys: auth.KeyRing) -> None:
-        """Replaces the keys; peers with the old one need it in the ring."""
+        """Replaces the keys; peers' active keys must be in the ring."""
         self._keys = keys
 
     def members(
         self, role: types.Role | None = None, service: str | None = None
     ) -> list[view.MemberView]:
-        """Returns the members that are present, this process included."""
+        """Returns the members that have not died or left, with this process."""
         if self._swim is None:
             return []
         return self._swim.members(self._clock.now(), role, service)
 
     def member(self, instance_id: str) -> view.MemberView | None:
-        """Returns one member, also when it is dead; None when unknown."""
+        """Returns one member, even if it is dead; None if it is unknown."""
         if self._swim is None:
             return None
         return self._swim.member(instance_id, self._clock.now())
@@ -137,7 +139,7 @@
         return self._swim.domains(self._clock.now())
 
     def subscribe(self, callback: Callback) -> None:
-        """Calls back with each member whose state or version changed."""
+        """Registers a callback for each member whose record changes."""
         self._callbacks.append(callback)
 
     def set_self(
@@ -147,7 +149,7 @@
         load: float | None = None,
         settings_revision: int | None = None,
     ) -> None:
-        """Changes what this process says about itself; None leaves it."""
+        """Changes what this process announces; None keeps a value."""
         if self._swim is None:
             return
         now = self._clock.now()
@@ -156,12 +158,12 @@
         )
 
     async def leave(self) -> None:
-        """Tells the others that this process has left; they forget it."""
+        """Announces for `Parameters.leave_s` that this process has left."""
         self.set_self(state=view.MemberState.LEFT)
         await asyncio.sleep(self._options.leave_s)
 
     async def on_start(self) -> None:
-        """Binds the socket and takes the first seeds."""
+        """Binds the socket and starts with the seeds of the instance file."""
         self._socket = _bind(self._instance.address)
         host, port = self._socket.getsockname()[:2]
         self._instance = dataclasses.replace(
@@ -187,7 +189,8 @@
     async def _tick(self) -> None:
         assert self._swim is not None
         while not self.should_stop:
-            # Answers that wait in the socket count before any timeout does.
+            # Reads answers before timeouts are processed, so that an answer
+            # that arrived in time is not missed.
             self._on_readable()
             self._execute(self._swim.on_tick(self._clock.now()))
             await asyncio.sleep(self._options.tick_s)
@@ -208,16 +211,17 @@
         return _ALONE_SEED_LIST_PERIOD_S if is_alone else _SEED_LIST_PERIOD_S
 
     def _on_readable(self) -> None:
-        # A transport of asyncio takes one datagram a turn of the loop. In a
-        # process that is late its answers then wait behind its timers, it
-        # suspects everybody, and the datagrams about that make it later still.
+        # An asyncio transport reads one datagram in each turn of the loop. In
+        # an overloaded process answers would then wait behind its timers, it
+        # would suspect all peers, and the datagrams caused by that would
+        # increase the overload.
         for _ in range(_MAX_READS_PER_TURN):
             if self._socket is None:
                 return
             try:
                 data, source = self._socket.recvfrom(_RECEIVE_BYTES)
             except OSError:
-                # Nothing waits, or a peer's port was closed.
+                # No datagram is waiting, or a peer's port was closed.
                 return
             self._on_data(data, source)
 
@@ -239,8 +243,8 @@
             self._swim.on_datagram(message, address, self._clock.now())
         )
 
-    def _execute(self, found: list[actions.Action]) -> None:
-        for action in found:
+    def _execute(self, requested: list[actions.Action]) -> None:
+        for action in requested:
             _HANDLERS[type(action)](self, action)
 
     def _send(self, action: actions.Send) -> None:
@@ -253,7 +257,7 @@
         try:
             self._socket.sendto(data, (address.host, address.port))
         except OSError:
-            # As lost as on the way; whoever needed it asks again.
+            # The datagram counts as lost; the protocol tolerates loss.
             self._counters.add("membership.sends_failed")
 
     def _notify_subscribers(self, action: actions.MemberChanged) -> None:
@@ -280,7 +284,7 @@
     except OSError as error:
         bound.close()
         raise exceptions.SettingsError(
-            f"cannot take datagrams at {address}: {error.strerror}"
+            f"cannot bind UDP socket to {address}: {error.strerror}"
         ) from error
     return bound
 
--- a/src/clementinegw/membership/swim.py
+++ b/src/clementinegw/membership/swim.py
@@ -1,9 +1,11 @@
-"""The decisions of membership: SWIM within a failure domain, bridges between.
+"""The membership protocol: SWIM in a failure domain, bridges between domains.
 
-Each member pings its ring successors and random members; one that answers
-neither directly nor through helpers is suspected, and declared dead unless it
-refutes with a higher incarnation. Statements ride on the pings, urgent ones
-are pushed at once, and digests show what got lost.
+Each member pings its ring successors and random members. A member that answers
+neither direct nor indirect pings is suspected, and declared dead unless it
+refutes with a higher incarnation. Updates are piggybacked on pings and answers,
+urgent ones are also pushed immediately, and differing digests reveal lost ones.
+
+This module does no I/O: it takes datagrams and the time, and returns actions.
 """
 
 from collections.abc import Iterable
@@ -28,13 +30,13 @@
     view.MemberState.LEFT: State.LEFT,
 }
 _LATE_TICK_FACTOR = 2.0
-# How long a process without peers waits for its seeds before it takes itself
-# for the only member.
+# How long a process waits for an answer from its seeds before it assumes that
+# it is the only member.
 _ALONE_SETTLE_S = 5.0
 
 
 class Swim:
-    """One member: datagrams and ticks in, actions out."""
+    """One member; turns datagrams and ticks into actions."""
 
     def __init__(
         self,
@@ -43,14 +45,14 @@
         rng: random.Random,
         now: float,
     ):
-        """Starts alone.
+        """Initializes a member that knows no others.
 
         Args:
-          instance: This process; its incarnation must exceed that of any
-            former life under the same id, so it is the wall clock at the
-            start, in milliseconds.
-          options: Periods and bounds.
-          rng: For random targets.
+          instance: This process. Its incarnation must exceed all earlier ones
+            of the same id, so it is the wall clock at the start, in
+            milliseconds.
+          options: Periods and limits.
+          rng: The source of random targets.
           now: Monotonic seconds.
         """
         self._options = options
@@ -62,12 +64,15 @@
 
     @property
     def settled(self) -> bool:
-        """Whether the view was compared with a peer's since the last pause."""
+        """Whether the view is settled since the last pause.
+
+        A view is settled once it agrees with a peer's, or if no peer answers.
+        """
         return self._core.settled
 
     @property
     def size(self) -> int:
-        """The number of members in this failure domain, oneself included."""
+        """The number of members in this failure domain, with this process."""
         core = self._core
         return len(core.table.domain(core.own_domain).ring)
 
@@ -78,11 +83,11 @@
 
     @property
     def newest_revision(self) -> int:
-        """The largest settings revision that any member was heard to hold."""
+        """The largest settings revision that any member has reported."""
         return self._core.newest_revision
 
     def set_seeds(self, seeds: Iterable[view.Seed]) -> None:
-        """Replaces the addresses where members may be found."""
+        """Replaces the addresses at which members may listen."""
         self._probing.set_seeds(seeds)
 
     def set_self(
@@ -93,13 +98,13 @@
         load: float | None = None,
         settings_revision: int | None = None,
     ) -> list[actions.Action]:
-        """Changes what this process says about itself.
+        """Changes what this process announces; None keeps a value.
 
         Args:
           now: Monotonic seconds.
-          state: Alive, leaving or left; the two latter are pushed at once.
-          version: The model version that is served.
-          load: The share of capacity in use; rides along when there is room.
+          state: Alive, leaving or left; a change is pushed immediately.
+          version: The model version served; a change is pushed immediately.
+          load: The share of capacity in use; piggybacked in a report.
           settings_revision: The settings revision in force here.
         """
         core = self._core
@@ -116,30 +121,30 @@
         return core.update_self(wanted, now, version=version)
 
     def on_tick(self, now: float) -> list[actions.Action]:
-        """Runs what is due; called every `Parameters.tick_s`."""
-        found = self._handle_pause(now)
+        """Runs the timers; must be called every `Parameters.tick_s`."""
+        result = self._handle_pause(now)
         if self._core.own_member.state != State.LEFT:
-            found += self._probing.tick(now)
+            result += self._probing.tick(now)
         else:
-            found += self._probing.tick_after_leave(now)
+            result += self._probing.tick_after_leave(now)
         self._receiving.drop_tombstones(now)
         self._check_alone(now)
-        return found
+        return result
 
     def on_datagram(
         self, message: ttypes.Gossip, source: types.Address, now: float
     ) -> list[actions.Action]:
-        """Takes in a datagram.
+        """Handles a datagram.
 
         Args:
-          message: Decoded, its proof of the key checked.
-          source: Where it came from.
+          message: The decoded message; its proof has been checked.
+          source: The sender's address.
           now: Monotonic seconds.
         """
-        found = self._handle_pause(now)
+        result = self._handle_pause(now)
         if self._core.own_member.state == State.LEFT:
-            return found
-        return found + self._receiving.handle(message, source, now)
+            return result
+        return result + self._receiving.handle(message, source, now)
 
     def members(
         self,
@@ -147,7 +152,7 @@
         role: types.Role | None = None,
         service: str | None = None,
     ) -> list[view.MemberView]:
-        """Returns the members that are present, this process included."""
+        """Returns the members that have not died or left, with this process."""
         return [
             self._view(record, now)
             for record in self._core.table
@@ -157,7 +162,7 @@
         ]
 
     def member(self, instance_id: str, now: float) -> view.MemberView | None:
-        """Returns one member, also when it is dead; None when unknown."""
+        """Returns one member, even if it is dead; None if it is unknown."""
         record = self._core.table.get(instance_id)
         return None if record is None else self._view(record, now)
 
@@ -192,13 +197,13 @@
         if gap <= self._options.tick_s * _LATE_TICK_FACTOR:
             return []
         if gap < self._options.pause_s:
-            # A late tick has read no answers meanwhile; without this, peers
-            # that answered in time would be suspected.
+            # No answers were read during the delay. Without the extension
+            # peers that answered in time would be suspected.
             core.detector.extend_deadlines(gap)
             return []
-        # The process was stopped, or its machine was. Its view is old and its
-        # peers may hold it for dead; it says so with a new incarnation and
-        # compares its view before it counts as settled again.
+        # The process or its machine was suspended. Its view is outdated and
+        # its peers may consider it dead, so it announces itself with a new
+        # incarnation and is settled only after it compared its view again.
         core.detector.reset_deadlines(now)
         core.sync.reset_request_times()
         core.settled = False
--- a/src/clementinegw/membership/sync.py
+++ b/src/clementinegw/membership/sync.py
@@ -1,8 +1,8 @@
-"""Anti-entropy: two members whose digests differ exchange what differs.
+"""Anti-entropy: members with different digests exchange missing records.
 
-The asker sends four bytes of the fingerprint of each member it knows; the
-other answers with the records it misses, as many as the budget allows, and
-with the fingerprints that it does not know itself. At rest only the digests
+The requester sends four bytes of the fingerprint of each member that it knows.
+The peer answers with the records missing there, up to a limit, and with the
+fingerprints that it does not know itself. While the views agree, only digests
 are compared.
 """
 
@@ -20,12 +20,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """What a request says.
+    """The contents of a synchronisation request.
 
     Attributes:
-      fingerprints: The short fingerprints of the members the asker knows.
-      parts: In how many parts the failure domain is compared.
-      part: Which of them this is.
+      fingerprints: The short fingerprints of the members that the requester
+        knows.
+      parts: The number of parts in which the failure domain is compared.
+      part: The index of this part.
     """
 
     fingerprints: bytes
@@ -34,7 +35,7 @@
 
 
 class Sync:
-    """When to ask, and what to answer."""
+    """Decides when to send a request, and builds requests and answers."""
 
     def __init__(
         self,
@@ -50,23 +51,22 @@
     def needs_request(
         self, failure_domain: str, digest: int, settled: bool, now: float
     ) -> bool:
-        """Compares with a peer's digest; returns whether to ask it now.
+        """Returns whether to send a request to a peer with this digest now.
 
-        Digests differ for a moment while an update spreads. A process that
-        has taken one in just now waits until it has heard the rest; one that
-        always takes something in asks seldom.
+        Digests differ briefly while updates spread. So a process that has
+        just applied an update sends requests less often.
 
         Args:
-          failure_domain: Whose members the digest is over.
+          failure_domain: The failure domain that the digest covers.
           digest: The peer's digest.
           settled: Whether this process's view is settled.
           now: Monotonic seconds.
         """
-        mine = self._table.domain(failure_domain)
-        if mine.digest == digest:
+        own = self._table.domain(failure_domain)
+        if own.digest == digest:
             return False
         options = self._options
-        quiet = now - mine.changed_at >= options.sync_quiet_s
+        quiet = now - own.changed_at >= options.sync_quiet_s
         period = options.sync_s if quiet else options.sync_busy_s
         if not settled:
             period = options.sync_unsettled_s
@@ -77,13 +77,13 @@
         return True
 
     def reset_request_times(self) -> None:
-        """Lets the next difference be asked about, as after a pause."""
+        """Allows a request at the next difference, for use after a pause."""
         self._requested_at.clear()
 
     def build_request(self, failure_domain: str) -> SyncRequest:
-        """Returns a request for what one does not know."""
+        """Returns a request for the records that this process lacks."""
         size = len(self._table.domain(failure_domain).ring)
-        # A larger datagram would be cut into fragments, and lost with any.
+        # A larger datagram would be fragmented, and lost with any fragment.
         parts = -(-size // self._options.fingerprints_per_request) or 1
         part = self._rng.randrange(parts)
         fingerprints = b"".join(
@@ -95,7 +95,7 @@
     def missing_records(
         self, failure_domain: str, request: SyncRequest, datagrams: int
     ) -> list[list[ttypes.Member]]:
-        """Returns the records that an asker lacks, for each datagram."""
+        """Returns the records that a requester lacks, for each datagram."""
         known = _split(request.fingerprints)
         members = [
             record.member
@@ -104,8 +104,8 @@
             )
             if record.short_fingerprint not in known
         ]
-        # Askers who start together are told different members first, and
-        # then tell each other.
+        # Shuffling gives processes that start together different records
+        # first; they then exchange these with each other.
         self._rng.shuffle(members)
         size = self._options.records_per_sync
         return [
@@ -116,19 +116,19 @@
     def unknown_fingerprints(
         self, failure_domain: str, request: SyncRequest
     ) -> bytes:
-        """Returns the asker's fingerprints that one does not know."""
-        mine = {
+        """Returns the requester's fingerprints unknown to this process."""
+        own = {
             record.short_fingerprint
             for record in self._part(
                 failure_domain, request.parts, request.part
             )
         }
-        return b"".join(_split(request.fingerprints) - mine)
+        return b"".join(_split(request.fingerprints) - own)
 
     def members_by_fingerprint(
         self, failure_domain: str, fingerprints: bytes
     ) -> list[ttypes.Member]:
-        """Returns one's own members with some short fingerprints."""
+        """Returns the present members with one of some short fingerprints."""
         wanted = _split(fingerprints)
         return [
             record.member
--- a/src/clementinegw/membership/table.py
+++ b/src/clementinegw/membership/table.py
@@ -1,4 +1,4 @@
-"""The table of members: all failure domains, digests, tombstones."""
+"""The table of members with their digests and tombstones."""
 
 import bisect
 from collections.abc import Iterator
@@ -11,11 +11,11 @@
 
 
 class DomainTable:
-    """The present members of one failure domain, with a digest over them.
+    """The present members of one failure domain and their digest.
 
     Attributes:
       region: The region it belongs to; empty until that is known.
-      entries: How many of them are entries.
+      entries: The number of present entries.
       changed_at: When the digest last changed, in monotonic seconds.
     """
 
@@ -24,12 +24,12 @@
         self.changed_at = 0.0
         self.entries = 0
         self._hash = 0
-        # Sorted (key, id): the ring on which each member probes the next.
+        # Sorted by (key, id); each member probes its successors on the ring.
         self._ring: list[tuple[int, str]] = []
 
     @property
     def digest(self) -> int:
-        """The hash over all present members, signed 64 bits."""
+        """The signed 64-bit hash over all present members."""
         return self._hash - _SIGNED_64
 
     @property
@@ -38,24 +38,24 @@
         return self._ring
 
     def toggle_fingerprint(self, fingerprint: int, now: float) -> None:
-        """Adds a member's fingerprint to the digest, or takes it out."""
+        """Adds a member's fingerprint to the digest or removes it."""
         self._hash ^= fingerprint
         self.changed_at = now
 
     def insert(self, key: int, instance_id: str) -> None:
-        """Puts a member on the ring."""
+        """Inserts a member into the ring."""
         place = bisect.bisect_left(self._ring, (key, instance_id))
         if self._ring[place : place + 1] != [(key, instance_id)]:
             self._ring.insert(place, (key, instance_id))
 
     def remove(self, key: int, instance_id: str) -> None:
-        """Takes a member off the ring."""
+        """Removes a member from the ring."""
         place = bisect.bisect_left(self._ring, (key, instance_id))
         if self._ring[place : place + 1] == [(key, instance_id)]:
             del self._ring[place]
 
     def successors(self, key: int, instance_id: str) -> Iterator[str]:
-        """Yields the other members, the next on the ring first."""
+        """Yields the other members in ring order, the next one first."""
         place = bisect.bisect_right(self._ring, (key, instance_id))
         for _, other in self._ring[place:]:
             yield other
@@ -65,7 +65,7 @@
 
 
 class Table:
-    """All members this process knows."""
+    """All members known to this process."""
 
     def __init__(self):
         self._records: dict[str, _records.Record] = {}
@@ -85,7 +85,7 @@
         return self._domains
 
     def domain(self, name: str, region: str = "") -> DomainTable:
-        """Returns a failure domain's table, empty when it is new."""
+        """Returns a failure domain's table; creates it if needed."""
         table = self._domains.get(name)
         if table is None:
             table = self._domains[name] = DomainTable(region)
@@ -97,14 +97,14 @@
         return self._records.get(instance_id)
 
     def apply(self, member: ttypes.Member, now: float) -> bool:
-        """Takes in a statement if it says more than what is known.
+        """Applies an update if it supersedes the known record.
 
         Args:
-          member: The statement.
+          member: The update.
           now: Monotonic seconds.
 
         Returns:
-          Whether it replaced what was known.
+          Whether the update was applied.
         """
         known = self._records.get(member.instance_id)
         if known is not None:
@@ -120,7 +120,7 @@
         return True
 
     def apply_report(self, report: ttypes.Report) -> bool:
-        """Takes in a report if it is newer than the known one."""
+        """Applies a report if it is newer; returns whether it was applied."""
         record = self._by_key.get(report.member_key)
         if record is None:
             return False
@@ -137,10 +137,10 @@
         """Drops old tombstones.
 
         Args:
-          before: Monotonic seconds; older ones go.
+          before: Tombstones older than this are dropped, monotonic seconds.
 
         Returns:
-          The ids of the members that are no longer known.
+          The ids of the members that were dropped.
         """
         old = [
             instance_id
--- a/src/clementinegw/membership/token_bucket.py
+++ b/src/clementinegw/membership/token_bucket.py
@@ -1,17 +1,17 @@
-"""A token bucket: how many datagrams of one kind may go out now."""
+"""A token bucket that limits the rate of one kind of datagram."""
 
 
 class TokenBucket:
-    """Grows by `rate` a second up to `burst`."""
+    """Gains `rate` tokens a second, up to `burst`."""
 
     __slots__ = ("_burst", "_rate", "_tokens", "_updated")
 
     def __init__(self, rate: float, burst: float, now: float):
-        """Starts full.
+        """Creates a full bucket.
 
         Args:
           rate: Tokens a second.
-          burst: The most tokens kept.
+          burst: The maximum number of tokens.
           now: Monotonic seconds.
         """
         self._rate = rate
@@ -20,7 +20,7 @@
         self._updated = now
 
     def take(self, wanted: int, now: float) -> int:
-        """Takes up to `wanted` tokens and returns how many there were."""
+        """Takes up to `wanted` tokens and returns how many it took."""
         grown = self._tokens + (now - self._updated) * self._rate
         self._tokens = min(self._burst, grown)
         self._updated = now
--- a/src/clementinegw/membership/view.py
+++ b/src/clementinegw/membership/view.py
@@ -1,4 +1,4 @@
-"""What membership tells the rest of the process about the other members."""
+"""The types that describe members and failure domains to other packages."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """What is believed of a member."""
+    """The state of a member in this process's view."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -18,16 +18,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberView:
-    """One member as this process sees it.
+    """One member in this process's view.
 
     Attributes:
-      instance: Who it is and where it listens.
-      state: What is believed of it. Members of a failure domain that has not
-        been heard for a while are suspect.
+      instance: Its identity and address.
+      state: Its state. Live members of a failure domain without a recent
+        summary are suspect.
       version: The model version that an agent serves; empty for none.
-      settings_revision: The revision it reported, perhaps half a minute ago.
-      load: Its share of capacity in use, perhaps half a minute old; for a
-        member of another failure domain the mean of its service there.
+      settings_revision: The settings revision it reported; may be half a
+        minute old.
+      load: Its share of capacity in use; may be half a minute old. For a
+        member of another failure domain, the mean of its service there.
     """
 
     instance: types.Instance
@@ -39,10 +40,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceLoad:
-    """How busy a service is in one failure domain.
+    """The load of a service in one failure domain.
 
     Attributes:
-      agents: Its agents that are alive.
+      agents: The number of its live agents.
       load: Their mean share of capacity in use.
     """
 
@@ -52,13 +53,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DomainView:
-    """Another failure domain as this process sees it.
+    """Another failure domain in this process's view.
 
     Attributes:
       failure_domain: Its name.
       region: The region it belongs to.
-      age_s: How long ago it was heard, directly or through others.
-      reachable: Whether that is recent enough to send it requests.
+      age_s: The age of its newest summary, received directly or through other
+        members, in seconds.
+      reachable: Whether the summary is recent enough to send it requests.
       services: Its services by name.
     """
 
@@ -71,11 +73,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Seed:
-    """An address where a member may be found.
+    """An address at which a member may listen.
 
     Attributes:
-      address: Where to send the first datagram.
-      failure_domain: Where it stands; empty when that is not known.
+      address: The address to send the first datagram to.
+      failure_domain: Its failure domain; empty if that is not known.
     """
 
     address: types.Address
--- a/src/clementinegw/membership/window.py
+++ b/src/clementinegw/membership/window.py
@@ -1,14 +1,14 @@
-"""Replay windows: each datagram of a sender is taken at most once."""
+"""Replay windows, which accept each datagram of a sender at most once."""
 
 _WIDTH = 64
 _MASK = (1 << _WIDTH) - 1
 
 
 class ReplayWindow:
-    """The newest sequence of one sender and which of the last 64 were seen.
+    """The highest sequence of one sender and which of the last 64 were seen.
 
-    Datagrams cross on the way, so a smaller sequence is not yet a replay. One
-    that is older than the window is dropped: a lost datagram costs nothing.
+    Datagrams may be reordered, so a lower sequence is not necessarily a replay.
+    One that is older than the window is rejected; the protocol tolerates loss.
     """
 
     __slots__ = ("_newest", "_seen")
--- a/tests/membership_network.py
+++ b/tests/membership_network.py
@@ -1,8 +1,8 @@
-"""A network in virtual time for the decisions of membership.
+"""A simulated network in virtual time for tests of membership.
 
-Every process is a real `swim.Swim`. Datagrams go through the real seal and
-codec, unless `sealed` is off to run longer in the same time. There are loss,
-delay, partitions and paused processes.
+Each process runs the real `swim.Swim`. Datagrams are sealed and encoded as in
+production unless `sealed` is off, which allows longer runs. The network
+simulates loss, delay, partitions and paused processes.
 """
 
 import collections
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass
 class Node:
-    """One process on the network."""
+    """One process in the network."""
 
     instance: types.Instance
     swim: swim.Swim
@@ -37,7 +37,7 @@
 
 
 class Network:
-    """Nodes, links and the time."""
+    """The nodes, the links between them and the virtual clock."""
 
     def __init__(self, seed=1, loss=0.0, options=None, sealed=True):
         self.rng = random.Random(seed)
@@ -57,7 +57,7 @@
         self._ports = itertools.count(1)
 
     def add(self, name, domain="a", role=types.Role.AGENT, seeds=None):
-        """Starts a process, also in place of a former one of that name."""
+        """Starts a process; it may replace an earlier one of that name."""
         port = next(self._ports)
         address = types.Address(f"127.0.{port // 250}.{port % 250}", 1000)
         instance = types.Instance(
@@ -78,7 +78,7 @@
         return self.nodes[name]
 
     def seeds(self, count=3):
-        """The first processes of each failure domain."""
+        """Returns the first processes of each failure domain as seeds."""
         domains = collections.defaultdict(list)
         for node in self.nodes.values():
             domains[node.instance.place.failure_domain].append(node)
@@ -89,7 +89,7 @@
         ]
 
     def run(self, seconds):
-        """Runs until some seconds from now."""
+        """Advances the virtual clock by some seconds."""
         until = self.now + seconds
         while self._queue and self._queue[0][0] <= until:
             self.now, _, kind, *rest = heapq.heappop(self._queue)
@@ -97,7 +97,10 @@
         self.now = until
 
     def run_until(self, condition, bound):
-        """Runs until a condition holds; returns the seconds, or None."""
+        """Runs until a condition holds.
+
+        Returns the virtual seconds it took, or None if they exceed `bound`.
+        """
         start = self.now
         while self.now - start < bound:
             if condition():
@@ -119,7 +122,7 @@
             self._on_arrival(name, *item)
 
     def split(self, names):
-        """Cuts the named processes off from all others."""
+        """Partitions the network into the named processes and all others."""
         for name, node in self.nodes.items():
             node.group = int(name in names)
 
@@ -128,21 +131,21 @@
             node.group = 0
 
     def set_self(self, name, **changes):
-        """Changes what a process says about itself."""
+        """Changes what a process announces of itself."""
         member = self.nodes[name].swim
         self._act(name, member.set_self(self.now, **changes))
 
     def inject(self, name, data, source):
-        """Delivers bytes that the network itself did not carry."""
+        """Delivers a datagram that no node sent now."""
         message = datagram.unseal(data, KEYS)
         node = self.nodes[name]
         self._act(name, node.swim.on_datagram(message, source, self.now))
 
     def states(self, of, domain=None):
-        """What each running process believes of a member."""
+        """Returns the state of a member in the view of each other process."""
         return [
-            found.state if found is not None else None
-            for found in (
+            member.state if member is not None else None
+            for member in (
                 n.swim.member(of, self.now)
                 for name, n in self.nodes.items()
                 if name != of
@@ -153,10 +156,11 @@
         ]
 
     def converged(self, domain="a"):
-        """Whether all of a failure domain see exactly its processes alive.
+        """Returns whether all views of a failure domain are correct.
 
-        An id alone is not enough: it may stand for a former life that
-        listened elsewhere.
+        Each process must see exactly the processes of the failure domain as
+        alive. Addresses are compared too, because an id may stand for an
+        earlier incarnation at another address.
         """
         nodes = [
             n
@@ -171,7 +175,7 @@
         )
 
     def alive(self, node, domain):
-        """The members of a failure domain that a process holds for alive."""
+        """Returns the members of a failure domain alive in a node's view."""
         return [
             m.instance
             for m in node.swim.members(self.now)
@@ -180,7 +184,7 @@
         ]
 
     def seen(self, node, domain):
-        """The ids of `alive`."""
+        """Returns the ids of the members that `alive` returns."""
         return {instance.instance_id for instance in self.alive(node, domain)}
 
     def _at(self, delay, *event):
@@ -211,8 +215,8 @@
             message = datagram.unseal(data, KEYS)
         self._act(name, node.swim.on_datagram(message, source, self.now))
 
-    def _act(self, name, found):
-        for action in found:
+    def _act(self, name, requested):
+        for action in requested:
             if isinstance(action, actions.Send):
                 self._send(name, action)
             elif isinstance(action, actions.Count):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership in virtual time: detection, refutation, partitions, pauses."""
+"""Tests detection, refutation, partitions and pauses in virtual time."""
 
 import membership_network
 import pytest
@@ -10,7 +10,7 @@
 
 
 def joined_network(size, seed=1, loss=0.0, domains=("a",)):
-    """A network whose processes know each other."""
+    """Returns a network whose processes know each other."""
     network = membership_network.Network(seed=seed)
     for domain in domains:
         for index in range(size):
@@ -41,21 +41,23 @@
 
 
 def test_neighbours_that_die_together_are_detected_in_time():
-    # Symptom: the second of two dead neighbours is found late. Sequence: a
-    # member and its predecessor on the ring die at once. Cause: the member
-    # was probed by the dead predecessor only.
+    """Guards against late detection of a member whose predecessor died too.
+
+    If a member is probed only by its predecessor on the ring and both die, no
+    regular probe reaches it.
+    """
     network = joined_network(30)
     ring = network.nodes["a0"].swim._core.table.domain("a").ring
-    victims = [instance_id for _, instance_id in ring[5:8]]
-    for name in victims:
+    killed = [instance_id for _, instance_id in ring[5:8]]
+    for name in killed:
         network.kill(name)
     seconds = network.run_until(
-        lambda: all(is_gone(network, name) for name in victims), 12
+        lambda: all(is_gone(network, name) for name in killed), 12
     )
     assert seconds <= 8.0
 
 
-def test_leaving_goes_out_at_once():
+def test_leaving_is_pushed_immediately():
     network = joined_network(60)
     network.set_self("a9", state=view.MemberState.LEAVING)
     seconds = network.run_until(
@@ -68,11 +70,13 @@
     assert is_gone(network, "a9")
 
 
-def test_paused_process_that_wakes_is_not_believed_until_it_refutes():
-    # Symptom: a process that was stopped for ten seconds declares its peers
-    # dead when it wakes, and is itself used as if nothing had happened.
-    # Sequence: stop, peers declare it dead, wake with unread datagrams and
-    # probes that all ran out. Cause: timers that ran while the process did not.
+def test_resumed_process_is_not_alive_until_it_refutes():
+    """Guards against timers that count the time of a pause.
+
+    A process resumes after ten seconds with unread datagrams and expired
+    probes, while its peers have declared it dead. It must not declare them
+    dead, and must refute its own death before it is used again.
+    """
     network = joined_network(20)
     network.pause("a5")
     network.run(10)
@@ -88,11 +92,13 @@
 
 
 @pytest.mark.parametrize("lasted_s", [20, 300])
-def test_healed_partition_converges_without_a_storm(lasted_s):
-    # Symptom: after a cut both halves go on apart, or bury each other's living
-    # and flap. Sequence: a failure domain splits in two, each half declares
-    # the other dead, perhaps forgets it, the cut ends. Cause: nobody probes
-    # the dead; or the first exchange after the cut spreads who was held dead.
+def test_views_converge_without_flapping_after_a_partition(lasted_s):
+    """Guards against halves that stay apart or flap after a partition.
+
+    During the partition each half declares the other dead, and after 300 s has
+    dropped it. The halves stay apart if no member probes dead ones. Live
+    members flap if the first exchange spreads which members were dead.
+    """
     network = joined_network(30)
     half = {f"a{index}" for index in range(15)}
     network.split(half)
@@ -109,7 +115,7 @@
     assert max(network.datagrams.values()) <= 30 * 2 * seconds
 
 
-def test_restart_of_everything_at_once():
+def test_views_converge_after_all_processes_restart_together():
     network = joined_network(30)
     seeds = network.seeds(5)
     names = list(network.nodes)
@@ -124,7 +130,7 @@
     assert network.run_until(network.converged, 20) is not None
 
 
-def test_restarted_process_replaces_its_former_life():
+def test_restarted_process_replaces_its_earlier_incarnation():
     network = joined_network(20)
     network.kill("a4")
     network.run(0.5)
@@ -133,11 +139,14 @@
 
 
 @pytest.mark.parametrize("down_s", [0.9, 1.2, 1.5])
-def test_silence_of_a_former_life_is_not_held_against_the_new_one(down_s):
-    # Symptom: a process that just started is suspected. Sequence: it is
-    # killed and starts again at another address, its peers hear of it while
-    # their pings to the old address still wait. Cause: an unanswered ping was
-    # charged to the id, whichever incarnation it had gone to.
+def test_failed_pings_of_an_old_incarnation_do_not_count_for_the_new_one(
+    down_s,
+):
+    """Guards against suspicion of a process that has just restarted.
+
+    It restarts at another address while pings to its old address are open.
+    Their failure must not count against the new incarnation.
+    """
     network = joined_network(6)
     network.kill("a4")
     network.run(down_s)
@@ -167,7 +176,7 @@
     assert domain.services["assistent"].agents == 9
 
 
-def test_unreachable_failure_domain_becomes_suspect_and_comes_back():
+def test_unreachable_failure_domain_becomes_suspect_and_recovers():
     network = joined_network(12, domains=("a", "b"))
     entry = network.nodes["a0"]
     network.run_until(lambda: len(network.seen(entry, "b")) == 12, 30)
@@ -180,11 +189,12 @@
     assert seconds is not None
 
 
-def test_failure_domain_of_unknown_members_harms_nobody():
-    # Symptom: a bridge stops with an error. Sequence: it hears of a failure
-    # domain, and the answer with that domain's members is still on its way
-    # when its next probe of that domain is due. Cause: the target was drawn
-    # from an empty list.
+def test_failure_domain_without_known_members_causes_no_error():
+    """Guards against a bridge that chooses a target from an empty list.
+
+    It has received the name of a failure domain but not yet its members when
+    the next probe of that domain is due.
+    """
     network = joined_network(4)
     for node in network.nodes.values():
         node.swim._core.table.domain("b", "region-b")
@@ -203,23 +213,25 @@
 
 
 def test_replayed_datagrams_change_nothing():
-    # Symptom: a dead member seems alive again. Sequence: all datagrams are
-    # recorded, a member dies and is forgotten, the recording is sent again.
-    # Cause: the proof of the key in an old datagram is still valid.
+    """Guards against replayed datagrams that make a dead member seem alive.
+
+    All datagrams are recorded and sent again after a member died and its
+    tombstone was dropped. Their proofs of the key are still valid.
+    """
     network = joined_network(8)
     network.recorded = []
     network.run(5)
     recording = network.recorded
     network.recorded = None
-    victim = network.nodes["a3"].instance.address
+    address_of_dead = network.nodes["a3"].instance.address
     network.kill("a3")
     network.run(200)
     assert is_gone(network, "a3")
-    del network.by_address[victim]
+    del network.by_address[address_of_dead]
     for _, address, data in recording:
         receiver = network.by_address.get(address)
         if receiver in network.nodes:
-            network.inject(receiver, data, victim)
+            network.inject(receiver, data, address_of_dead)
     assert is_gone(network, "a3")
     network.run(10)
     assert is_gone(network, "a3")
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""Membership under long loss and under any sequence of faults."""
+"""Tests membership under long packet loss and random sequences of faults."""
 
 import hypothesis
 from hypothesis import stateful
@@ -14,9 +14,11 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_false_death_in_ten_minutes_of_loss(seed):
-    # Symptom: a member that is well is declared dead. Sequence: a ping, the
-    # helpers' pings and the refutation are all lost. Cause: 5% loss is enough
-    # for that where one silent round is told to everybody.
+    """Guards against a live member that is declared dead under packet loss.
+
+    A ping, the indirect pings and the refutation are all lost. With 5% loss
+    this happens if a suspicion is spread after a single failed probe.
+    """
     network = membership_network.Network(seed=seed, sealed=False)
     for index in range(60):
         network.add(f"a{index}")
@@ -30,7 +32,7 @@
 
 
 class Faults(stateful.RuleBasedStateMachine):
-    """Any faults in any order; when they end, the view is right again."""
+    """Runs faults in any order; once they end, all views are correct."""
 
     def __init__(self):
         super().__init__()
@@ -44,7 +46,7 @@
     def start(self):
         name = f"a{self.started}"
         self.started += 1
-        # The first five addresses stand in the instance file.
+        # The first five processes are in each instance file.
         seeds = self.network.seeds() if self.started <= 5 else self.seeds
         self.network.add(name, seeds=seeds)
 
@@ -66,7 +68,8 @@
     def restart(self, index):
         name = self.pick(index)
         self.network.kill(name)
-        # No process starts in the millisecond in which its former life did.
+        # The new incarnation must differ from the old one, which counts
+        # milliseconds.
         self.network.run(0.1)
         self.network.add(name, seeds=self.seeds)
 
@@ -124,7 +127,7 @@
     stateful_step_count=15,
     deadline=None,
     derandomize=True,
-    # Without shrinking, which takes minutes here, a failure is still the same
-    # each time and names its steps.
+    # Shrinking takes minutes here. Without it a failure is still reproducible
+    # and prints its steps.
     phases=[hypothesis.Phase.generate],
 )
--- a/tests/test_membership_join.py
+++ b/tests/test_membership_join.py
@@ -1,4 +1,4 @@
-"""A deployment that starts at once, from seeds that are agents only."""
+"""Tests a deployment whose processes start together with agents as seeds."""
 
 import membership_network
 
@@ -9,13 +9,12 @@
 
 
 def test_entries_find_other_domains_whose_only_seed_is_an_agent():
-    """Symptom: a service whose worker is in another domain is always refused.
+    """Guards against requests to a service in another domain always refused.
 
-    Sequence: three failure domains start together; each process is given the
-    first agent of each as its seeds. The bridge of one domain hears an agent
-    of another and asks it for the records of that domain.
-    Cause: agents do not keep members of other domains, so the bridge stayed a
-    stranger to each of them, and strangers were not answered.
+    Three failure domains start together, and the seeds of each process are the
+    first agents of the domains. A bridge asks an agent of another domain for
+    that domain's records. Agents store no members of other domains, so the
+    bridge stayed unverified there, and unverified senders got no answer.
     """
     network = membership_network.Network(seed=3)
     for domain in DOMAINS:
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -1,4 +1,4 @@
-"""Membership over loopback UDP: joining, refusals, rotation of the key."""
+"""Tests joining, refusals and key rotation over loopback UDP."""
 
 import asyncio
 import socket
@@ -41,7 +41,7 @@
         if condition():
             return
         await asyncio.sleep(STEP_S)
-    raise AssertionError("the condition did not come true")
+    raise AssertionError("the condition did not become true in time")
 
 
 def names(membership):
@@ -72,14 +72,14 @@
     await first.stop()
 
 
-async def test_other_key_is_refused_and_rotation_is_not():
+async def test_unknown_key_is_refused_and_rotated_key_is_accepted():
     first, seed = await start("one")
-    stranger, _ = await start("two", [seed], auth.single_key_ring(b"x" * 16))
+    other, _ = await start("two", [seed], auth.single_key_ring(b"x" * 16))
     await until(
         lambda: first._counters.value("membership.refused.datagram") > 0
     )
     assert names(first) == {"one"}
-    await stranger.stop()
+    await other.stop()
     both = auth.KeyRing("k2", {"k1": KEY, "k2": b"y" * 16})
     first.set_keys(auth.KeyRing("k1", both.keys))
     third, _ = await start("three", [seed], both)
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\x01", b"\x01\xff", b"\x02" + b"x" * 99, b"\x01\x02k1" * 40]
 )
-async def test_garbage_is_counted_and_harms_nothing(data):
+async def test_malformed_datagram_is_counted_and_ignored(data):
     first, seed = await start("one")
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sender.sendto(data, (seed.address.host, seed.address.port))
@@ -103,10 +103,13 @@
     await first.stop()
 
 
-async def test_late_process_reads_all_that_waits_before_it_judges():
-    # Symptom: a busy process suspects all its peers, and the datagrams about
-    # that keep it busy. Sequence: its loop is held up, answers pile up in the
-    # socket, its timers run first. Cause: one datagram was read a turn.
+async def test_delayed_process_reads_all_waiting_datagrams_in_one_turn():
+    """Guards against an overloaded process that suspects all its peers.
+
+    Its event loop is delayed and answers queue in the socket. If it reads one
+    datagram in each turn, timers expire before the answers are read, and the
+    datagrams about the suspicions increase the overload.
+    """
     first, seed = await start("one")
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     for _ in range(40):
