--- a/src/clementinegw/membership/_receiving.py
+++ b/src/clementinegw/membership/_receiving.py
@@ -86,10 +86,10 @@
         if record is None:
             return Trust.UNVERIFIED
         known = record.member
-        seen = self._replay_windows.setdefault(
+        replay_window = self._replay_windows.setdefault(
             message.sender, window.ReplayWindow()
         )
-        if not seen.accept(message.sequence):
+        if not replay_window.accept(message.sequence):
             return None
         if message.incarnation > known.incarnation:
             if record.present:
@@ -153,9 +153,9 @@
         introduction = message.introduction
         if introduction is None or introduction.instance_id != message.sender:
             return Trust.UNVERIFIED
-        fresh = window.ReplayWindow()
-        fresh.accept(message.sequence)
-        self._replay_windows[message.sender] = fresh
+        replay_window = window.ReplayWindow()
+        replay_window.accept(message.sequence)
+        self._replay_windows[message.sender] = replay_window
         return Trust.KNOWN
 
     def _apply_introduction(
@@ -227,16 +227,18 @@
         if not granted:
             return [actions.Count("membership.sync_limited")]
         name = message.sync_domain or ""
-        ask = sync.SyncRequest(
+        request = sync.SyncRequest(
             message.prints or b"", max(message.parts or 1, 1), message.part or 0
         )
         result: list[actions.Action] = []
-        for members in core.sync.missing_records(name, ask, granted) or [[]]:
+        for members in core.sync.missing_records(name, request, granted) or [
+            []
+        ]:
             answer = core.new_message(Kind.SYNC_RECORDS, now, None)
             answer.sync_domain = name
             answer.updates = members
             if not result:
-                answer.prints = core.sync.unknown_fingerprints(name, ask)
+                answer.prints = core.sync.unknown_fingerprints(name, request)
             result.append(actions.Send(source, answer))
         return result
 
@@ -310,8 +312,10 @@
         if trust is not Trust.KNOWN:
             # An update about this process is harmless from any sender: it only
             # causes a refutation.
-            about = [m for m in message.updates if m.instance_id == core.own_id]
-            for member in about:
+            own_updates = [
+                m for m in message.updates if m.instance_id == core.own_id
+            ]
+            for member in own_updates:
                 result += core.apply_update(member, now)
             return [*result, actions.Count(f"membership.{trust.value}")]
         for member in message.updates:
@@ -357,13 +361,13 @@
             return []
         result: list[actions.Action] = []
         if core.sync.needs_request(name, summary.digest, core.settled, now):
-            wanted = core.sync.build_request(name)
-            ask = core.new_message(Kind.SYNC_ASK, now, None)
-            ask.sync_domain = name
-            ask.prints = wanted.fingerprints
-            ask.parts = wanted.parts
-            ask.part = wanted.part
-            result.append(actions.Send(source, ask))
+            request = core.sync.build_request(name)
+            sync_ask = core.new_message(Kind.SYNC_ASK, now, None)
+            sync_ask.sync_domain = name
+            sync_ask.prints = request.fingerprints
+            sync_ask.parts = request.parts
+            sync_ask.part = request.part
+            result.append(actions.Send(source, sync_ask))
         if local and message.kind == Kind.ACK and not core.settled:
             result += self._update_settled(summary, message)
         return result
--- a/src/clementinegw/membership/detector.py
+++ b/src/clementinegw/membership/detector.py
@@ -105,10 +105,10 @@
 
     def take_indirect_due(self, now: float) -> list[Probe]:
         """Returns the probes that now need indirect pings, each only once."""
-        late = [p for p in self._probes.values() if p.indirect_at <= now]
-        for probe in late:
+        due = [p for p in self._probes.values() if p.indirect_at <= now]
+        for probe in due:
             probe.indirect_at = math.inf
-        return late
+        return due
 
     def take_failed_probes(self, now: float) -> list[Probe]:
         """Removes and returns the probes that were not answered in time.
--- a/src/clementinegw/membership/service.py
+++ b/src/clementinegw/membership/service.py
@@ -277,16 +277,16 @@
 
 def _bind(address: types.Address) -> socket.socket:
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
-    bound = socket.socket(family, socket.SOCK_DGRAM)
-    bound.setblocking(False)
+    udp_socket = socket.socket(family, socket.SOCK_DGRAM)
+    udp_socket.setblocking(False)
     try:
-        bound.bind((address.host, address.port))
+        udp_socket.bind((address.host, address.port))
     except OSError as error:
-        bound.close()
+        udp_socket.close()
         raise exceptions.SettingsError(
             f"cannot bind UDP socket to {address}: {error.strerror}"
         ) from error
-    return bound
+    return udp_socket
 
 
 _HANDLERS: dict[type, Callable] = {
--- a/tests/membership_network.py
+++ b/tests/membership_network.py
@@ -74,7 +74,9 @@
         member.set_seeds(self.seeds() if seeds is None else seeds)
         self.nodes[name] = Node(instance, member, self.options)
         self.by_address[address] = name
-        self._at(self.rng.random() * self.options.tick_s, "tick", name, port)
+        self._schedule(
+            self.rng.random() * self.options.tick_s, "tick", name, port
+        )
         return self.nodes[name]
 
     def seeds(self, count=3):
@@ -96,13 +98,13 @@
             getattr(self, f"_on_{kind}")(*rest)
         self.now = until
 
-    def run_until(self, condition, bound):
+    def run_until(self, condition, timeout_s):
         """Runs until a condition holds.
 
-        Returns the virtual seconds it took, or None if they exceed `bound`.
+        Returns the virtual seconds it took, or None if they exceed `timeout_s`.
         """
         start = self.now
-        while self.now - start < bound:
+        while self.now - start < timeout_s:
             if condition():
                 return self.now - start
             self.run(0.1)
@@ -187,7 +189,7 @@
         """Returns the ids of the members that `alive` returns."""
         return {instance.instance_id for instance in self.alive(node, domain)}
 
-    def _at(self, delay, *event):
+    def _schedule(self, delay, *event):
         heapq.heappush(
             self._queue, (self.now + delay, next(self._order), *event)
         )
@@ -200,7 +202,7 @@
             return
         if node.running:
             self._act(name, node.swim.on_tick(self.now))
-        self._at(self.options.tick_s, "tick", name, port)
+        self._schedule(self.options.tick_s, "tick", name, port)
 
     def _on_arrival(self, name, data, source):
         node = self.nodes.get(name)
@@ -240,4 +242,4 @@
         if other.group != node.group or self.rng.random() < self.loss:
             return
         delay = self.rng.uniform(*_DELAY_S)
-        self._at(delay, "arrival", receiver, data, node.instance.address)
+        self._schedule(delay, "arrival", receiver, data, node.instance.address)
