--- a/src/clementinegw/requests/agents.py
+++ b/src/clementinegw/requests/agent_connections.py
@@ -1,4 +1,4 @@
-"""Keeps the connections to the agents that this entry has chosen."""
+"""Maintains the connections to the agents in this entry's subset."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -13,17 +13,21 @@
 from clementinegw.telemetry import logs
 from clementinegw.wire import connection as connection_lib
 
-_FIRST_PAUSE_S = 0.1
-_MAX_PAUSE_S = 5.0
+_MIN_RECONNECT_DELAY_S = 0.1
+_MAX_RECONNECT_DELAY_S = 5.0
 
 
 class Connector(Protocol):
-    """What is used of `wire.connection.Endpoint`."""
+    """The part of `wire.connection.Endpoint` that opens connections."""
 
     async def connect(
         self, address: types.Address
     ) -> connection_lib.Connection:
-        """Returns the kept connection; raises `ConnectionLost`."""
+        """Returns a new or existing connection.
+
+        Raises:
+          ConnectionLost: The connection could not be opened.
+        """
 
 
 @dataclasses.dataclass(slots=True)
@@ -33,8 +37,8 @@
     connection: connection_lib.Connection | None = None
 
 
-class Agents:
-    """One connection to each chosen agent, opened again when it breaks."""
+class AgentConnections:
+    """Maintains one connection to each chosen agent and reopens lost ones."""
 
     def __init__(
         self,
@@ -47,11 +51,12 @@
         """Starts without connections.
 
         Args:
-          connector: Opens them.
-          on_change: Told when one is up or down.
-          log: Where events go.
-          counters: Where failures are counted.
-          rng: Spreads the attempts to connect.
+          connector: Opens the connections.
+          on_change: Called with the agent and whether it is connected, after
+            each change.
+          log: Receives the log events.
+          counters: Counts the failures.
+          rng: Randomizes the delays between attempts to connect.
         """
         self._connector = connector
         self._on_change = on_change
@@ -60,8 +65,8 @@
         self._rng = rng
         self._links: dict[str, _Link] = {}
 
-    def choose(self, chosen: Iterable[types.Instance]) -> None:
-        """Sets which agents to be connected to."""
+    def set_chosen(self, chosen: Iterable[types.Instance]) -> None:
+        """Sets the agents to connect to."""
         wanted = {i.instance_id: i for i in chosen}
         for name in [n for n in self._links if n not in wanted]:
             self._links.pop(name).task.cancel()
@@ -71,11 +76,11 @@
                 continue
             if link is not None:
                 link.task.cancel()
-            task = asyncio.ensure_future(self._keep(instance))
+            task = asyncio.ensure_future(self._connect(instance))
             self._links[name] = _Link(instance, task)
 
-    def disconnected(self, connection: connection_lib.Connection) -> None:
-        """Takes note that a connection ended; it is opened again."""
+    def on_disconnected(self, connection: connection_lib.Connection) -> None:
+        """Reopens a connection that ended, if its agent is still chosen."""
         link = self._links.get(connection.peer.instance_id)
         if link is None or link.connection is not connection:
             return
@@ -85,7 +90,7 @@
         )
         self._counters.add("requests.agent_disconnected")
         self._on_change(link.instance, False)
-        link.task = asyncio.ensure_future(self._keep(link.instance))
+        link.task = asyncio.ensure_future(self._connect(link.instance))
 
     def close(self) -> None:
         """Stops opening connections."""
@@ -93,14 +98,14 @@
             link.task.cancel()
         self._links.clear()
 
-    async def _keep(self, instance: types.Instance) -> None:
-        pause_s = _FIRST_PAUSE_S
+    async def _connect(self, instance: types.Instance) -> None:
+        delay_s = _MIN_RECONNECT_DELAY_S
         while True:
             try:
                 connection = await self._connector.connect(instance.address)
             except exceptions.ConnectionLost:
-                await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.5))
-                pause_s = min(_MAX_PAUSE_S, pause_s * 2)
+                await asyncio.sleep(delay_s * self._rng.uniform(0.5, 1.5))
+                delay_s = min(_MAX_RECONNECT_DELAY_S, delay_s * 2)
                 continue
             break
         link = self._links.get(instance.instance_id)
--- a/src/clementinegw/requests/service.py
+++ b/src/clementinegw/requests/service.py
@@ -1,4 +1,4 @@
-"""The entry's request part as one service: wiring and timers only."""
+"""Connects the request handling of an entry and runs its periodic tasks."""
 
 from collections.abc import Callable, Iterable
 import random
@@ -19,11 +19,16 @@
 from clementinegw.telemetry import logs
 from clementinegw.wire import connection as connection_lib
 
-_MEMBERS_S = 0.5
+_REFRESH_INTERVAL_S = 0.5
 
 
 class RequestService(mode.Service):
-    """Everything between the callers' HTTP and the connections to agents."""
+    """Handles requests, between the HTTP handlers and the agent connections.
+
+    Attributes:
+      fleet: The services and their workers.
+      pipeline: Runs the requests.
+    """
 
     def __init__(
         self,
@@ -38,31 +43,32 @@
         counters: counters_lib.Counters | None = None,
         rng: random.Random | None = None,
     ):
-        """Wires the filters.
+        """Creates the pipeline and its filters.
 
         Args:
           me: This entry.
-          endpoint: Its connections.
+          endpoint: The connections of this entry.
           rules: The settings in force.
-          members: Returns the live members, this entry included or not.
+          members: Returns the live members, with or without this entry.
           claims: Claims idempotency keys; None refuses keyed requests.
-          suspects: Knows requests that crash servers; None suspects nobody.
+          suspects: Tracks requests that may have crashed backend servers; None
+            suspects no request.
           clock: The source of time.
-          log: Where events go.
-          counters: Where each refusal and retry is counted.
-          rng: For ties and spread.
+          log: Receives the log events.
+          counters: Counts the refusals and retries.
+          rng: Breaks ties and randomizes delays.
         """
         super().__init__()
         self._members = members
-        self._known: frozenset[fleet_lib.Member] = frozenset()
+        self._last_members: frozenset[fleet_lib.Member] = frozenset()
         self._clock = clock or clock_lib.SystemClock()
         self._counters = counters or counters_lib.Counters()
         log = log or logs.Log(instance=me.instance_id)
         rng = rng or random.Random()
-        shared = (self._clock, log, self._counters, rng)
-        self.fleet = fleet_lib.Fleet(me, endpoint, rules, *shared)
+        common = (self._clock, log, self._counters, rng)
+        self.fleet = fleet_lib.Fleet(me, endpoint, rules, *common)
         self._shares = shares.Shares(me.instance_id)
-        self._usage = usage.UsageExchange(
+        self._usage_exchange = usage.UsageExchange(
             self._shares, endpoint, self._clock, self._counters
         )
         self.pipeline = pipeline_lib.Pipeline(
@@ -72,35 +78,35 @@
             rules,
             claims or pipeline_lib.NoClaims(),
             suspects or pipeline_lib.NoSuspects(),
-            *shared,
+            *common,
         )
 
     def refresh(self) -> None:
-        """Takes the present members; call it when they change."""
+        """Applies the current members if they have changed."""
         members = frozenset(self._members())
-        if members == self._known:
+        if members == self._last_members:
             return
-        self._known = members
+        self._last_members = members
         self.fleet.set_members(members)
         entries = {
             m.instance.instance_id: m.instance.address
             for m in members
             if m.instance.role is types.Role.ENTRY and not m.leaving
         }
-        self._usage.set_entries(entries)
+        self._usage_exchange.set_entries(entries)
 
     def settings_changed(self) -> None:
-        """Chooses workers anew, by other settings.
+        """Chooses the workers again, according to new settings.
 
-        Members that were all known before the first settings came would else
-        never be looked at again: the services were not declared then, and the
-        entry would refuse every request for want of a backend server.
+        If all members were known before the first settings arrived, their
+        services were not declared yet. Unless they are applied again, the entry
+        would refuse every request because it has no backend server.
         """
-        self._known = frozenset()
+        self._last_members = frozenset()
         self.refresh()
 
     async def on_start(self) -> None:
-        """Takes the members that are known already."""
+        """Applies the members that are already known."""
         self.refresh()
 
     async def on_stop(self) -> None:
@@ -110,13 +116,15 @@
     @mode.Service.task
     async def _follow_members(self) -> None:
         while not self.should_stop:
-            await self.sleep(_MEMBERS_S)
+            await self.sleep(_REFRESH_INTERVAL_S)
             self.refresh()
-            for name, lane in self.fleet.lanes().items():
-                self._counters.gauge(f"requests.waiting.{name}", lane.waiting)
+            for name, dispatcher in self.fleet.dispatchers().items():
+                self._counters.gauge(
+                    f"requests.waiting.{name}", dispatcher.waiting
+                )
 
     @mode.Service.task
     async def _share_usage(self) -> None:
         while not self.should_stop:
             await self.sleep(shares.PERIOD_S)
-            await self._usage.tick()
+            await self._usage_exchange.end_period()
--- a/tests/test_direct_due.py
+++ b/tests/test_direct_due.py
@@ -114,24 +114,26 @@
 
     async with Site("i-1", on_call=slow) as site:
         await change(site, None)
-        asking = asyncio.ensure_future(site.ask("/stream/1", headers=MODEL))
+        request_task = asyncio.ensure_future(
+            site.ask("/stream/1", headers=MODEL)
+        )
         await asyncio.sleep(0.2)
-        await change(site, asking)
-        answer = await asking
+        await change(site, request_task)
+        answer = await request_task
         return len(site.servers[0].calls) == 1, answer.status == 200
 
 
 async def learns_the_age_while_a_request_waits():
-    async def told(site, asking):
-        if asking is not None:
+    async def report_age(site, request_task):
+        if request_task is not None:
             site.report_age(7.5)
 
-    return await _serves_waiting_request(told)
+    return await _serves_waiting_request(report_age)
 
 
 async def is_suspended_while_a_request_waits():
-    async def suspend(site, asking):
-        if asking is None:
+    async def suspend(site, request_task):
+        if request_task is None:
             site.name()
             await asyncio.sleep(4.0)
         else:
@@ -157,8 +159,10 @@
         learns_the_age_while_a_request_waits,
         is_suspended_while_a_request_waits,
     ]
-    found = {scenario.__name__: sites.run(scenario()) for scenario in scenarios}
-    assert found == dict.fromkeys(found, (True, False))
+    results = {
+        scenario.__name__: sites.run(scenario()) for scenario in scenarios
+    }
+    assert results == dict.fromkeys(results, (True, False))
 
 
 def test_a_request_without_a_model_requires_the_version_too():
@@ -199,9 +203,11 @@
     await agents_restart_and_no_process_knows_the_age(site)
     for agent in site.agents:
         age_ms = round(1e3 * (site.boot_time() - due_at + 8.0))
-        told = ttypes.Subscribe("entry", {agent_sites.MODEL: 2})
-        told.ages_ms = {agent_sites.MODEL: {2: age_ms}}
-        agent._reporter.datagram_received(codec.encode(told), ("127.0.0.1", 9))
+        subscription = ttypes.Subscribe("entry", {agent_sites.MODEL: 2})
+        subscription.ages_ms = {agent_sites.MODEL: {2: age_ms}}
+        agent._reporter.datagram_received(
+            codec.encode(subscription), ("127.0.0.1", 9)
+        )
     return due_at
 
 
@@ -239,5 +245,5 @@
         agents_restart_and_an_entry_reports_the_age,
         agents_are_suspended,
     ]
-    found = {p.__name__: agent_sites.run(scenario(p)) for p in scenarios}
-    assert found == dict.fromkeys(found, True)
+    results = {p.__name__: agent_sites.run(scenario(p)) for p in scenarios}
+    assert results == dict.fromkeys(results, True)
--- a/tests/test_gate_status.py
+++ b/tests/test_gate_status.py
@@ -137,10 +137,10 @@
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([])
-        service, _ = await script.entry(clock, agents)
-        lane = service.fleet.lanes()["s"]
-        worker = lane.workers.get("a0")
+        agents = await script.start_agents([])
+        service, _ = await script.start_entry(clock, agents)
+        dispatcher = service.fleet.dispatchers()["s"]
+        worker = dispatcher.workers.get("a0")
         (link,) = agents[0].endpoint.connections()
 
         async def send_load(incarnation, in_flight, prefix):
@@ -150,11 +150,11 @@
 
         known = agents[0].incarnation
         await send_load(known, 5, 11)
-        assert worker.others == 7
-        assert lane.index.matches([11], clock.now()) == {"a0": 1}
+        assert worker.other_requests == 7
+        assert dispatcher.index.matches([11], clock.now()) == {"a0": 1}
         for other in (known - 1, known + 1):
             await send_load(other, 30, 12)
-            assert worker.others == 7
-            assert lane.index.matches([12], clock.now()) == {}
+            assert worker.other_requests == 7
+            assert dispatcher.index.matches([12], clock.now()) == {}
 
     script.run(test)
--- a/tests/test_requests_pipeline.py
+++ b/tests/test_requests_pipeline.py
@@ -1,4 +1,4 @@
-"""What the filters do together: hedging and draining."""
+"""Tests of the whole pipeline: hedging, draining and late settings."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class _LateRules:
-    """Settings that come after the members."""
+    """Settings that become available after the members."""
 
     def __init__(self):
         self.declared = False
@@ -28,23 +28,25 @@
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_a_late_look_up_is_sent_a_second_time_and_a_booking_never(idempotent):
-    """Symptom: one look-up in a hundred takes a worker's whole stall.
+def test_late_idempotent_request_is_hedged_and_a_booking_never(idempotent):
+    """Guards against an idempotent request that waits for a stalled worker.
 
-    Sequence: after many quick answers an attempt hangs. Cause: waiting for it
-    to the deadline. A booking has to wait: both attempts might run.
+    After many fast answers, an attempt hangs until the deadline. A booking must
+    not be hedged, because both attempts could run.
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([], [])
-        service, counters = await script.entry(clock, agents, hedging=True)
+        agents = await script.start_agents([], [])
+        service, counters = await script.start_entry(
+            clock, agents, hedging=True
+        )
         for number in range(60):
-            await service.pipeline.run(script.request_of(clock, number))
+            await service.pipeline.run(script.make_request(clock, number))
         for agent in agents:
             agent.submitted.clear()
-        # Whichever is asked first hangs; the other answers.
+        # The first agent that receives it hangs; the other answers.
         agents[0].script = agents[1].script = [script.hang]
-        request = script.request_of(clock, 99, idempotent, wait_s=5.0)
+        request = script.make_request(clock, 99, idempotent, wait_s=5.0)
         agents[0].proof = agents[1].proof = False
         outcome = await service.pipeline.run(request)
         sent = len(agents[0].submitted) + len(agents[1].submitted)
@@ -59,21 +61,21 @@
     script.run(test)
 
 
-def test_draining_finishes_what_runs_and_refuses_what_comes():
+def test_draining_finishes_running_requests_and_refuses_new_ones():
     async def slow(agent, connection, exchange, submit):
         await asyncio.sleep(5.0)
         await script.answer(agent, connection, exchange, submit)
 
     async def test(clock, loop):
-        agents = await script.agents_of([slow])
-        service, _ = await script.entry(clock, agents)
+        agents = await script.start_agents([slow])
+        service, _ = await script.start_entry(clock, agents)
         running = asyncio.ensure_future(
-            service.pipeline.run(script.request_of(clock))
+            service.pipeline.run(script.make_request(clock))
         )
         await asyncio.sleep(0.5)
         drain = asyncio.ensure_future(service.pipeline.drain(30.0))
         await asyncio.sleep(0.1)
-        late = await service.pipeline.run(script.request_of(clock, 2))
+        late = await service.pipeline.run(script.make_request(clock, 2))
         assert late.reason is types.NotRunReason.LEAVING
         assert await drain
         assert isinstance(await running, types.Answered)
@@ -81,23 +83,23 @@
     script.run(test)
 
 
-def test_a_service_declared_after_its_agents_gets_workers():
-    """Symptom: a new service answers "no backend" until an instance changes.
+def test_service_declared_after_its_agents_gets_workers():
+    """Guards against a new service without workers until a member changes.
 
-    Sequence: agents join, then the settings declare their service. Cause:
-    looking at members only when the members change.
+    Agents join before the settings declare their service. The members were
+    applied only when they changed.
     """
 
     async def test(clock, loop):
-        agents = await script.agents_of([])
+        agents = await script.start_agents([])
         source = _LateRules()
-        service, _ = await script.entry(clock, agents, source=source)
-        early = await service.pipeline.run(script.request_of(clock))
+        service, _ = await script.start_entry(clock, agents, source=source)
+        early = await service.pipeline.run(script.make_request(clock))
         assert early.reason is types.NotRunReason.NO_SETTINGS
         source.declared = True
         service.settings_changed()
         await asyncio.sleep(0.1)
-        outcome = await service.pipeline.run(script.request_of(clock, 2))
+        outcome = await service.pipeline.run(script.make_request(clock, 2))
         assert isinstance(outcome, types.Answered)
 
     script.run(test)
