--- a/src/clementinegw/membership/actions.py
+++ b/src/clementinegw/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the decisions of membership ask the service to do."""
+"""Actions that `swim` returns and the service executes."""
 
 import dataclasses
 
@@ -12,8 +12,8 @@
     """Send one datagram.
 
     Attributes:
-      address: Where to.
-      gossip: What.
+      address: The receiver's address.
+      gossip: The message.
     """
 
     address: types.Address
@@ -21,11 +21,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Changed:
-    """Tell the subscribers that a member changed.
+class MemberChanged:
+    """Notify the subscribers that a member changed.
 
     Attributes:
-      instance_id: Which member.
+      instance_id: The id of the member.
     """
 
     instance_id: str
@@ -43,8 +43,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Note:
-    """Write a numbered event.
+class LogEvent:
+    """Log a numbered event.
 
     Attributes:
       event: The event.
@@ -55,4 +55,4 @@
     subject: str
 
 
-Action = Send | Changed | Count | Note
+Action = Send | MemberChanged | Count | LogEvent
