--- a/tests/test_direct_entry.py
+++ b/tests/test_direct_entry.py
@@ -209,7 +209,7 @@
     assert sites.run(play()).status == 503
 
 
-def test_a_start_that_is_gone_is_tried_only_once():
+def test_a_start_that_is_gone_is_asked_once():
     """Requests were refused for two seconds after a loss of power.
 
     All servers started anew at their addresses, and the platform listed the
@@ -519,7 +519,7 @@
     assert sites.run(play()) == (200, 200, False)
 
 
-def test_unreachable_servers_are_not_tried_in_a_tight_loop(monkeypatch):
+def test_servers_out_of_reach_are_not_tried_over_and_over(monkeypatch):
     """One request opened up to 220 connections in 0.8 s.
 
     A failure domain was cut off, and all its known servers of a service refused
--- a/tests/test_direct_reach.py
+++ b/tests/test_direct_reach.py
@@ -128,7 +128,7 @@
     assert sites.run(play()) == [200] * 10
 
 
-def test_recovered_servers_are_detected_soon(monkeypatch):
+def test_servers_that_are_back_are_found_soon(monkeypatch):
     """Guards against refusing callers long after servers have recovered.
 
     All servers of a service were away for ten seconds. The cooldown grows up to
--- a/tests/test_direct_readers.py
+++ b/tests/test_direct_readers.py
@@ -83,7 +83,7 @@
     return first, selector.order(serving=False)
 
 
-def test_a_returned_store_is_found_although_the_first_readers_are_dead():
+def test_a_store_that_is_back_is_found_though_the_first_readers_are_dead():
     """Guards against a recovery that takes seconds.
 
     Only the first two readers kept trying the store, and both were dead.
--- a/tests/test_direct_server_limit.py
+++ b/tests/test_direct_server_limit.py
@@ -255,7 +255,7 @@
     return clocks.run(play())
 
 
-def test_limited_engines_serve_callers_up_to_their_limits():
+def test_limited_engines_serve_callers_as_well_as_their_limit_allows():
     """The others serve the rest, and no caller waits for a limited one."""
     limits = {3: 1.0, 7: 2.4}
     limited_share, without = [], []
--- a/tests/test_rate_limit.py
+++ b/tests/test_rate_limit.py
@@ -105,7 +105,7 @@
     assert fleet.used_share(2.0) >= 0.7
 
 
-def test_entries_without_a_reported_position_keep_the_limit():
+def test_entries_that_no_agent_told_their_turn_keep_the_limit():
     fleet = Fleet(30, 1.0, seed=5)
     fleet.positions = [
         rate_limit.Position.assumed(f"front-{n}") for n in range(30)
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -417,7 +417,7 @@
     assert answer == swarm.Serve("a001", "v1", 0)
 
 
-def test_agents_with_newer_targets_do_not_answer_each_other_forever():
+def test_agents_that_both_went_on_do_not_answer_each_other_for_ever():
     """Each treated the other's answer as an advertisement to answer."""
     new_chunks = swarm_network.chunks_of(32, "b")
     members = swarm_network.members_of(2, 1)
