--- a/src/clementinegw/testing/_server.py
+++ b/src/clementinegw/testing/_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server on the loopback that can be told to fail."""
+"""An HTTP server on the loopback interface with fault injection."""
 
 import asyncio
 
@@ -9,16 +9,16 @@
 _LOOPBACK = "127.0.0.1"
 _MAX_BODY_BYTES = 256 * 1024 * 1024
 _STALL_CHECK_S = 0.05
-# Handlers that still wait when the server stops are cancelled after this.
+# Handlers that still run when the server stops are cancelled after this time.
 _SHUTDOWN_S = 0.1
 
 
-class Front:
-    """One port of a server, for the clients of one failure domain.
+class Listener:
+    """One listening port of a server, for clients of one failure domain.
 
     Attributes:
-      faults: What goes wrong for these clients only.
-      port: The port; 0 before the first start.
+      faults: Faults for these clients only.
+      port: The port number; 0 before the first start.
     """
 
     def __init__(self) -> None:
@@ -32,52 +32,53 @@
 
 
 class Server:
-    """One part of the platform: routes, faults, start and stop.
+    """Base class of the platform's servers: routes, faults, start and stop.
 
     Attributes:
-      faults: What goes wrong; set and reset at any time. `timeout_s` has no
-        meaning here: the client under test has its own.
-      calls: Calls that came in, refused ones included.
+      faults: Faults for all clients; may be changed at any time. `timeout_s`
+        is ignored here, because the client under test has its own timeout.
+      calls: Number of requests received, including refused ones.
     """
 
     def __init__(self) -> None:
         self.faults = memory.Faults()
         self.calls = 0
-        self._fronts = {"": Front()}
+        self._listeners = {"": Listener()}
         self._runner: web.AppRunner | None = None
 
     @property
     def address(self) -> str:
         """The base URL; the same one after a stop and another start."""
-        return self._fronts[""].address
+        return self._listeners[""].address
 
-    def front(self, place: str) -> Front:
-        """Returns the port for a failure domain; asked for before the start.
+    def listener(self, place: str) -> Listener:
+        """Returns the listener of a failure domain, created on first use.
 
-        With a port for each failure domain, a test can cut one of them off
-        from the platform while the others go on.
+        Must be called before `start`. With a port for each failure domain, a
+        test can partition one of them from the platform while the others
+        still reach it.
         """
-        return self._fronts.setdefault(place, Front())
+        return self._listeners.setdefault(place, Listener())
 
     async def start(self) -> None:
-        """Listens on ports that the kernel chooses the first time."""
+        """Starts listening; the kernel chooses the ports on the first start."""
         app = web.Application(
-            client_max_size=_MAX_BODY_BYTES, middlewares=[self._fail]
+            client_max_size=_MAX_BODY_BYTES, middlewares=[self._inject_faults]
         )
         app.add_routes(self._routes())
         self._runner = web.AppRunner(
             app, shutdown_timeout=_SHUTDOWN_S, access_log=None
         )
         await self._runner.setup()
-        for count, front in enumerate(self._fronts.values()):
+        for count, listener in enumerate(self._listeners.values()):
             site = web.TCPSite(
-                self._runner, _LOOPBACK, front.port, reuse_address=True
+                self._runner, _LOOPBACK, listener.port, reuse_address=True
             )
             await site.start()
-            front.port = self._runner.addresses[count][1]
+            listener.port = self._runner.addresses[count][1]
 
     async def stop(self) -> None:
-        """Closes the ports and all connections; keeps what it holds."""
+        """Closes the ports and all connections; keeps the stored data."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
@@ -86,40 +87,46 @@
         raise NotImplementedError
 
     @web.middleware
-    async def _fail(self, request: web.Request, handler) -> web.StreamResponse:  # type: ignore[no-untyped-def]
+    async def _inject_faults(
+        self, request: web.Request, handler
+    ) -> web.StreamResponse:  # type: ignore[no-untyped-def]
         self.calls += 1
         slow_s = sum(faults.slow_s for faults in self._faults_of(request))
         if slow_s:
             await asyncio.sleep(slow_s)
-        if self._stalls_before(request):
+        if self._stalls_before_effect(request):
             await self.stall(request)
-        if self._is_down(request) or self._use(request, "refused"):
+        if self._is_down(request) or self._consume_fault(request, "refused"):
             raise web.HTTPServiceUnavailable
         response = await handler(request)
         changes = request.method in ("POST", "PUT")
-        if changes and self._use(request, "answer_lost"):
-            return abort(request)
+        if changes and self._consume_fault(request, "answer_lost"):
+            return abort_connection(request)
         return response
 
-    def _stalls_before(self, request: web.Request) -> bool:
-        """Returns whether a stalled call stops before it has its effect."""
+    def _stalls_before_effect(self, request: web.Request) -> bool:
+        """Returns whether the request stalls before it takes effect."""
         return self._is_stalled(request)
 
     async def stall(self, request: web.Request) -> None:
-        """Holds a connection open without a byte, then breaks it off."""
-        # The fault is plain data that a test sets from anywhere, so it is
-        # looked at again and again.
+        """Keeps a connection open without sending, then aborts it."""
+        # The fault is a plain attribute that a test sets at any time, so it
+        # is polled.
         while self._is_stalled(request):  # noqa: ASYNC110
             await asyncio.sleep(_STALL_CHECK_S)
-        abort(request)
+        abort_connection(request)
 
     def _faults_of(self, request: web.Request) -> list[memory.Faults]:
-        """Returns the server's faults and those of the port used."""
+        """Returns the faults of the server and of the request's port."""
         found = [self.faults]
         if request.transport is not None:
             port = request.transport.get_extra_info("sockname")[1]
-            fronts = self._fronts.values()
-            found += [front.faults for front in fronts if front.port == port]
+            listeners = self._listeners.values()
+            found += [
+                listener.faults
+                for listener in listeners
+                if listener.port == port
+            ]
         return found
 
     def _is_down(self, request: web.Request) -> bool:
@@ -128,18 +135,18 @@
     def _is_stalled(self, request: web.Request) -> bool:
         return any(faults.stalled for faults in self._faults_of(request))
 
-    def _use(self, request: web.Request, fault: str) -> bool:
-        """Uses up one of the next n calls that a fault is set for."""
+    def _consume_fault(self, request: web.Request, fault: str) -> bool:
+        """Returns whether a counted fault applies, and decrements its count."""
         for faults in self._faults_of(request):
-            left = getattr(faults, fault)
-            if left > 0:
-                setattr(faults, fault, left - 1)
+            remaining = getattr(faults, fault)
+            if remaining > 0:
+                setattr(faults, fault, remaining - 1)
                 return True
         return False
 
 
-def abort(request: web.Request) -> web.Response:
-    """Breaks a connection off without an answer."""
+def abort_connection(request: web.Request) -> web.Response:
+    """Aborts the connection without a response."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -156,7 +156,7 @@
         head, _, _ = await collect(await waiting)
     assert b'"finish_reason": "cancelled"' in data
     assert head.refused == "cancelled"
-    assert s.ledger.of_request("r2") == []
+    assert s.ledger.runs_of_request("r2") == []
 
 
 async def test_queue_is_ordered_by_priority():
