--- a/src/clementinegw/bench/control.py
+++ b/src/clementinegw/bench/control.py
@@ -1,10 +1,11 @@
-"""`bench control`: what membership costs one process, by slope over members.
+"""Measures the cost of membership per member: clementinegw bench control.
 
 Runs whole failure domains of 30 members up to `--processes` over loopback UDP:
 the real service, sockets, codec and proofs. All members share this process and
-its event loop, since a bench does not start others; processor time and memory
-are told a member. The last failure domain also loses one member, and the time
-until every other one has declared it dead is told.
+its event loop, since a measurement starts no other process; processor time and
+memory are reported per member, with their slope over the number of members.
+The last failure domain also loses one member, and the time until every other
+member has declared it dead is reported.
 """
 
 import asyncio
@@ -32,11 +33,11 @@
 _HEADER_BYTES = 28
 _SEEDS = 3
 _ROLES = (types.Role.ENTRY, types.Role.AGENT)
-_ENTRY_SHARE = 4
-_JOIN_BOUND_S = 60.0
-_DETECT_BOUND_S = 20.0
-_POLL_S = 0.05
-_APART_S = 0.03
+_MEMBERS_PER_ENTRY = 4
+_JOIN_TIMEOUT_S = 60.0
+_DETECT_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.05
+_START_INTERVAL_S = 0.03
 _DAEMONS = ("clementinegw.daemons.entry", "clementinegw.daemons.agent")
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 _MB = 1024 * 1024
@@ -44,17 +45,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Point:
-    """What one member cost in a failure domain of some size.
+    """Cost of one member in a failure domain of a given size.
 
     Attributes:
       processes: Members of the failure domain.
-      join_s: Seconds from the first start until all knew all.
+      join_s: Seconds from the first start until every member knows all.
       cpu_core_share: Processor time of a member, as a share of one core.
-      bytes_per_s: Bytes sent and received a second, UDP headers included.
-      entry_bytes_per_s: The same of the entries alone.
-      agent_bytes_per_s: The same of the agents alone.
-      pauses: How often a member found that this process had not run.
-      memory_mb: What a member adds to the memory of this process.
+      bytes_per_s: Bytes sent and received per second, with UDP headers.
+      entry_bytes_per_s: The same for the entries alone.
+      agent_bytes_per_s: The same for the agents alone.
+      pauses: Number of times a member detected that this process paused.
+      memory_mb: Memory that a member adds to this process, in MB.
     """
 
     processes: int
@@ -102,11 +103,12 @@
 
 
 async def run(flag_values: flags.FlagValues) -> dict[str, Any]:
-    """Measures and returns the keys of the JSON line.
+    """Measures and returns the fields of the JSON line.
 
     Raises:
-      exceptions.UsageError: A size is no number.
-      exceptions.CheckFailed: The members did not find each other.
+      exceptions.UsageError: A size is not a number.
+      exceptions.CheckFailed: The members did not join, or did not
+        detect the stopped member, in time.
     """
     sizes = _sizes(flag_values.smaller, flag_values.processes)
     domains = flag_values.domains
@@ -131,12 +133,12 @@
     """The members of one or more failure domains, all in this process."""
 
     def __init__(self, size: int, seed: int, domains: int = 1):
-        """Starts empty.
+        """Creates a group without members.
 
         Args:
           size: Members of each failure domain.
           seed: Seeds the random targets.
-          domains: How many failure domains.
+          domains: Number of failure domains.
         """
         self._size = size
         self._domains = [f"hal-{number}" for number in range(domains)]
@@ -148,8 +150,8 @@
     async def start(self) -> None:
         """Starts the members, each with a few earlier ones as seeds.
 
-        A little apart, because they share one event loop: what is measured
-        here is a quiet failure domain, not a restart of everything.
+        The starts are spread out, because the members share one event loop and
+        the measurement covers a steady failure domain, not a mass restart.
         """
         self._started_at = time.monotonic()
         seeds: list[view.Seed] = []
@@ -158,10 +160,12 @@
             known = self._rng.sample(
                 seeds, min(len(seeds), _SEEDS * len(self._domains))
             )
-            member = self._new(index // len(self._domains), domain, known)
+            member = self._new_member(
+                index // len(self._domains), domain, known
+            )
             await member.start()
             self._members.append(member)
-            await asyncio.sleep(_APART_S)
+            await asyncio.sleep(_START_INTERVAL_S)
             if index < _SEEDS * len(self._domains) or len(self._domains) == 1:
                 seeds.append(view.Seed(member.instance.address, domain))
 
@@ -173,21 +177,21 @@
         gc.collect()
 
     async def measure(self, seconds: float, base_mb: float) -> Point:
-        """Waits for all to know all, then measures.
+        """Waits until every member knows all others, then measures.
 
         Args:
-          seconds: How long.
-          base_mb: The memory of this process before any member started.
+          seconds: Settle time and, again, duration of the measurement.
+          base_mb: Memory of this process before any member started, in MB.
         """
-        await _until(self._joined, _JOIN_BOUND_S, "join")
+        await _wait_until(self._joined, _JOIN_TIMEOUT_S, "join")
         join_s = time.monotonic() - self._started_at
         await asyncio.sleep(seconds)
         cpu, wall = time.process_time(), time.monotonic()
-        before = self._sent()
+        before = self._traffic_by_role()
         await asyncio.sleep(seconds)
         cpu = time.process_time() - cpu
         wall = time.monotonic() - wall
-        after = self._sent()
+        after = self._traffic_by_role()
         gc.collect()
         count = len(self._members)
         entries = sum(_is_entry(m) for m in self._members)
@@ -205,24 +209,24 @@
         )
 
     async def detect(self) -> float:
-        """Ends one member; returns the seconds until its domain knows."""
+        """Stops a member; returns the seconds until its domain detects it."""
         victim = self._members.pop()
         await victim.stop()
         started = time.monotonic()
         victim_id = victim.instance.instance_id
         place = victim.instance.place
         peers = [m for m in self._members if m.instance.place == place]
-        await _until(
-            lambda: not any(_knows(m, victim_id) for m in peers),
-            _DETECT_BOUND_S,
+        await _wait_until(
+            lambda: not any(_considers_alive(m, victim_id) for m in peers),
+            _DETECT_TIMEOUT_S,
             "detection",
         )
         return time.monotonic() - started
 
-    def _new(
+    def _new_member(
         self, index: int, domain: str, seeds: list[view.Seed]
     ) -> service.Membership:
-        role = _ROLES[index % _ENTRY_SHARE != 0]
+        role = _ROLES[index % _MEMBERS_PER_ENTRY != 0]
         instance = types.Instance(
             f"{domain}-{index:04}",
             role,
@@ -235,12 +239,12 @@
             auth.single_key_ring(b"a key of the bench"),
             seeds=tuple(seeds),
             rng=random.Random(self._rng.random()),
-            log=_Silent(),
+            log=_NullLog(),
             counters=self._counters[role],
         )
 
-    def _sent(self) -> dict[types.Role, float]:
-        return {role: _volume(c) for role, c in self._counters.items()}
+    def _traffic_by_role(self) -> dict[types.Role, float]:
+        return {role: _traffic_bytes(c) for role, c in self._counters.items()}
 
     def _joined(self) -> bool:
         return all(m.size == self._size for m in self._members)
@@ -268,11 +272,11 @@
     }
 
 
-def _slope(points: list[Point], of: Callable[[Point], float]) -> float:
+def _slope(points: list[Point], metric: Callable[[Point], float]) -> float:
     if len(points) < 2:
         return 0.0
     sizes = [float(point.processes) for point in points]
-    fit = statistics.linear_regression(sizes, [of(p) for p in points])
+    fit = statistics.linear_regression(sizes, [metric(p) for p in points])
     return float(f"{fit.slope:.4g}")
 
 
@@ -286,28 +290,28 @@
     return [*sorted(s for s in sizes if 1 < s < largest), largest]
 
 
-async def _until(
-    condition: Callable[[], bool], bound_s: float, what: str
+async def _wait_until(
+    condition: Callable[[], bool], timeout_s: float, what: str
 ) -> None:
-    deadline = time.monotonic() + bound_s
+    deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
             raise exceptions.CheckFailed(
-                f"bench control: no {what} within {bound_s:g} s"
+                f"bench control: no {what} within {timeout_s:g} s"
             )
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
-def _knows(member: service.Membership, instance_id: str) -> bool:
+def _considers_alive(member: service.Membership, instance_id: str) -> bool:
     known = member.member(instance_id)
     return known is not None and known.state is not view.MemberState.DEAD
 
 
-def _volume(counters: counting.Counters) -> float:
+def _traffic_bytes(counters: counting.Counters) -> float:
     return sum(
-        counters.value(f"membership.bytes_{way}")
-        + counters.value(f"membership.datagrams_{way}") * _HEADER_BYTES
-        for way in ("sent", "received")
+        counters.value(f"membership.bytes_{direction}")
+        + counters.value(f"membership.datagrams_{direction}") * _HEADER_BYTES
+        for direction in ("sent", "received")
     )
 
 
@@ -316,7 +320,7 @@
 
 
 def _base_mb() -> float:
-    # A daemon's memory is mostly its libraries, so they are all here.
+    # Most of a daemon's memory is its libraries, so all are imported.
     for name in _DAEMONS:
         importlib.import_module(name)
     gc.collect()
@@ -328,8 +332,8 @@
         return int(file.read().split()[1]) * _PAGE_BYTES / _MB
 
 
-class _Silent(logs.Log):
-    """Writes nothing: hundreds of members would write the same lines."""
+class _NullLog(logs.Log):
+    """Discards events: hundreds of members would write the same lines."""
 
     def write(self, event: events.Event, **fields: Any) -> None:
-        """Drops the event."""
+        """Discards the event."""
--- a/src/clementinegw/bench/rollout.py
+++ b/src/clementinegw/bench/rollout.py
@@ -1,8 +1,8 @@
 """Measures a rollout: clementinegw bench rollout [--policy=swarm|origin|tree].
 
-Rolls a version out to replicas over loopback TCP with shaped links, with live
-requests going on, and compares the time with the fluid bound of the same links.
-With `--compare` the baselines named there run after it on the same links.
+Rolls a version out to replicas over loopback TCP with shaped links, under live
+requests, and compares the time with the fluid bound of the same links. The
+policies in `--compare` run afterwards on the same links.
 """
 
 import dataclasses
@@ -17,9 +17,9 @@
 from clementinegw.bench import _rollout_run as runs
 from clementinegw.bench import _rollout_types as types_
 
-# Seconds of window per replica that keep one processor from being the limit.
+# Seconds of window per replica, so that one processor is not the limit.
 _WINDOW_PER_REPLICA_S = 0.3
-_LEAST_WINDOW_S = 10.0
+_MIN_WINDOW_S = 10.0
 _VIRTUAL_WINDOW_S = 24.0
 _ORIGIN_WINDOW_S = 2.0
 
@@ -36,19 +36,19 @@
         "policy",
         types_.Policy.SWARM,
         types_.Policy,
-        "How chunks reach the replicas.",
+        "How chunks are distributed to the replicas.",
         flag_values=flag_values,
     )
     flags.DEFINE_list(
         "faults",
         [],
-        "What goes wrong: die,stall,corrupt,change,partition.",
+        "Faults to inject: die,stall,corrupt,change,partition.",
         flag_values=flag_values,
     )
     flags.DEFINE_list(
         "compare",
         [],
-        "Policies that run after it with the same seed and links.",
+        "Policies that run afterwards with the same seed and links.",
         flag_values=flag_values,
     )
     flags.DEFINE_enum(
@@ -68,17 +68,17 @@
     flags.DEFINE_string(
         "limits",
         "{}",
-        "JSON object of swarm limits that differ from the measurement's.",
+        "JSON object of swarm limits that replace the measurement's.",
         flag_values=flag_values,
     )
 
 
 _INTEGERS = (
     ("replicas", 32, "Replicas that a version is rolled out to."),
-    ("domains", 4, "Failure domains that they are spread over."),
+    ("domains", 4, "Failure domains that the replicas are spread over."),
     ("chunks", 64, "Chunks of a version."),
     ("chunk_bytes", 32768, "The size of a chunk in bytes."),
-    ("parts", 16, "Parts that a chunk travels in."),
+    ("parts", 16, "Parts that a chunk is sent in."),
     ("seed", 1, "The seed of every random choice."),
 )
 _FLOATS = (
@@ -88,11 +88,11 @@
         "Seconds in which the origin's link carries --origin_link copies and "
         "a machine's --machine_link; 0 chooses by the number of replicas.",
     ),
-    ("origin_link", 4.0, "Copies that the origin's link carries a window."),
-    ("machine_link", 2.0, "Copies that a machine's link carries a window."),
-    ("headroom", 0.0, "The share of a link that transfers leave alone."),
+    ("origin_link", 4.0, "Copies that the origin's link carries per window."),
+    ("machine_link", 2.0, "Copies that a machine's link carries per window."),
+    ("headroom", 0.0, "The share of a link that transfers leave unused."),
     ("live_share", 0.01, "The share of a link that live requests use."),
-    ("live_per_s", 4.0, "Live requests a second to each replica."),
+    ("live_per_s", 4.0, "Live requests per second to each replica."),
     ("warm_up_s", 4.0, "Seconds of live requests before the rollout."),
     ("timeout_bounds", 40.0, "Give up after this many fluid bounds."),
 )
@@ -105,32 +105,34 @@
       flag_values: The parsed flags.
 
     Returns:
-      The keys of the JSON line.
+      The fields of the JSON line.
     """
     plan = make_plan(flag_values)
     virtual = flag_values.clock == "virtual"
     result = report.report(await runs.run(plan, virtual))
     result["clock"] = flag_values.clock
     for name in flag_values.compare:
-        policy = _member(types_.Policy, name)
+        policy = _parse_enum(types_.Policy, name)
         other = dataclasses.replace(plan, policy=policy, faults=frozenset())
-        found = report.report(await runs.run(other, virtual))
-        result[policy.value] = found
-        ratio = _ratio(found["seconds_to_all"], result["seconds_to_all"])
+        baseline = report.report(await runs.run(other, virtual))
+        result[policy.value] = baseline
+        ratio = _ratio(baseline["seconds_to_all"], result["seconds_to_all"])
         result[f"times_faster_than_{policy.value}"] = ratio
     return result
 
 
 def make_plan(values: Any) -> types_.Plan:
-    """Returns the plan that the flags ask for.
+    """Returns the plan that the flags describe.
 
     Raises:
-      exceptions.UsageError: A flag's value does not fit.
+      exceptions.UsageError: A flag has an invalid value.
     """
     for name in ("replicas", "domains", "chunks", "chunk_bytes", "parts"):
         if getattr(values, name) < 1:
             raise exceptions.UsageError(f"--{name}: expected at least 1")
-    faults = frozenset(_member(types_.Fault, name) for name in values.faults)
+    faults = frozenset(
+        _parse_enum(types_.Fault, name) for name in values.faults
+    )
     plan = types_.Plan(
         policy=values.policy,
         replicas=values.replicas,
@@ -138,7 +140,7 @@
         chunks=values.chunks,
         chunk_bytes=values.chunk_bytes,
         parts=values.parts,
-        window_s=values.window_s or _window(values),
+        window_s=values.window_s or _default_window_s(values),
         origin_copies=values.origin_link,
         link_copies=values.machine_link,
         shared=values.shared_directions,
@@ -149,31 +151,31 @@
         faults=faults,
         seed=values.seed,
         timeout_s=math.inf,
-        swarm_changes=_limits(values.limits),
+        swarm_overrides=_parse_overrides(values.limits),
     )
     timeout_s = values.timeout_bounds * plan.bound_s
     return dataclasses.replace(plan, timeout_s=timeout_s)
 
 
-def _window(values: Any) -> float:
+def _default_window_s(values: Any) -> float:
     if values.clock == "virtual":
         return _VIRTUAL_WINDOW_S
     if values.policy is types_.Policy.ORIGIN:
         return _ORIGIN_WINDOW_S
-    return max(_LEAST_WINDOW_S, _WINDOW_PER_REPLICA_S * values.replicas)
+    return max(_MIN_WINDOW_S, _WINDOW_PER_REPLICA_S * values.replicas)
 
 
-def _limits(text: str) -> dict[str, Any]:
+def _parse_overrides(text: str) -> dict[str, Any]:
     try:
-        changes = json.loads(text)
+        overrides = json.loads(text)
     except ValueError as error:
         raise exceptions.UsageError(f"--limits: {error}") from error
-    if not isinstance(changes, dict):
+    if not isinstance(overrides, dict):
         raise exceptions.UsageError("--limits: expected a JSON object")
-    return changes
+    return overrides
 
 
-def _member(kind: Any, name: str) -> Any:
+def _parse_enum(kind: Any, name: str) -> Any:
     try:
         return kind(name)
     except ValueError as error:
