--- a/src/clementinegw/bench/_requests_report.py
+++ b/src/clementinegw/bench/_requests_report.py
@@ -1,4 +1,4 @@
-"""From what callers, ledgers and counters saw to the keys of the bench."""
+"""Aggregates samples, ledgers and counters into the figures of the bench."""
 
 import collections
 import dataclasses
@@ -10,30 +10,31 @@
 from clementinegw.testing import ledger as ledger_lib
 
 _MS = 1000.0
-_PROMISES = ("false_not_run", "doubled", "lost", "crossed", "cut_off")
+_GUARANTEES = ("false_not_run", "doubled", "lost", "crossed", "cut_off")
 
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """One run.
+    """The figures of one run.
 
     Attributes:
       policy: The routing policy.
-      offered: Requests that were sent in the measured time.
-      answered: Of these, answered.
-      in_time: Of these, answered before the deadline.
-      capacity: Requests that the workers could have answered.
-      seconds: Latencies of all that were answered.
-      seconds_high: Latencies of high priority.
-      seconds_others: Latencies of all customers but the heavy one.
-      not_run: Not run, by reason.
-      not_run_others: Not run, of all customers but the heavy one.
-      unknown: Outcomes that could not be known.
-      verdict: Promises broken, by the ledgers.
-      hit_rate: Part of the prompt blocks that were found in a cache.
-      counters: The entries' and agents' counters.
-      sent: All requests, the warm-up included.
-      not_run_seconds: The longest time to a refusal.
+      offered: Requests that were sent in the measured period.
+      answered: Offered requests that were answered.
+      in_time: Offered requests that were answered before the deadline.
+      capacity: Requests that the workers could answer in that period.
+      seconds: Latencies of all answered requests, in seconds.
+      seconds_high: Latencies of those with high priority.
+      seconds_others: Latencies of all customers except the heavy one.
+      not_run: Requests that were not run, by reason.
+      not_run_others: Requests that were not run, of all customers except
+        the heavy one.
+      unknown: Requests with an unknown outcome.
+      verdict: Violations of each guarantee, according to the ledger.
+      hit_rate: Fraction of the prompt blocks that were cached.
+      counters: Sums of the counters of entries and agents.
+      sent: All requests, including the warm-up.
+      not_run_seconds: Maximum time to an outcome "not run", in seconds.
     """
 
     policy: str
@@ -57,24 +58,24 @@
 def measure(
     plan,
     traffic: _requests_load.Traffic,
-    callers: _requests_load.Callers,
-    world,
+    generator: _requests_load.LoadGenerator,
+    cluster,
     began: float,
 ) -> Result:
     """Returns the figures of one run in virtual time."""
     start = began + traffic.warm_up_s
-    asked = sum(a.backend.asked_blocks for a in world.agents)
-    hits = sum(a.backend.hit_blocks for a in world.agents)
+    requested = sum(a.backend.requested_blocks for a in cluster.agents)
+    hits = sum(a.backend.hit_blocks for a in cluster.agents)
     return result(
         plan.policy,
-        [s for s in callers.samples if s.at >= start],
-        callers.samples,
+        [s for s in generator.samples if s.at >= start],
+        generator.samples,
         traffic.deadline_s,
         traffic.rate / plan.load * (traffic.seconds - traffic.warm_up_s),
         plan.heavy_customer,
-        world.ledger,
-        [part.counters for part in (*world.entries, *world.agents)],
-        hits / max(1, asked),
+        cluster.ledger,
+        [part.counters for part in (*cluster.entries, *cluster.agents)],
+        hits / max(1, requested),
     )
 
 
@@ -93,20 +94,20 @@
 
     Args:
       policy: The routing policy.
-      samples: What callers saw in the measured time.
-      all_samples: What they saw at all; promises are judged by it.
-      deadline_s: What callers waited.
-      capacity: Requests that the workers could have answered.
-      heavy: The customer that may send more than its share.
-      ledger: What the workers wrote down.
-      counters: Of all entries and agents.
-      hit_rate: Part of the prompt blocks that were found in a cache.
+      samples: The samples of the measured period.
+      all_samples: All samples; the guarantees are checked against them.
+      deadline_s: Deadline of the requests, in seconds.
+      capacity: Requests that the workers could answer in that period.
+      heavy: Index of the heavy customer.
+      ledger: The runs that the backend servers recorded.
+      counters: The counters of all entries and agents.
+      hit_rate: Fraction of the prompt blocks that were cached.
     """
     answered = [s for s in samples if isinstance(s.outcome, types.Answered)]
     refused = [s for s in samples if isinstance(s.outcome, types.NotRun)]
     summed: collections.Counter = collections.Counter()
-    for one in counters:
-        summed.update(one.snapshot())
+    for source in counters:
+        summed.update(source.snapshot())
     return Result(
         policy=policy,
         offered=len(samples),
@@ -118,25 +119,25 @@
             s.seconds for s in answered if s.priority is types.Priority.HIGH
         ],
         seconds_others=[s.seconds for s in answered if s.customer != heavy],
-        not_run=_requests_load.reasons(samples),
+        not_run=_requests_load.count_reasons(samples),
         not_run_others=sum(s.customer != heavy for s in refused),
         unknown=sum(isinstance(s.outcome, types.Unknown) for s in samples),
         verdict=ledger.check(s.seen for s in all_samples).counts(),
         hit_rate=hit_rate,
         counters=summed,
         sent=len(all_samples),
-        not_run_seconds=max([s.call_seconds for s in refused], default=0.0),
+        not_run_seconds=max([s.call_s for s in refused], default=0.0),
     )
 
 
 def combine(results: list[Result], cpu_s: float) -> dict[str, Any]:
-    """Returns the bench's keys for one or several runs."""
+    """Returns the printed figures for one or more runs."""
 
-    def joined(name: str) -> list[float]:
-        found = [getattr(r, name) for r in results]
-        if isinstance(found[0], float):
-            return found
-        return [value for values in found for value in values]
+    def concatenated(name: str) -> list[float]:
+        per_run = [getattr(r, name) for r in results]
+        if isinstance(per_run[0], float):
+            return per_run
+        return [value for values in per_run for value in values]
 
     def total(name: str) -> float:
         return sum(getattr(r, name) for r in results)
@@ -148,11 +149,11 @@
         return dict(sorted(counter.items()))
 
     def ms(name: str, share: float) -> float:
-        value = _requests_load.percentile(joined(name), share)
+        value = _requests_load.percentile(concatenated(name), share)
         return round(value * _MS, 1)
 
     verdict = summed("verdict")
-    counted = summed("counters")
+    counter_totals = summed("counters")
     return {
         "policy": results[0].policy,
         "offered": total("offered"),
@@ -166,8 +167,8 @@
         "not_run_others": total("not_run_others"),
         "not_run_max_ms": ms("not_run_seconds", 1.0),
         "unknown": total("unknown"),
-        **{name: verdict[name] for name in _PROMISES},
+        **{name: verdict[name] for name in _GUARANTEES},
         "prefix_hit_rate": round(total("hit_rate") / len(results), 3),
         "cpu_us_per_request": round(cpu_s * 1e6 / max(1, total("sent"))),
-        "counters": {n: int(v) for n, v in counted.items() if v},
+        "counters": {n: int(v) for n, v in counter_totals.items() if v},
     }
