--- a/src/clementinegw/membership/sync.py
+++ b/src/clementinegw/membership/sync.py
@@ -1,8 +1,8 @@
-"""Anti-entropy: two members whose digests differ exchange what differs.
+"""Anti-entropy: members with different digests exchange missing records.
 
-The asker sends four bytes of the fingerprint of each member it knows; the
-other answers with the records it misses, as many as the budget allows, and
-with the fingerprints that it does not know itself. At rest only the digests
+The requester sends four bytes of the fingerprint of each member that it knows.
+The peer answers with the records missing there, up to a limit, and with the
+fingerprints that it does not know itself. While the views agree, only digests
 are compared.
 """
 
@@ -15,26 +15,27 @@
 from clementinegw.membership import table as tables
 from clementinegw.wire.gen.membership import ttypes
 
-_PRINT_BYTES = _records.PRINT_BYTES
+_FINGERPRINT_BYTES = _records.SHORT_FINGERPRINT_BYTES
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
-    """What a request says.
+class SyncRequest:
+    """The contents of a synchronisation request.
 
     Attributes:
-      prints: The short fingerprints of the members the asker knows.
-      parts: In how many parts the failure domain is compared.
-      part: Which of them this is.
+      fingerprints: The short fingerprints of the members that the requester
+        knows.
+      parts: The number of parts in which the failure domain is compared.
+      part: The index of this part.
     """
 
-    prints: bytes
+    fingerprints: bytes
     parts: int
     part: int
 
 
 class Sync:
-    """When to ask, and what to answer."""
+    """Decides when to send a request, and builds requests and answers."""
 
     def __init__(
         self,
@@ -45,64 +46,66 @@
         self._table = table
         self._options = options
         self._rng = rng
-        self._asked_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
 
-    def compare(
+    def needs_request(
         self, failure_domain: str, digest: int, settled: bool, now: float
     ) -> bool:
-        """Compares with a peer's digest; returns whether to ask it now.
+        """Returns whether to send a request to a peer with this digest now.
 
-        Digests differ for a moment while an update spreads. A process that
-        has taken one in just now waits until it has heard the rest; one that
-        always takes something in asks seldom.
+        Digests differ briefly while updates spread. So a process that has
+        just applied an update sends requests less often.
 
         Args:
-          failure_domain: Whose members the digest is over.
+          failure_domain: The failure domain that the digest covers.
           digest: The peer's digest.
           settled: Whether this process's view is settled.
           now: Monotonic seconds.
         """
-        mine = self._table.domain(failure_domain)
-        if mine.digest == digest:
+        own = self._table.domain(failure_domain)
+        if own.digest == digest:
             return False
         options = self._options
-        quiet = now - mine.changed_at >= options.sync_patience_s
+        quiet = now - own.changed_at >= options.sync_quiet_s
         period = options.sync_s if quiet else options.sync_busy_s
         if not settled:
             period = options.sync_unsettled_s
-        asked_at = self._asked_at.get(failure_domain)
-        if asked_at is not None and now - asked_at < period:
+        requested_at = self._requested_at.get(failure_domain)
+        if requested_at is not None and now - requested_at < period:
             return False
-        self._asked_at[failure_domain] = now
+        self._requested_at[failure_domain] = now
         return True
 
-    def hurry(self) -> None:
-        """Lets the next difference be asked about, as after a pause."""
-        self._asked_at.clear()
+    def reset_request_times(self) -> None:
+        """Allows a request at the next difference, for use after a pause."""
+        self._requested_at.clear()
 
-    def ask(self, failure_domain: str) -> Ask:
-        """Returns a request for what one does not know."""
+    def build_request(self, failure_domain: str) -> SyncRequest:
+        """Returns a request for the records that this process lacks."""
         size = len(self._table.domain(failure_domain).ring)
-        # A larger datagram would be cut into fragments, and lost with any.
-        parts = -(-size // self._options.prints_per_ask) or 1
+        # A larger datagram would be fragmented, and lost with any fragment.
+        parts = -(-size // self._options.fingerprints_per_request) or 1
         part = self._rng.randrange(parts)
-        prints = b"".join(
-            record.short for record in self._part(failure_domain, parts, part)
+        fingerprints = b"".join(
+            record.short_fingerprint
+            for record in self._part(failure_domain, parts, part)
         )
-        return Ask(prints, parts, part)
+        return SyncRequest(fingerprints, parts, part)
 
-    def missing(
-        self, failure_domain: str, ask: Ask, datagrams: int
+    def missing_records(
+        self, failure_domain: str, request: SyncRequest, datagrams: int
     ) -> list[list[ttypes.Member]]:
-        """Returns the records that an asker lacks, for each datagram."""
-        known = _split(ask.prints)
+        """Returns the records that a requester lacks, for each datagram."""
+        known = _split(request.fingerprints)
         members = [
             record.member
-            for record in self._part(failure_domain, ask.parts, ask.part)
-            if record.short not in known
+            for record in self._part(
+                failure_domain, request.parts, request.part
+            )
+            if record.short_fingerprint not in known
         ]
-        # Askers who start together are told different members first, and
-        # then tell each other.
+        # Shuffling gives processes that start together different records
+        # first; they then exchange these with each other.
         self._rng.shuffle(members)
         size = self._options.records_per_sync
         return [
@@ -110,21 +113,27 @@
             for start in range(0, len(members), size)
         ][:datagrams]
 
-    def unknown(self, failure_domain: str, ask: Ask) -> bytes:
-        """Returns the asker's fingerprints that one does not know."""
-        mine = {
-            record.short
-            for record in self._part(failure_domain, ask.parts, ask.part)
+    def unknown_fingerprints(
+        self, failure_domain: str, request: SyncRequest
+    ) -> bytes:
+        """Returns the requester's fingerprints unknown to this process."""
+        own = {
+            record.short_fingerprint
+            for record in self._part(
+                failure_domain, request.parts, request.part
+            )
         }
-        return b"".join(_split(ask.prints) - mine)
+        return b"".join(_split(request.fingerprints) - own)
 
-    def named(self, failure_domain: str, prints: bytes) -> list[ttypes.Member]:
-        """Returns one's own members with some short fingerprints."""
-        wanted = _split(prints)
+    def members_by_fingerprint(
+        self, failure_domain: str, fingerprints: bytes
+    ) -> list[ttypes.Member]:
+        """Returns the present members with one of some short fingerprints."""
+        wanted = _split(fingerprints)
         return [
             record.member
             for record in self._table.present(failure_domain)
-            if record.short in wanted
+            if record.short_fingerprint in wanted
         ]
 
     def _part(
@@ -136,8 +145,8 @@
         return [r for r in records if r.key % parts == part]
 
 
-def _split(prints: bytes) -> set[bytes]:
+def _split(fingerprints: bytes) -> set[bytes]:
     return {
-        prints[start : start + _PRINT_BYTES]
-        for start in range(0, len(prints), _PRINT_BYTES)
+        fingerprints[start : start + _FINGERPRINT_BYTES]
+        for start in range(0, len(fingerprints), _FINGERPRINT_BYTES)
     }
--- a/tests/membership_network.py
+++ b/tests/membership_network.py
@@ -1,8 +1,8 @@
-"""A network in virtual time for the decisions of membership.
+"""A simulated network in virtual time for tests of membership.
 
-Every process is a real `swim.Swim`. Datagrams go through the real seal and
-codec, unless `sealed` is off to run longer in the same time. There are loss,
-delay, partitions and paused processes.
+Each process runs the real `swim.Swim`. Datagrams are sealed and encoded as in
+production unless `sealed` is off, which allows longer runs. The network
+simulates loss, delay, partitions and paused processes.
 """
 
 import collections
@@ -26,10 +26,10 @@
 
 @dataclasses.dataclass
 class Node:
-    """One process on the network."""
+    """One process in the network."""
 
     instance: types.Instance
-    decisions: swim.Swim
+    swim: swim.Swim
     options: parameters.Parameters
     running: bool = True
     group: int = 0
@@ -37,7 +37,7 @@
 
 
 class Network:
-    """Nodes, links and the time."""
+    """The nodes, the links between them and the virtual clock."""
 
     def __init__(self, seed=1, loss=0.0, options=None, sealed=True):
         self.rng = random.Random(seed)
@@ -57,7 +57,7 @@
         self._ports = itertools.count(1)
 
     def add(self, name, domain="a", role=types.Role.AGENT, seeds=None):
-        """Starts a process, also in place of a former one of that name."""
+        """Starts a process; it may replace an earlier one of that name."""
         port = next(self._ports)
         address = types.Address(f"127.0.{port // 250}.{port % 250}", 1000)
         instance = types.Instance(
@@ -68,17 +68,19 @@
             int(self.now * 1000),
             "assistent" if role is types.Role.AGENT else "",
         )
-        decisions = swim.Swim(
+        member = swim.Swim(
             instance, self.options, random.Random(self.rng.random()), self.now
         )
-        decisions.set_seeds(self.seeds() if seeds is None else seeds)
-        self.nodes[name] = Node(instance, decisions, self.options)
+        member.set_seeds(self.seeds() if seeds is None else seeds)
+        self.nodes[name] = Node(instance, member, self.options)
         self.by_address[address] = name
-        self._at(self.rng.random() * self.options.tick_s, "tick", name, port)
+        self._schedule(
+            self.rng.random() * self.options.tick_s, "tick", name, port
+        )
         return self.nodes[name]
 
     def seeds(self, count=3):
-        """The first processes of each failure domain."""
+        """Returns the first processes of each failure domain as seeds."""
         domains = collections.defaultdict(list)
         for node in self.nodes.values():
             domains[node.instance.place.failure_domain].append(node)
@@ -89,17 +91,20 @@
         ]
 
     def run(self, seconds):
-        """Runs until some seconds from now."""
+        """Advances the virtual clock by some seconds."""
         until = self.now + seconds
         while self._queue and self._queue[0][0] <= until:
             self.now, _, kind, *rest = heapq.heappop(self._queue)
             getattr(self, f"_on_{kind}")(*rest)
         self.now = until
 
-    def run_until(self, condition, bound):
-        """Runs until a condition holds; returns the seconds, or None."""
+    def run_until(self, condition, timeout_s):
+        """Runs until a condition holds.
+
+        Returns the virtual seconds it took, or None if they exceed `timeout_s`.
+        """
         start = self.now
-        while self.now - start < bound:
+        while self.now - start < timeout_s:
             if condition():
                 return self.now - start
             self.run(0.1)
@@ -119,7 +124,7 @@
             self._on_arrival(name, *item)
 
     def split(self, names):
-        """Cuts the named processes off from all others."""
+        """Partitions the network into the named processes and all others."""
         for name, node in self.nodes.items():
             node.group = int(name in names)
 
@@ -127,23 +132,23 @@
         for node in self.nodes.values():
             node.group = 0
 
-    def do(self, name, **changes):
-        """Changes what a process says about itself."""
-        decisions = self.nodes[name].decisions
-        self._act(name, decisions.set_self(self.now, **changes))
+    def set_self(self, name, **changes):
+        """Changes what a process announces of itself."""
+        member = self.nodes[name].swim
+        self._act(name, member.set_self(self.now, **changes))
 
     def inject(self, name, data, source):
-        """Delivers bytes that the network itself did not carry."""
+        """Delivers a datagram that no node sent now."""
         message = datagram.unseal(data, KEYS)
         node = self.nodes[name]
-        self._act(name, node.decisions.on_datagram(message, source, self.now))
+        self._act(name, node.swim.on_datagram(message, source, self.now))
 
     def states(self, of, domain=None):
-        """What each running process believes of a member."""
+        """Returns the state of a member in the view of each other process."""
         return [
-            found.state if found is not None else None
-            for found in (
-                n.decisions.member(of, self.now)
+            member.state if member is not None else None
+            for member in (
+                n.swim.member(of, self.now)
                 for name, n in self.nodes.items()
                 if name != of
                 and (
@@ -153,10 +158,11 @@
         ]
 
     def converged(self, domain="a"):
-        """Whether all of a failure domain see exactly its processes alive.
+        """Returns whether all views of a failure domain are correct.
 
-        An id alone is not enough: it may stand for a former life that
-        listened elsewhere.
+        Each process must see exactly the processes of the failure domain as
+        alive. Addresses are compared too, because an id may stand for an
+        earlier incarnation at another address.
         """
         nodes = [
             n
@@ -171,19 +177,19 @@
         )
 
     def alive(self, node, domain):
-        """The members of a failure domain that a process holds for alive."""
+        """Returns the members of a failure domain alive in a node's view."""
         return [
             m.instance
-            for m in node.decisions.members(self.now)
+            for m in node.swim.members(self.now)
             if m.instance.place.failure_domain == domain
             and m.state is view.MemberState.ALIVE
         ]
 
     def seen(self, node, domain):
-        """The ids of `alive`."""
+        """Returns the ids of the members that `alive` returns."""
         return {instance.instance_id for instance in self.alive(node, domain)}
 
-    def _at(self, delay, *event):
+    def _schedule(self, delay, *event):
         heapq.heappush(
             self._queue, (self.now + delay, next(self._order), *event)
         )
@@ -195,8 +201,8 @@
         if node.instance.address.host != f"127.0.{port // 250}.{port % 250}":
             return
         if node.running:
-            self._act(name, node.decisions.on_tick(self.now))
-        self._at(self.options.tick_s, "tick", name, port)
+            self._act(name, node.swim.on_tick(self.now))
+        self._schedule(self.options.tick_s, "tick", name, port)
 
     def _on_arrival(self, name, data, source):
         node = self.nodes.get(name)
@@ -209,15 +215,15 @@
         if self.sealed:
             self.bytes[name] += len(data) + UDP_HEADER_BYTES
             message = datagram.unseal(data, KEYS)
-        self._act(name, node.decisions.on_datagram(message, source, self.now))
+        self._act(name, node.swim.on_datagram(message, source, self.now))
 
-    def _act(self, name, found):
-        for action in found:
+    def _act(self, name, requested):
+        for action in requested:
             if isinstance(action, actions.Send):
                 self._send(name, action)
             elif isinstance(action, actions.Count):
                 self.counts[action.name] += 1
-            elif isinstance(action, actions.Changed):
+            elif isinstance(action, actions.MemberChanged):
                 self.changes.append((self.now, name, action.instance_id))
 
     def _send(self, name, action):
@@ -236,4 +242,4 @@
         if other.group != node.group or self.rng.random() < self.loss:
             return
         delay = self.rng.uniform(*_DELAY_S)
-        self._at(delay, "arrival", receiver, data, node.instance.address)
+        self._schedule(delay, "arrival", receiver, data, node.instance.address)
