--- a/src/clementinegw/bench/_settings_hosts.py
+++ b/src/clementinegw/bench/_settings_hosts.py
@@ -236,8 +236,8 @@
           plan: Parameters of the run.
           clock: The clock of the machine, which all processes share.
           hosts: Number of processes for members.
-          coordinator: Accepts the connections of these processes and of one more for
-            the log.
+          coordinator: Accepts the connections of these processes and of one more
+            for the log.
         """
         super().__init__(plan, clock)
         self.platform = _RemotePlatform(coordinator)
