--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -70,7 +70,7 @@
     assert s.ledger.runs[0].end is ledgers.RunEnd.FINISHED
 
 
-async def test_session_does_not_retry_by_itself():
+async def test_session_does_not_repeat_by_itself():
     """Guards against a PUT that the server receives twice without a retry.
 
     The keep-alive connection broke after the server had processed the request,
