--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -166,7 +166,7 @@
 
 
 def test_second_run_sends_only_what_the_store_does_not_have(tmp_path):
-    """The store fails during a publication, which is then run decoded.
+    """The store fails during a publication, which is then run again.
 
     The store fails after some chunks and returns with one blob truncated. The
     first run must not leave a manifest. The second run must upload the rest and
