--- a/src/clementinegw/direct/channel.py
+++ b/src/clementinegw/direct/channel.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, clean: bool):
-        super().__init__("connection closed")
+        super().__init__("the connection ended")
         self.clean = clean
 
 
--- a/src/clementinegw/direct/client.py
+++ b/src/clementinegw/direct/client.py
@@ -109,7 +109,7 @@
             data += self._http.send(h11.EndOfMessage()) or b""
             await self._channel.write(data)
         except h11.LocalProtocolError as error:
-            raise AnswerBroken(f"request cannot be sent: {error}") from error
+            raise AnswerBroken(f"not to be sent: {error}") from error
         except channels.ChannelClosed as error:
             raise AnswerBroken(error.message) from error
 
@@ -124,7 +124,7 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise AnswerBroken("answer has no head")
+                raise AnswerBroken("no head")
             return Head(event.status_code, tuple(event.headers))
 
     async def data(self) -> bytes | None:
@@ -138,7 +138,7 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise AnswerBroken("answer body is incomplete")
+        raise AnswerBroken("not whole")
 
     async def body(
         self, limit: int, on_progress: Callable[[int], None] | None = None
@@ -157,7 +157,7 @@
         while (data := await self.data()) is not None:
             received += data
             if len(received) > limit:
-                raise AnswerBroken("answer body is too large")
+                raise AnswerBroken("too large")
             if on_progress is not None:
                 on_progress(len(received))
         return bytes(received)
@@ -172,9 +172,7 @@
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                raise AnswerBroken(
-                    f"answer is not valid HTTP: {error}"
-                ) from error
+                raise AnswerBroken(f"no HTTP: {error}") from error
             if event is not h11.NEED_DATA:
                 return event
             try:
@@ -187,9 +185,7 @@
                     raise AnswerBroken("reset") from error
                 self._http.receive_data(b"")
             except h11.RemoteProtocolError as error:
-                raise AnswerBroken(
-                    f"answer is not valid HTTP: {error}"
-                ) from error
+                raise AnswerBroken(f"no HTTP: {error}") from error
 
 
 async def connect(address: types.Address, timeout_s: float) -> Connection:
@@ -209,7 +205,7 @@
                 channels.Channel, address.host, address.port
             )
     except TimeoutError as error:
-        raise ConnectFailed(f"{address}: connection timed out") from error
+        raise ConnectFailed(f"{address}: no connection") from error
     except OSError as error:
         raise ConnectFailed(f"{address}: {error.strerror or error}") from error
     return Connection(channel)
--- a/src/clementinegw/direct/relay.py
+++ b/src/clementinegw/direct/relay.py
@@ -172,7 +172,7 @@
         except TimeoutError as error:
             self._directory.mark_stale()
             raise peer_queries.Unable(
-                f"{reader}: no answer in time", "timeout"
+                f"{reader}: no answer", "timeout"
             ) from error
         self._directory.set_candidates(update.readers)
         return update
@@ -387,9 +387,7 @@
         except zlib.error as error:
             raise exceptions.DecodeError(f"TopicNews: {error}") from error
         if not decompressor.eof:
-            raise exceptions.DecodeError(
-                "TopicNews: items are truncated or too large"
-            )
+            raise exceptions.DecodeError("TopicNews: cut, or too large")
     wire = codec.decode(ttypes.TopicItems, data)
     return tuple(
         raw.Item(i.key.decode(errors=_KEY_ERRORS), i.value, i.offset)
