--- a/src/clementinegw/backend/_stream.py
+++ b/src/clementinegw/backend/_stream.py
@@ -102,9 +102,7 @@
                 yield types.End(tokens)
                 return
         if len(buffer) > MAX_EVENT_BYTES:
-            raise exceptions.BackendLost(
-                f"an event exceeds {MAX_EVENT_BYTES} bytes"
-            )
+            raise exceptions.BackendLost("an event exceeds its limit")
 
 
 def _event_tokens(event: bytes, previous: int) -> int:
--- a/src/clementinegw/gate/_run.py
+++ b/src/clementinegw/gate/_run.py
@@ -105,7 +105,7 @@
                     return closing
         finally:
             await events.aclose()
-        raise exceptions.BackendLost("the answer ended without an end event")
+        raise exceptions.BackendLost("the answer ended without its end")
 
     async def _on_head(
         self, call: _calls.SubmitCall, head: backend_types.Head
--- a/src/clementinegw/requests/suspects_service.py
+++ b/src/clementinegw/requests/suspects_service.py
@@ -125,7 +125,7 @@
             if self._clock.now() + _LEASE_RETRY_INTERVAL_S >= until:
                 self._counters.add("suspects.deferred")
                 return types.NotRun(
-                    types.NotRunReason.SUSPECT, 1.0, "it may only run alone"
+                    types.NotRunReason.SUSPECT, 1.0, "it may run alone only"
                 )
             await asyncio.sleep(_LEASE_RETRY_INTERVAL_S)
 
--- a/src/clementinegw/settings/_check.py
+++ b/src/clementinegw/settings/_check.py
@@ -20,12 +20,12 @@
     if change.base > revision:
         return results.Rejected(
             results.RejectReason.UNKNOWN_BASE,
-            detail=f"based on revision {change.base}, newest is {revision}",
+            detail=f"made for revision {change.base}, newest is {revision}",
         )
     if change.base < revision and change.base <= state.floor:
         return results.Rejected(
             results.RejectReason.STALE_BASE,
-            detail=f"based on revision {change.base}, which is too old",
+            detail=f"made for revision {change.base}, too long ago",
         )
     paths = [operation.path for operation in change.operations]
     conflicting = [
